--- a/greengageflow/core/_charges.py
+++ b/greengageflow/core/_charges.py
@@ -1,4 +1,4 @@
-"""Charges of an owner's own grants that the fleet's totals do not show yet."""
+"""Charges for an owner's recent grants, not yet included in the fleet totals."""
 
 from collections import deque
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
     Args:
         at: Time of the grant.
         account: Client account.
-        tokens: Tokens charged.
+        tokens: Charged tokens; 0 once the charge is cancelled.
     """
 
     at: float
@@ -20,10 +20,10 @@
 
 
 class Charges:
-    """Sums charges per account until the totals show them.
+    """Sums charges per account until the fleet totals include them.
 
-    The totals lag. Without these charges every owner would give all its free slots
-    to the same account until the next totals come.
+    The totals lag. Without these charges, every owner would grant all its free slots
+    to the same account until the next totals arrive.
     """
 
     def __init__(self) -> None:
@@ -42,7 +42,8 @@
 
         Args:
             account: Client account.
-            reflected: Forget charges up to this time, since the totals show them.
+            reflected: Time up to which the totals include charges; those are
+                dropped.
         """
         charges = self._charges.get(account, ())
         while charges and charges[0].at <= reflected:
@@ -50,7 +51,7 @@
         return self._sums.get(account, 0.0)
 
     def cancel(self, charge: Charge) -> None:
-        """Take a charge back."""
+        """Remove a charge from its account's sum."""
         left = self._sums.get(charge.account, 0.0) - charge.tokens
         charge.tokens = 0.0
         self._sums[charge.account] = max(0.0, left)
--- a/greengageflow/core/_demand.py
+++ b/greengageflow/core/_demand.py
@@ -1,4 +1,4 @@
-"""What entry routers said that waits there, as one owner holds it."""
+"""Demand that entry routers have registered with one endpoint owner."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -15,12 +15,12 @@
 
     Args:
         peer: The entry router.
-        seq: Number of the statement.
-        waiting: Requests that wait there and have no grant of ours yet.
-        cost: Expected cost of one of them, in tokens.
-        since: Time at which it began to wait.
-        heard_at: Time of the last statement.
-        granted: Serial number of our last grant to it.
+        seq: Sequence number of the ``Demand`` message.
+        waiting: Requests that wait there without a grant from this owner.
+        cost: Expected cost of one request, in tokens.
+        since: Time at which the demand became non-zero.
+        heard_at: Time of the last ``Demand`` message.
+        granted: Serial number of this owner's last grant to it.
     """
 
     peer: PeerId
@@ -33,7 +33,7 @@
 
 
 class DemandBook:
-    """Demands of one pool per account and entry router."""
+    """Demand for one pool, by account and entry router."""
 
     def __init__(self) -> None:
         self.heard_at = float("-inf")
@@ -41,7 +41,7 @@
         self._serial = 0
 
     def put(self, now: float, sender: PeerId, demand: Demand) -> None:
-        """Take in a statement; late copies change nothing."""
+        """Apply a ``Demand`` message; duplicates and late copies are ignored."""
         entries = self._accounts.setdefault(demand.account, {})
         old = entries.get(sender.host)
         if old and (sender.boot, demand.seq) <= (old.peer.boot, old.seq):
@@ -60,7 +60,7 @@
         )
 
     def candidates(self, view: FleetView) -> Iterator[tuple[str, Waiting]]:
-        """Yield each account that waits, with the entry router that is next."""
+        """Yield each waiting account with its least recently granted router."""
         for account, entries in self._accounts.items():
             ready = [
                 entry
@@ -77,11 +77,11 @@
         entry.waiting -= 1
 
     def any_waiting(self, view: FleetView) -> bool:
-        """Tell whether a live entry router has something waiting."""
+        """Return whether requests wait at a live entry router."""
         return next(self.candidates(view), None) is not None
 
     def forget(self, now: float, view: FleetView) -> None:
-        """Drop what was not refreshed and what dead routers said."""
+        """Drop demand that was not refreshed or whose router is dead."""
         for account, entries in list(self._accounts.items()):
             for host, entry in list(entries.items()):
                 if now - entry.heard_at > FORGET_S or view.is_gone(entry.peer):
--- a/greengageflow/core/_registrar.py
+++ b/greengageflow/core/_registrar.py
@@ -1,4 +1,4 @@
-"""Where the demand of a router's queues is registered."""
+"""Registers the demand of a router's queues with endpoint owners."""
 
 from collections.abc import Iterable, Iterator
 from random import Random
@@ -13,23 +13,23 @@
 _MOST_FACTOR = 2
 _REFRESH_S = 4.0
 _LONGEST_REFRESH_S = 8.0
-"""Below half of the time after which an owner forgets what was not told again."""
+"""Less than half of the time after which an owner drops demand not refreshed."""
 _REFRESHES_PER_S = 2.0
 _NEVER = float("inf")
 
 
 class DemandRegistrar:
-    """Tells owners what waits here, in few messages.
+    """Registers queue demand with owners, using few messages.
 
-    One owner is asked first, more if its answer does not come within milliseconds,
-    and in the end up to twice ``most`` of them. An owner is told again when the
-    number of waiting requests has doubled or halved since, and every few seconds,
-    so that a lost message does not leave a request waiting.
+    Demand goes to one owner first, to more if no grant arrives within milliseconds,
+    and finally to up to twice ``most`` owners. It is sent again when the number of
+    waiting requests has doubled or halved, and every few seconds, so that a lost
+    message does not leave a request waiting.
 
     Args:
         own: This router.
-        random: Source of the order in which owners are asked.
-        most: Owners that are asked in quick succession.
+        random: Random source for the order in which owners are asked.
+        most: Number of owners that are asked in quick succession.
     """
 
     def __init__(self, own: PeerId, random: Random, *, most: int = 8) -> None:
@@ -42,13 +42,13 @@
         self._seq = 0
 
     def place(self, view: FleetView, members: dict[str, list[str]]) -> None:
-        """Take over the view and the endpoints of each pool."""
+        """Apply a view and the endpoints of each pool."""
         self._view = view
         self._members = members
         self._owners.clear()
 
     def owners(self, pool: str) -> list[str]:
-        """Return the hosts that own endpoints of a pool, in order of name."""
+        """Return the hosts that own endpoints of a pool, sorted by name."""
         if pool not in self._owners:
             names = self._members.get(pool, ())
             hosts = {self._view.owner_of(name) for name in names}
@@ -56,12 +56,12 @@
         return self._owners[pool]
 
     def begin(self, now: float, queue: AccountQueue) -> Iterator[Send]:
-        """Register the demand of a queue in which the first request waits."""
+        """Register the demand of a queue that has just become non-empty."""
         queue.refresh_at = now + _REFRESH_S
         yield from self.widen(now, queue)
 
     def widen(self, now: float, queue: AccountQueue) -> Iterator[Send]:
-        """Ask 1 owner, then 2, 4, … up to ``most``; then one more now and then."""
+        """Ask 1, 2, 4, … up to ``most`` owners; then one more at a slower rate."""
         owners = self.owners(queue.pool)
         bound = min(self.most * _MOST_FACTOR, len(owners))
         asked = len(queue.asked)
@@ -92,7 +92,7 @@
         return self._random.choice(owners)
 
     def ask(self, queue: AccountQueue, host: str) -> Send:
-        """Register the queue's demand with one owner, or refresh it there."""
+        """Register or refresh the queue's demand with one owner."""
         boot = self._view.live[host].boot
         queue.asked[host] = Asked(PeerId(host, boot), len(queue))
         self._seq += 1
@@ -108,7 +108,7 @@
         return Send(host, message)
 
     def restate(self, queue: AccountQueue) -> Iterator[Send]:
-        """Tell the owners of a change if it is large, or they would run out."""
+        """Update owners whose registered count has doubled or halved."""
         count = len(queue)
         for host, asked in list(queue.asked.items()):
             if not count or 2 * asked.waiting <= count or asked.waiting >= 2 * count:
@@ -117,10 +117,10 @@
             queue.asked.clear()
 
     def refresh(self, now: float, queue: AccountQueue) -> Iterator[Send]:
-        """Tell all asked owners again, and more rarely the more they are.
+        """Refresh the demand at all asked owners; the more owners, the less often.
 
-        One lost message matters less then, and with twenty backlogged accounts these
-        are most of a router's messages in a large fleet.
+        With many owners one lost message matters less, and with twenty backlogged
+        accounts refreshes are most of a router's messages in a large fleet.
         """
         pause_s = max(_REFRESH_S, len(queue.asked) / _REFRESHES_PER_S)
         queue.refresh_at = now + min(pause_s, _LONGEST_REFRESH_S)
@@ -128,7 +128,7 @@
             yield self.ask(queue, host)
 
     def replace(self, now: float, queues: Iterable[AccountQueue]) -> Iterator[Send]:
-        """Forget owners that are owners no more, and ask others instead."""
+        """Replace owners that are no longer live or own no endpoint of the pool."""
         for queue in queues:
             owners = self.owners(queue.pool)
             for host, asked in list(queue.asked.items()):
--- a/greengageflow/core/_slots.py
+++ b/greengageflow/core/_slots.py
@@ -1,4 +1,4 @@
-"""The slots of one endpoint, as its owner counts them."""
+"""Slot accounting of one endpoint at its owner."""
 
 from collections import OrderedDict
 from dataclasses import dataclass
@@ -11,22 +11,22 @@
 
 _RETURNED_KEPT = 512
 _REPORT_LAG_S = 2.0
-"""Most that an endpoint's load report may lag behind, in seconds."""
+"""Longest delay of an endpoint's load report, in seconds."""
 _REPORT_FRESH_S = 3.0
 
 
 @dataclass(slots=True)
 class Hold:
-    """One slot that is given away.
+    """One slot in use by an entry router.
 
     Args:
-        peer: Entry router that holds it.
-        account: Client account that it is for.
-        ends_at: Time at which the request will have ended at the latest.
-        ask_at: Time to send the grant again; None once it was answered.
-        charge: What the account was charged for it here.
-        since: Time at which it was given away or became known here.
-        away: True when the entry router does not answer.
+        peer: Entry router that uses the slot.
+        account: Client account that it is granted to.
+        ends_at: Latest time at which the request ends.
+        ask_at: Time to retransmit the grant; None once it was answered.
+        charge: Charge to the account for the grant, if issued here.
+        since: Time at which the slot was granted or registered here.
+        away: True when the entry router is unreachable.
     """
 
     peer: PeerId
@@ -39,12 +39,12 @@
 
     @property
     def due_at(self) -> float:
-        """Time at which something is to be done about it."""
+        """Time at which the grant is retransmitted or the slot expires."""
         return self.ends_at if self.ask_at is None else min(self.ask_at, self.ends_at)
 
 
 class EndpointSlots:
-    """Counts the slots of one endpoint.
+    """Counts the used and free slots of one endpoint.
 
     Args:
         endpoint: The endpoint as configured.
@@ -67,19 +67,19 @@
 
     @property
     def leaving(self) -> bool:
-        """Whether the endpoint gets no new work."""
+        """Whether the endpoint gets no new requests."""
         gone = self.left_generation >= self.endpoint.generation
         return gone or self.endpoint.leaving
 
     def configure(self, endpoint: Endpoint) -> None:
-        """Take over a changed configuration of the endpoint."""
+        """Apply a changed configuration of the endpoint."""
         if endpoint.generation != self.endpoint.generation:
             self.limit = SlotLimit(endpoint.slots)
         self.endpoint = endpoint
         self.limit.resize(endpoint.slots)
 
     def lose(self) -> None:
-        """Another router owns the endpoint now."""
+        """Stop granting slots, since another router owns the endpoint now."""
         self.owned = False
         self._usable = 0
         self._growth.clear()
@@ -87,23 +87,23 @@
     def own(
         self, now: float, borne: int, settle_s: float, doubt_s: float, cut: bool
     ) -> None:
-        """Use ``borne`` slots soon.
+        """Set the slot quota of this side of a partition to ``borne``.
 
-        More slots than before wait for ``settle_s``: requests that other routers
-        started under another owner run in them, and their ``GrantTaken`` is still
-        under way. Fewer count at once.
+        An increase takes effect after ``settle_s``: requests started under another
+        owner may run in the added slots while their ``GrantTaken`` is in transit. A
+        decrease takes effect immediately.
 
         Args:
-            now: The time.
-            borne: Slots that this side may use.
+            now: Current time.
+            borne: Slots that this side of a partition may use.
             settle_s: Seconds in which running requests are registered here.
-            doubt_s: Seconds for which routers that are out of reach may run
-                requests that nobody here knows of; 0 when all are in reach.
-            cut: True when routers went out of reach just now.
+            doubt_s: Seconds for which unreachable routers may run requests that are
+                not registered here; 0 when all routers are reachable.
+            cut: True when routers have just become unreachable.
         """
         if self._usable:
-            # The other side may still use slots that are borne here from now on,
-            # also those whose host was back for a moment only.
+            # The other side of the partition may still use slots that move to this
+            # side's quota, including those of a host that was back only briefly.
             settle_s = max(settle_s, doubt_s)
             if cut:
                 self._growth.clear()
@@ -122,16 +122,16 @@
         self.settle(now)
 
     def clear_doubt(self) -> None:
-        """No router is out of reach any more."""
+        """End the uncertainty about unregistered requests: all routers are live."""
         self._doubt_until = float("-inf")
 
     def settle(self, now: float) -> None:
-        """Let slots grow whose time has come."""
+        """Apply the quota increases that are due."""
         while self._growth and self._growth[0][0] <= now:
             _, self._usable = self._growth.pop(0)
 
     def free(self, now: float) -> int:
-        """Return how many slots may be granted now."""
+        """Return the number of slots that may be granted now."""
         if self.leaving:
             return 0
         self.settle(now)
@@ -140,21 +140,21 @@
         doubtful = away or now < self._doubt_until
         if doubtful and now - self._reported_at <= _REPORT_FRESH_S:
             return self._free_by_report(usable, len(self.holds) - away)
-        # A router that is cut off may run requests that the owner before us
-        # granted. Granting their slots too would overload the endpoint; as many
-        # as were registered here at once since then are surely not among them.
+        # An unreachable router may run requests that the previous owner granted.
+        # Granting their slots again would overload the endpoint. Only as many slots
+        # as were registered here at the same time are known not to be among them.
         if now < self._doubt_until:
             usable = min(usable, self._known)
         return max(0, usable - len(self.holds))
 
     def _free_by_report(self, usable: int, reached: int) -> int:
-        """Return the free slots when routers out of reach may run requests.
+        """Return the free slots by load report, while routers are unreachable.
 
-        Their slots would stay unused until the requests' deadline, a minute of a
-        third of the endpoint after each lost host. The endpoint's own count shows
-        earlier that they ended. It lags, so what was granted since comes on top.
-        The other side grants at most the slots that it bears, so both together
-        stay within the endpoint's.
+        Without the report, the slots of unreachable routers would stay unused until
+        the requests' deadline: a third of the endpoint for a minute after each lost
+        host. The endpoint's own count shows earlier that the requests ended. The
+        count lags, so grants issued since are added to it. The other side of a
+        partition stays within its own quota, so the sum fits the endpoint.
         """
         before = self._reported_at - _REPORT_LAG_S
         recent = sum(h.since > before for h in self.holds.values() if not h.away)
@@ -162,17 +162,17 @@
         return max(0, min(usable - reached, self.endpoint.slots - running))
 
     def report(self, now: float, running: int) -> None:
-        """Take the endpoint's own count of the requests that it runs."""
+        """Record the number of running requests that the endpoint reports."""
         self._reported_at = now
         self._reported = running
 
     def note_reach(self, view: FleetView) -> None:
-        """Note which entry routers answer."""
+        """Update which entry routers are reachable."""
         for hold in self.holds.values():
             hold.away = not view.is_live(hold.peer)
 
     def hold(self, grant: str, hold: Hold) -> None:
-        """Count a slot as given away."""
+        """Count a slot as used."""
         self.holds[grant] = hold
         self._confirm(grant)
 
@@ -182,7 +182,7 @@
         self._known = max(self._known, len(self._fresh))
 
     def take(self, now: float, sender: PeerId, message: GrantTaken) -> None:
-        """Count a slot as used, whoever granted it."""
+        """Count a slot as used by a running request, whichever owner granted it."""
         if message.grant in self._returned:
             return
         hold = self.holds.get(message.grant)
@@ -196,11 +196,11 @@
         self._confirm(message.grant)
 
     def give_back(self, grant: str) -> Hold | None:
-        """Take a slot back; None when it is not given away (any more).
+        """Free a slot; return None when the grant does not use one (any more).
 
-        A second copy, or one that comes after the slot was taken back, must not
-        free a slot again: it may run another request by now. And a copy of
-        ``GrantTaken`` that comes after it must not count the slot as used.
+        A duplicate, or a copy that arrives after the slot expired, must not free a
+        slot again: another request may already use it. A copy of ``GrantTaken`` that
+        arrives later must not count the slot as used.
         """
         self._returned[grant] = None
         if len(self._returned) > _RETURNED_KEPT:
@@ -208,14 +208,14 @@
         return self.holds.pop(grant, None)
 
     def expire(self, now: float, view: FleetView) -> None:
-        """Take back slots whose requests have surely ended."""
+        """Free slots whose requests have certainly ended."""
         for grant, hold in list(self.holds.items()):
             if hold.ends_at <= now or view.is_gone(hold.peer):
                 del self.holds[grant]
 
     @property
     def due_at(self) -> float:
-        """Time at which something is to be done."""
+        """Time of the next retransmission, expiry or quota increase."""
         times = [hold.due_at for hold in self.holds.values()]
         if self._growth:
             times.append(self._growth[0][0])
--- a/greengageflow/core/_waiting.py
+++ b/greengageflow/core/_waiting.py
@@ -15,11 +15,11 @@
 
     Args:
         id: Unique id of the request.
-        account: Client account that it is charged to.
-        pool: Pool that may serve it.
+        account: Client account that the request is charged to.
+        pool: Pool that may serve the request.
         cost: Expected cost, in tokens.
-        deadline: Time by which it must have ended, on the clock of ``now``.
-        affinity: Endpoint that holds the prompt's prefix, or empty.
+        deadline: Time by which the request must end, on the clock of ``now``.
+        affinity: Endpoint that caches the prompt's prefix, or empty.
     """
 
     id: str
@@ -31,28 +31,28 @@
 
 
 class DrainRate:
-    """Requests that left a queue lately, per second.
+    """Measures how fast requests leave a queue.
 
-    Measured only while requests wait without a break: how slowly requests come in
-    says nothing about how fast they would be served.
+    Only measured while the queue is continuously non-empty: a low arrival rate says
+    nothing about the service rate.
     """
 
     def __init__(self) -> None:
         self._times: deque[float] = deque(maxlen=_SAMPLES)
 
     def begin(self, now: float) -> None:
-        """Start anew, since the queue was empty until now."""
+        """Restart the measurement when the queue becomes non-empty."""
         self._times.clear()
         self._times.append(now)
 
     def on_start(self, now: float) -> None:
-        """Count a request that left the queue for an endpoint."""
+        """Count a request that was started on an endpoint."""
         self._times.append(now)
 
     def wait_s(self, now: float, ahead: int) -> float | None:
-        """Return the wait behind ``ahead`` requests; None when not known.
+        """Return the expected wait behind ``ahead`` requests; None if unknown.
 
-        Measured up to ``now``, so that a queue that no longer moves shows.
+        The rate is measured up to ``now``, so that a stalled queue raises the wait.
         """
         starts = len(self._times) - 1
         if starts < _FEWEST_SAMPLES:
@@ -62,10 +62,10 @@
 
 @dataclass(slots=True)
 class Asked:
-    """What one owner was told.
+    """Demand of a queue as registered with one owner.
 
     Args:
-        owner: Life of the owner that was told.
+        owner: Owner, with its boot number.
         waiting: Requests that the owner still counts as waiting.
     """
 
@@ -74,7 +74,7 @@
 
 
 class AccountQueue:
-    """Requests of one account for one pool, first in first out.
+    """FIFO queue of one account's requests for one pool.
 
     Args:
         account: Client account.
@@ -95,10 +95,10 @@
 
     @property
     def head(self) -> WaitingRequest | None:
-        """The request that is next, if there is one."""
+        """The next request, if there is one."""
         return next(iter(self.requests.values()), None)
 
     @property
     def due_at(self) -> float:
-        """Time at which this queue has something to do."""
+        """Time of the next demand message; infinite when the queue is empty."""
         return min(self.ask_at, self.refresh_at) if self.requests else float("inf")
--- a/greengageflow/core/_work_calls.py
+++ b/greengageflow/core/_work_calls.py
@@ -1,4 +1,4 @@
-"""When an owner with a free slot and nothing to grant asks for demand."""
+"""Schedules the work calls of an owner that has free slots but no demand."""
 
 from collections.abc import Iterator
 from random import Random
@@ -12,15 +12,15 @@
 
 
 class WorkCalls:
-    """Calls for work in one pool, at a bounded rate.
+    """Sends work calls for one pool, with exponential backoff.
 
-    Requests may wait at a router that registered its demand with other owners only.
-    Asking two routers at random finds them in a few calls, at a cost that does not
-    grow with the fleet.
+    Requests may wait at a router that registered its demand only with other owners.
+    Calling two random routers finds them within a few rounds, at a cost that does
+    not grow with the fleet.
 
     Args:
         pool: Pool of the free slots.
-        random: Source of the choice.
+        random: Random source for choosing routers.
     """
 
     def __init__(self, pool: str, random: Random) -> None:
@@ -30,12 +30,12 @@
         self.at = 0.0
 
     def reset(self) -> None:
-        """Begin with short pauses again, since there was demand."""
+        """Reset the backoff, since there was demand."""
         self._pause_s = _FIRST_PAUSE_S
         self.at = 0.0
 
     def call(self, now: float, free: int, hosts: list[str]) -> Iterator[Send]:
-        """Yield the calls, and plan the next ones after a longer pause."""
+        """Yield the calls of one round, and schedule the next after the backoff."""
         self.at = now + self._pause_s
         self._pause_s = min(_LONGEST_PAUSE_S, self._pause_s * 2)
         for host in self._random.sample(hosts, min(_PEERS, len(hosts))):
--- a/greengageflow/core/entry.py
+++ b/greengageflow/core/entry.py
@@ -1,4 +1,4 @@
-"""What waits at this router, and which waiting request takes a grant."""
+"""Per-account request queues of an entry router, and how grants start requests."""
 
 from collections import OrderedDict
 from collections.abc import Callable, Iterator
@@ -27,7 +27,10 @@
 
 _ENDED_KEPT = 4096
 _TELL_AGAIN_S = 0.25
-"""First pause, doubled each time: three more copies within an owner's settle time."""
+"""First retransmission interval of ``GrantTaken``; doubles each time.
+
+Gives three retransmissions within an owner's settle time.
+"""
 _ANSWERS_TO_CALL = 4
 
 
@@ -42,13 +45,13 @@
 
 
 class EntryQueue:
-    """Queues the requests that came in at this router.
+    """Queues the requests that arrived at this router until a slot is granted.
 
     Args:
         own: This router.
-        ledger: Where the service is counted.
-        seed: Of the order in which owners are asked.
-        has_left: Returns whether an endpoint must get no new work.
+        ledger: Ledger that counts the service.
+        seed: Seed for the order in which owners are asked.
+        has_left: Returns whether an endpoint must get no new requests.
     """
 
     def __init__(
@@ -80,18 +83,18 @@
 
     @property
     def waiting(self) -> int:
-        """Requests that wait."""
+        """Number of waiting requests."""
         return len(self._of)
 
     @property
     def running(self) -> int:
-        """Requests that were started and have not finished."""
+        """Number of requests that were started and have not finished."""
         return len(self._running)
 
     # Requests.
 
     def submit(self, now: float, req: WaitingRequest) -> Iterator[Effect]:
-        """Queue a request, or refuse it at once when it cannot be served."""
+        """Queue a request, or refuse it immediately when it cannot be served."""
         key = (req.account, req.pool)
         queue = self._queues.get(key)
         if queue is None:
@@ -120,7 +123,7 @@
         return refusal(now, req, queue, account.queue_limit)
 
     def cancel(self, request: str) -> Iterator[Effect]:
-        """Forget a waiting request whose caller has left; no answer is due."""
+        """Remove a waiting request whose caller disconnected, without an answer."""
         queue = self._of.get(request)
         if queue is not None:
             yield from self._leave(queue, request)
@@ -137,7 +140,7 @@
         self._ledger.set_waiting(account, waiting)
 
     def receive(self, now: float, sender: PeerId, message: Any) -> Iterator[Effect]:
-        """Take in a message from an owner."""
+        """Handle a message from an owner."""
         match message:
             case Grant():
                 yield from self._on_grant(now, sender, message)
@@ -146,8 +149,8 @@
 
     def _on_grant(self, now: float, sender: PeerId, grant: Grant) -> Iterator[Effect]:
         if grant.boot and grant.boot != self._own.boot:
-            # It was for an earlier life of this host. Its owner has taken the slot
-            # back, or will; a request started now would be one too many.
+            # The grant is for an earlier boot of this host. Its owner reclaims the
+            # slot, so a request started now would exceed the endpoint's slots.
             return
         if grant.grant in self._running:
             yield self._taken(now, sender.host, grant.grant)
@@ -162,7 +165,8 @@
         queue = self._queues.get((grant.account, grant.pool))
         backoff_s = self._backoff_until.get(grant.endpoint, now) - now
         if backoff_s > 0:
-            # Its owner may be another one than when the endpoint asked.
+            # Ownership may have changed since the endpoint requested the backoff, so
+            # the current owner is told as well.
             yield from self._decline(sender, grant, backoff_s)
         elif queue and self._is_valid(sender, grant):
             yield from self._start(now, sender, grant, queue)
@@ -177,14 +181,14 @@
         yield from self._give_back(sender.host, returned)
 
     def _is_valid(self, sender: PeerId, grant: Grant) -> bool:
-        # A grant may come late, when another router owns the endpoint already and
-        # has granted the slot anew, because nobody registered it there.
+        # A late grant may come from a former owner. The new owner knows of no request
+        # in this slot and may have granted it again.
         if self._view is None or not self._view.is_live(sender):
             return False
         if self._view.owner_of(grant.endpoint) != sender.host:
             return False
-        # It was granted before the sign came, and lost or late; its request would
-        # be cut when the endpoint's host goes.
+        # The grant was sent before the endpoint was known to be leaving. A request
+        # started now would be aborted when the endpoint's host shuts down.
         if self._has_left(grant.endpoint):
             return False
         return grant.endpoint in self._members.get(grant.pool, ())
@@ -212,7 +216,7 @@
         return Send(host, taken)
 
     def _tell_owner(self, now: float, grant: str, run: _Running) -> Iterator[Send]:
-        """Tell the present owner of the endpoint, if it does not know."""
+        """Register a running request with the endpoint's owner if it has changed."""
         host = self._view.owner_of(run.endpoint)
         if host is None:
             return
@@ -223,8 +227,8 @@
             yield self._tell(now, grant, _TELL_AGAIN_S)
 
     def _tell(self, now: float, grant: str, pause_s: float) -> Send:
-        # Nothing answers it. Lost on a slow connection, it left the new owner to
-        # grant a slot in which the request still ran.
+        # The message is not acknowledged, so it is retransmitted: when it was lost on
+        # a slow connection, the new owner granted a slot that was still in use.
         run = self._running[grant]
         run.tell_at = now + pause_s
         heappush(self._tell_again, (run.tell_at, pause_s, grant))
@@ -241,16 +245,16 @@
     # Running requests.
 
     def progress(self, grant: str, tokens: float) -> None:
-        """Count tokens of a running request as they stream."""
+        """Count streamed tokens of a running request."""
         run = self._running.get(grant)
         if run is not None:
             run.meter.charge(tokens)
 
     def ask_backoff(self, now: float, endpoint: str, seconds: float) -> bool:
-        """Note that an endpoint wants nothing from this router for so long.
+        """Record that an endpoint asked this router to back off.
 
         Returns:
-            True when it had not asked for it before, or that is over.
+            True when no earlier backoff of the endpoint is still in effect.
         """
         until = self._backoff_until.get(endpoint, now)
         self._backoff_until[endpoint] = max(until, now + seconds)
@@ -265,14 +269,14 @@
         failed: bool = False,
         backoff_s: float = 0.0,
     ) -> Iterator[Effect]:
-        """Give the slot of a running request back.
+        """Return the slot of a finished request to the owners that count it.
 
         Args:
-            grant: Id of the grant that started it.
-            served: Tokens that the endpoint produced in all.
-            seconds: Time for which the endpoint was busy with it.
-            failed: True when the endpoint could not be reached or broke.
-            backoff_s: Seconds for which it wants nothing from this router.
+            grant: Id of the grant that started the request.
+            served: Total tokens that the endpoint produced.
+            seconds: Time that the endpoint spent on the request.
+            failed: True when the endpoint was unreachable or failed.
+            backoff_s: Seconds for which the endpoint asked this router to back off.
         """
         run = self._running.pop(grant, None)
         if run is None:
@@ -286,8 +290,8 @@
             yield from self._give_back(host, returned)
 
     def _give_back(self, host: str, returned: GrantReturned) -> Iterator[Send]:
-        # An owner out of reach counts the slot as used up to its deadline; it is
-        # told again as soon as it answers.
+        # An unreachable owner counts the slot as used until the request's deadline,
+        # so the message is sent again when the owner is live.
         if self._view and host not in self._view.live:
             self._owed[returned.grant, host] = returned
         yield Send(host, returned)
@@ -297,10 +301,10 @@
         if len(self._ended) > _ENDED_KEPT:
             self._ended.popitem(last=False)
 
-    # Time and what changes around it.
+    # Timers, configuration and view.
 
     def on_tick(self, now: float) -> Iterator[Effect]:
-        """Do what has become due."""
+        """Run everything that is due."""
         yield from self._expire(now)
         while self._tell_again and self._tell_again[0][0] <= now:
             at, pause_s, grant = heappop(self._tell_again)
@@ -314,7 +318,7 @@
                 yield from self._registrar.refresh(now, queue)
 
     def next_tick(self, now: float) -> float:
-        """Return the time by which ``on_tick`` is to be called."""
+        """Return the latest time at which ``on_tick`` must be called next."""
         times = [queue.due_at for queue in self._queues.values() if queue]
         if self._deadlines:
             times.append(self._deadlines[0][0])
@@ -334,23 +338,23 @@
             yield from self._leave(queue, request)
 
     def on_pause(self) -> None:
-        """Note that this process stood still, and start nothing until it is sure.
+        """Defer incoming grants after a process pause, until the view is confirmed.
 
-        Grants lie in its sockets whose owner may have died since. The next owner
-        has then granted their slots anew, but this router's view still has the old
-        one: started at once, 8 requests ran in 4 slots. Held until the view is
-        confirmed, they are judged by the others' view.
+        Grants buffered in the sockets may come from owners that have since died. The
+        next owner may have granted the same slots again while this router's view
+        still lists the old owner; starting such grants at once ran 8 requests in 4
+        slots. Deferred grants are validated against the confirmed view.
         """
         self._paused = True
 
     def on_confirmed(self, now: float, *, anew: bool) -> Iterator[Effect]:
-        """Take the grants that came since the pause, by the view as it is now.
+        """Process the grants deferred since the pause, using the current view.
 
         Args:
-            now: The time.
-            anew: True when others may have held this router for dead. Their owners
-                have then used its slots again as soon as the endpoints reported them
-                free: its grants go back, and its demand is told anew.
+            now: Current time.
+            anew: True when other routers may have considered this one dead. Owners
+                may then have reused its slots as soon as the endpoints reported them
+                free, so deferred grants are declined and demand is registered again.
         """
         self._paused = False
         held, self._held = self._held, {}
@@ -364,7 +368,7 @@
                 yield from self._registrar.refresh(now, queue)
 
     def on_config(self, now: float, cfg: FleetConfig) -> Iterator[Effect]:
-        """Take over a configuration."""
+        """Apply a configuration."""
         before, self._cfg = self._cfg.endpoints, cfg
         self._registrar.most = cfg.policy.owners_asked
         self._members = {}
@@ -378,7 +382,7 @@
         yield from self._place(now)
 
     def on_view(self, now: float, view: FleetView) -> Iterator[Effect]:
-        """Take over a changed view of the fleet."""
+        """Apply a changed view of the fleet."""
         self._view = view
         for grant, run in self._running.items():
             yield from self._tell_owner(now, grant, run)
@@ -400,6 +404,6 @@
     def _refuse_all(self, queue: AccountQueue) -> Iterator[Effect]:
         queue.asked.clear()
         for request in list(queue.requests):
-            text = f"no endpoint for {queue.pool} any more"
+            text = f"no endpoint left for {queue.pool}"
             yield Refuse(request, ErrorKind.NO_ENDPOINT, text)
             yield from self._leave(queue, request)
--- a/greengageflow/core/limits.py
+++ b/greengageflow/core/limits.py
@@ -1,4 +1,4 @@
-"""Bounds that protect an endpoint: slots in use, rest after failures, retries."""
+"""Endpoint protection: adaptive slot limit, circuit breaker and retry budget."""
 
 _SMOOTHING = 0.1
 _FEWEST_SAMPLES = 8
@@ -8,16 +8,17 @@
 
 
 class SlotLimit:
-    """How many slots of an endpoint may be used just now.
+    """Adaptive limit of an endpoint's usable slots, with a circuit breaker.
 
-    Grows by a little and shrinks by a factor (AIMD) on the seconds that the endpoint
-    takes per token, relative to the best seen. After several failures in a row the
-    endpoint rests; then one probe goes through.
+    The limit follows the endpoint's seconds per token, relative to the best seen:
+    additive increase, multiplicative decrease (AIMD). After several consecutive
+    failures the endpoint rests (the circuit is open); then one probe is let through.
 
     Args:
         slots: Configured slots; never exceeded.
-        slow_ratio: Pace relative to the best one above which slots are cut.
-        failures: Failures in a row that start a rest.
+        slow_ratio: Seconds per token relative to the best, above which the limit is
+            decreased.
+        failures: Consecutive failures that start a rest.
         rest_s: First rest, in seconds; doubles up to ``longest_rest_s``.
         longest_rest_s: Longest rest, in seconds.
     """
@@ -49,23 +50,23 @@
 
     @property
     def resting(self) -> bool:
-        """Whether the last results were all failures."""
+        """Whether the circuit is open after consecutive failures."""
         return self._failures >= self._failures_allowed
 
     @property
     def rest_until(self) -> float:
-        """Time of the next probe; meaningful while ``resting``."""
+        """Time of the next probe; only meaningful while ``resting``."""
         return self._rest_until
 
     def resize(self, slots: int) -> None:
-        """Take over another configured number of slots."""
+        """Apply a changed number of configured slots."""
         if slots > self.slots:
             self._limit += slots - self.slots
         self.slots = slots
         self._limit = min(self._limit, float(slots))
 
     def allowed(self, now: float) -> int:
-        """Return the slots that may be used: 0 during a rest, 1 for a probe."""
+        """Return the number of usable slots: 0 during a rest, 1 for a probe."""
         if now < self.backoff_until:
             return 0
         if self.resting:
@@ -73,11 +74,11 @@
         return max(1, min(self.slots, int(self._limit)))
 
     def ask_backoff(self, now: float, seconds: float) -> None:
-        """Use no slot for so many seconds, as the endpoint asks."""
+        """Use no slot for a number of seconds, as requested by the endpoint."""
         self.backoff_until = max(self.backoff_until, now + seconds)
 
     def observe(self, now: float, served: float, seconds: float, failed: bool) -> None:
-        """Take in the result of one request."""
+        """Record the result of one request."""
         if failed:
             self._on_failure(now, seconds)
             return
@@ -86,8 +87,8 @@
             self._on_pace(now, served, seconds)
 
     def _on_failure(self, now: float, seconds: float) -> None:
-        # Requests that ran together break together. Each would double the rest, and
-        # an engine of eight slots would stay unused for long after one fault.
+        # One fault fails all concurrent requests. If each doubled the rest, an engine
+        # of eight slots would stay unused for a long time after a single fault.
         if self.resting and now - seconds < self._rested_at:
             return
         self._failures += 1
@@ -99,15 +100,16 @@
             self._rested_at = now
 
     def _on_pace(self, now: float, served: float, seconds: float) -> None:
-        # Seconds and tokens are smoothed apart: the pace of one short answer is
-        # mostly its first token's and would look like an overload.
+        # Seconds and tokens are smoothed separately: the time of a short answer is
+        # mostly its time to first token, and its ratio would look like an overload.
         self._samples += 1
         self._seconds += _SMOOTHING * (seconds - self._seconds)
         self._tokens += _SMOOTHING * (served - self._tokens)
         if self._samples < _FEWEST_SAMPLES:
             return
         pace = self._seconds / self._tokens
-        # Without the slow rise, one lucky spell would keep the bound low for ever.
+        # The best value decays slowly; otherwise one unusually fast period would
+        # keep the limit low permanently.
         self._best = min(self._best * _BEST_RISE, pace)
         if pace > self._slow_ratio * self._best:
             self._shrink(now, seconds)
@@ -115,8 +117,8 @@
             self._limit = min(float(self.slots), self._limit + _GROWTH)
 
     def _shrink(self, now: float, seconds: float) -> None:
-        # Results that started before the last cut say nothing about its effect;
-        # counting them would cut down to one slot at the first slow spell.
+        # Requests that started before the last decrease do not show its effect.
+        # Counting them would drop the limit to one slot in the first slow period.
         if now - seconds < self._cut_at:
             return
         self._cut_at = now
@@ -124,19 +126,19 @@
 
 
 class RetryBudget:
-    """Bounds retries to a share of first attempts (token bucket).
+    """Token bucket that limits retries to a share of first attempts.
 
-    Without it, every router retries at an endpoint in trouble at the same moment
-    and the load on it is a multiple of what the callers ask for.
+    Without it, all routers retry on a failing endpoint at the same time, and its
+    load becomes a multiple of the callers' demand.
 
-    A router that starts has nothing saved up: the process before it may have spent
-    it a moment ago. The first burst comes evenly.
+    The bucket starts empty, because the previous process may have spent its burst
+    just before a restart. The initial burst accrues evenly.
 
     Args:
         ratio: Retries allowed per first attempt.
-        burst: Retries that may be saved up.
+        burst: Capacity of the bucket, in retries.
         now: Time of the start.
-        fill_s: Seconds in which the first burst comes.
+        fill_s: Seconds over which the initial burst accrues.
     """
 
     def __init__(
@@ -159,7 +161,7 @@
         self._tokens = min(self._burst, self._tokens + self.ratio)
 
     def take(self, now: float) -> bool:
-        """Take a retry out of the budget; False when it is spent."""
+        """Take one retry from the budget; return False when it is exhausted."""
         filled = self._burst * min(1.0, (now - self._began) / self._fill_s)
         self._tokens = min(self._burst, self._tokens + filled - self._filled)
         self._filled = filled
--- a/greengageflow/core/owner.py
+++ b/greengageflow/core/owner.py
@@ -1,4 +1,4 @@
-"""Which account gets the next free slot of the endpoints that this router owns."""
+"""Grants slots of the endpoints that this router owns to accounts, fairly."""
 
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass
@@ -24,15 +24,15 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointUsage:
-    """How an owned endpoint is used.
+    """Slot usage of one owned endpoint.
 
     Args:
-        endpoint: Its name.
-        allowed: Slots that may be used now.
+        endpoint: Name of the endpoint.
+        allowed: Slots that may currently be used.
         used: Slots in use.
-        resting: True after several failures in a row.
-        rest_until: Time of the next probe; meaningful while resting.
-        leaving: True when it gets no new work.
+        resting: True after several consecutive failures.
+        rest_until: Time of the next probe; only meaningful while resting.
+        leaving: True when the endpoint gets no new requests.
     """
 
     endpoint: str
@@ -48,12 +48,12 @@
 
     Args:
         own: This router.
-        ledger: The fleet's service per account.
-        seed: Of the choice of routers that are called for work.
-        settle_s: Seconds after becoming owner, or after routers came back, in which
-            running requests are registered before more slots are granted; longer
-            than a change of the view takes to reach all routers.
-        expires_s: Seconds after which an unanswered grant is sent again.
+        ledger: Service per account across the fleet.
+        seed: Seed for choosing the routers that are sent a ``WorkCall``.
+        settle_s: Seconds after an ownership change, or after routers rejoin, during
+            which running requests register here before more slots are granted. Must
+            exceed the time that a view change takes to reach all routers.
+        expires_s: Seconds after which an unanswered grant is retransmitted.
     """
 
     def __init__(
@@ -93,11 +93,11 @@
 
     @property
     def granted(self) -> int:
-        """Grants given since the start."""
+        """Number of grants issued since the start."""
         return self._number
 
     def usage(self, now: float) -> Iterator[EndpointUsage]:
-        """Yield how each owned endpoint is used."""
+        """Yield the usage of each owned endpoint."""
         for owned in self._owned.values():
             for slots in owned:
                 yield EndpointUsage(
@@ -109,17 +109,17 @@
                     slots.leaving,
                 )
 
-    # What changes around it.
+    # Configuration, view and load reports.
 
     def on_config(
         self, now: float, cfg: FleetConfig, left: Mapping[str, int] | None = None
     ) -> Iterator[Send]:
-        """Take over a configuration.
+        """Apply a configuration.
 
         Args:
-            now: The time.
+            now: Current time.
             cfg: The configuration.
-            left: Generation of each endpoint that has left.
+            left: Generation of each endpoint that is known to be leaving.
         """
         self._cfg = cfg
         for name, endpoint in cfg.endpoints.items():
@@ -135,7 +135,7 @@
         yield from self._fill_all(now)
 
     def on_view(self, now: float, view: FleetView) -> Iterator[Send]:
-        """Take over a changed view of the fleet."""
+        """Apply a changed view of the fleet."""
         before = self._view.live.keys() if self._view else set()
         self._lost = (self._lost | before) & view.roster - view.live.keys()
         cut = bool(self._lost & before)
@@ -144,19 +144,20 @@
         yield from self._fill_all(now)
 
     def on_pause(self) -> None:
-        """Note that this process stood still, and grant nothing until it is sure."""
+        """Stop granting after a process pause, until the view is confirmed."""
         self._paused = True
 
     def on_confirmed(self, now: float, *, anew: bool) -> Iterator[Send]:
-        """Grant again, as the view is confirmed after a pause.
+        """Resume granting once the view is confirmed after a pause.
 
-        Others may have owned the endpoints meanwhile and granted their slots. Going
-        on at once, this router added its own: 7 requests ran in 4 slots. As a new
-        owner it hears first what runs.
+        During a long pause other routers may have taken over the endpoints and
+        granted their slots. Resuming at once oversubscribed them: 7 requests ran in
+        4 slots. The router therefore starts as a new owner, which waits for running
+        requests to register first.
 
         Args:
-            now: The time.
-            anew: True when the pause was long enough for that.
+            now: Current time.
+            anew: True when the pause was long enough for a takeover.
         """
         self._paused = False
         if anew:
@@ -166,13 +167,13 @@
         yield from self._fill_all(now)
 
     def mark_leaving(self, endpoint: str, generation: int) -> None:
-        """Give the endpoint no new work, for this generation of it for good."""
+        """Stop granting slots of the endpoint; permanent for this generation."""
         slots = self._slots.get(endpoint)
         if slots is not None:
             slots.left_generation = max(slots.left_generation, generation)
 
     def on_load(self, now: float, endpoint: str, running: int) -> None:
-        """Take an endpoint's own count of the requests that it runs."""
+        """Record the number of running requests that an endpoint reports."""
         slots = self._slots.get(endpoint)
         if slots is not None:
             slots.report(now, running)
@@ -217,10 +218,11 @@
     def _doubt_s(self, pool: str) -> float:
         if not self._lost:
             return 0.0
-        # An engine's load report ends the doubt within a second or two. A plain
-        # service reports none: up to its deadline, the new owner of a lost router's
-        # endpoints would grant nothing, and a pool of few replicas would stand still
-        # for a minute. Its calls are short; what outlasts this bound is the exception.
+        # For an engine, a load report shows the requests of unreachable routers
+        # within a second or two. A plain service sends no load reports: the new owner
+        # of a lost router's endpoints would grant nothing up to the deadline, which
+        # stalls a pool of few replicas for a minute. Service calls are short, so few
+        # outlast this shorter bound.
         known = self._cfg.pools.get(pool)
         longest_s = self._deadline_s(pool)
         if known and known.kind is PoolKind.SERVICE:
@@ -234,7 +236,7 @@
     # Messages.
 
     def receive(self, now: float, sender: PeerId, message: Any) -> Iterator[Send]:
-        """Take in a message from an entry router."""
+        """Handle a message from an entry router."""
         match message:
             case Demand(pool=pool, waiting=waiting):
                 self._book(pool).put(now, sender, message)
@@ -272,10 +274,10 @@
             slots.limit.ask_backoff(now, message.backoff_s)
         yield from self._fill(now, slots.endpoint.pool)
 
-    # Time.
+    # Timers.
 
     def on_tick(self, now: float) -> Iterator[Send]:
-        """Do what has become due."""
+        """Run everything that is due."""
         view = self._view
         if view is None:
             return
@@ -291,7 +293,7 @@
         yield from self._call_for_work(now, view)
 
     def next_tick(self, now: float) -> float:
-        """Return the time by which ``on_tick`` is to be called."""
+        """Return the latest time at which ``on_tick`` must be called next."""
         times = [self._forget_at]
         for slots in self._active.values():
             times.append(slots.due_at)
@@ -338,7 +340,7 @@
         return best
 
     def _pick(self, book: DemandBook) -> tuple[str, Waiting] | None:
-        """Return the account with the least service, and its next entry router."""
+        """Return the least-served account and its next entry router."""
         return min(
             book.candidates(self._view),
             key=lambda pair: (self._level(pair[0]), pair[1].since),
@@ -357,8 +359,9 @@
         self._number += 1
         grant = f"{self._own.host}:{self._own.boot}:{self._number}"
         ends_at = now + self._deadline_s(pool) + self._expires_s
-        # An owner sees only its own grants until the totals show the others', and
-        # takes the other owners to grant as it does; hence the spread.
+        # Until the totals are updated, an owner sees only its own grants. It assumes
+        # that the other owners of the pool grant at the same rate and scales the
+        # charge by the pool's slots relative to its own.
         charge = self._charges.add(now, account, entry.cost * self._spread[pool])
         ask_at = now + self._expires_s
         hold = Hold(entry.peer, account, ends_at, ask_at, charge, since=now)
@@ -377,10 +380,10 @@
         )
         return Send(hold.peer.host, message)
 
-    # Calls for work.
+    # Work calls.
 
     def _idle(self, now: float) -> Iterator[tuple[WorkCalls, int]]:
-        """Yield what has free slots and lately had demand, but has none now."""
+        """Yield pools with free slots and recent, but no current demand."""
         for pool, book in self._demands.items():
             quiet = now - book.heard_at > _POOL_QUIET_S
             if quiet or not self._freest(now, pool) or book.any_waiting(self._view):
