--- a/greengageflow/core/_offsets.py
+++ b/greengageflow/core/_offsets.py
@@ -1,11 +1,11 @@
-"""Where an account joins in, and how far behind it may be.
+"""Offsets to the virtual service of accounts: idle credit and debt limits.
 
-Two counters an account shift its virtual service. ``raised`` lifts an account that
-begins to wait to the level of those that wait already: what it did not use while it
-was idle is no credit. ``forgiven`` lowers an account that is far above the others,
-for instance after two sides of a partition have rejoined: it must not starve until
-all others have caught up. Both only grow and are merged by maximum, so collectors of
-several zones may raise the same account at the same time.
+Each account has two counters that shift its virtual service. ``raised`` lifts an
+account that becomes backlogged to the level of the other backlogged accounts, so
+that idle time earns no credit. ``forgiven`` lowers an account that is far above the
+others, for instance after a partition heals, so that it does not starve until the
+others have caught up. Both counters only grow and are merged by maximum, so
+collectors in several zones may raise the same account concurrently.
 """
 
 from collections import deque
@@ -18,15 +18,15 @@
 
 
 class Offsets:
-    """Works out both offsets of accounts from the fleet's totals.
+    """Computes both offsets of accounts from the fleet totals.
 
     Args:
-        ledger: The fleet's totals.
-        debt_s: Most seconds of its share that a backlogged account is held back.
-        least_debt: Tokens a unit of weight below which nothing is forgiven.
-        patience_s: Seconds for which totals must look the same. A collector that
-            has just taken over may know too little for a moment, and an offset is
-            never taken back.
+        ledger: Ledger with the fleet totals.
+        debt_s: Maximum debt of a backlogged account, in seconds of its share.
+        least_debt: Debt in tokens per unit of weight that is never forgiven.
+        patience_s: Seconds for which a condition must hold before an offset changes.
+            A collector that has just taken over may have incomplete totals, and an
+            offset is never reverted.
     """
 
     def __init__(
@@ -41,14 +41,14 @@
         self._debt_s = debt_s
         self._least_debt = least_debt
         self._patience_s = patience_s
-        # The median, since the sum of the fleet jumps when two sides rejoin.
+        # Uses the median, because the fleet's sum jumps when a partition heals.
         self._rates: deque[float] = deque(maxlen=_RATE_SAMPLES)
         self._last: tuple[float, float] | None = None
         self._warm_at: float | None = None
         self._indebted: dict[str, float] = {}
 
     def measure(self, now: float) -> None:
-        """Take a sample of how fast the level of the backlogged rises."""
+        """Sample how fast the level of backlogged accounts rises."""
         totals = self._ledger.totals.values()
         if totals and self._warm_at is None:
             self._warm_at = now + self._patience_s
@@ -61,16 +61,16 @@
 
     @property
     def most_debt(self) -> float:
-        """Farthest that a backlogged account may be above the floor."""
+        """Maximum distance of a backlogged account above the floor."""
         rate = median(self._rates) if self._rates else 0.0
         return max(self._least_debt, self._debt_s * rate)
 
     def shift(self, now: float, row: AccountService) -> tuple[float, float]:
-        """Return what to add to ``raised`` and ``forgiven`` of an account.
+        """Return the increments of ``raised`` and ``forgiven`` of an account.
 
         Args:
-            now: The time.
-            row: The account's totals with the present offsets.
+            now: Current time.
+            row: The account's totals with its current offsets.
         """
         account = row.account
         weight = self._ledger.weight(account)
--- a/greengageflow/core/_ring.py
+++ b/greengageflow/core/_ring.py
@@ -1,8 +1,9 @@
-"""Whom a router watches: the same few others as long as the members stay the same.
+"""Selects the members that a router probes; stable while the membership is.
 
-Members stand in a ring by the hash of their names. Each watches those 1, 2, 4, 8 …
-places on. Every member is watched by as many as it watches, news reaches all in a
-few hops, and the connections stay open, however large the fleet is.
+Members are placed on a ring by the hash of their host names. Each one probes the
+members 1, 2, 4, 8 … positions ahead. Every member is probed by as many members as it
+probes, membership updates reach all members in a few hops, and connections stay open
+at any fleet size.
 """
 
 from collections.abc import Iterable
@@ -15,10 +16,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Neighbours:
-    """Places in the ring near one router.
+    """Ring neighbours of one router.
 
     Args:
-        watched: Hosts that it probes.
+        watched: Hosts that the router probes.
         near: Hosts that it probes or that probe it.
     """
 
@@ -32,11 +33,11 @@
 
 
 def neighbours(hosts: Iterable[str], own_host: str) -> Neighbours:
-    """Return the neighbours of ``own_host``; in a small fleet all others are.
+    """Return the neighbours of ``own_host``; in a small fleet, all other hosts.
 
     Args:
         hosts: Live members, with or without ``own_host``.
-        own_host: The router that asks.
+        own_host: Host of this router.
     """
     ring = sorted({*hosts, own_host}, key=_place)
     size, place = len(ring), ring.index(own_host)
--- a/greengageflow/core/_zone_sums.py
+++ b/greengageflow/core/_zone_sums.py
@@ -1,4 +1,4 @@
-"""Sums per account and zone, as one collector keeps them."""
+"""Service sums per account and zone, as kept by one collector."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field, replace
@@ -12,12 +12,12 @@
 
 @dataclass(slots=True)
 class Origin:
-    """Last counters of one life of a router, with the report that had them.
+    """Last reported counters of one boot of a router.
 
     Args:
-        boot: Life of the router.
-        full: Shards, as a bit mask, of which a full report came.
-        rows: Number of the report and counters, per account.
+        boot: Boot number of the router.
+        full: Shards, as a bit mask, for which a full report was received.
+        rows: Report sequence number and counters, by account.
     """
 
     boot: int
@@ -25,25 +25,25 @@
     rows: dict[str, tuple[int, AccountService]] = field(default_factory=dict)
 
     def before(self, row: AccountService, shard: int) -> AccountService:
-        """Return the counters that were summed up before ``row``."""
+        """Return the counters that the sums already include, before ``row``."""
         known = self.rows.get(row.account)
         if known is not None:
             return known[1]
-        # Before the first full report, an earlier collector has counted what the
-        # router served so far; counting it again would charge the account twice.
+        # Until the first full report, the router's service so far has been counted by
+        # an earlier collector. Counting it again would charge the account twice.
         known_anew = self.full >> shard & 1
         return AccountService(row.account, 0.0 if known_anew else row.served)
 
 
 @dataclass(slots=True)
 class AccountSums:
-    """What is known of one account.
+    """Service sums of one account.
 
     Args:
-        base: Tokens of this zone that an earlier collector counted.
-        served: Tokens of this zone that were counted here.
-        pending: Pending tokens of this zone.
-        waiting: Requests waiting in this zone.
+        base: Tokens served in this zone, counted by earlier collectors.
+        served: Tokens served in this zone, counted here.
+        pending: Pending tokens in this zone.
+        waiting: Waiting requests in this zone.
         raised: See ``_offsets``.
         forgiven: See ``_offsets``.
         zones: Sums of the other zones.
@@ -60,25 +60,25 @@
     _short_since: float | None = None
 
     def count(self, old: AccountService, new: AccountService) -> None:
-        """Add what a router's counters have changed by."""
+        """Add the difference between two values of a router's counters."""
         self.served += max(0.0, new.served - old.served)
         self.pending += new.pending - old.pending
         self.waiting += new.waiting - old.waiting
 
     def merge_offsets(self, row: AccountService) -> None:
-        """Take over offsets that another collector has raised."""
+        """Merge the offsets of another collector, by maximum."""
         self.raised = max(self.raised, row.raised)
         self.forgiven = max(self.forgiven, row.forgiven)
 
     def merge_base(self, served: float) -> None:
-        """Take over what this zone had served when others counted it."""
+        """Merge the zone's service as counted by an earlier collector."""
         self.base = max(self.base, served)
 
     def merge_late(self, now: float, served: float, patience_s: float) -> None:
-        """Take over what others counted, if it stays more for ``patience_s``.
+        """Raise the base to ``served`` if it stays higher for ``patience_s``.
 
-        What routers counted while they were cut off comes in by difference within
-        two intervals. What is missing then was lost with an earlier collector.
+        Service that routers counted while unreachable arrives with their next reports,
+        within two intervals. What is still missing was lost with an earlier collector.
         """
         short = served - self.base - self.served
         if short <= 0:
@@ -90,22 +90,22 @@
             self._short_since = None
 
     def hand_over(self) -> None:
-        """Keep only the sum, since another router counts from now on."""
+        """Fold the counters into the base, since another router takes over."""
         self.base += self.served
         self.served = self.pending = 0.0
         self.waiting = 0
 
     def knows_more(self, zone: str, row: AccountService) -> bool:
-        """Tell whether a zone's own collector knows less of it than this router."""
+        """Return whether this router has a higher sum for a zone than ``row``."""
         known = self.zones.get(zone)
         return known is not None and row.served < known.served
 
     def merge_zone(self, zone: str, row: AccountService, first_hand: bool) -> None:
-        """Take over another zone's sums; ``served`` does not fall.
+        """Merge another zone's sums; normally ``served`` does not decrease.
 
-        But a collector that took over without being told the sum starts again from
-        nothing. Ignoring it until it has caught up would make the zone's service
-        free meanwhile; so it is believed when it stays lower.
+        A collector that took over without the previous sum starts from zero. If its
+        rows were ignored until it caught up, the zone's service would be uncharged in
+        the meantime, so a lower value is accepted once it has been repeated.
         """
         known = self.zones.get(zone) or AccountService(row.account, 0.0)
         if row.served < known.served:
@@ -115,7 +115,7 @@
         if first_hand:
             self._lower.pop(zone, None)
         else:
-            # Good for the sum, but too old for the rest.
+            # A replicated row has a valid sum, but its other fields are outdated.
             row = replace(row, pending=known.pending, waiting=known.waiting)
         self.zones[zone] = row
 
@@ -133,7 +133,7 @@
     def total(self, account: str, zones: set[str]) -> AccountService:
         """Return the sums of the fleet.
 
-        What is pending or waiting counts in ``zones``, the live ones, only.
+        Pending tokens and waiting requests only count in ``zones``, the live zones.
         """
         own = self.zone_row(account)
         live = [row for zone, row in self.zones.items() if zone in zones]
@@ -149,7 +149,7 @@
     """Sums of all accounts that one router collects.
 
     Args:
-        shards: Number of shards of accounts.
+        shards: Number of account shards.
     """
 
     def __init__(self, shards: int) -> None:
@@ -158,7 +158,7 @@
         self._origins: dict[str, Origin] = {}
 
     def of(self, account: str) -> AccountSums:
-        """Return the sums of one account, empty ones at first."""
+        """Return the sums of an account, created empty when missing."""
         sums = self.accounts.get(account)
         if sums is None:
             sums = self.accounts[account] = AccountSums()
@@ -167,7 +167,7 @@
     def on_report(
         self, sender: PeerId, report: ShareReport, services: Iterable[AccountService]
     ) -> None:
-        """Take in the ``services`` of a report that are collected here."""
+        """Apply the rows of a report that belong to shards collected here."""
         origin = self._origins.get(sender.host)
         if origin is None or origin.boot < sender.boot:
             self._zero(origin)
@@ -191,31 +191,31 @@
             origin.rows[account] = (seq, rest)
 
     def on_view(self, view: FleetView) -> None:
-        """Let nothing be pending or wait at routers that do not answer."""
+        """Remove the pending tokens and waiting requests of unreachable routers."""
         for host, origin in list(self._origins.items()):
             peer = PeerId(host, origin.boot)
             if view.is_live(peer):
                 continue
             self._zero(origin)
-            # A router that is only cut off keeps its counters: when it is back,
-            # what it served meanwhile is their difference.
+            # The counters of a router that is only unreachable are kept: when it is
+            # back, their difference is what it served meanwhile.
             if view.is_gone(peer):
                 del self._origins[host]
 
     def collect(self, shard: int) -> None:
-        """Start with a shard: what its routers counted so far was summed before."""
+        """Start collecting a shard; its service so far was counted elsewhere."""
         for origin in self._origins.values():
             origin.full &= ~(1 << shard)
 
     def hand_over(self, shard: int) -> None:
-        """Keep only the sums of a shard that another router collects now."""
+        """Stop collecting a shard, but keep its sums."""
         for name in self.names(shard):
             self.accounts[name].hand_over()
             for origin in self._origins.values():
                 origin.rows.pop(name, None)
 
     def drop(self, shard: int) -> None:
-        """Forget a shard."""
+        """Delete the sums of a shard."""
         for name in self.names(shard):
             del self.accounts[name]
 
--- a/greengageflow/core/affinity.py
+++ b/greengageflow/core/affinity.py
@@ -1,4 +1,4 @@
-"""Which endpoint lately saw the beginning of a prompt."""
+"""Prefix-cache affinity: which endpoint last served a prompt prefix."""
 
 from collections import OrderedDict
 from collections.abc import Mapping
@@ -10,12 +10,12 @@
 
 
 class PrefixMap:
-    """Remembers where prompts with the same beginning went.
+    """LRU map from prompt prefixes to the endpoint that served them last.
 
-    It is a hint: a prompt's prefix may have left the engine's cache since.
+    An entry is only a hint: the engine may have evicted the prefix from its cache.
 
     Args:
-        capacity: Most prefixes that are remembered.
+        capacity: Maximum number of prefixes.
     """
 
     def __init__(self, capacity: int = CAPACITY) -> None:
@@ -23,11 +23,11 @@
         self._endpoints: OrderedDict[bytes, str] = OrderedDict()
 
     def endpoint(self, prefix: bytes) -> str:
-        """Return the endpoint that saw ``prefix`` last, or an empty string."""
+        """Return the endpoint that last served ``prefix``, or an empty string."""
         return self._endpoints.get(prefix, "")
 
     def note(self, prefix: bytes, endpoint: str) -> None:
-        """Remember that a prompt with ``prefix`` went to ``endpoint``."""
+        """Record that a prompt with ``prefix`` was sent to ``endpoint``."""
         self._endpoints[prefix] = endpoint
         self._endpoints.move_to_end(prefix)
         if len(self._endpoints) > self._capacity:
--- a/greengageflow/core/collector.py
+++ b/greengageflow/core/collector.py
@@ -1,8 +1,8 @@
-"""Sums the service of one zone's routers and spreads the fleet's totals.
+"""Aggregates the service of a zone's routers and distributes the fleet totals.
 
-Each zone has one collector a shard of accounts. It adds up what the zone's routers
-report, exchanges the zone's sums with the collectors of the same shard in the other
-zones, and sends the fleet's totals to the routers of its own zone.
+Each zone has one collector per shard of accounts. It sums the reports of the zone's
+routers, exchanges the zone's sums with the collectors of the same shard in the other
+zones, and sends the fleet totals to the routers of its own zone.
 """
 
 from collections.abc import Iterator
@@ -27,11 +27,11 @@
 
 
 class Collector:
-    """Collects shards of accounts for the zone of this router.
+    """Collects account shards for the zone of this router.
 
     Args:
         own: This router.
-        ledger: This router's ledger, which gives the totals known so far.
+        ledger: This router's ledger, with the latest fleet totals.
         interval_s: Seconds between two calls of ``report``.
     """
 
@@ -58,22 +58,22 @@
         self._seq = 0
 
     def set_interval(self, interval_s: float) -> None:
-        """Take over the seconds between two calls of ``report``."""
+        """Set the seconds between two calls of ``report``."""
         self._settle_s = _SETTLE_INTERVALS * interval_s
         self._told_s = _TOLD_INTERVALS * interval_s
 
     @property
     def shards(self) -> frozenset[int]:
-        """Shards of accounts that this router collects."""
+        """Account shards that this router collects."""
         return frozenset(self._ready_at)
 
     def _shard(self, account: str) -> int:
         return shard_of(account, self._ledger.shards)
 
-    # The view.
+    # Fleet view.
 
     def on_view(self, now: float, view: FleetView) -> None:
-        """Take over a changed view of the fleet."""
+        """Apply a changed view of the fleet."""
         self._view = view
         self._zone = view.zone
         lines = {
@@ -110,7 +110,7 @@
         self._routers = routers
 
     def _note_partners(self, view: FleetView) -> None:
-        """Find the collectors of the same shards, in this zone too."""
+        """Update the collectors of the same shards, in all zones including this."""
         partners = {}
         for zone in view.zones:
             for shard, line in self._lines.items():
@@ -125,7 +125,7 @@
     # Messages.
 
     def receive(self, now: float, sender: PeerId, message: Any) -> None:
-        """Take in a report or another zone's totals."""
+        """Handle a service report or a zone's totals."""
         match message:
             case ShareReport(services=services):
                 if self._view is not None and not self._view.is_gone(sender):
@@ -157,18 +157,18 @@
                 self._new_partners.add((zone, shard))
             sums.merge_base(row.served)
         elif now <= self._ready_at[shard] + self._told_s:
-            # What this zone had served before this router took over.
+            # Service that the zone's previous collector counted.
             counted = sums.served if shard in self._ready else 0.0
             sums.merge_base(row.served - counted)
         else:
             sums.merge_late(now, row.served, self._told_s)
 
-    # Time.
+    # Timers.
 
     def report(self, now: float) -> Iterator[Send]:
         """Yield the totals for other collectors and the zone's routers.
 
-        Call it each share interval.
+        Called once per share interval.
         """
         if self._view is None:
             return
@@ -205,10 +205,10 @@
         return {**sums.zones, self._zone: sums.zone_row(name)}
 
     def _send_known_zones(self) -> Iterator[Send]:
-        """Tell collectors that took over what is known, of their own zone too.
+        """Send all known zone sums to new collectors, including their own zone's.
 
-        A host that has just restarted knows nothing. Without the sums, the accounts
-        of its shard would be far below all others and get every slot.
+        A collector that has just restarted has no state. Without the sums, the
+        accounts of its shards would be far below all others and get every slot.
         """
         rows: dict[tuple[str, str], list[AccountService]] = {}
         for key in self._new_partners & self._partners.keys():
@@ -220,7 +220,7 @@
         yield from _zone_messages(rows)
 
     def _send_copies(self, names: list[str]) -> Iterator[Send]:
-        """Tell the next in line what has changed in any zone."""
+        """Replicate changed sums of all zones to the standby collectors."""
         rows: dict[tuple[str, str], list[AccountService]] = {}
         for name in names:
             for zone, row in self._known_zones(name).items():
--- a/greengageflow/core/effects.py
+++ b/greengageflow/core/effects.py
@@ -1,8 +1,8 @@
-"""What the core asks the outside to do.
+"""Effects that the core requests from its environment.
 
-The core does no input or output: its methods take the time and what arrived, and
-yield effects, which ``router`` carries out. A method that yields must be iterated
-to the end, or it does nothing.
+The core performs no I/O: its methods take the current time and an input, and yield
+effects, which ``router`` executes. A method that yields must be iterated to the end;
+otherwise it does nothing.
 """
 
 from dataclasses import dataclass
@@ -21,12 +21,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Connect:
-    """Messages to the router on ``host`` go to this address from now on.
+    """Set the address for messages to the router on ``host``.
 
     Args:
         host: Host name.
-        ip: IP number of its peer side.
-        port: TCP port of its peer side.
+        ip: IP address for peer connections.
+        port: TCP port for peer connections.
     """
 
     host: str
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Disconnect:
-    """The router on ``host`` is gone: drop what waits to be sent to it."""
+    """Discard queued messages to the router on ``host``, which is down."""
 
     host: str
 
@@ -58,14 +58,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Give a waiting request its final answer.
+    """Answer a waiting request with an error.
 
     Args:
         request: Id of the request.
         kind: Error kind of the answer.
         message: What happened.
-        retry_after_s: When to come back, in seconds; None for the table's word.
-        ran: Whether it ran; None for the table's word.
+        retry_after_s: Seconds after which to retry; None for the default of ``kind``.
+        ran: Whether the request ran; None for the default of ``kind``.
     """
 
     request: str
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AppendRecords:
-    """Append ``records`` (JSON values) to ``stream`` of the log, as one append."""
+    """Append ``records`` (JSON values) to ``stream`` of the log in one append."""
 
     stream: str
     records: tuple[Any, ...]
@@ -93,14 +93,14 @@
 
 @dataclass(frozen=True, slots=True)
 class MayRun:
-    """The protected action ``request`` is the first of its key; it may be sent."""
+    """Send the protected action ``request``, which is the first with its key."""
 
     request: str
 
 
 @dataclass(frozen=True, slots=True)
 class Replay:
-    """Give ``request`` the recorded answer of an earlier attempt."""
+    """Answer ``request`` with the recorded answer of an earlier attempt."""
 
     request: str
     status: int
--- a/greengageflow/core/fleet_demand.py
+++ b/greengageflow/core/fleet_demand.py
@@ -1,4 +1,4 @@
-"""What the whole fleet asks for and does, and this host's part of it."""
+"""Aggregated demand and load of the fleet, and this host's share of capacity."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, replace
@@ -11,19 +11,19 @@
 
 
 def add_up(now: float, heard: Iterable[HeardReport], fade_s: float) -> FleetTotals:
-    """Return the sums of what other routers told.
+    """Aggregate the reports of other routers.
 
     Args:
-        now: The time.
-        heard: Their reports.
-        fade_s: Time constant of faded sums; those of older reports fade on.
+        now: Current time.
+        heard: Reports received from them.
+        fade_s: Time constant of the exponential decay, which is applied up to ``now``.
     """
     known = list(heard)
     return replace(add_work(now, known, fade_s), loads=add_loads(known))
 
 
 def add_work(now: float, heard: Iterable[HeardReport], fade_s: float) -> FleetTotals:
-    """Return the sums without loads; arguments as of ``add_up``."""
+    """Aggregate the reports without loads; arguments as for ``add_up``."""
     served: dict[tuple[str, str], float] = {}
     offered: dict[tuple[str, str], float] = {}
     known = list(heard)
@@ -43,16 +43,16 @@
 
 
 def add_loads(heard: Iterable[HeardReport]) -> dict[str, LoadShare]:
-    """Return what other routers have under way, by endpoint."""
+    """Return the load in flight from other routers, by endpoint."""
     return sum_loads(one.report.loads for one in heard)
 
 
 @dataclass(frozen=True, slots=True)
 class DemandParts:
-    """How a service's capacity is parted.
+    """Shares of a service's capacity.
 
     Args:
-        own: This host's part of it, 0 to 1.
+        own: This host's fraction of the capacity, 0 to 1.
         shares: Max-min share of each client account, in the capacity's unit.
     """
 
@@ -63,16 +63,16 @@
 def part_demand(
     own: Mapping[str, float], others: Mapping[str, float], capacity: float
 ) -> DemandParts:
-    """Part a service's capacity among client accounts and hosts.
+    """Divide a service's capacity among client accounts and hosts.
 
-    Each client account has its max-min share of the capacity, and each host the part
-    of it that comes to its own callers. A host's own fair queue with a fixed limit
-    would starve accounts whose callers gather on a few hosts.
+    Each client account gets its max-min share of the capacity, and each host the
+    fraction that its own callers are entitled to. Per-host fair queues with a fixed
+    limit would starve accounts whose callers are concentrated on a few hosts.
 
     Args:
-        own: Work that callers of this host ask for, by account.
-        others: The same of all other hosts.
-        capacity: Work that the service does in the same time.
+        own: Demand of this host's callers, by account.
+        others: Demand of all other hosts' callers, by account.
+        capacity: Work that the service can do in the same period.
     """
     asked = {
         account: own.get(account, 0.0) + others.get(account, 0.0)
--- a/greengageflow/core/max_min.py
+++ b/greengageflow/core/max_min.py
@@ -1,4 +1,4 @@
-"""Max-min fair shares of one capacity."""
+"""Max-min fair sharing of one capacity."""
 
 from collections.abc import Hashable, Mapping
 from typing import TypeVar
@@ -7,11 +7,11 @@
 
 
 def max_min_shares(asked: Mapping[K, float], capacity: float) -> dict[K, float]:
-    """Return what each asker gets: what it asked, or the same even share.
+    """Return max-min fair shares: each key's demand, capped at a common level.
 
     Args:
-        asked: What each one asks for, in any unit.
-        capacity: What there is, in the same unit.
+        asked: Demand of each key, in any unit.
+        capacity: Capacity to share, in the same unit.
     """
     shares: dict[K, float] = {}
     left = capacity
--- a/greengageflow/core/messages.py
+++ b/greengageflow/core/messages.py
@@ -1,7 +1,7 @@
-"""Messages between routers; ``wire`` has their encoding.
+"""Messages between routers; ``wire`` encodes them.
 
-Every message is a frozen dataclass. Fields are only appended, with a default, so that
-old and new routers understand each other while a fleet changes over.
+Every message is a frozen dataclass. New fields are only appended, with a default, so
+that old and new routers stay compatible during a rolling upgrade.
 """
 
 from dataclasses import dataclass
@@ -9,11 +9,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerId:
-    """One life of one router process.
+    """One boot of a router process.
 
     Args:
         host: Host name from the settings, unique in the fleet.
-        boot: Number of this life; a later life of the host has a larger one.
+        boot: Boot number; increases with every start of the router on this host.
     """
 
     host: str
@@ -25,18 +25,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """An entry router states how many requests an account has waiting there.
+    """Reports to an owner how many requests of an account wait at an entry router.
 
-    It replaces what the same router said before about the same account and pool,
-    so duplicates and late copies (lower ``seq``) change nothing.
+    Replaces earlier demand of the same router for the same account and pool.
+    Duplicates and late copies (lower ``seq``) are ignored.
 
     Args:
-        seq: Grows with each statement of this life of the sender.
+        seq: Increases with each ``Demand`` from this boot of the sender.
         account: Client account.
         pool: Pool that may serve the requests.
-        waiting: Requests waiting; 0 withdraws the demand.
-        cost: Expected cost of the first one, in tokens.
-        affinity: Endpoint that holds the prompt's prefix, or empty.
+        waiting: Number of waiting requests; 0 withdraws the demand.
+        cost: Expected cost of the first request, in tokens.
+        affinity: Endpoint that caches the prompt's prefix, or empty.
     """
 
     seq: int
@@ -49,16 +49,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """An owner gives one slot of an endpoint to an entry router.
+    """Grants one slot of an endpoint to an entry router.
 
     Args:
         grant: Unique id, ``{owner host}:{owner boot}:{number}``.
-        account: Client account that it is for.
+        account: Client account that the slot is for.
         pool: Pool of the endpoint.
-        endpoint: Endpoint whose slot it is.
-        expires_s: Seconds after which the owner asks again, with the same grant,
-            if neither ``GrantTaken`` nor ``GrantReturned`` answered it.
-        boot: Life of the entry router that it is for; a later life ignores it.
+        endpoint: Endpoint of the slot.
+        expires_s: Seconds after which the owner retransmits the same grant unless
+            ``GrantTaken`` or ``GrantReturned`` has answered it.
+        boot: Boot number of the receiver; a later boot ignores the grant.
     """
 
     grant: str
@@ -71,14 +71,14 @@
 
 @dataclass(frozen=True, slots=True)
 class GrantTaken:
-    """The entry router uses a grant; also sent to a new owner of the endpoint.
+    """Confirms that a grant is used; also sent to a new owner of the endpoint.
 
     Args:
         grant: Id of the grant.
         endpoint: Endpoint whose slot is in use.
-        account: Client account that uses it.
+        account: Client account that uses the slot.
         cost: Estimated cost, in tokens.
-        deadline_s: Seconds until the request will have ended at the latest.
+        deadline_s: Maximum number of seconds until the request ends.
     """
 
     grant: str
@@ -90,15 +90,15 @@
 
 @dataclass(frozen=True, slots=True)
 class GrantReturned:
-    """A slot comes back, used or not.
+    """Returns a granted slot, used or unused.
 
     Args:
         grant: Id of the grant.
-        endpoint: Endpoint whose slot it was.
-        served: Tokens that the endpoint produced; 0 when it was not used.
-        seconds: Time for which the endpoint was busy.
-        failed: True when the endpoint could not be reached or broke.
-        backoff_s: Seconds for which the endpoint wants nothing from this router.
+        endpoint: Endpoint of the slot.
+        served: Tokens that the endpoint produced; 0 when the slot was not used.
+        seconds: Time that the endpoint spent on the request.
+        failed: True when the endpoint was unreachable or failed.
+        backoff_s: Seconds for which the endpoint asked the router to back off.
     """
 
     grant: str
@@ -111,17 +111,17 @@
 
 @dataclass(frozen=True, slots=True)
 class AccountService:
-    """Service of one account at one origin.
+    """Service of one account, as counted by one router or summed by a collector.
 
     Args:
         account: Client account.
-        served: Tokens served since the origin started; never falls.
-        pending: Tokens estimated for requests in flight.
-        waiting: Requests that wait.
-        raised: Tokens added so that an account that was idle saves up no credit;
-            in totals only, never falls.
-        forgiven: Tokens left out so that debt stays bounded; in totals only, never
-            falls.
+        served: Tokens served since the router started; never decreases.
+        pending: Estimated tokens of requests in flight.
+        waiting: Number of waiting requests.
+        raised: Tokens added so that idle time earns no credit; only set in totals,
+            never decreases.
+        forgiven: Tokens subtracted so that debt stays bounded; only set in totals,
+            never decreases.
     """
 
     account: str
@@ -134,12 +134,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ShareReport:
-    """An entry router tells a collector of its zone what it served.
+    """Reports the service of an entry router to a collector of its zone.
 
     Args:
-        seq: Grows with each report of this life of the sender.
+        seq: Increases with each report from this boot of the sender.
         services: Changed accounts of the collector's shards; absolute values.
-        full: Shards, as a bit mask, of which it lists every account that the
+        full: Shards, as a bit mask, for which the report lists all accounts that the
             sender has counted.
     """
 
@@ -150,13 +150,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneTotals:
-    """A collector tells its peers in other zones its zone's totals.
+    """Sends a zone's totals from its collector to the collectors of other zones.
 
-    It also tells other zones' totals to those that may take over from it, and to
-    those that just did.
+    Also replicates the totals of all zones to standby collectors, and to collectors
+    that have just taken over.
 
     Args:
-        zone: Availability zone that the totals are of.
+        zone: Availability zone of the totals.
         services: Totals of the zone for changed accounts.
     """
 
@@ -166,11 +166,11 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetTotals:
-    """A collector tells the routers of its zone the fleet's totals.
+    """Sends the fleet totals from a collector to the routers of its zone.
 
     Args:
         services: Totals of the fleet for changed accounts.
-        seq: Grows with each message of this life of the sender.
+        seq: Increases with each message from this boot of the sender.
     """
 
     services: tuple[AccountService, ...]
@@ -179,7 +179,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkCall:
-    """An owner with a free slot and nothing to grant asks for demand."""
+    """Asks for demand; sent by an owner that has free slots but no demand."""
 
     pool: str
     free: int
@@ -187,11 +187,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LeavingNotice:
-    """A router saw a sign that an endpoint is leaving; it gets no new work.
+    """Announces that an endpoint is leaving and must get no new requests.
 
     Args:
         endpoint: Name of the endpoint.
-        generation: Generation for which the sign holds for good.
+        generation: Generation of the endpoint that is leaving for good.
     """
 
     endpoint: str
@@ -203,15 +203,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """What is known of one router.
+    """Membership entry of one router.
 
     Args:
         host: Host name.
-        boot: Life of the host.
-        bump: Raised by the member itself to refute a suspicion.
+        boot: Boot number.
+        bump: Incremented by the member itself to refute a suspicion.
         status: ``alive``, ``stopping``, ``suspect``, ``dead`` or ``left``.
-        ip: IP number of its peer side.
-        port: TCP port of its peer side.
+        ip: IP address for peer connections.
+        port: TCP port for peer connections.
         zone: Availability zone.
     """
 
@@ -226,13 +226,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Ping:
-    """Probe of a member, with news riding on it.
+    """Probe of a member, with piggybacked membership updates.
 
     Args:
         seq: Echoed by the ``Ack``.
         revision: Newest configuration revision of the sender.
-        digest: Digest of the sender's view, to notice a stale one.
-        news: Members whose state changed lately.
+        digest: Digest of the sender's view, used to detect a stale view.
+        news: Members whose state changed recently.
     """
 
     seq: int
@@ -243,7 +243,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ack:
-    """Answer to a ``Ping``; same fields."""
+    """Answer to a ``Ping``, with the same fields."""
 
     seq: int
     revision: int
@@ -253,7 +253,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PingRequest:
-    """Asks a peer to probe ``target`` for the sender."""
+    """Asks a peer to probe ``target`` on behalf of the sender (indirect probe)."""
 
     seq: int
     target: str
@@ -261,14 +261,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ViewRequest:
-    """Asks for the whole view, sent with one's own digest."""
+    """Requests the receiver's full view; carries the digest of the sender's view."""
 
     digest: int
 
 
 @dataclass(frozen=True, slots=True)
 class View:
-    """The whole view of the sender."""
+    """The full view of the sender."""
 
     members: tuple[Member, ...]
 
@@ -278,19 +278,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigRequest:
-    """Asks a peer for a configuration newer than ``revision``."""
+    """Requests a configuration newer than ``revision`` from a peer."""
 
     revision: int
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigState:
-    """A folded configuration as a snapshot document.
+    """Snapshot of the configuration, folded from the log.
 
     Args:
-        revision: Revision of the state.
-        offset: Log offset up to which it was folded.
-        document: JSON text of the snapshot, compressed by zlib.
+        revision: Revision of the configuration.
+        offset: Log offset up to which records were folded.
+        document: JSON text of the snapshot, compressed with zlib.
     """
 
     revision: int
@@ -303,10 +303,10 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderNotice:
-    """A reader of the log tells an owner that there are orders for it.
+    """Notifies an owner that the log has orders for it.
 
     Args:
-        next_offset: Offset up to which to read the stream of orders.
+        next_offset: Offset up to which the stream of orders is to be read.
     """
 
     next_offset: int
@@ -314,7 +314,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IntentRequest:
-    """An entry router asks the partition's writer to record an intent.
+    """Asks the partition's writer to record an intent for an entry router.
 
     Args:
         nonce: Unique id of this attempt.
@@ -331,15 +331,15 @@
 
 @dataclass(frozen=True, slots=True)
 class IntentVerdict:
-    """The writer's answer.
+    """The writer's answer to an ``IntentRequest``.
 
     Args:
         nonce: Echo of the request.
-        verdict: ``first`` (the asker alone may send), ``done`` (outcome known),
-            ``taken`` (another attempt may have sent), ``unknown`` (an attempt
-            sent, how it ended is not known), ``large`` (it ran, its answer was
-            too large to keep), ``conflict`` (same key, other request),
-            ``released`` (this attempt was given up).
+        verdict: ``first`` (only this attempt may send), ``done`` (outcome known),
+            ``taken`` (another attempt may have sent), ``unknown`` (an attempt was
+            sent, its outcome is unknown), ``large`` (the action ran, but its answer
+            was too large to store), ``conflict`` (same key, different request),
+            ``released`` (this attempt was abandoned).
         status: HTTP status of the recorded outcome.
         content_type: Content type of the recorded outcome.
         body: Body of the recorded outcome.
@@ -356,15 +356,15 @@
 
 @dataclass(frozen=True, slots=True)
 class OutcomeReport:
-    """An entry router hands over the outcome of a protected action.
+    """Reports the outcome of a protected action to the writer.
 
     Args:
-        nonce: Attempt that it belongs to.
+        nonce: Id of the attempt.
         key: Account and idempotency key, joined by a newline.
         ran: ``yes``, ``no`` (the key is released) or ``unknown``.
         status: HTTP status of the answer.
         content_type: Content type of the answer.
-        body: Body of the answer, bounded.
+        body: Body of the answer, of bounded size.
     """
 
     nonce: str
@@ -377,6 +377,6 @@
 
 @dataclass(frozen=True, slots=True)
 class OutcomeStored:
-    """The writer has the outcome in the log."""
+    """Confirms that the writer has stored the outcome in the log."""
 
     nonce: str
--- a/greengageflow/core/placement.py
+++ b/greengageflow/core/placement.py
@@ -1,7 +1,7 @@
-"""Which router owns which endpoint, and which slots one side may use.
+"""Endpoint ownership and slot quotas, derived from the membership view.
 
-Every router works this out by itself with rendezvous hashing over the same view, so
-there is no election and no message.
+Every router computes ownership locally, by rendezvous hashing over the same view.
+This needs no election and no messages.
 """
 
 from bisect import insort
@@ -26,12 +26,12 @@
 
 @dataclass(frozen=True, slots=True)
 class LiveMember:
-    """A router that answers.
+    """A live router.
 
     Args:
-        boot: Life of the host.
+        boot: Boot number of the router.
         zone: Availability zone.
-        stopping: True when it must get nothing new to own.
+        stopping: True when the router must not own anything.
     """
 
     boot: int
@@ -41,15 +41,15 @@
 
 @dataclass(frozen=True)
 class FleetView:
-    """The members that one router sees, and what follows from them.
+    """Membership as seen by one router, and the placement derived from it.
 
     Args:
         own: This router.
-        live: Routers that answer, this one included, by host.
-        roster: Hosts of the platform's list; the live ones are added. A host that
-            does not answer leaves it only when the list drops it.
-        split: True to let each router own its part of the slots of every endpoint,
-            for comparison with owned endpoints.
+        live: Live routers by host, including this one.
+        roster: Hosts of the platform's host list, plus the live hosts. An unreachable
+            host stays in it until the list drops it.
+        split: True to give each router its share of the slots of every endpoint
+            (baseline for comparison with endpoint ownership).
     """
 
     own: PeerId
@@ -72,7 +72,7 @@
     def succeeded(
         self, live: Mapping[str, LiveMember], roster: frozenset[str]
     ) -> "FleetView":
-        """Return the next view, which takes over the ranks worked out so far."""
+        """Return the next view, which reuses the ranks computed so far."""
         roster = roster | live.keys()
         if roster == self.roster:
             return FleetView(self.own, live, roster, self.split, self._ranks)
@@ -90,15 +90,15 @@
         older = self._older.pop(key, None)
         if older is None:
             return tuple(sorted(self.roster, key=score))
-        # Scores are worked out again rather than kept: with them, the ranks of a
-        # large fleet would take most of the memory allowed for control.
+        # Scores are recomputed instead of stored: stored scores would make the ranks
+        # of a large fleet take most of the memory budget of the control plane.
         rank = [host for host in older if host in self.roster]
         for host in self.roster.difference(older):
             insort(rank, host, key=score)
         return tuple(rank)
 
     def owner_of(self, endpoint: str) -> str | None:
-        """Return the host that grants the endpoint's slots, if there is one."""
+        """Return the host that owns the endpoint, or None if no host can."""
         if self.split:
             return self.own.host
         if endpoint not in self._owners:
@@ -111,7 +111,7 @@
         return hosts[0] if hosts else None
 
     def collectors_of(self, zone: str, shard: int) -> tuple[str, ...]:
-        """Return the collector of a shard in a zone and the next two in line."""
+        """Return the collector of a shard in a zone, followed by its two standbys."""
         if (zone, shard) not in self._collectors:
             able = self._able(f"collector\0{zone}\0{shard}", zone)
             self._collectors[zone, shard] = tuple(islice(able, COLLECTORS_IN_LINE))
@@ -126,12 +126,11 @@
                 yield host
 
     def borne_slots(self, endpoint: str, slots: int) -> int:
-        """Return how many of an endpoint's slots this side may use.
+        """Return how many of an endpoint's slots this side of a partition may use.
 
-        Slot k is borne by the k-th host of the roster in rendezvous order. Were all
-        slots used on both sides of a partition, the endpoint would get twice its
-        load; each side counts only those that its live members bear, and these sets
-        are disjoint.
+        Slot k is assigned to the k-th host of the roster in rendezvous order. Each
+        side of a partition uses only the slots assigned to its live members. These
+        sets are disjoint, so both sides together do not overload the endpoint.
         """
         rank = self.ranked(endpoint)
         bearers = (rank[k % len(rank)] for k in range(slots))
@@ -147,22 +146,22 @@
 
     @property
     def zones(self) -> set[str]:
-        """Availability zones with a live router."""
+        """Availability zones with at least one live router."""
         return {member.zone for member in self.live.values()}
 
     def zone_hosts(self, zone: str) -> list[str]:
-        """Return the live routers of a zone, in order of name."""
+        """Return the hosts of a zone's live routers, sorted by name."""
         return sorted(h for h, member in self.live.items() if member.zone == zone)
 
     def is_live(self, peer: PeerId) -> bool:
-        """Tell whether this very life of a host answers."""
+        """Return whether this boot of a router is live."""
         member = self.live.get(peer.host)
         return member is not None and member.boot == peer.boot
 
     def is_gone(self, peer: PeerId) -> bool:
-        """Tell whether this life of a host is surely over.
+        """Return whether this boot of a router has certainly ended.
 
-        A host that merely does not answer may still run requests.
+        A router that is only unreachable may still run requests.
         """
         member = self.live.get(peer.host)
         if member is not None:
--- a/greengageflow/core/shares.py
+++ b/greengageflow/core/shares.py
@@ -1,8 +1,8 @@
-"""The fleet's service per account, as one router knows it.
+"""Service per account: this router's counters and the totals of the fleet.
 
 ``ServiceLedger`` holds this router's own counters, which it reports to the collectors
-of its zone, and the fleet's totals, which come back from them. ``collector`` has the
-other end.
+of its zone, and the fleet totals that the collectors send back. ``collector``
+implements the collecting side.
 """
 
 from collections.abc import Iterator, Mapping
@@ -16,20 +16,20 @@
 SHARDS = 64
 FULL_REPORT_EVERY = 10
 PACES_S = ((22, 0.5), (90, 1.0), (180, 1.5), (360, 2.0))
-"""Seconds between reports in fleets of up to so many routers."""
+"""Pairs of a maximum fleet size and the seconds between reports up to that size."""
 
 
 def shard_of(account: str, shards: int = SHARDS) -> int:
-    """Return the shard of an account; the same on every router."""
+    """Return the shard of an account, which is the same on every router."""
     return int.from_bytes(blake2b(account.encode(), digest_size=4).digest()) % shards
 
 
 def share_interval_s(policy_s: float, routers: int) -> float:
     """Return the seconds between two service reports in a fleet of this size.
 
-    A collector tells every router of its zone of every account, so its traffic
-    grows with the fleet, and so does the interval: in steps, since routers come and
-    go and every change starts the timers anew.
+    A collector sends the totals of every account to every router of its zone, so its
+    traffic grows with the fleet. The interval grows along with it, but in steps:
+    routers come and go, and each change of the interval restarts the timers.
     """
     most, longest_s = PACES_S[-1]
     paces = (pace_s for size, pace_s in PACES_S if routers <= size)
@@ -40,8 +40,8 @@
     """Counts the service of one request at its entry router.
 
     Args:
-        counter: Where the account's service is summed.
-        cost: Expected cost, in tokens, pending until it is served or settled.
+        counter: Counter of the request's account.
+        cost: Expected cost, in tokens; pending until served or settled.
     """
 
     __slots__ = ("_counter", "_pending", "served")
@@ -53,7 +53,7 @@
         counter.pending += self._pending
 
     def charge(self, tokens: float) -> None:
-        """Count tokens that were served just now."""
+        """Count newly served tokens."""
         self.served += tokens
         self._counter.served += tokens
         covered = min(self._pending, tokens)
@@ -61,7 +61,7 @@
         self._counter.pending -= covered
 
     def settle(self, served: float) -> None:
-        """End the request; ``served`` is its total, and never lowers the count."""
+        """End the request with ``served`` tokens in total; never lowers the count."""
         self.charge(max(0.0, served - self.served))
         self._counter.pending -= self._pending
         self._pending = 0.0
@@ -81,12 +81,12 @@
 
 
 class ServiceLedger:
-    """Service counters of one router and the fleet's totals.
+    """Service counters of one router, and the fleet totals.
 
     Args:
         own: This router.
-        shards: Number of shards of accounts.
-        alone: True to leave out the fleet's totals, for comparison.
+        shards: Number of account shards.
+        alone: True to ignore the fleet totals (baseline for comparison).
     """
 
     def __init__(
@@ -106,23 +106,23 @@
         self._floor: float | None = None
 
     def on_config(self, cfg: FleetConfig) -> None:
-        """Take over the accounts' weights."""
+        """Apply the accounts' weights."""
         self._weights = {name: acc.weight for name, acc in cfg.accounts.items()}
         self._floor = None
 
     @property
     def totals(self) -> Mapping[str, AccountService]:
-        """The fleet's totals per account, as last heard."""
+        """The fleet totals per account, as last received."""
         return self._totals
 
     # This router's own service.
 
     def expect(self, account: str, cost: float) -> Meter:
-        """Start counting one request."""
+        """Start counting the service of one request."""
         return Meter(self._counter(account), cost)
 
     def set_waiting(self, account: str, waiting: int) -> None:
-        """State how many requests of an account wait here."""
+        """Set the number of an account's requests that wait here."""
         self._counter(account).waiting = waiting
 
     def _counter(self, account: str) -> _Counter:
@@ -132,7 +132,7 @@
         return counter
 
     def report(self, view: FleetView) -> Iterator[Send]:
-        """Yield one report a collector; call it each share interval."""
+        """Yield one report per collector; called once per share interval."""
         self._seq += 1
         collectors = self._find_collectors(view)
         full = collectors != self._collectors or self._seq % FULL_REPORT_EVERY == 0
@@ -155,7 +155,7 @@
         return tuple(PeerId(h, view.live[h].boot) if h else None for h in hosts)
 
     def _masks(self) -> dict[str, int]:
-        """Return the shards that each collector collects, as bit masks."""
+        """Return the shards of each collector, as bit masks."""
         masks: dict[str, int] = {}
         for shard, peer in enumerate(self._collectors):
             if peer:
@@ -165,7 +165,7 @@
     # The fleet's service.
 
     def on_totals(self, now: float, sender: PeerId, message: FleetTotals) -> None:
-        """Take in totals; late and doubled copies change nothing."""
+        """Apply fleet totals; duplicates and late copies are ignored."""
         if message.seq <= self._heard.get(sender, 0):
             return
         self._heard[sender] = message.seq
@@ -175,18 +175,18 @@
         self._floor = None
 
     def heard_at(self, account: str) -> float:
-        """Return the time at which totals of an account last came."""
+        """Return the time at which an account's totals were last received."""
         return self._heard_at.get(account, float("-inf"))
 
     def weight(self, account: str) -> float:
-        """Return the account's weight; 1 when it is not known."""
+        """Return the account's weight; 1 for an unknown account."""
         return self._weights.get(account, 1.0)
 
     def level(self, account: str) -> float:
         """Return the account's virtual service: weighted, with offsets.
 
-        An account that nowhere in the fleet was backlogged counts as being at the
-        floor at least: it saves up no credit while it does not ask.
+        An account that is not backlogged anywhere in the fleet is at the floor or
+        above, so that idle time earns no credit.
         """
         row = self._row(account)
         level = level_of(row, self.weight(account))
@@ -201,7 +201,7 @@
 
     @property
     def floor(self) -> float:
-        """Least level of the backlogged accounts, else the greatest of all."""
+        """Lowest level of backlogged accounts; if there are none, the highest level."""
         if self._floor is None:
             names = self._counters if self._alone else self._totals
             rows = [self._row(name) for name in names]
@@ -210,12 +210,12 @@
 
 
 def level_of(row: AccountService, weight: float) -> float:
-    """Return the virtual service of an account with these totals."""
+    """Return the virtual service of an account with the given totals."""
     return (row.served + row.pending + row.raised - row.forgiven) / weight
 
 
 def floor_of(rows: list[AccountService], weights: Mapping[str, float]) -> float:
-    """Return the level at which an account that was idle joins in."""
+    """Return the level at which a formerly idle account starts."""
     levels = [
         (row.waiting, level_of(row, weights.get(row.account, 1.0))) for row in rows
     ]
