--- a/tests/core_net.py
+++ b/tests/core_net.py
@@ -1,4 +1,4 @@
-"""Core nodes in one process, with messages in a list that the test controls."""
+"""Core nodes in one process, with a message queue that the test controls."""
 
 from collections import Counter
 
@@ -76,7 +76,7 @@
 
 
 class Net:
-    """Nodes, messages under way, running requests and every answer given."""
+    """Nodes, messages in transit, running requests and all answers."""
 
     def __init__(self, hosts, cfg):
         self.now = 100.0
--- a/tests/test_core_machine.py
+++ b/tests/test_core_machine.py
@@ -1,4 +1,4 @@
-"""Random faults against three to five core nodes."""
+"""Stateful property test: random faults on three to five core nodes."""
 
 import pytest
 from core_net import Net, config
@@ -27,11 +27,12 @@
 
 
 class CoreMachine(RuleBasedStateMachine):
-    """Callers send requests while messages and routers are lost.
+    """Callers send requests while messages are lost and routers fail.
 
-    Messages come in any order, late, twice or never; sides are cut off and rejoin;
-    routers lose their memory. A new view reaches all routers of a side, and a taken
-    grant its new owner, within the settle time: the core relies on that.
+    Messages are reordered, delayed, duplicated or lost; the network is partitioned
+    and heals; routers restart without state. A new view reaches all routers of a
+    side, and ``GrantTaken`` the new owner, within the settle time: the core relies on
+    that.
     """
 
     @initialize(nodes=st.integers(3, 5))
@@ -115,10 +116,10 @@
 
     @rule(steps=st.integers(20, 60))
     def work(self, steps):
-        """Both accounts wait all the time, the small one at one router only.
+        """Keep both accounts backlogged, the small one at one router only.
 
-        What one is ahead at the beginning, after a cut perhaps, it may be made to
-        wait for; beyond that the gap is bounded.
+        The gap may already exist at the start, for instance after a partition, and
+        may then be closed. Beyond that it is bounded.
         """
         low, high = min(0.0, self.gap) - GAP, max(0.0, self.gap) + GAP
         for _ in range(steps):
@@ -189,21 +190,21 @@
 
 
 def test_faults_never_overload_an_endpoint_and_each_request_ends_once():
-    """Callers get exactly one answer each, and no endpoint more than its slots.
+    """Each request gets exactly one answer, and no endpoint exceeds its slots.
 
-    Hypothesis draws what happens: requests, lost, late and doubled messages, cuts,
-    rejoins and restarts, in any order. After each step the running requests are
-    counted, and at the end every request must have ended.
+    Hypothesis draws requests, lost, late and duplicated messages, partitions and
+    restarts, in any order. The running requests are counted after each step, and at
+    the end every request must have ended.
     """
     run(Phase.generate, Phase.shrink)
 
 
 def test_the_gap_bound_fails_without_the_least_served_pick(monkeypatch):
-    """The bound on the gap must be tight enough to notice an unfair owner.
+    """The bound on the service gap must be tight enough to detect an unfair owner.
 
-    Owners take the entry router that waits longest, whichever account it is for.
-    The large account waits at all routers and its requests cost more, so it gets
-    far more service; the same machine has to find that.
+    Owners pick the entry router with the oldest grant, regardless of the account. The
+    large account waits at all routers and its requests cost more, so it gets far more
+    service. The state machine must detect that.
     """
 
     def pick(self, book: DemandBook):
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,13 +1,13 @@
-"""Bounds that protect an endpoint."""
+"""Slot limit and circuit breaker of an endpoint."""
 
 from greengageflow.core.limits import SlotLimit
 
 
 def test_requests_that_break_together_cause_one_rest():
-    """Callers wait a second after an engine's hiccup, not a quarter of a minute.
+    """One engine fault causes a rest of one second, not of fifteen.
 
-    Eight requests ran together and break together; each but the third to fail would
-    double the rest if it counted.
+    Eight concurrent requests fail together. If each counted, every failure after the
+    third would double the rest.
     """
     limit = SlotLimit(8, failures=3, rest_s=1.0)
     for number in range(8):
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -9,7 +9,7 @@
 from greengageflow.net.wire import MessageError, decode, encode
 
 st.register_type_strategy(int, st.integers(-(2**63), 2**63 - 1))
-# A NaN is unequal to itself, so that comparing it shows nothing of the codec.
+# NaN is not equal to itself, so comparing it would not test the codec.
 st.register_type_strategy(float, st.floats(allow_nan=False))
 
 
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -20,7 +20,7 @@
 
 
 def take_out(net, kind):
-    """Remove and return the messages of one type that are under way."""
+    """Remove and return the messages of one type that are in transit."""
     found = [item for item in net.messages if isinstance(item[2], kind)]
     net.messages = [item for item in net.messages if item not in found]
     return found
@@ -89,10 +89,10 @@
 
 
 def test_a_lost_grant_is_sent_again_and_runs_once():
-    """The message that grants a slot is lost, and its owner hears nothing.
+    """A ``Grant`` is lost, so its owner gets no answer.
 
-    The owner must not give the slot to another request at once: this one may run,
-    if only its answer was lost. It sends the same grant again.
+    The request may be running if only the answer was lost, so the owner must not
+    grant the slot to another request. It retransmits the same grant.
     """
     net = fleet(slots=1)
     owner, other = owner_and_other(net)
@@ -111,8 +111,8 @@
 def test_a_lost_answer_to_a_grant_frees_no_slot():
     """The entry router starts the request, but its ``GrantTaken`` is lost.
 
-    The owner asks again instead of granting the slot anew; the entry router says
-    that the request runs, and starts nothing else.
+    The owner retransmits the grant instead of granting the slot again. The entry
+    router confirms the running request and starts no other.
     """
     net = fleet(slots=1)
     _, other = owner_and_other(net)
@@ -125,10 +125,10 @@
 
 
 def test_a_slot_comes_back_once_however_often_it_is_returned():
-    """``GrantReturned`` comes twice, and late copies of ``GrantTaken`` after it.
+    """``GrantReturned`` is duplicated, and late copies of ``GrantTaken`` follow.
 
-    Had the second copy freed a slot, two requests would run in one; had the copy of
-    ``GrantTaken`` counted, the slot would be lost until the deadline.
+    If the duplicate freed a slot, two requests would run in one. If the late
+    ``GrantTaken`` counted, the slot would be unused until the deadline.
     """
     net = fleet(slots=1)
     owner, other = owner_and_other(net)
@@ -151,9 +151,9 @@
 
 
 def test_a_doubled_grant_starts_one_request():
-    """A copy of a grant arrives after its request has ended.
+    """A duplicate of a grant arrives after its request has ended.
 
-    It must start nothing: the owner has given the slot to another request since.
+    It must not start a request: the owner has granted the slot again since.
     """
     net = fleet(slots=1)
     _, other = owner_and_other(net)
@@ -172,10 +172,10 @@
 
 
 def test_a_late_grant_of_a_former_owner_starts_nothing():
-    """A grant is under way while another router becomes the endpoint's owner.
+    """A grant is in transit while another router becomes the endpoint's owner.
 
-    The new owner has not heard of it and may have granted the slot already, so the
-    entry router gives it back.
+    The new owner does not know the grant and may have granted the slot again, so the
+    entry router declines it.
     """
     net = fleet(slots=1)
     owner, other = owner_and_other(net)
@@ -194,10 +194,10 @@
 
 
 def test_an_owner_that_was_cut_off_learns_what_ended_meanwhile():
-    """A request ends while its owner is out of reach, and ``GrantReturned`` is lost.
+    """A request ends while its owner is unreachable, and ``GrantReturned`` is lost.
 
-    The entry router sends it again when the owner is back. Otherwise the slot would
-    idle until the deadline of a request that is long over.
+    The entry router sends it again when the owner is live. Otherwise the slot would
+    stay unused until the deadline of the finished request.
     """
     net = fleet(slots=1, deadline_s=60.0)
     owner, other = owner_and_other(net)
@@ -216,11 +216,11 @@
 
 @pytest.mark.parametrize("how", ["listed", "dropped", "rebooted"])
 def test_a_dead_entry_router_gives_its_slots_back_when_it_is_surely_dead(how):
-    """A router dies while its request runs.
+    """An entry router dies while its request runs.
 
-    As long as the host list has it, it may be only cut off and its request still
-    run, so the slot stays taken until the deadline. It is free at once when the
-    list drops the host, or when a new life of the host shows up.
+    While the host list contains it, it may only be unreachable and still run the
+    request, so the slot stays in use until the deadline. The slot is free as soon as
+    the list drops the host or the router has restarted.
     """
     net = fleet(slots=1, deadline_s=20.0)
     owner, other = owner_and_other(net)
@@ -241,10 +241,10 @@
 
 
 def test_a_new_owner_counts_running_requests_before_it_grants():
-    """The owner of an endpoint restarts and knows no grant.
+    """The owner of an endpoint restarts and has lost its grants.
 
-    The entry routers register their running requests with its new life. Granting
-    slots before that would run two requests in one slot.
+    The entry routers register their running requests with it again. Granting slots
+    before that would run two requests in one slot.
     """
     net = fleet(slots=2)
     owner, other = owner_and_other(net)
@@ -261,10 +261,10 @@
 
 
 def test_both_sides_of_a_cut_stay_within_the_slots_and_go_on():
-    """The fleet is cut in two while all slots are in use.
+    """The fleet is partitioned while all slots are in use.
 
-    Each side uses the slots that its hosts bear, and none that may still be in use
-    on the other side; after the longest deadline both sides use their full part.
+    Each side uses only its own slot quota, and no slots that may still be in use on
+    the other side. After the longest deadline both sides use their full quota.
     """
     net = fleet(slots=6, deadline_s=20.0)
     owner, other = owner_and_other(net)
@@ -288,10 +288,10 @@
 
 
 def test_a_leaving_endpoint_gets_nothing_for_good_until_replaced():
-    """An endpoint shows that it leaves; the configuration does not say so yet.
+    """An endpoint is marked as leaving before the configuration says so.
 
-    It gets no new request, also when configuration comes again for the same
-    generation; its next generation does.
+    It gets no new requests, even when a configuration with the same generation is
+    applied again. Its next generation does.
     """
     net = fleet()
     for node in net.nodes.values():
@@ -310,10 +310,10 @@
 
 
 def test_an_idle_owner_calls_for_work_and_gets_it():
-    """A request waits, but the owner with the free slot was never told.
+    """A request waits, but its demand is not registered with the idle owner.
 
-    Its call reaches two routers at random and one of them registers its demand;
-    without it, the slot would idle while the request waits.
+    The owner's ``WorkCall`` reaches two random routers, and one of them registers its
+    demand. Without the call, the slot would stay unused while the request waits.
     """
     net = fleet(endpoints=("e1", "e2", "e3"), slots=1)
     owner, other = owner_and_other(net)
@@ -341,10 +341,10 @@
 
 
 def test_a_small_account_waits_briefly_beside_a_flood():
-    """One account floods every router; another sends a request now and then.
+    """One account floods every router; another sends an occasional request.
 
-    The small one has the least service, so it gets the next free slot: it waits for
-    one request to end, not for its neighbour's queue.
+    The small account has the least service, so it gets the next free slot. It waits
+    for one request to end, not for the other account's queue.
     """
     net = fleet(endpoints=("e1", "e2"), queue_limit=1000)
     for host in HOSTS:
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -41,10 +41,10 @@
 
 @given(st.sets(st.sampled_from([f"r{i}" for i in range(9)])), st.integers(1, 20))
 def test_two_sides_never_use_more_slots_than_there_are(cut, slots):
-    """Both sides of a partition believe that they own every endpoint.
+    """Each side of a partition considers itself the owner of every endpoint.
 
-    Each counts only the slots that its live hosts bear; together that is all of
-    them and not one more, whoever is on which side.
+    Each uses only the slots assigned to its live hosts. Together that is exactly all
+    slots, for any division of the hosts.
     """
     hosts = {f"r{i}" for i in range(9)}
     sides = [side for side in (cut, hosts - cut) if side]
@@ -74,10 +74,10 @@
 
 @given(st.randoms(use_true_random=False))
 def test_late_and_doubled_reports_change_nothing(random: Random):
-    """Reports arrive in any order and several times.
+    """Reports arrive out of order and duplicated.
 
-    The collector must end with the sum of the newest values, as if each had come
-    once and in order: counting a copy would charge an account twice.
+    The collector must end with the sum of the newest values, as if each report had
+    arrived once and in order. Counting a duplicate would charge an account twice.
     """
     own = PeerId("r0", 1)
     ledger = ServiceLedger(own)
@@ -98,10 +98,11 @@
 
 @pytest.mark.parametrize("lost", [["za"], ["zb"], ["za", "zb"]])
 def test_totals_survive_collectors_that_lose_their_memory(lost):
-    """Collectors restart, in one zone or in both at once, and know nothing.
+    """Collectors restart without state, in one zone or in both at once.
 
-    Were the totals lost, the accounts of their shards would be far below all others
-    and get every slot. The next in line and the other zone's collectors tell them.
+    If the totals were lost, the accounts of their shards would be far below all
+    others and get every slot. Standby collectors and the other zone's collectors
+    send the totals.
     """
     net = fleet()
     for host in HOSTS:
@@ -120,8 +121,8 @@
 def test_what_waits_at_a_dead_router_waits_no_more():
     """A router dies with requests waiting and in flight.
 
-    Its served tokens stay charged; what was pending or waited there must vanish, or
-    its account would count as backlogged for ever.
+    Its served tokens stay charged. Its pending tokens and waiting requests must be
+    removed, or the account would count as backlogged forever.
     """
     net = fleet()
     net.nodes["r1"].ledger.expect("a", 500).charge(200)
@@ -135,10 +136,10 @@
 
 
 def test_an_idle_account_saves_up_no_credit():
-    """One account is served for long while another one sends nothing.
+    """One account is served for a long time while another one is idle.
 
-    When the other begins to wait, it starts level with the first. With the credit
-    of its idle time it would get every slot for as long as it was idle.
+    When the idle account becomes backlogged, it starts at the level of the first.
+    With credit for its idle time, it would get every slot for as long as it was idle.
     """
     net = fleet()
     net.nodes["r0"].ledger.set_waiting("b", 1)
@@ -153,10 +154,10 @@
 
 
 def test_debt_is_forgiven_down_to_a_bound():
-    """Two sides rejoin, and one account had far more service on one of them.
+    """A partition heals, and one account had far more service on one side.
 
-    Held back until all have caught up, it would starve; it keeps ten seconds' worth
-    of debt, or the least bound.
+    It would starve until the others have caught up. Its debt is limited to ten
+    seconds of its share, or to the minimum debt if that is larger.
     """
     net = fleet()
     for host in ("r0", "r2"):
