--- a/greengageflow/core/_demand.py
+++ b/greengageflow/core/_demand.py
@@ -84,7 +84,7 @@
         """Drop demand that was not refreshed or whose router is dead."""
         for account, entries in list(self._accounts.items()):
             for host, entry in list(entries.items()):
-                if now - entry.heard_at > FORGET_S or view.is_gone(entry.peer):
+                if now - entry.heard_at > FORGET_S or view.is_terminated(entry.peer):
                     del entries[host]
             if not entries:
                 del self._accounts[account]
--- a/greengageflow/core/_ring.py
+++ b/greengageflow/core/_ring.py
@@ -11,7 +11,7 @@
 from functools import lru_cache
 from hashlib import blake2b
 
-WHOLE_LIMIT = 12
+FULL_MESH_LIMIT = 12
 
 
 @dataclass(frozen=True, slots=True)
@@ -19,16 +19,16 @@
     """Ring neighbours of one router.
 
     Args:
-        watched: Hosts that the router probes.
-        near: Hosts that it probes or that probe it.
+        probed: Hosts that the router probes.
+        adjacent: Hosts that it probes or that probe it.
     """
 
-    watched: tuple[str, ...]
-    near: tuple[str, ...]
+    probed: tuple[str, ...]
+    adjacent: tuple[str, ...]
 
 
 @lru_cache(maxsize=4096)
-def _place(host: str) -> bytes:
+def _ring_hash(host: str) -> bytes:
     return blake2b(host.encode(), digest_size=8).digest()
 
 
@@ -39,12 +39,12 @@
         hosts: Live members, with or without ``own_host``.
         own_host: Host of this router.
     """
-    ring = sorted({*hosts, own_host}, key=_place)
-    size, place = len(ring), ring.index(own_host)
-    if size <= WHOLE_LIMIT:
+    ring = sorted({*hosts, own_host}, key=_ring_hash)
+    size, position = len(ring), ring.index(own_host)
+    if size <= FULL_MESH_LIMIT:
         others = tuple(host for host in ring if host != own_host)
         return Neighbours(others, others)
     steps = [1 << power for power in range((size - 1).bit_length())]
-    watched = tuple(ring[(place + step) % size] for step in steps)
-    watchers = (ring[(place - step) % size] for step in steps)
-    return Neighbours(watched, tuple(dict.fromkeys((*watched, *watchers))))
+    probed = tuple(ring[(position + step) % size] for step in steps)
+    probers = (ring[(position - step) % size] for step in steps)
+    return Neighbours(probed, tuple(dict.fromkeys((*probed, *probers))))
--- a/greengageflow/core/_slots.py
+++ b/greengageflow/core/_slots.py
@@ -210,7 +210,7 @@
     def expire(self, now: float, view: FleetView) -> None:
         """Free slots whose requests have certainly ended."""
         for grant, hold in list(self.holds.items()):
-            if hold.ends_at <= now or view.is_gone(hold.peer):
+            if hold.ends_at <= now or view.is_terminated(hold.peer):
                 del self.holds[grant]
 
     @property
--- a/greengageflow/core/_zone_sums.py
+++ b/greengageflow/core/_zone_sums.py
@@ -199,7 +199,7 @@
             self._zero(origin)
             # The counters of a router that is only unreachable are kept: when it is
             # back, their difference is what it served meanwhile.
-            if view.is_gone(peer):
+            if view.is_terminated(peer):
                 del self._origins[host]
 
     def collect(self, shard: int) -> None:
--- a/greengageflow/core/collector.py
+++ b/greengageflow/core/collector.py
@@ -128,7 +128,7 @@
         """Handle a service report or a zone's totals."""
         match message:
             case ShareReport(services=services):
-                if self._view is not None and not self._view.is_gone(sender):
+                if self._view is not None and not self._view.is_terminated(sender):
                     mine = [row for row in services if self._collects(row)]
                     self._sums.on_report(sender, message, mine)
             case ZoneTotals(zone=zone, services=services):
--- a/greengageflow/core/membership.py
+++ b/greengageflow/core/membership.py
@@ -273,7 +273,7 @@
             self._next_probe + self._period_s, now + self._period_s - self.tick_s
         )
         self._periods += 1
-        probe = self._probes.begin(self._neighbours().watched, now)
+        probe = self._probes.begin(self._neighbours().probed, now)
         host = None if probe is None else probe.host
         if probe is not None:
             yield from self._ping(probe.host, probe.seq)
@@ -307,7 +307,7 @@
         return sorted(hosts)
 
     def _sample(self, size: int, *excluded: str | None) -> list[str]:
-        hosts = [host for host in self._neighbours().near if host not in excluded]
+        hosts = [host for host in self._neighbours().adjacent if host not in excluded]
         return self._random.sample(hosts, min(size, len(hosts)))
 
     def _ask_helpers(self, probe: Probe, now: float) -> Iterator[Send]:
--- a/greengageflow/core/owner.py
+++ b/greengageflow/core/owner.py
@@ -190,7 +190,7 @@
                 slots.lose()
                 continue
             endpoint = slots.endpoint
-            borne = view.borne_slots(name, endpoint.slots)
+            borne = view.slot_quota(name, endpoint.slots)
             doubt_s = self._doubt_s(endpoint.pool)
             slots.own(now, borne, self._settle_s, doubt_s, cut)
             if not self._lost:
@@ -256,7 +256,7 @@
 
     def _on_taken(self, now: float, sender: PeerId, message: GrantTaken) -> None:
         slots = self._slots.get(message.endpoint)
-        if slots is None or (self._view and self._view.is_gone(sender)):
+        if slots is None or (self._view and self._view.is_terminated(sender)):
             return
         slots.take(now, sender, message)
         self._active[message.endpoint] = slots
--- a/greengageflow/core/placement.py
+++ b/greengageflow/core/placement.py
@@ -16,7 +16,7 @@
 Rank = tuple[str, ...]
 """Hosts in rendezvous order for one key, best first."""
 
-COLLECTORS_IN_LINE = 3
+COLLECTOR_CANDIDATES = 3
 _SCORE_BYTES = 8
 
 
@@ -57,7 +57,9 @@
     roster: frozenset[str]
     split: bool = False
     _ranks: dict[str, Rank] = field(default_factory=dict, repr=False, compare=False)
-    _older: dict[str, Rank] = field(default_factory=dict, repr=False, compare=False)
+    _previous_ranks: dict[str, Rank] = field(
+        default_factory=dict, repr=False, compare=False
+    )
     _owners: dict[str, str | None] = field(
         default_factory=dict, init=False, repr=False, compare=False
     )
@@ -69,31 +71,33 @@
         """Add the live hosts to the roster."""
         object.__setattr__(self, "roster", self.roster | self.live.keys())
 
-    def succeeded(
+    def updated(
         self, live: Mapping[str, LiveMember], roster: frozenset[str]
     ) -> "FleetView":
         """Return the next view, which reuses the ranks computed so far."""
         roster = roster | live.keys()
         if roster == self.roster:
             return FleetView(self.own, live, roster, self.split, self._ranks)
-        return FleetView(self.own, live, roster, self.split, _older=self._ranks)
+        return FleetView(
+            self.own, live, roster, self.split, _previous_ranks=self._ranks
+        )
 
     def ranked(self, key: str) -> Rank:
         """Return the roster in rendezvous order for ``key``."""
         rank = self._ranks.get(key)
         if rank is None:
-            rank = self._ranks[key] = self._new_rank(key)
+            rank = self._ranks[key] = self._compute_rank(key)
         return rank
 
-    def _new_rank(self, key: str) -> Rank:
+    def _compute_rank(self, key: str) -> Rank:
         score = partial(_score, key)
-        older = self._older.pop(key, None)
-        if older is None:
+        previous = self._previous_ranks.pop(key, None)
+        if previous is None:
             return tuple(sorted(self.roster, key=score))
         # Scores are recomputed instead of stored: stored scores would make the ranks
         # of a large fleet take most of the memory budget of the control plane.
-        rank = [host for host in older if host in self.roster]
-        for host in self.roster.difference(older):
+        rank = [host for host in previous if host in self.roster]
+        for host in self.roster.difference(previous):
             insort(rank, host, key=score)
         return tuple(rank)
 
@@ -102,7 +106,7 @@
         if self.split:
             return self.own.host
         if endpoint not in self._owners:
-            self._owners[endpoint] = next(self._able(endpoint), None)
+            self._owners[endpoint] = next(self._eligible(endpoint), None)
         return self._owners[endpoint]
 
     def collector_of(self, zone: str, shard: int) -> str | None:
@@ -113,11 +117,13 @@
     def collectors_of(self, zone: str, shard: int) -> tuple[str, ...]:
         """Return the collector of a shard in a zone, followed by its two standbys."""
         if (zone, shard) not in self._collectors:
-            able = self._able(f"collector\0{zone}\0{shard}", zone)
-            self._collectors[zone, shard] = tuple(islice(able, COLLECTORS_IN_LINE))
+            eligible = self._eligible(f"collector\0{zone}\0{shard}", zone)
+            self._collectors[zone, shard] = tuple(
+                islice(eligible, COLLECTOR_CANDIDATES)
+            )
         return self._collectors[zone, shard]
 
-    def _able(self, key: str, zone: str | None = None) -> Iterator[str]:
+    def _eligible(self, key: str, zone: str | None = None) -> Iterator[str]:
         for host in self.ranked(key):
             member = self.live.get(host)
             if member is None or member.stopping:
@@ -125,7 +131,7 @@
             if zone is None or member.zone == zone:
                 yield host
 
-    def borne_slots(self, endpoint: str, slots: int) -> int:
+    def slot_quota(self, endpoint: str, slots: int) -> int:
         """Return how many of an endpoint's slots this side of a partition may use.
 
         Slot k is assigned to the k-th host of the roster in rendezvous order. Each
@@ -133,10 +139,10 @@
         sets are disjoint, so both sides together do not overload the endpoint.
         """
         rank = self.ranked(endpoint)
-        bearers = (rank[k % len(rank)] for k in range(slots))
+        assignees = (rank[k % len(rank)] for k in range(slots))
         if self.split:
-            return sum(host == self.own.host for host in bearers)
-        return sum(host in self.live for host in bearers)
+            return sum(host == self.own.host for host in assignees)
+        return sum(host in self.live for host in assignees)
 
     @property
     def zone(self) -> str:
@@ -158,7 +164,7 @@
         member = self.live.get(peer.host)
         return member is not None and member.boot == peer.boot
 
-    def is_gone(self, peer: PeerId) -> bool:
+    def is_terminated(self, peer: PeerId) -> bool:
         """Return whether this boot of a router has certainly ended.
 
         A router that is only unreachable may still run requests.
--- a/greengageflow/daemon/control.py
+++ b/greengageflow/daemon/control.py
@@ -346,7 +346,7 @@
         if self.own.host not in live:
             return
         now = monotonic()
-        self.view = view = self.view.succeeded(live, roster)
+        self.view = view = self.view.updated(live, roster)
         self.run(self.leaving.on_view(view))
         self._pace_shares()
         self.collector.on_view(now, view)
--- a/greengageflow/lab/_slopes_view.py
+++ b/greengageflow/lab/_slopes_view.py
@@ -42,7 +42,7 @@
     def change(self, live: dict[str, LiveMember], roster: frozenset[str]) -> float:
         """Take over another view; return microseconds of processor time."""
         start = process_time()
-        self.view = self.view.succeeded(live, roster)
+        self.view = self.view.updated(live, roster)
         self.collector.on_view(1.0, self.view)
         list(self.entry.on_view(1.0, self.view))
         list(self.owner.on_view(1.0, self.view))
--- a/tests/core_net.py
+++ b/tests/core_net.py
@@ -52,7 +52,7 @@
         if self.view is None:
             self.view = FleetView(self.peer, live, roster)
         else:
-            self.view = self.view.succeeded(live, roster)
+            self.view = self.view.updated(live, roster)
         self.collector.on_view(self.net.now, self.view)
         self.net.run(self, self.owner.on_view(self.net.now, self.view))
         self.net.run(self, self.entry.on_view(self.net.now, self.view))
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -48,7 +48,7 @@
     """
     hosts = {f"r{i}" for i in range(9)}
     sides = [side for side in (cut, hosts - cut) if side]
-    used = [view_of(min(s), s, hosts).borne_slots("e", slots) for s in sides]
+    used = [view_of(min(s), s, hosts).slot_quota("e", slots) for s in sides]
     assert sum(used) == slots
 
 
@@ -58,7 +58,7 @@
     names = [f"e{i}" for i in range(200)]
     owners = {name: before.owner_of(name) for name in names}
     live = {host: before.live[host] for host in hosts - {"r4"}}
-    after = before.succeeded(live, frozenset(live))
+    after = before.updated(live, frozenset(live))
     moved = {name for name in names if after.owner_of(name) != owners[name]}
     assert moved == {name for name in names if owners[name] == "r4"}
     assert max(Counter(owners.values()).values()) < 2 * 200 / 9
