--- a/greengageflow/core/_charges.py
+++ b/greengageflow/core/_charges.py
@@ -19,7 +19,7 @@
     tokens: float
 
 
-class Charges:
+class PendingCharges:
     """Sums charges per account until the fleet totals include them.
 
     The totals lag. Without these charges, every owner would grant all its free slots
@@ -37,21 +37,21 @@
         self._sums[account] = self._sums.get(account, 0.0) + tokens
         return charge
 
-    def of(self, account: str, reflected: float) -> float:
+    def pending(self, account: str, included_until: float) -> float:
         """Return the tokens charged to an account.
 
         Args:
             account: Client account.
-            reflected: Time up to which the totals include charges; those are
+            included_until: Time up to which the totals include charges; those are
                 dropped.
         """
         charges = self._charges.get(account, ())
-        while charges and charges[0].at <= reflected:
+        while charges and charges[0].at <= included_until:
             self.cancel(charges.popleft())
         return self._sums.get(account, 0.0)
 
     def cancel(self, charge: Charge) -> None:
         """Remove a charge from its account's sum."""
-        left = self._sums.get(charge.account, 0.0) - charge.tokens
+        remaining = self._sums.get(charge.account, 0.0) - charge.tokens
         charge.tokens = 0.0
-        self._sums[charge.account] = max(0.0, left)
+        self._sums[charge.account] = max(0.0, remaining)
--- a/greengageflow/core/_slots.py
+++ b/greengageflow/core/_slots.py
@@ -9,38 +9,42 @@
 from greengageflow.core.messages import GrantTaken, PeerId
 from greengageflow.core.placement import FleetView
 
-_RETURNED_KEPT = 512
-_REPORT_LAG_S = 2.0
+_RELEASED_LIMIT = 512
+_REPORT_LAG_MAX_S = 2.0
 """Longest delay of an endpoint's load report, in seconds."""
-_REPORT_FRESH_S = 3.0
+_REPORT_MAX_AGE_S = 3.0
 
 
 @dataclass(slots=True)
-class Hold:
+class SlotLease:
     """One slot in use by an entry router.
 
     Args:
         peer: Entry router that uses the slot.
         account: Client account that it is granted to.
         ends_at: Latest time at which the request ends.
-        ask_at: Time to retransmit the grant; None once it was answered.
+        retransmit_at: Time to retransmit the grant; None once it was answered.
         charge: Charge to the account for the grant, if issued here.
-        since: Time at which the slot was granted or registered here.
-        away: True when the entry router is unreachable.
+        granted_at: Time at which the slot was granted or registered here.
+        unreachable: True when the entry router is unreachable.
     """
 
     peer: PeerId
     account: str
     ends_at: float
-    ask_at: float | None = None
+    retransmit_at: float | None = None
     charge: Charge | None = None
-    since: float = float("-inf")
-    away: bool = False
+    granted_at: float = float("-inf")
+    unreachable: bool = False
 
     @property
     def due_at(self) -> float:
         """Time at which the grant is retransmitted or the slot expires."""
-        return self.ends_at if self.ask_at is None else min(self.ask_at, self.ends_at)
+        return (
+            self.ends_at
+            if self.retransmit_at is None
+            else min(self.retransmit_at, self.ends_at)
+        )
 
 
 class EndpointSlots:
@@ -53,23 +57,23 @@
     def __init__(self, endpoint: Endpoint) -> None:
         self.endpoint = endpoint
         self.limit = SlotLimit(endpoint.slots)
-        self.holds: dict[str, Hold] = {}
+        self.leases: dict[str, SlotLease] = {}
         self.left_generation = 0
         self.owned = False
-        self._usable = 0
-        self._growth: list[tuple[float, int]] = []
-        self._doubt_until = float("-inf")
-        self._fresh: set[str] = set()
-        self._known = 0
-        self._returned: OrderedDict[str, None] = OrderedDict()
+        self._quota = 0
+        self._pending_growth: list[tuple[float, int]] = []
+        self._uncertain_until = float("-inf")
+        self._registered: set[str] = set()
+        self._peak_registered = 0
+        self._released: OrderedDict[str, None] = OrderedDict()
         self._reported_at = float("-inf")
         self._reported = 0
 
     @property
     def leaving(self) -> bool:
         """Whether the endpoint gets no new requests."""
-        gone = self.left_generation >= self.endpoint.generation
-        return gone or self.endpoint.leaving
+        has_left = self.left_generation >= self.endpoint.generation
+        return has_left or self.endpoint.leaving
 
     def configure(self, endpoint: Endpoint) -> None:
         """Apply a changed configuration of the endpoint."""
@@ -78,16 +82,21 @@
         self.endpoint = endpoint
         self.limit.resize(endpoint.slots)
 
-    def lose(self) -> None:
+    def on_ownership_lost(self) -> None:
         """Stop granting slots, since another router owns the endpoint now."""
         self.owned = False
-        self._usable = 0
-        self._growth.clear()
-
-    def own(
-        self, now: float, borne: int, settle_s: float, doubt_s: float, cut: bool
+        self._quota = 0
+        self._pending_growth.clear()
+
+    def set_quota(
+        self,
+        now: float,
+        quota: int,
+        settle_s: float,
+        uncertain_s: float,
+        partitioned: bool,
     ) -> None:
-        """Set the slot quota of this side of a partition to ``borne``.
+        """Set the slot quota of this side of a partition to ``quota``.
 
         An increase takes effect after ``settle_s``: requests started under another
         owner may run in the added slots while their ``GrantTaken`` is in transit. A
@@ -95,59 +104,61 @@
 
         Args:
             now: Current time.
-            borne: Slots that this side of a partition may use.
+            quota: Slots that this side of a partition may use.
             settle_s: Seconds in which running requests are registered here.
-            doubt_s: Seconds for which unreachable routers may run requests that are
+            uncertain_s: Seconds for which unreachable routers may run requests that are
                 not registered here; 0 when all routers are reachable.
-            cut: True when routers have just become unreachable.
+            partitioned: True when routers have just become unreachable.
         """
-        if self._usable:
+        if self._quota:
             # The other side of the partition may still use slots that move to this
             # side's quota, including those of a host that was back only briefly.
-            settle_s = max(settle_s, doubt_s)
-            if cut:
-                self._growth.clear()
+            settle_s = max(settle_s, uncertain_s)
+            if partitioned:
+                self._pending_growth.clear()
         else:
-            if not self._growth:
-                self._fresh.clear()
-                self._known = 0
-            if doubt_s:
-                self._doubt_until = now + doubt_s
+            if not self._pending_growth:
+                self._registered.clear()
+                self._peak_registered = 0
+            if uncertain_s:
+                self._uncertain_until = now + uncertain_s
         self.owned = True
-        self._usable = min(self._usable, borne)
-        self._growth = [(at, min(slots, borne)) for at, slots in self._growth]
-        planned = self._growth[-1][1] if self._growth else self._usable
-        if borne > planned:
-            self._growth.append((now + settle_s, borne))
-        self.settle(now)
-
-    def clear_doubt(self) -> None:
+        self._quota = min(self._quota, quota)
+        self._pending_growth = [
+            (at, min(slots, quota)) for at, slots in self._pending_growth
+        ]
+        planned = self._pending_growth[-1][1] if self._pending_growth else self._quota
+        if quota > planned:
+            self._pending_growth.append((now + settle_s, quota))
+        self.apply_growth(now)
+
+    def end_uncertainty(self) -> None:
         """End the uncertainty about unregistered requests: all routers are live."""
-        self._doubt_until = float("-inf")
+        self._uncertain_until = float("-inf")
 
-    def settle(self, now: float) -> None:
+    def apply_growth(self, now: float) -> None:
         """Apply the quota increases that are due."""
-        while self._growth and self._growth[0][0] <= now:
-            _, self._usable = self._growth.pop(0)
+        while self._pending_growth and self._pending_growth[0][0] <= now:
+            _, self._quota = self._pending_growth.pop(0)
 
     def free(self, now: float) -> int:
         """Return the number of slots that may be granted now."""
         if self.leaving:
             return 0
-        self.settle(now)
-        usable = min(self._usable, self.limit.allowed(now))
-        away = sum(hold.away for hold in self.holds.values())
-        doubtful = away or now < self._doubt_until
-        if doubtful and now - self._reported_at <= _REPORT_FRESH_S:
-            return self._free_by_report(usable, len(self.holds) - away)
+        self.apply_growth(now)
+        usable = min(self._quota, self.limit.allowed(now))
+        unreachable = sum(lease.unreachable for lease in self.leases.values())
+        uncertain = unreachable or now < self._uncertain_until
+        if uncertain and now - self._reported_at <= _REPORT_MAX_AGE_S:
+            return self._free_by_report(usable, len(self.leases) - unreachable)
         # An unreachable router may run requests that the previous owner granted.
         # Granting their slots again would overload the endpoint. Only as many slots
         # as were registered here at the same time are known not to be among them.
-        if now < self._doubt_until:
-            usable = min(usable, self._known)
-        return max(0, usable - len(self.holds))
+        if now < self._uncertain_until:
+            usable = min(usable, self._peak_registered)
+        return max(0, usable - len(self.leases))
 
-    def _free_by_report(self, usable: int, reached: int) -> int:
+    def _free_by_report(self, usable: int, reachable: int) -> int:
         """Return the free slots by load report, while routers are unreachable.
 
         Without the report, the slots of unreachable routers would stay unused until
@@ -156,67 +167,69 @@
         count lags, so grants issued since are added to it. The other side of a
         partition stays within its own quota, so the sum fits the endpoint.
         """
-        before = self._reported_at - _REPORT_LAG_S
-        recent = sum(h.since > before for h in self.holds.values() if not h.away)
+        cutoff = self._reported_at - _REPORT_LAG_MAX_S
+        recent = sum(
+            h.granted_at > cutoff for h in self.leases.values() if not h.unreachable
+        )
         running = self._reported + recent
-        return max(0, min(usable - reached, self.endpoint.slots - running))
+        return max(0, min(usable - reachable, self.endpoint.slots - running))
 
-    def report(self, now: float, running: int) -> None:
+    def on_load_report(self, now: float, running: int) -> None:
         """Record the number of running requests that the endpoint reports."""
         self._reported_at = now
         self._reported = running
 
-    def note_reach(self, view: FleetView) -> None:
+    def update_reachability(self, view: FleetView) -> None:
         """Update which entry routers are reachable."""
-        for hold in self.holds.values():
-            hold.away = not view.is_live(hold.peer)
+        for lease in self.leases.values():
+            lease.unreachable = not view.is_live(lease.peer)
 
-    def hold(self, grant: str, hold: Hold) -> None:
+    def add_lease(self, grant: str, lease: SlotLease) -> None:
         """Count a slot as used."""
-        self.holds[grant] = hold
-        self._confirm(grant)
+        self.leases[grant] = lease
+        self._count_registered(grant)
 
-    def _confirm(self, grant: str) -> None:
-        self._fresh.add(grant)
-        self._fresh &= self.holds.keys()
-        self._known = max(self._known, len(self._fresh))
+    def _count_registered(self, grant: str) -> None:
+        self._registered.add(grant)
+        self._registered &= self.leases.keys()
+        self._peak_registered = max(self._peak_registered, len(self._registered))
 
-    def take(self, now: float, sender: PeerId, message: GrantTaken) -> None:
+    def on_taken(self, now: float, sender: PeerId, message: GrantTaken) -> None:
         """Count a slot as used by a running request, whichever owner granted it."""
-        if message.grant in self._returned:
+        if message.grant in self._released:
             return
-        hold = self.holds.get(message.grant)
+        lease = self.leases.get(message.grant)
         ends_at = now + message.deadline_s
-        if hold is None:
-            hold = Hold(sender, message.account, ends_at, since=now)
-            self.hold(message.grant, hold)
+        if lease is None:
+            lease = SlotLease(sender, message.account, ends_at, granted_at=now)
+            self.add_lease(message.grant, lease)
             return
-        hold.ends_at = ends_at if hold.ask_at else min(hold.ends_at, ends_at)
-        hold.ask_at = None
-        self._confirm(message.grant)
+        lease.ends_at = ends_at if lease.retransmit_at else min(lease.ends_at, ends_at)
+        lease.retransmit_at = None
+        self._count_registered(message.grant)
 
-    def give_back(self, grant: str) -> Hold | None:
+    def release(self, grant: str) -> SlotLease | None:
         """Free a slot; return None when the grant does not use one (any more).
 
         A duplicate, or a copy that arrives after the slot expired, must not free a
         slot again: another request may already use it. A copy of ``GrantTaken`` that
         arrives later must not count the slot as used.
         """
-        self._returned[grant] = None
-        if len(self._returned) > _RETURNED_KEPT:
-            self._returned.popitem(last=False)
-        return self.holds.pop(grant, None)
+        self._released[grant] = None
+        if len(self._released) > _RELEASED_LIMIT:
+            self._released.popitem(last=False)
+        return self.leases.pop(grant, None)
 
     def expire(self, now: float, view: FleetView) -> None:
         """Free slots whose requests have certainly ended."""
-        for grant, hold in list(self.holds.items()):
-            if hold.ends_at <= now or view.is_terminated(hold.peer):
-                del self.holds[grant]
+        for grant, lease in list(self.leases.items()):
+            if lease.ends_at <= now or view.is_terminated(lease.peer):
+                del self.leases[grant]
 
     @property
     def due_at(self) -> float:
         """Time of the next retransmission, expiry or quota increase."""
-        times = [hold.due_at for hold in self.holds.values()]
-        if self._growth:
-            times.append(self._growth[0][0])
+        times = [lease.due_at for lease in self.leases.values()]
+        if self._pending_growth:
+            times.append(self._pending_growth[0][0])
         return min(times, default=float("inf"))
--- a/greengageflow/core/entry.py
+++ b/greengageflow/core/entry.py
@@ -347,24 +347,27 @@
         """
         self._paused = True
 
-    def on_confirmed(self, now: float, *, anew: bool) -> Iterator[Effect]:
+    def on_view_confirmed(
+        self, now: float, *, maybe_replaced: bool
+    ) -> Iterator[Effect]:
         """Process the grants deferred since the pause, using the current view.
 
         Args:
             now: Current time.
-            anew: True when other routers may have considered this one dead. Owners
-                may then have reused its slots as soon as the endpoints reported them
-                free, so deferred grants are declined and demand is registered again.
+            maybe_replaced: True when other routers may have considered this one
+                dead. Owners may then have reused its slots as soon as the endpoints
+                reported them free, so deferred grants are declined and demand is
+                registered again.
         """
         self._paused = False
         held, self._held = self._held, {}
         for sender, grant in held.values():
-            if anew:
+            if maybe_replaced:
                 yield from self._decline(sender, grant)
             else:
                 yield from self._on_grant(now, sender, grant)
         for queue in self._queues.values():
-            if anew and queue:
+            if maybe_replaced and queue:
                 yield from self._registrar.refresh(now, queue)
 
     def on_config(self, now: float, cfg: FleetConfig) -> Iterator[Effect]:
--- a/greengageflow/core/owner.py
+++ b/greengageflow/core/owner.py
@@ -5,9 +5,9 @@
 from random import Random
 from typing import Any
 
-from greengageflow.core._charges import Charges
+from greengageflow.core._charges import PendingCharges
 from greengageflow.core._demand import DemandBook, Waiting
-from greengageflow.core._slots import EndpointSlots, Hold
+from greengageflow.core._slots import EndpointSlots, SlotLease
 from greengageflow.core._work_calls import WorkCalls
 from greengageflow.core.catalog import FleetConfig, PoolKind
 from greengageflow.core.effects import Send
@@ -15,11 +15,11 @@
 from greengageflow.core.placement import FleetView
 from greengageflow.core.shares import ServiceLedger, share_interval_s
 
-_REFLECT_INTERVALS = 3
-_SERVICE_DOUBT_S = 3.0
+_TOTALS_LAG_INTERVALS = 3
+_SERVICE_UNCERTAIN_S = 3.0
 _DEFAULT_DEADLINE_S = 60.0
-_POOL_QUIET_S = 10.0
-_FORGET_EVERY_S = 5.0
+_POOL_IDLE_AFTER_S = 10.0
+_DEMAND_EXPIRY_INTERVAL_S = 5.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -77,14 +77,14 @@
         self._owned: dict[str, list[EndpointSlots]] = {}
         self._demands: dict[str, DemandBook] = {}
         self._calls: dict[str, WorkCalls] = {}
-        self._lost: set[str] = set()
+        self._unreachable: set[str] = set()
         self._paused = False
-        self._charges = Charges()
-        self._spread: dict[str, float] = {}
-        self._number = 0
-        self.lapsed = 0
-        self._forget_at = 0.0
-        self._lag_s = 0.0
+        self._charges = PendingCharges()
+        self._charge_scale: dict[str, float] = {}
+        self._grant_seq = 0
+        self.retransmitted = 0
+        self._expire_demand_at = 0.0
+        self._totals_lag_s = 0.0
 
     @property
     def owned(self) -> list[str]:
@@ -94,7 +94,7 @@
     @property
     def granted(self) -> int:
         """Number of grants issued since the start."""
-        return self._number
+        return self._grant_seq
 
     def usage(self, now: float) -> Iterator[EndpointUsage]:
         """Yield the usage of each owned endpoint."""
@@ -103,7 +103,7 @@
                 yield EndpointUsage(
                     slots.endpoint.name,
                     slots.limit.allowed(now),
-                    len(slots.holds),
+                    len(slots.leases),
                     slots.limit.resting,
                     slots.limit.rest_until,
                     slots.leaving,
@@ -112,14 +112,17 @@
     # Configuration, view and load reports.
 
     def on_config(
-        self, now: float, cfg: FleetConfig, left: Mapping[str, int] | None = None
+        self,
+        now: float,
+        cfg: FleetConfig,
+        leaving_generations: Mapping[str, int] | None = None,
     ) -> Iterator[Send]:
         """Apply a configuration.
 
         Args:
             now: Current time.
             cfg: The configuration.
-            left: Generation of each endpoint that is known to be leaving.
+            leaving_generations: Generation of each leaving endpoint.
         """
         self._cfg = cfg
         for name, endpoint in cfg.endpoints.items():
@@ -129,25 +132,27 @@
                 self._slots[name] = EndpointSlots(endpoint)
         for name in self._slots.keys() - cfg.endpoints.keys():
             del self._slots[name]
-        for name, generation in (left or {}).items():
+        for name, generation in (leaving_generations or {}).items():
             self.mark_leaving(name, generation)
-        self._assign(now)
+        self._update_ownership(now)
         yield from self._fill_all(now)
 
     def on_view(self, now: float, view: FleetView) -> Iterator[Send]:
         """Apply a changed view of the fleet."""
         before = self._view.live.keys() if self._view else set()
-        self._lost = (self._lost | before) & view.roster - view.live.keys()
-        cut = bool(self._lost & before)
+        self._unreachable = (
+            self._unreachable | before
+        ) & view.roster - view.live.keys()
+        partitioned = bool(self._unreachable & before)
         self._view = view
-        self._assign(now, cut=cut)
+        self._update_ownership(now, partitioned=partitioned)
         yield from self._fill_all(now)
 
     def on_pause(self) -> None:
         """Stop granting after a process pause, until the view is confirmed."""
         self._paused = True
 
-    def on_confirmed(self, now: float, *, anew: bool) -> Iterator[Send]:
+    def on_view_confirmed(self, now: float, *, maybe_replaced: bool) -> Iterator[Send]:
         """Resume granting once the view is confirmed after a pause.
 
         During a long pause other routers may have taken over the endpoints and
@@ -157,13 +162,13 @@
 
         Args:
             now: Current time.
-            anew: True when the pause was long enough for a takeover.
+            maybe_replaced: True when the pause was long enough for a takeover.
         """
         self._paused = False
-        if anew:
+        if maybe_replaced:
             for slots in self._slots.values():
-                slots.lose()
-            self._assign(now)
+                slots.on_ownership_lost()
+            self._update_ownership(now)
         yield from self._fill_all(now)
 
     def mark_leaving(self, endpoint: str, generation: int) -> None:
@@ -176,62 +181,66 @@
         """Record the number of running requests that an endpoint reports."""
         slots = self._slots.get(endpoint)
         if slots is not None:
-            slots.report(now, running)
+            slots.on_load_report(now, running)
 
-    def _assign(self, now: float, *, cut: bool = False) -> None:
+    def _update_ownership(self, now: float, *, partitioned: bool = False) -> None:
         view = self._view
         self._owned = {}
         if view is None:
             return
         policy_s = self._cfg.policy.share_interval_s
-        self._lag_s = _REFLECT_INTERVALS * share_interval_s(policy_s, len(view.live))
+        self._totals_lag_s = _TOTALS_LAG_INTERVALS * share_interval_s(
+            policy_s, len(view.live)
+        )
         for name, slots in self._slots.items():
             if view.owner_of(name) != self._own.host:
-                slots.lose()
+                slots.on_ownership_lost()
                 continue
             endpoint = slots.endpoint
-            borne = view.slot_quota(name, endpoint.slots)
-            doubt_s = self._doubt_s(endpoint.pool)
-            slots.own(now, borne, self._settle_s, doubt_s, cut)
-            if not self._lost:
-                slots.clear_doubt()
+            quota = view.slot_quota(name, endpoint.slots)
+            uncertain_s = self._uncertain_s(endpoint.pool)
+            slots.set_quota(now, quota, self._settle_s, uncertain_s, partitioned)
+            if not self._unreachable:
+                slots.end_uncertainty()
             self._owned.setdefault(endpoint.pool, []).append(slots)
         self._active = {
             name: slots
             for name, slots in self._slots.items()
-            if slots.owned or slots.holds
+            if slots.owned or slots.leases
         }
         for slots in self._active.values():
             slots.expire(now, view)
-            slots.note_reach(view)
-        self._measure_spread()
+            slots.update_reachability(view)
+        self._update_charge_scale()
 
-    def _measure_spread(self) -> None:
+    def _update_charge_scale(self) -> None:
         totals: dict[str, int] = {}
         for slots in self._slots.values():
             pool = slots.endpoint.pool
             totals[pool] = totals.get(pool, 0) + slots.endpoint.slots
         for pool, owned in self._owned.items():
             own = sum(slots.endpoint.slots for slots in owned)
-            self._spread[pool] = 1.0 if self._view.split else totals[pool] / max(1, own)
+            self._charge_scale[pool] = (
+                1.0 if self._view.split else totals[pool] / max(1, own)
+            )
 
-    def _doubt_s(self, pool: str) -> float:
-        if not self._lost:
+    def _uncertain_s(self, pool: str) -> float:
+        if not self._unreachable:
             return 0.0
         # For an engine, a load report shows the requests of unreachable routers
         # within a second or two. A plain service sends no load reports: the new owner
         # of a lost router's endpoints would grant nothing up to the deadline, which
         # stalls a pool of few replicas for a minute. Service calls are short, so few
         # outlast this shorter bound.
-        known = self._cfg.pools.get(pool)
+        pool_config = self._cfg.pools.get(pool)
         longest_s = self._deadline_s(pool)
-        if known and known.kind is PoolKind.SERVICE:
-            longest_s = min(longest_s, _SERVICE_DOUBT_S)
+        if pool_config and pool_config.kind is PoolKind.SERVICE:
+            longest_s = min(longest_s, _SERVICE_UNCERTAIN_S)
         return self._settle_s + longest_s
 
     def _deadline_s(self, pool: str) -> float:
-        known = self._cfg.pools.get(pool)
-        return known.deadline_s if known else _DEFAULT_DEADLINE_S
+        pool_config = self._cfg.pools.get(pool)
+        return pool_config.deadline_s if pool_config else _DEFAULT_DEADLINE_S
 
     # Messages.
 
@@ -258,18 +267,18 @@
         slots = self._slots.get(message.endpoint)
         if slots is None or (self._view and self._view.is_terminated(sender)):
             return
-        slots.take(now, sender, message)
+        slots.on_taken(now, sender, message)
         self._active[message.endpoint] = slots
 
     def _on_returned(self, now: float, message: GrantReturned) -> Iterator[Send]:
         slots = self._slots.get(message.endpoint)
-        hold = slots.give_back(message.grant) if slots else None
-        if hold is None:
+        lease = slots.release(message.grant) if slots else None
+        if lease is None:
             return
         if message.seconds or message.failed:
             slots.limit.observe(now, message.served, message.seconds, message.failed)
-        elif hold.charge:
-            self._charges.cancel(hold.charge)
+        elif lease.charge:
+            self._charges.cancel(lease.charge)
         if message.backoff_s > 0:
             slots.limit.ask_backoff(now, message.backoff_s)
         yield from self._fill(now, slots.endpoint.pool)
@@ -284,33 +293,33 @@
         for slots in self._active.values():
             slots.expire(now, view)
             if not self._paused:
-                yield from self._ask_again(now, slots)
-        if now >= self._forget_at:
-            self._forget_at = now + _FORGET_EVERY_S
+                yield from self._retransmit(now, slots)
+        if now >= self._expire_demand_at:
+            self._expire_demand_at = now + _DEMAND_EXPIRY_INTERVAL_S
             for book in self._demands.values():
                 book.forget(now, view)
         yield from self._fill_all(now)
-        yield from self._call_for_work(now, view)
+        yield from self._send_work_calls(now, view)
 
     def next_tick(self, now: float) -> float:
         """Return the latest time at which ``on_tick`` must be called next."""
-        times = [self._forget_at]
+        times = [self._expire_demand_at]
         for slots in self._active.values():
             times.append(slots.due_at)
             if slots.limit.resting and slots.limit.rest_until > now:
                 times.append(slots.limit.rest_until)
             if slots.limit.backoff_until > now:
                 times.append(slots.limit.backoff_until)
-        times += [calls.at for calls, _ in self._idle(now)]
+        times += [calls.at for calls, _ in self._idle_pools(now)]
         return max(now, min(times))
 
-    def _ask_again(self, now: float, slots: EndpointSlots) -> Iterator[Send]:
-        for grant, hold in slots.holds.items():
-            if hold.ask_at is None or hold.ask_at > now:
+    def _retransmit(self, now: float, slots: EndpointSlots) -> Iterator[Send]:
+        for grant, lease in slots.leases.items():
+            if lease.retransmit_at is None or lease.retransmit_at > now:
                 continue
-            hold.ask_at = now + self._expires_s
-            self.lapsed += 1
-            yield self._grant_message(grant, slots, hold)
+            lease.retransmit_at = now + self._expires_s
+            self.retransmitted += 1
+            yield self._grant_message(grant, slots, lease)
 
     # Granting.
 
@@ -322,7 +331,7 @@
         book = self._demands.get(pool)
         if book is None or self._view is None or self._paused:
             return
-        while book.any_waiting(self._view) and (slots := self._freest(now, pool)):
+        while book.any_waiting(self._view) and (slots := self._most_free(now, pool)):
             picked = self._pick(book)
             if picked is None:
                 return
@@ -330,13 +339,13 @@
             book.take(entry)
             yield self._grant(now, slots, account, entry)
 
-    def _freest(self, now: float, pool: str) -> EndpointSlots | None:
+    def _most_free(self, now: float, pool: str) -> EndpointSlots | None:
         best = None
-        most = 0
+        most_free = 0
         for slots in self._owned.get(pool, ()):
             free = slots.free(now)
-            if free > most:
-                best, most = slots, free
+            if free > most_free:
+                best, most_free = slots, free
         return best
 
     def _pick(self, book: DemandBook) -> tuple[str, Waiting] | None:
@@ -348,50 +357,54 @@
         )
 
     def _level(self, account: str) -> float:
-        reflected = self._ledger.heard_at(account) - self._lag_s
-        charged = self._charges.of(account, reflected)
+        included_until = self._ledger.heard_at(account) - self._totals_lag_s
+        charged = self._charges.pending(account, included_until)
         return self._ledger.level(account) + charged / self._ledger.weight(account)
 
     def _grant(
         self, now: float, slots: EndpointSlots, account: str, entry: Waiting
     ) -> Send:
         pool = slots.endpoint.pool
-        self._number += 1
-        grant = f"{self._own.host}:{self._own.boot}:{self._number}"
+        self._grant_seq += 1
+        grant = f"{self._own.host}:{self._own.boot}:{self._grant_seq}"
         ends_at = now + self._deadline_s(pool) + self._expires_s
         # Until the totals are updated, an owner sees only its own grants. It assumes
         # that the other owners of the pool grant at the same rate and scales the
         # charge by the pool's slots relative to its own.
-        charge = self._charges.add(now, account, entry.cost * self._spread[pool])
-        ask_at = now + self._expires_s
-        hold = Hold(entry.peer, account, ends_at, ask_at, charge, since=now)
-        slots.hold(grant, hold)
-        return self._grant_message(grant, slots, hold)
+        charge = self._charges.add(now, account, entry.cost * self._charge_scale[pool])
+        retransmit_at = now + self._expires_s
+        lease = SlotLease(
+            entry.peer, account, ends_at, retransmit_at, charge, granted_at=now
+        )
+        slots.add_lease(grant, lease)
+        return self._grant_message(grant, slots, lease)
 
-    def _grant_message(self, grant: str, slots: EndpointSlots, hold: Hold) -> Send:
+    def _grant_message(
+        self, grant: str, slots: EndpointSlots, lease: SlotLease
+    ) -> Send:
         endpoint = slots.endpoint
         message = Grant(
             grant,
-            hold.account,
+            lease.account,
             endpoint.pool,
             endpoint.name,
             self._expires_s,
-            hold.peer.boot,
+            lease.peer.boot,
         )
-        return Send(hold.peer.host, message)
+        return Send(lease.peer.host, message)
 
     # Work calls.
 
-    def _idle(self, now: float) -> Iterator[tuple[WorkCalls, int]]:
+    def _idle_pools(self, now: float) -> Iterator[tuple[WorkCalls, int]]:
         """Yield pools with free slots and recent, but no current demand."""
         for pool, book in self._demands.items():
-            quiet = now - book.heard_at > _POOL_QUIET_S
-            if quiet or not self._freest(now, pool) or book.any_waiting(self._view):
+            quiet = now - book.heard_at > _POOL_IDLE_AFTER_S
+            if quiet or not self._most_free(now, pool) or book.any_waiting(self._view):
                 continue
             yield self._calls[pool], sum(s.free(now) for s in self._owned[pool])
 
-    def _call_for_work(self, now: float, view: FleetView) -> Iterator[Send]:
+    def _send_work_calls(self, now: float, view: FleetView) -> Iterator[Send]:
         hosts = sorted(view.live.keys() - {self._own.host})
-        for calls, free in self._idle(now):
+        for calls, free in self._idle_pools(now):
             if calls.at <= now and hosts:
                 yield from calls.call(now, free, hosts)
--- a/greengageflow/daemon/control.py
+++ b/greengageflow/daemon/control.py
@@ -323,9 +323,9 @@
             return
         self._confirmed = confirmed
         if confirmed:
-            anew = self.membership.long_pause
-            self.run(self.owner.on_confirmed(now, anew=anew))
-            self.run(self.entry.on_confirmed(now, anew=anew))
+            maybe_replaced = self.membership.long_pause
+            self.run(self.owner.on_view_confirmed(now, maybe_replaced=maybe_replaced))
+            self.run(self.entry.on_view_confirmed(now, maybe_replaced=maybe_replaced))
         else:
             self.owner.on_pause()
             self.entry.on_pause()
--- a/greengageflow/daemon/observer.py
+++ b/greengageflow/daemon/observer.py
@@ -168,7 +168,7 @@
             self._log.appends,
             self._log.failures,
             owner.granted,
-            owner.lapsed,
+            owner.retransmitted,
         )
         sent, self._sent = self._sent, total
         count = self._metrics.count
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -60,7 +60,7 @@
     owner = EndpointOwner(own, ServiceLedger(own))
     list(owner.on_config(0.0, FleetConfig(policy=Policy(share_interval_s=0.5))))
     list(owner.on_view(0.0, FleetView(own, live, frozenset())))
-    assert owner._lag_s == 6.0
+    assert owner._totals_lag_s == 6.0
 
 
 def test_short_answers_leave_nothing_behind():
--- a/tests/test_pause_faults.py
+++ b/tests/test_pause_faults.py
@@ -81,7 +81,7 @@
     net.drain()
     assert net.load()["e1"] == SLOTS
     see(net, [paused], owner)
-    net.run(asleep, asleep.entry.on_confirmed(net.now, anew=False))
+    net.run(asleep, asleep.entry.on_view_confirmed(net.now, maybe_replaced=False))
     steps(net, 10.0, run_s=1.0)
     assert not net.waiting.keys() & set(mine)
 
@@ -93,7 +93,7 @@
     net.submit(paused, "a")
     steps(net, 3.0)
     assert not net.running
-    net.run(node, node.entry.on_confirmed(net.now, anew=False))
+    net.run(node, node.entry.on_view_confirmed(net.now, maybe_replaced=False))
     assert len(net.running) == 1
     steps(net, 1.0)
 
@@ -123,7 +123,7 @@
     net.messages += grants
     see(net, HOSTS, None)
     net.drain()
-    net.run(asleep, asleep.entry.on_confirmed(net.now, anew=True))
+    net.run(asleep, asleep.entry.on_view_confirmed(net.now, maybe_replaced=True))
     steps(net, 10.0, run_s=1.0)
     assert not net.waiting.keys() & set(mine)
 
@@ -173,7 +173,7 @@
     for sender, _, message in socket:
         asleep.receive(sender, message)
     see(net, HOSTS, None)
-    net.run(asleep, asleep.owner.on_confirmed(net.now, anew=True))
+    net.run(asleep, asleep.owner.on_view_confirmed(net.now, maybe_replaced=True))
     steps(net, 3.0)
     assert net.load()["e1"] == SLOTS
 
@@ -233,9 +233,9 @@
     return Member(host, 1, 0, "alive", "127.0.0.1", 1, "za")
 
 
-@pytest.mark.parametrize(("pause_s", "anew"), [(2.0, False), (10.0, True)])
+@pytest.mark.parametrize(("pause_s", "maybe_replaced"), [(2.0, False), (10.0, True)])
 def test_a_grant_read_after_a_pause_waits_for_an_answer_asked_after_it(
-    monkeypatch, pause_s, anew
+    monkeypatch, pause_s, maybe_replaced
 ):
     """A router stands still and reads a grant before its next tick. It waits for a
     router that has the same view, in an answer to a probe of after the pause: one of
@@ -249,13 +249,13 @@
     world.tell(old)
     world.tick(0.1)
     assert not world.started
-    confirmed = Mock(wraps=world.node.owner.on_confirmed)
-    monkeypatch.setattr(world.node.owner, "on_confirmed", confirmed)
+    confirmed = Mock(wraps=world.node.owner.on_view_confirmed)
+    monkeypatch.setattr(world.node.owner, "on_view_confirmed", confirmed)
     for message in world.answers():
         world.tell(message)
-    confirmed.assert_called_once_with(world.now, anew=anew)
-    assert world.started == ([] if anew else ["r1:1:1"])
-    assert world.returned == (["r1:1:1"] if anew else [])
+    confirmed.assert_called_once_with(world.now, maybe_replaced=maybe_replaced)
+    assert world.started == ([] if maybe_replaced else ["r1:1:1"])
+    assert world.returned == (["r1:1:1"] if maybe_replaced else [])
 
 
 def test_a_router_that_nobody_answers_gives_the_grants_back(monkeypatch):
