--- a/greengageflow/core/_charges.py
+++ b/greengageflow/core/_charges.py
@@ -9,12 +9,12 @@
     """The charge of one grant.
 
     Args:
-        at: Time of the grant.
+        granted_at: Time of the grant.
         account: Client account.
         tokens: Charged tokens; 0 once the charge is cancelled.
     """
 
-    at: float
+    granted_at: float
     account: str
     tokens: float
 
@@ -46,7 +46,7 @@
                 dropped.
         """
         charges = self._charges.get(account, ())
-        while charges and charges[0].at <= included_until:
+        while charges and charges[0].granted_at <= included_until:
             self.cancel(charges.popleft())
         return self._sums.get(account, 0.0)
 
--- a/greengageflow/core/_demand.py
+++ b/greengageflow/core/_demand.py
@@ -6,11 +6,11 @@
 from greengageflow.core.messages import Demand, PeerId
 from greengageflow.core.placement import FleetView
 
-FORGET_S = 20.0
+DEMAND_TTL_S = 20.0
 
 
 @dataclass(slots=True)
-class Waiting:
+class EntryDemand:
     """Demand of one account at one entry router.
 
     Args:
@@ -18,48 +18,48 @@
         seq: Sequence number of the ``Demand`` message.
         waiting: Requests that wait there without a grant from this owner.
         cost: Expected cost of one request, in tokens.
-        since: Time at which the demand became non-zero.
-        heard_at: Time of the last ``Demand`` message.
-        granted: Serial number of this owner's last grant to it.
+        waiting_since: Time at which the demand became non-zero.
+        updated_at: Time of the last ``Demand`` message.
+        last_grant_seq: Serial number of this owner's last grant to it.
     """
 
     peer: PeerId
     seq: int
     waiting: int
     cost: float
-    since: float
-    heard_at: float
-    granted: int = 0
+    waiting_since: float
+    updated_at: float
+    last_grant_seq: int = 0
 
 
-class DemandBook:
+class PoolDemand:
     """Demand for one pool, by account and entry router."""
 
     def __init__(self) -> None:
-        self.heard_at = float("-inf")
-        self._accounts: dict[str, dict[str, Waiting]] = {}
-        self._serial = 0
+        self.last_demand_at = float("-inf")
+        self._accounts: dict[str, dict[str, EntryDemand]] = {}
+        self._grant_seq = 0
 
-    def put(self, now: float, sender: PeerId, demand: Demand) -> None:
+    def update(self, now: float, sender: PeerId, demand: Demand) -> None:
         """Apply a ``Demand`` message; duplicates and late copies are ignored."""
         entries = self._accounts.setdefault(demand.account, {})
         old = entries.get(sender.host)
         if old and (sender.boot, demand.seq) <= (old.peer.boot, old.seq):
             return
         if demand.waiting:
-            self.heard_at = now
+            self.last_demand_at = now
         fresh = old is None or not old.waiting
-        entries[sender.host] = Waiting(
+        entries[sender.host] = EntryDemand(
             sender,
             demand.seq,
             demand.waiting,
             demand.cost,
-            now if fresh else old.since,
+            now if fresh else old.waiting_since,
             now,
-            old.granted if old else 0,
+            old.last_grant_seq if old else 0,
         )
 
-    def candidates(self, view: FleetView) -> Iterator[tuple[str, Waiting]]:
+    def candidates(self, view: FleetView) -> Iterator[tuple[str, EntryDemand]]:
         """Yield each waiting account with its least recently granted router."""
         for account, entries in self._accounts.items():
             ready = [
@@ -68,23 +68,25 @@
                 if entry.waiting > 0 and view.is_live(entry.peer)
             ]
             if ready:
-                yield account, min(ready, key=lambda entry: entry.granted)
+                yield account, min(ready, key=lambda entry: entry.last_grant_seq)
 
-    def take(self, entry: Waiting) -> None:
+    def on_granted(self, entry: EntryDemand) -> None:
         """Count one request of an entry router as granted."""
-        self._serial += 1
-        entry.granted = self._serial
+        self._grant_seq += 1
+        entry.last_grant_seq = self._grant_seq
         entry.waiting -= 1
 
-    def any_waiting(self, view: FleetView) -> bool:
+    def has_waiting(self, view: FleetView) -> bool:
         """Return whether requests wait at a live entry router."""
         return next(self.candidates(view), None) is not None
 
-    def forget(self, now: float, view: FleetView) -> None:
+    def expire(self, now: float, view: FleetView) -> None:
         """Drop demand that was not refreshed or whose router is dead."""
         for account, entries in list(self._accounts.items()):
             for host, entry in list(entries.items()):
-                if now - entry.heard_at > FORGET_S or view.is_terminated(entry.peer):
+                if now - entry.updated_at > DEMAND_TTL_S or view.is_terminated(
+                    entry.peer
+                ):
                     del entries[host]
             if not entries:
                 del self._accounts[account]
--- a/greengageflow/core/_work_calls.py
+++ b/greengageflow/core/_work_calls.py
@@ -6,12 +6,12 @@
 from greengageflow.core.effects import Send
 from greengageflow.core.messages import WorkCall
 
-_FIRST_PAUSE_S = 0.1
-_LONGEST_PAUSE_S = 2.0
-_PEERS = 2
+_INITIAL_BACKOFF_S = 0.1
+_MAX_BACKOFF_S = 2.0
+_CALLS_PER_ROUND = 2
 
 
-class WorkCalls:
+class WorkCallSchedule:
     """Sends work calls for one pool, with exponential backoff.
 
     Requests may wait at a router that registered its demand only with other owners.
@@ -26,17 +26,17 @@
     def __init__(self, pool: str, random: Random) -> None:
         self._pool = pool
         self._random = random
-        self._pause_s = _FIRST_PAUSE_S
-        self.at = 0.0
+        self._backoff_s = _INITIAL_BACKOFF_S
+        self.next_at = 0.0
 
-    def reset(self) -> None:
+    def reset_backoff(self) -> None:
         """Reset the backoff, since there was demand."""
-        self._pause_s = _FIRST_PAUSE_S
-        self.at = 0.0
+        self._backoff_s = _INITIAL_BACKOFF_S
+        self.next_at = 0.0
 
-    def call(self, now: float, free: int, hosts: list[str]) -> Iterator[Send]:
+    def send(self, now: float, free: int, hosts: list[str]) -> Iterator[Send]:
         """Yield the calls of one round, and schedule the next after the backoff."""
-        self.at = now + self._pause_s
-        self._pause_s = min(_LONGEST_PAUSE_S, self._pause_s * 2)
-        for host in self._random.sample(hosts, min(_PEERS, len(hosts))):
+        self.next_at = now + self._backoff_s
+        self._backoff_s = min(_MAX_BACKOFF_S, self._backoff_s * 2)
+        for host in self._random.sample(hosts, min(_CALLS_PER_ROUND, len(hosts))):
             yield Send(host, WorkCall(self._pool, free))
--- a/greengageflow/core/owner.py
+++ b/greengageflow/core/owner.py
@@ -6,9 +6,9 @@
 from typing import Any
 
 from greengageflow.core._charges import PendingCharges
-from greengageflow.core._demand import DemandBook, Waiting
+from greengageflow.core._demand import EntryDemand, PoolDemand
 from greengageflow.core._slots import EndpointSlots, SlotLease
-from greengageflow.core._work_calls import WorkCalls
+from greengageflow.core._work_calls import WorkCallSchedule
 from greengageflow.core.catalog import FleetConfig, PoolKind
 from greengageflow.core.effects import Send
 from greengageflow.core.messages import Demand, Grant, GrantReturned, GrantTaken, PeerId
@@ -75,8 +75,8 @@
         self._slots: dict[str, EndpointSlots] = {}
         self._active: dict[str, EndpointSlots] = {}
         self._owned: dict[str, list[EndpointSlots]] = {}
-        self._demands: dict[str, DemandBook] = {}
-        self._calls: dict[str, WorkCalls] = {}
+        self._demands: dict[str, PoolDemand] = {}
+        self._work_calls: dict[str, WorkCallSchedule] = {}
         self._unreachable: set[str] = set()
         self._paused = False
         self._charges = PendingCharges()
@@ -248,19 +248,19 @@
         """Handle a message from an entry router."""
         match message:
             case Demand(pool=pool, waiting=waiting):
-                self._book(pool).put(now, sender, message)
+                self._demand_for(pool).update(now, sender, message)
                 if waiting:
-                    self._calls[pool].reset()
+                    self._work_calls[pool].reset_backoff()
                     yield from self._fill(now, pool)
             case GrantTaken():
                 self._on_taken(now, sender, message)
             case GrantReturned():
                 yield from self._on_returned(now, message)
 
-    def _book(self, pool: str) -> DemandBook:
+    def _demand_for(self, pool: str) -> PoolDemand:
         if pool not in self._demands:
-            self._demands[pool] = DemandBook()
-            self._calls[pool] = WorkCalls(pool, self._random)
+            self._demands[pool] = PoolDemand()
+            self._work_calls[pool] = WorkCallSchedule(pool, self._random)
         return self._demands[pool]
 
     def _on_taken(self, now: float, sender: PeerId, message: GrantTaken) -> None:
@@ -296,8 +296,8 @@
                 yield from self._retransmit(now, slots)
         if now >= self._expire_demand_at:
             self._expire_demand_at = now + _DEMAND_EXPIRY_INTERVAL_S
-            for book in self._demands.values():
-                book.forget(now, view)
+            for pool_demand in self._demands.values():
+                pool_demand.expire(now, view)
         yield from self._fill_all(now)
         yield from self._send_work_calls(now, view)
 
@@ -310,7 +310,7 @@
                 times.append(slots.limit.rest_until)
             if slots.limit.backoff_until > now:
                 times.append(slots.limit.backoff_until)
-        times += [calls.at for calls, _ in self._idle_pools(now)]
+        times += [schedule.next_at for schedule, _ in self._idle_pools(now)]
         return max(now, min(times))
 
     def _retransmit(self, now: float, slots: EndpointSlots) -> Iterator[Send]:
@@ -328,15 +328,17 @@
             yield from self._fill(now, pool)
 
     def _fill(self, now: float, pool: str) -> Iterator[Send]:
-        book = self._demands.get(pool)
-        if book is None or self._view is None or self._paused:
+        pool_demand = self._demands.get(pool)
+        if pool_demand is None or self._view is None or self._paused:
             return
-        while book.any_waiting(self._view) and (slots := self._most_free(now, pool)):
-            picked = self._pick(book)
+        while pool_demand.has_waiting(self._view) and (
+            slots := self._most_free(now, pool)
+        ):
+            picked = self._pick(pool_demand)
             if picked is None:
                 return
             account, entry = picked
-            book.take(entry)
+            pool_demand.on_granted(entry)
             yield self._grant(now, slots, account, entry)
 
     def _most_free(self, now: float, pool: str) -> EndpointSlots | None:
@@ -348,11 +350,11 @@
                 best, most_free = slots, free
         return best
 
-    def _pick(self, book: DemandBook) -> tuple[str, Waiting] | None:
+    def _pick(self, pool_demand: PoolDemand) -> tuple[str, EntryDemand] | None:
         """Return the least-served account and its next entry router."""
         return min(
-            book.candidates(self._view),
-            key=lambda pair: (self._level(pair[0]), pair[1].since),
+            pool_demand.candidates(self._view),
+            key=lambda pair: (self._level(pair[0]), pair[1].waiting_since),
             default=None,
         )
 
@@ -362,7 +364,7 @@
         return self._ledger.level(account) + charged / self._ledger.weight(account)
 
     def _grant(
-        self, now: float, slots: EndpointSlots, account: str, entry: Waiting
+        self, now: float, slots: EndpointSlots, account: str, entry: EntryDemand
     ) -> Send:
         pool = slots.endpoint.pool
         self._grant_seq += 1
@@ -395,16 +397,20 @@
 
     # Work calls.
 
-    def _idle_pools(self, now: float) -> Iterator[tuple[WorkCalls, int]]:
+    def _idle_pools(self, now: float) -> Iterator[tuple[WorkCallSchedule, int]]:
         """Yield pools with free slots and recent, but no current demand."""
-        for pool, book in self._demands.items():
-            quiet = now - book.heard_at > _POOL_IDLE_AFTER_S
-            if quiet or not self._most_free(now, pool) or book.any_waiting(self._view):
+        for pool, pool_demand in self._demands.items():
+            quiet = now - pool_demand.last_demand_at > _POOL_IDLE_AFTER_S
+            if (
+                quiet
+                or not self._most_free(now, pool)
+                or pool_demand.has_waiting(self._view)
+            ):
                 continue
-            yield self._calls[pool], sum(s.free(now) for s in self._owned[pool])
+            yield self._work_calls[pool], sum(s.free(now) for s in self._owned[pool])
 
     def _send_work_calls(self, now: float, view: FleetView) -> Iterator[Send]:
         hosts = sorted(view.live.keys() - {self._own.host})
-        for calls, free in self._idle_pools(now):
-            if calls.at <= now and hosts:
-                yield from calls.call(now, free, hosts)
+        for schedule, free in self._idle_pools(now):
+            if schedule.next_at <= now and hosts:
+                yield from schedule.send(now, free, hosts)
--- a/tests/test_core_machine.py
+++ b/tests/test_core_machine.py
@@ -13,7 +13,7 @@
     run_state_machine_as_test,
 )
 
-from greengageflow.core._demand import DemandBook
+from greengageflow.core._demand import PoolDemand
 from greengageflow.core.messages import GrantTaken
 from greengageflow.core.owner import EndpointOwner
 
@@ -207,9 +207,11 @@
     service. The state machine must detect that.
     """
 
-    def pick(self, book: DemandBook):
+    def pick(self, pool_demand: PoolDemand):
         return min(
-            book.candidates(self._view), key=lambda pair: pair[1].granted, default=None
+            pool_demand.candidates(self._view),
+            key=lambda pair: pair[1].last_grant_seq,
+            default=None,
         )
 
     monkeypatch.setattr(EndpointOwner, "_pick", pick)
