--- a/greengageflow/core/_admission.py
+++ b/greengageflow/core/_admission.py
@@ -24,11 +24,11 @@
     ahead = len(queue)
     if ahead >= limit:
         # The queue has room again as soon as it is below the limit.
-        wait_s = queue.rate.wait_s(now, ahead - limit + 1)
+        wait_s = queue.drain_rate.expected_wait_s(now, ahead - limit + 1)
         retry_s = None if wait_s is None else max(_SHORTEST_RETRY_S, wait_s)
         text = f"queue full: {ahead} requests of this account are waiting"
         return Refuse(req.id, ErrorKind.QUEUE_FULL, text, retry_s)
-    wait_s = queue.rate.wait_s(now, ahead) if ahead else None
+    wait_s = queue.drain_rate.expected_wait_s(now, ahead) if ahead else None
     if wait_s is not None and wait_s > left_s:
         text = f"{ahead} requests are waiting: expected wait of {wait_s:.1f} s"
         return Refuse(req.id, ErrorKind.DEADLINE, text, wait_s - left_s)
--- a/greengageflow/core/_registrar.py
+++ b/greengageflow/core/_registrar.py
@@ -3,16 +3,16 @@
 from collections.abc import Iterable, Iterator
 from random import Random
 
-from greengageflow.core._waiting import AccountQueue, Asked
+from greengageflow.core._waiting import AccountQueue, Registration
 from greengageflow.core.effects import Send
 from greengageflow.core.messages import Demand, PeerId
 from greengageflow.core.placement import FleetView
 
-_WIDEN_FIRST_S = 0.005
-_WIDEN_SLOWLY_S = 0.5
-_MOST_FACTOR = 2
+_EXPAND_FAST_S = 0.005
+_EXPAND_SLOW_S = 0.5
+_OWNER_LIMIT_FACTOR = 2
 _REFRESH_S = 4.0
-_LONGEST_REFRESH_S = 8.0
+_MAX_REFRESH_S = 8.0
 """Less than half of the time after which an owner drops demand not refreshed."""
 _REFRESHES_PER_S = 2.0
 _NEVER = float("inf")
@@ -22,68 +22,78 @@
     """Registers queue demand with owners, using few messages.
 
     Demand goes to one owner first, to more if no grant arrives within milliseconds,
-    and finally to up to twice ``most`` owners. It is sent again when the number of
-    waiting requests has doubled or halved, and every few seconds, so that a lost
-    message does not leave a request waiting.
+    and finally to up to twice ``quick_owner_limit`` owners. It is sent again when the
+    number of waiting requests has doubled or halved, and every few seconds, so that a
+    lost message does not leave a request waiting.
 
     Args:
         own: This router.
         random: Random source for the order in which owners are asked.
-        most: Number of owners that are asked in quick succession.
+        quick_owner_limit: Number of owners that are asked in quick succession.
     """
 
-    def __init__(self, own: PeerId, random: Random, *, most: int = 8) -> None:
-        self.most = most
+    def __init__(
+        self, own: PeerId, random: Random, *, quick_owner_limit: int = 8
+    ) -> None:
+        self.quick_owner_limit = quick_owner_limit
         self._own = own
         self._random = random
         self._view: FleetView | None = None
-        self._members: dict[str, list[str]] = {}
+        self._pool_endpoints: dict[str, list[str]] = {}
         self._owners: dict[str, list[str]] = {}
         self._seq = 0
 
-    def place(self, view: FleetView, members: dict[str, list[str]]) -> None:
+    def on_placement(
+        self, view: FleetView, pool_endpoints: dict[str, list[str]]
+    ) -> None:
         """Apply a view and the endpoints of each pool."""
         self._view = view
-        self._members = members
+        self._pool_endpoints = pool_endpoints
         self._owners.clear()
 
     def owners(self, pool: str) -> list[str]:
         """Return the hosts that own endpoints of a pool, sorted by name."""
         if pool not in self._owners:
-            names = self._members.get(pool, ())
+            names = self._pool_endpoints.get(pool, ())
             hosts = {self._view.owner_of(name) for name in names}
             self._owners[pool] = sorted(hosts - {None})
         return self._owners[pool]
 
-    def begin(self, now: float, queue: AccountQueue) -> Iterator[Send]:
+    def register(self, now: float, queue: AccountQueue) -> Iterator[Send]:
         """Register the demand of a queue that has just become non-empty."""
         queue.refresh_at = now + _REFRESH_S
-        yield from self.widen(now, queue)
+        yield from self.expand(now, queue)
 
-    def widen(self, now: float, queue: AccountQueue) -> Iterator[Send]:
-        """Ask 1, 2, 4, … up to ``most`` owners; then one more at a slower rate."""
+    def expand(self, now: float, queue: AccountQueue) -> Iterator[Send]:
+        """Ask 1, 2, 4, … owners up to the quick limit, then one more at a time."""
         owners = self.owners(queue.pool)
-        bound = min(self.most * _MOST_FACTOR, len(owners))
-        asked = len(queue.asked)
-        quick = asked < self.most
-        target = min(self.most, max(1, 2 * asked)) if quick else asked + 1
-        yield from self._ask_more(queue, owners, min(target, bound))
-        pause_s = _WIDEN_FIRST_S if quick else _WIDEN_SLOWLY_S
-        queue.ask_at = now + pause_s if len(queue.asked) < bound else _NEVER
+        owner_limit = min(self.quick_owner_limit * _OWNER_LIMIT_FACTOR, len(owners))
+        registered = len(queue.registrations)
+        is_quick = registered < self.quick_owner_limit
+        target = (
+            min(self.quick_owner_limit, max(1, 2 * registered))
+            if is_quick
+            else registered + 1
+        )
+        yield from self._ask_more(queue, owners, min(target, owner_limit))
+        pause_s = _EXPAND_FAST_S if is_quick else _EXPAND_SLOW_S
+        queue.expand_at = (
+            now + pause_s if len(queue.registrations) < owner_limit else _NEVER
+        )
 
     def _ask_more(
         self, queue: AccountQueue, owners: list[str], target: int
     ) -> Iterator[Send]:
-        if not queue.asked and target:
-            yield self.ask(queue, self._first(queue, owners))
-        count = min(len(owners), target + len(queue.asked))
+        if not queue.registrations and target:
+            yield self.send_demand(queue, self._first_owner(queue, owners))
+        count = min(len(owners), target + len(queue.registrations))
         for host in self._random.sample(owners, count):
-            if len(queue.asked) < target and host not in queue.asked:
-                yield self.ask(queue, host)
+            if len(queue.registrations) < target and host not in queue.registrations:
+                yield self.send_demand(queue, host)
 
-    def _first(self, queue: AccountQueue, owners: list[str]) -> str:
+    def _first_owner(self, queue: AccountQueue, owners: list[str]) -> str:
         affinity = queue.head.affinity if queue.head else ""
-        if affinity and affinity in self._members.get(queue.pool, ()):
+        if affinity and affinity in self._pool_endpoints.get(queue.pool, ()):
             host = self._view.owner_of(affinity)
             if host is not None:
                 return host
@@ -91,10 +101,10 @@
             return self._own.host
         return self._random.choice(owners)
 
-    def ask(self, queue: AccountQueue, host: str) -> Send:
+    def send_demand(self, queue: AccountQueue, host: str) -> Send:
         """Register or refresh the queue's demand with one owner."""
         boot = self._view.live[host].boot
-        queue.asked[host] = Asked(PeerId(host, boot), len(queue))
+        queue.registrations[host] = Registration(PeerId(host, boot), len(queue))
         self._seq += 1
         head = queue.head
         message = Demand(
@@ -107,14 +117,18 @@
         )
         return Send(host, message)
 
-    def restate(self, queue: AccountQueue) -> Iterator[Send]:
+    def update(self, queue: AccountQueue) -> Iterator[Send]:
         """Update owners whose registered count has doubled or halved."""
         count = len(queue)
-        for host, asked in list(queue.asked.items()):
-            if not count or 2 * asked.waiting <= count or asked.waiting >= 2 * count:
-                yield self.ask(queue, host)
+        for host, registration in list(queue.registrations.items()):
+            if (
+                not count
+                or 2 * registration.waiting <= count
+                or registration.waiting >= 2 * count
+            ):
+                yield self.send_demand(queue, host)
         if not count:
-            queue.asked.clear()
+            queue.registrations.clear()
 
     def refresh(self, now: float, queue: AccountQueue) -> Iterator[Send]:
         """Refresh the demand at all asked owners; the more owners, the less often.
@@ -122,17 +136,17 @@
         With many owners one lost message matters less, and with twenty backlogged
         accounts refreshes are most of a router's messages in a large fleet.
         """
-        pause_s = max(_REFRESH_S, len(queue.asked) / _REFRESHES_PER_S)
-        queue.refresh_at = now + min(pause_s, _LONGEST_REFRESH_S)
-        for host in list(queue.asked):
-            yield self.ask(queue, host)
+        pause_s = max(_REFRESH_S, len(queue.registrations) / _REFRESHES_PER_S)
+        queue.refresh_at = now + min(pause_s, _MAX_REFRESH_S)
+        for host in list(queue.registrations):
+            yield self.send_demand(queue, host)
 
-    def replace(self, now: float, queues: Iterable[AccountQueue]) -> Iterator[Send]:
+    def reassign(self, now: float, queues: Iterable[AccountQueue]) -> Iterator[Send]:
         """Replace owners that are no longer live or own no endpoint of the pool."""
         for queue in queues:
             owners = self.owners(queue.pool)
-            for host, asked in list(queue.asked.items()):
-                if host not in owners or not self._view.is_live(asked.owner):
-                    del queue.asked[host]
+            for host, registration in list(queue.registrations.items()):
+                if host not in owners or not self._view.is_live(registration.owner):
+                    del queue.registrations[host]
             if queue.requests:
-                yield from self.begin(now, queue)
+                yield from self.register(now, queue)
--- a/greengageflow/core/_waiting.py
+++ b/greengageflow/core/_waiting.py
@@ -5,8 +5,8 @@
 
 from greengageflow.core.messages import PeerId
 
-_SAMPLES = 32
-_FEWEST_SAMPLES = 4
+_SAMPLE_LIMIT = 32
+_MIN_SAMPLES = 4
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,9 +38,9 @@
     """
 
     def __init__(self) -> None:
-        self._times: deque[float] = deque(maxlen=_SAMPLES)
+        self._times: deque[float] = deque(maxlen=_SAMPLE_LIMIT)
 
-    def begin(self, now: float) -> None:
+    def restart(self, now: float) -> None:
         """Restart the measurement when the queue becomes non-empty."""
         self._times.clear()
         self._times.append(now)
@@ -49,19 +49,19 @@
         """Count a request that was started on an endpoint."""
         self._times.append(now)
 
-    def wait_s(self, now: float, ahead: int) -> float | None:
+    def expected_wait_s(self, now: float, ahead: int) -> float | None:
         """Return the expected wait behind ``ahead`` requests; None if unknown.
 
         The rate is measured up to ``now``, so that a stalled queue raises the wait.
         """
         starts = len(self._times) - 1
-        if starts < _FEWEST_SAMPLES:
+        if starts < _MIN_SAMPLES:
             return None
         return ahead * (now - self._times[0]) / starts
 
 
 @dataclass(slots=True)
-class Asked:
+class Registration:
     """Demand of a queue as registered with one owner.
 
     Args:
@@ -85,9 +85,9 @@
         self.account = account
         self.pool = pool
         self.requests: OrderedDict[str, WaitingRequest] = OrderedDict()
-        self.asked: dict[str, Asked] = {}
-        self.rate = DrainRate()
-        self.ask_at = float("inf")
+        self.registrations: dict[str, Registration] = {}
+        self.drain_rate = DrainRate()
+        self.expand_at = float("inf")
         self.refresh_at = float("inf")
 
     def __len__(self) -> int:
@@ -101,4 +101,4 @@
     @property
     def due_at(self) -> float:
         """Time of the next demand message; infinite when the queue is empty."""
-        return min(self.ask_at, self.refresh_at) if self.requests else float("inf")
+        return min(self.expand_at, self.refresh_at) if self.requests else float("inf")
--- a/greengageflow/core/entry.py
+++ b/greengageflow/core/entry.py
@@ -68,7 +68,7 @@
         self._registrar = DemandRegistrar(own, Random(f"{seed} {own.host} {own.boot}"))
         self._cfg = FleetConfig()
         self._view: FleetView | None = None
-        self._members: dict[str, list[str]] = {}
+        self._pool_endpoints: dict[str, list[str]] = {}
         self._queues: dict[tuple[str, str], AccountQueue] = {}
         self._of: dict[str, AccountQueue] = {}
         self._waiting: dict[str, int] = {}
@@ -109,10 +109,10 @@
         heappush(self._deadlines, (req.deadline, req.id))
         self._count(req.account, 1)
         if len(queue) == 1:
-            queue.rate.begin(now)
-            yield from self._registrar.begin(now, queue)
+            queue.drain_rate.restart(now)
+            yield from self._registrar.register(now, queue)
         else:
-            yield from self._registrar.restate(queue)
+            yield from self._registrar.update(queue)
 
     def _refusal(
         self, now: float, req: WaitingRequest, queue: AccountQueue
@@ -132,7 +132,7 @@
         del queue.requests[request]
         del self._of[request]
         self._count(queue.account, -1)
-        yield from self._registrar.restate(queue)
+        yield from self._registrar.update(queue)
 
     def _count(self, account: str, change: int) -> None:
         waiting = self._waiting.get(account, 0) + change
@@ -191,15 +191,15 @@
         # started now would be aborted when the endpoint's host shuts down.
         if self._has_left(grant.endpoint):
             return False
-        return grant.endpoint in self._members.get(grant.pool, ())
+        return grant.endpoint in self._pool_endpoints.get(grant.pool, ())
 
     def _start(
         self, now: float, sender: PeerId, grant: Grant, queue: AccountQueue
     ) -> Iterator[Effect]:
         req = queue.head
-        if sender.host in queue.asked:
-            queue.asked[sender.host].waiting -= 1
-        queue.rate.on_start(now)
+        if sender.host in queue.registrations:
+            queue.registrations[sender.host].waiting -= 1
+        queue.drain_rate.on_start(now)
         meter = self._ledger.expect(req.account, req.cost)
         self._running[grant.grant] = _Running(
             req, grant.endpoint, sender, {sender.host}, meter
@@ -240,7 +240,7 @@
         ready = [q for q in self._queues.values() if q.pool == pool and q.requests]
         ready.sort(key=lambda queue: self._ledger.level(queue.account))
         for queue in ready[:_ANSWERS_TO_CALL]:
-            yield self._registrar.ask(queue, host)
+            yield self._registrar.send_demand(queue, host)
 
     # Running requests.
 
@@ -312,8 +312,8 @@
             if run is not None and run.tell_at == at:
                 yield self._tell(now, grant, 2 * pause_s)
         for queue in self._queues.values():
-            if queue and queue.ask_at <= now:
-                yield from self._registrar.widen(now, queue)
+            if queue and queue.expand_at <= now:
+                yield from self._registrar.expand(now, queue)
             if queue and queue.refresh_at <= now:
                 yield from self._registrar.refresh(now, queue)
 
@@ -332,7 +332,7 @@
             queue = self._of.get(request)
             if queue is None:
                 continue
-            retry_s = queue.rate.wait_s(now, len(queue))
+            retry_s = queue.drain_rate.expected_wait_s(now, len(queue))
             text = "the deadline passed while the request waited"
             yield Refuse(request, ErrorKind.DEADLINE, text, retry_s)
             yield from self._leave(queue, request)
@@ -373,15 +373,15 @@
     def on_config(self, now: float, cfg: FleetConfig) -> Iterator[Effect]:
         """Apply a configuration."""
         before, self._cfg = self._cfg.endpoints, cfg
-        self._registrar.most = cfg.policy.owners_asked
-        self._members = {}
+        self._registrar.quick_owner_limit = cfg.policy.owners_asked
+        self._pool_endpoints = {}
         for name in list(self._backoff_until):
             now_is = cfg.endpoints.get(name)
             if now_is is None or now_is.generation != before[name].generation:
                 del self._backoff_until[name]
         for endpoint in cfg.endpoints.values():
             if not endpoint.leaving:
-                self._members.setdefault(endpoint.pool, []).append(endpoint.name)
+                self._pool_endpoints.setdefault(endpoint.pool, []).append(endpoint.name)
         yield from self._place(now)
 
     def on_view(self, now: float, view: FleetView) -> Iterator[Effect]:
@@ -398,14 +398,14 @@
     def _place(self, now: float) -> Iterator[Effect]:
         if self._view is None:
             return
-        self._registrar.place(self._view, self._members)
+        self._registrar.on_placement(self._view, self._pool_endpoints)
         for queue in self._queues.values():
             if not self._registrar.owners(queue.pool):
                 yield from self._refuse_all(queue)
-        yield from self._registrar.replace(now, self._queues.values())
+        yield from self._registrar.reassign(now, self._queues.values())
 
     def _refuse_all(self, queue: AccountQueue) -> Iterator[Effect]:
-        queue.asked.clear()
+        queue.registrations.clear()
         for request in list(queue.requests):
             text = f"no endpoint left for {queue.pool}"
             yield Refuse(request, ErrorKind.NO_ENDPOINT, text)
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -319,7 +319,7 @@
     owner, other = owner_and_other(net)
     net.submit(owner, "b")
     steps(net, 0.5, run_s=0.25)
-    net.nodes[other].entry._registrar.widen = lambda now, queue: iter(())
+    net.nodes[other].entry._registrar.expand = lambda now, queue: iter(())
     request = net.submit(other, "a")
     calls = net.sent["WorkCall"]
     assert request in net.waiting
