--- a/greengageflow/core/entry.py
+++ b/greengageflow/core/entry.py
@@ -25,23 +25,23 @@
 
 __all__ = ["EntryQueue", "WaitingRequest"]
 
-_ENDED_KEPT = 4096
-_TELL_AGAIN_S = 0.25
+_RETURNED_LIMIT = 4096
+_NOTIFY_RETRY_S = 0.25
 """First retransmission interval of ``GrantTaken``; doubles each time.
 
 Gives three retransmissions within an owner's settle time.
 """
-_ANSWERS_TO_CALL = 4
+_DEMANDS_PER_WORK_CALL = 4
 
 
 @dataclass(slots=True)
-class _Running:
+class _RunningRequest:
     request: WaitingRequest
     endpoint: str
     owner: PeerId
-    told: set[str]
+    notified: set[str]
     meter: Meter
-    tell_at: float = float("inf")
+    notify_at: float = float("inf")
 
 
 class EntryQueue:
@@ -51,7 +51,7 @@
         own: This router.
         ledger: Ledger that counts the service.
         seed: Seed for the order in which owners are asked.
-        has_left: Returns whether an endpoint must get no new requests.
+        is_leaving: Returns whether an endpoint must get no new requests.
     """
 
     def __init__(
@@ -60,31 +60,31 @@
         ledger: ServiceLedger,
         *,
         seed: int = 0,
-        has_left: Callable[[str], bool] = lambda _endpoint: False,
+        is_leaving: Callable[[str], bool] = lambda _endpoint: False,
     ) -> None:
         self._own = own
         self._ledger = ledger
-        self._has_left = has_left
+        self._is_leaving = is_leaving
         self._registrar = DemandRegistrar(own, Random(f"{seed} {own.host} {own.boot}"))
         self._cfg = FleetConfig()
         self._view: FleetView | None = None
         self._pool_endpoints: dict[str, list[str]] = {}
         self._queues: dict[tuple[str, str], AccountQueue] = {}
-        self._of: dict[str, AccountQueue] = {}
+        self._queue_of: dict[str, AccountQueue] = {}
         self._waiting: dict[str, int] = {}
-        self._running: dict[str, _Running] = {}
+        self._running: dict[str, _RunningRequest] = {}
         self._backoff_until: dict[str, float] = {}
-        self._ended: OrderedDict[str, GrantReturned] = OrderedDict()
-        self._owed: dict[tuple[str, str], GrantReturned] = {}
+        self._returned: OrderedDict[str, GrantReturned] = OrderedDict()
+        self._undelivered: dict[tuple[str, str], GrantReturned] = {}
         self._deadlines: list[tuple[float, str]] = []
-        self._tell_again: list[tuple[float, float, str]] = []
+        self._notify_heap: list[tuple[float, float, str]] = []
         self._paused = False
-        self._held: dict[str, tuple[PeerId, Grant]] = {}
+        self._deferred: dict[str, tuple[PeerId, Grant]] = {}
 
     @property
     def waiting(self) -> int:
         """Number of waiting requests."""
-        return len(self._of)
+        return len(self._queue_of)
 
     @property
     def running(self) -> int:
@@ -105,9 +105,9 @@
             return
         self._queues[key] = queue
         queue.requests[req.id] = req
-        self._of[req.id] = queue
+        self._queue_of[req.id] = queue
         heappush(self._deadlines, (req.deadline, req.id))
-        self._count(req.account, 1)
+        self._add_waiting(req.account, 1)
         if len(queue) == 1:
             queue.drain_rate.restart(now)
             yield from self._registrar.register(now, queue)
@@ -124,17 +124,17 @@
 
     def cancel(self, request: str) -> Iterator[Effect]:
         """Remove a waiting request whose caller disconnected, without an answer."""
-        queue = self._of.get(request)
+        queue = self._queue_of.get(request)
         if queue is not None:
-            yield from self._leave(queue, request)
+            yield from self._dequeue(queue, request)
 
-    def _leave(self, queue: AccountQueue, request: str) -> Iterator[Send]:
+    def _dequeue(self, queue: AccountQueue, request: str) -> Iterator[Send]:
         del queue.requests[request]
-        del self._of[request]
-        self._count(queue.account, -1)
+        del self._queue_of[request]
+        self._add_waiting(queue.account, -1)
         yield from self._registrar.update(queue)
 
-    def _count(self, account: str, change: int) -> None:
+    def _add_waiting(self, account: str, change: int) -> None:
         waiting = self._waiting.get(account, 0) + change
         self._waiting[account] = waiting
         self._ledger.set_waiting(account, waiting)
@@ -153,15 +153,15 @@
             # slot, so a request started now would exceed the endpoint's slots.
             return
         if grant.grant in self._running:
-            yield self._taken(now, sender.host, grant.grant)
+            yield self._taken_message(now, sender.host, grant.grant)
             return
-        if grant.grant in self._ended:
-            yield Send(sender.host, self._ended[grant.grant])
+        if grant.grant in self._returned:
+            yield Send(sender.host, self._returned[grant.grant])
             return
         if self._paused:
-            self._held[grant.grant] = sender, grant
+            self._deferred[grant.grant] = sender, grant
             return
-        yield from self._expire(now)
+        yield from self._refuse_expired(now)
         queue = self._queues.get((grant.account, grant.pool))
         backoff_s = self._backoff_until.get(grant.endpoint, now) - now
         if backoff_s > 0:
@@ -177,8 +177,8 @@
         self, sender: PeerId, grant: Grant, backoff_s: float = 0.0
     ) -> Iterator[Send]:
         returned = GrantReturned(grant.grant, grant.endpoint, backoff_s=backoff_s)
-        self._end(returned)
-        yield from self._give_back(sender.host, returned)
+        self._record_returned(returned)
+        yield from self._send_returned(sender.host, returned)
 
     def _is_valid(self, sender: PeerId, grant: Grant) -> bool:
         # A late grant may come from a former owner. The new owner knows of no request
@@ -189,7 +189,7 @@
             return False
         # The grant was sent before the endpoint was known to be leaving. A request
         # started now would be aborted when the endpoint's host shuts down.
-        if self._has_left(grant.endpoint):
+        if self._is_leaving(grant.endpoint):
             return False
         return grant.endpoint in self._pool_endpoints.get(grant.pool, ())
 
@@ -201,21 +201,23 @@
             queue.registrations[sender.host].waiting -= 1
         queue.drain_rate.on_start(now)
         meter = self._ledger.expect(req.account, req.cost)
-        self._running[grant.grant] = _Running(
+        self._running[grant.grant] = _RunningRequest(
             req, grant.endpoint, sender, {sender.host}, meter
         )
         yield Start(req.id, grant.endpoint, grant.grant)
-        yield self._taken(now, sender.host, grant.grant)
-        yield from self._leave(queue, req.id)
+        yield self._taken_message(now, sender.host, grant.grant)
+        yield from self._dequeue(queue, req.id)
 
-    def _taken(self, now: float, host: str, grant: str) -> Send:
+    def _taken_message(self, now: float, host: str, grant: str) -> Send:
         run = self._running[grant]
         req = run.request
         left_s = max(0.0, req.deadline - now)
         taken = GrantTaken(grant, run.endpoint, req.account, req.cost, left_s)
         return Send(host, taken)
 
-    def _tell_owner(self, now: float, grant: str, run: _Running) -> Iterator[Send]:
+    def _notify_new_owner(
+        self, now: float, grant: str, run: _RunningRequest
+    ) -> Iterator[Send]:
         """Register a running request with the endpoint's owner if it has changed."""
         host = self._view.owner_of(run.endpoint)
         if host is None:
@@ -223,34 +225,34 @@
         owner = PeerId(host, self._view.live[host].boot)
         if owner != run.owner:
             run.owner = owner
-            run.told.add(host)
-            yield self._tell(now, grant, _TELL_AGAIN_S)
+            run.notified.add(host)
+            yield self._notify(now, grant, _NOTIFY_RETRY_S)
 
-    def _tell(self, now: float, grant: str, pause_s: float) -> Send:
+    def _notify(self, now: float, grant: str, pause_s: float) -> Send:
         # The message is not acknowledged, so it is retransmitted: when it was lost on
         # a slow connection, the new owner granted a slot that was still in use.
         run = self._running[grant]
-        run.tell_at = now + pause_s
-        heappush(self._tell_again, (run.tell_at, pause_s, grant))
-        return self._taken(now, run.owner.host, grant)
+        run.notify_at = now + pause_s
+        heappush(self._notify_heap, (run.notify_at, pause_s, grant))
+        return self._taken_message(now, run.owner.host, grant)
 
     def _on_work_call(self, host: str, pool: str) -> Iterator[Send]:
         if self._view is None or host not in self._registrar.owners(pool):
             return
         ready = [q for q in self._queues.values() if q.pool == pool and q.requests]
         ready.sort(key=lambda queue: self._ledger.level(queue.account))
-        for queue in ready[:_ANSWERS_TO_CALL]:
+        for queue in ready[:_DEMANDS_PER_WORK_CALL]:
             yield self._registrar.send_demand(queue, host)
 
     # Running requests.
 
-    def progress(self, grant: str, tokens: float) -> None:
+    def on_progress(self, grant: str, tokens: float) -> None:
         """Count streamed tokens of a running request."""
         run = self._running.get(grant)
         if run is not None:
             run.meter.charge(tokens)
 
-    def ask_backoff(self, now: float, endpoint: str, seconds: float) -> bool:
+    def on_backoff(self, now: float, endpoint: str, seconds: float) -> bool:
         """Record that an endpoint asked this router to back off.
 
         Returns:
@@ -260,7 +262,7 @@
         self._backoff_until[endpoint] = max(until, now + seconds)
         return until <= now
 
-    def finished(
+    def on_finished(
         self,
         grant: str,
         served: float,
@@ -285,32 +287,32 @@
         returned = GrantReturned(
             grant, run.endpoint, served, seconds, failed, backoff_s
         )
-        self._end(returned)
-        for host in sorted(run.told):
-            yield from self._give_back(host, returned)
+        self._record_returned(returned)
+        for host in sorted(run.notified):
+            yield from self._send_returned(host, returned)
 
-    def _give_back(self, host: str, returned: GrantReturned) -> Iterator[Send]:
+    def _send_returned(self, host: str, returned: GrantReturned) -> Iterator[Send]:
         # An unreachable owner counts the slot as used until the request's deadline,
         # so the message is sent again when the owner is live.
         if self._view and host not in self._view.live:
-            self._owed[returned.grant, host] = returned
+            self._undelivered[returned.grant, host] = returned
         yield Send(host, returned)
 
-    def _end(self, returned: GrantReturned) -> None:
-        self._ended[returned.grant] = returned
-        if len(self._ended) > _ENDED_KEPT:
-            self._ended.popitem(last=False)
+    def _record_returned(self, returned: GrantReturned) -> None:
+        self._returned[returned.grant] = returned
+        if len(self._returned) > _RETURNED_LIMIT:
+            self._returned.popitem(last=False)
 
     # Timers, configuration and view.
 
     def on_tick(self, now: float) -> Iterator[Effect]:
         """Run everything that is due."""
-        yield from self._expire(now)
-        while self._tell_again and self._tell_again[0][0] <= now:
-            at, pause_s, grant = heappop(self._tell_again)
+        yield from self._refuse_expired(now)
+        while self._notify_heap and self._notify_heap[0][0] <= now:
+            at, pause_s, grant = heappop(self._notify_heap)
             run = self._running.get(grant)
-            if run is not None and run.tell_at == at:
-                yield self._tell(now, grant, 2 * pause_s)
+            if run is not None and run.notify_at == at:
+                yield self._notify(now, grant, 2 * pause_s)
         for queue in self._queues.values():
             if queue and queue.expand_at <= now:
                 yield from self._registrar.expand(now, queue)
@@ -322,20 +324,20 @@
         times = [queue.due_at for queue in self._queues.values() if queue]
         if self._deadlines:
             times.append(self._deadlines[0][0])
-        if self._tell_again:
-            times.append(self._tell_again[0][0])
+        if self._notify_heap:
+            times.append(self._notify_heap[0][0])
         return max(now, min(times, default=float("inf")))
 
-    def _expire(self, now: float) -> Iterator[Effect]:
+    def _refuse_expired(self, now: float) -> Iterator[Effect]:
         while self._deadlines and self._deadlines[0][0] <= now:
             _, request = heappop(self._deadlines)
-            queue = self._of.get(request)
+            queue = self._queue_of.get(request)
             if queue is None:
                 continue
             retry_s = queue.drain_rate.expected_wait_s(now, len(queue))
             text = "the deadline passed while the request waited"
             yield Refuse(request, ErrorKind.DEADLINE, text, retry_s)
-            yield from self._leave(queue, request)
+            yield from self._dequeue(queue, request)
 
     def on_pause(self) -> None:
         """Defer incoming grants after a process pause, until the view is confirmed.
@@ -360,8 +362,8 @@
                 registered again.
         """
         self._paused = False
-        held, self._held = self._held, {}
-        for sender, grant in held.values():
+        deferred, self._deferred = self._deferred, {}
+        for sender, grant in deferred.values():
             if maybe_replaced:
                 yield from self._decline(sender, grant)
             else:
@@ -376,26 +378,26 @@
         self._registrar.quick_owner_limit = cfg.policy.owners_asked
         self._pool_endpoints = {}
         for name in list(self._backoff_until):
-            now_is = cfg.endpoints.get(name)
-            if now_is is None or now_is.generation != before[name].generation:
+            current = cfg.endpoints.get(name)
+            if current is None or current.generation != before[name].generation:
                 del self._backoff_until[name]
         for endpoint in cfg.endpoints.values():
             if not endpoint.leaving:
                 self._pool_endpoints.setdefault(endpoint.pool, []).append(endpoint.name)
-        yield from self._place(now)
+        yield from self._update_placement(now)
 
     def on_view(self, now: float, view: FleetView) -> Iterator[Effect]:
         """Apply a changed view of the fleet."""
         self._view = view
         for grant, run in self._running.items():
-            yield from self._tell_owner(now, grant, run)
-        for (grant, host), returned in list(self._owed.items()):
+            yield from self._notify_new_owner(now, grant, run)
+        for (grant, host), returned in list(self._undelivered.items()):
             if host in view.live or host not in view.roster:
-                del self._owed[grant, host]
+                del self._undelivered[grant, host]
                 yield Send(host, returned)
-        yield from self._place(now)
+        yield from self._update_placement(now)
 
-    def _place(self, now: float) -> Iterator[Effect]:
+    def _update_placement(self, now: float) -> Iterator[Effect]:
         if self._view is None:
             return
         self._registrar.on_placement(self._view, self._pool_endpoints)
@@ -409,4 +411,4 @@
         for request in list(queue.requests):
             text = f"no endpoint left for {queue.pool}"
             yield Refuse(request, ErrorKind.NO_ENDPOINT, text)
-            yield from self._leave(queue, request)
+            yield from self._dequeue(queue, request)
--- a/greengageflow/daemon/control.py
+++ b/greengageflow/daemon/control.py
@@ -116,7 +116,7 @@
         self.own = own
         self.ledger = ServiceLedger(own, alone=sharing == "local")
         self.leaving = LeavingSigns(own)
-        self.entry = EntryQueue(own, self.ledger, has_left=self.leaving.has_left)
+        self.entry = EntryQueue(own, self.ledger, is_leaving=self.leaving.has_left)
         self.owner = EndpointOwner(own, self.ledger, settle_s=SETTLE_S)
         self.collector = Collector(own, self.ledger)
         self.writer = ActionWriter()
--- a/greengageflow/daemon/dispatch.py
+++ b/greengageflow/daemon/dispatch.py
@@ -291,7 +291,7 @@
 
     def on_progress(self, flight: Flight, pieces: int) -> None:
         """Charge pieces as they stream."""
-        self._control.entry.progress(flight.grant, pieces)
+        self._control.entry.on_progress(flight.grant, pieces)
         self._note_leaving(flight)
 
     def _note_leaving(self, flight: Flight) -> None:
@@ -441,12 +441,12 @@
     ) -> None:
         if flight and backoff_s:
             endpoint = flight.endpoint.name
-            if self._control.entry.ask_backoff(monotonic(), endpoint, backoff_s):
+            if self._control.entry.on_backoff(monotonic(), endpoint, backoff_s):
                 self._notes.backoff(endpoint, backoff_s)
         seconds = monotonic() - flight.started if flight else 0.0
         if flight:
             flight.grant = ""
-        finished = self._control.entry.finished(
+        finished = self._control.entry.on_finished(
             grant, served, seconds, failed=failed, backoff_s=backoff_s
         )
         self._control.run(finished)
--- a/greengageflow/lab/_slopes_requests.py
+++ b/greengageflow/lab/_slopes_requests.py
@@ -94,8 +94,8 @@
     data = encode(PeerId(owner, BOOT), grant)
     cost.take(data, lambda sender, message: entry.receive(now, sender, message))
     for _ in range(_PIECES):
-        cost.run(lambda: entry.progress(grant.grant, 48.0))
-    cost.send(entry.finished(grant.grant, 480.0, 15.0))
+        cost.run(lambda: entry.on_progress(grant.grant, 48.0))
+    cost.send(entry.on_finished(grant.grant, 480.0, 15.0))
 
 
 def entry_backlog(accounts: int) -> dict[str, float]:
--- a/tests/core_net.py
+++ b/tests/core_net.py
@@ -160,7 +160,7 @@
         node, id, _, since = self.running.pop(grant)
         self.ended[id] += 1
         seconds = max(0.01, self.now - since)
-        self.run(node, node.entry.finished(grant, served, seconds, failed=failed))
+        self.run(node, node.entry.on_finished(grant, served, seconds, failed=failed))
 
     def deliver(self, index=0):
         sender, to, message = self.messages.pop(index)
