--- a/greengageflow/core/_offsets.py
+++ b/greengageflow/core/_offsets.py
@@ -22,9 +22,9 @@
 
     Args:
         ledger: Ledger with the fleet totals.
-        debt_s: Maximum debt of a backlogged account, in seconds of its share.
-        least_debt: Debt in tokens per unit of weight that is never forgiven.
-        patience_s: Seconds for which a condition must hold before an offset changes.
+        max_debt_s: Maximum debt of a backlogged account, in seconds of its share.
+        min_debt_tokens: Debt in tokens per unit of weight that is never forgiven.
+        confirm_s: Seconds for which a condition must hold before an offset changes.
             A collector that has just taken over may have incomplete totals, and an
             offset is never reverted.
     """
@@ -33,39 +33,39 @@
         self,
         ledger: ServiceLedger,
         *,
-        debt_s: float = 10.0,
-        least_debt: float = 10_000.0,
-        patience_s: float = 8.0,
+        max_debt_s: float = 10.0,
+        min_debt_tokens: float = 10_000.0,
+        confirm_s: float = 8.0,
     ) -> None:
         self._ledger = ledger
-        self._debt_s = debt_s
-        self._least_debt = least_debt
-        self._patience_s = patience_s
+        self._debt_s = max_debt_s
+        self._least_debt = min_debt_tokens
+        self._patience_s = confirm_s
         # Uses the median, because the fleet's sum jumps when a partition heals.
         self._rates: deque[float] = deque(maxlen=_RATE_SAMPLES)
-        self._last: tuple[float, float] | None = None
-        self._warm_at: float | None = None
-        self._indebted: dict[str, float] = {}
+        self._last_sample: tuple[float, float] | None = None
+        self._ready_at: float | None = None
+        self._over_limit_since: dict[str, float] = {}
 
-    def measure(self, now: float) -> None:
+    def sample_rate(self, now: float) -> None:
         """Sample how fast the level of backlogged accounts rises."""
         totals = self._ledger.totals.values()
-        if totals and self._warm_at is None:
-            self._warm_at = now + self._patience_s
+        if totals and self._ready_at is None:
+            self._ready_at = now + self._patience_s
         served = sum(row.served for row in totals)
         weights = sum(self._ledger.weight(r.account) for r in totals if r.waiting)
-        if self._last and self._last[0] < now and weights:
-            then, before = self._last
+        if self._last_sample and self._last_sample[0] < now and weights:
+            then, before = self._last_sample
             self._rates.append((served - before) / (now - then) / weights)
-        self._last = (now, served)
+        self._last_sample = (now, served)
 
     @property
-    def most_debt(self) -> float:
+    def max_debt(self) -> float:
         """Maximum distance of a backlogged account above the floor."""
         rate = median(self._rates) if self._rates else 0.0
         return max(self._least_debt, self._debt_s * rate)
 
-    def shift(self, now: float, row: AccountService) -> tuple[float, float]:
+    def increments(self, now: float, row: AccountService) -> tuple[float, float]:
         """Return the increments of ``raised`` and ``forgiven`` of an account.
 
         Args:
@@ -75,17 +75,17 @@
         account = row.account
         weight = self._ledger.weight(account)
         above = level_of(row, weight) - self._ledger.floor
-        excess = above - self.most_debt
+        excess = above - self.max_debt
         if not row.waiting or excess <= 0:
-            self._indebted.pop(account, None)
-        if not row.waiting or self._warm_at is None or now < self._warm_at:
+            self._over_limit_since.pop(account, None)
+        if not row.waiting or self._ready_at is None or now < self._ready_at:
             return 0.0, 0.0
         before = self._ledger.totals.get(account)
         if above < 0 and not (before and before.waiting):
             return -above * weight, 0.0
         if (
             excess <= 0
-            or now < self._indebted.setdefault(account, now) + self._patience_s
+            or now < self._over_limit_since.setdefault(account, now) + self._patience_s
         ):
             return 0.0, 0.0
         return 0.0, excess * weight
--- a/greengageflow/core/collector.py
+++ b/greengageflow/core/collector.py
@@ -173,7 +173,7 @@
         if self._view is None:
             return
         self._seq += 1
-        self._offsets.measure(now)
+        self._offsets.sample_rate(now)
         self._become_ready(now)
         names = [n for n in self._sums.accounts if self._shard(n) in self._ready]
         totals = {name: self._shifted_total(now, name) for name in names}
@@ -195,7 +195,9 @@
 
     def _shifted_total(self, now: float, name: str) -> AccountService:
         sums = self._sums.of(name)
-        raised, forgiven = self._offsets.shift(now, sums.total(name, self._view.zones))
+        raised, forgiven = self._offsets.increments(
+            now, sums.total(name, self._view.zones)
+        )
         sums.raised += raised
         sums.forgiven += forgiven
         return sums.total(name, self._view.zones)
--- a/greengageflow/core/entry.py
+++ b/greengageflow/core/entry.py
@@ -200,7 +200,7 @@
         if sender.host in queue.registrations:
             queue.registrations[sender.host].waiting -= 1
         queue.drain_rate.on_start(now)
-        meter = self._ledger.expect(req.account, req.cost)
+        meter = self._ledger.start_meter(req.account, req.cost)
         self._running[grant.grant] = _RunningRequest(
             req, grant.endpoint, sender, {sender.host}, meter
         )
--- a/greengageflow/core/owner.py
+++ b/greengageflow/core/owner.py
@@ -359,7 +359,7 @@
         )
 
     def _level(self, account: str) -> float:
-        included_until = self._ledger.heard_at(account) - self._totals_lag_s
+        included_until = self._ledger.totals_at(account) - self._totals_lag_s
         charged = self._charges.pending(account, included_until)
         return self._ledger.level(account) + charged / self._ledger.weight(account)
 
--- a/greengageflow/core/shares.py
+++ b/greengageflow/core/shares.py
@@ -15,7 +15,7 @@
 
 SHARDS = 64
 FULL_REPORT_EVERY = 10
-PACES_S = ((22, 0.5), (90, 1.0), (180, 1.5), (360, 2.0))
+REPORT_INTERVALS_S = ((22, 0.5), (90, 1.0), (180, 1.5), (360, 2.0))
 """Pairs of a maximum fleet size and the seconds between reports up to that size."""
 
 
@@ -31,9 +31,11 @@
     traffic grows with the fleet. The interval grows along with it, but in steps:
     routers come and go, and each change of the interval restarts the timers.
     """
-    most, longest_s = PACES_S[-1]
-    paces = (pace_s for size, pace_s in PACES_S if routers <= size)
-    return max(policy_s, next(paces, longest_s * -(-routers // most)))
+    max_size, longest_s = REPORT_INTERVALS_S[-1]
+    intervals = (
+        interval_s for size, interval_s in REPORT_INTERVALS_S if routers <= size
+    )
+    return max(policy_s, next(intervals, longest_s * -(-routers // max_size)))
 
 
 class Meter:
@@ -86,21 +88,21 @@
     Args:
         own: This router.
         shards: Number of account shards.
-        alone: True to ignore the fleet totals (baseline for comparison).
+        local_only: True to ignore the fleet totals (baseline for comparison).
     """
 
     def __init__(
-        self, own: PeerId, *, shards: int = SHARDS, alone: bool = False
+        self, own: PeerId, *, shards: int = SHARDS, local_only: bool = False
     ) -> None:
         self.shards = shards
         self._own = own
-        self._alone = alone
+        self._local_only = local_only
         self._counters: dict[str, _Counter] = {}
         self._totals: dict[str, AccountService] = {}
         self._weights: dict[str, float] = {}
         self._sent: dict[str, AccountService] = {}
-        self._heard: dict[PeerId, int] = {}
-        self._heard_at: dict[str, float] = {}
+        self._last_seq: dict[PeerId, int] = {}
+        self._totals_at: dict[str, float] = {}
         self._collectors: tuple[PeerId | None, ...] = ()
         self._seq = 0
         self._floor: float | None = None
@@ -117,7 +119,7 @@
 
     # This router's own service.
 
-    def expect(self, account: str, cost: float) -> Meter:
+    def start_meter(self, account: str, cost: float) -> Meter:
         """Start counting the service of one request."""
         return Meter(self._counter(account), cost)
 
@@ -139,7 +141,7 @@
         if full:
             self._sent.clear()
         self._collectors = collectors
-        rows = {host: [] for host in self._masks() if full}
+        rows = {host: [] for host in self._shard_masks() if full}
         for account, counter in self._counters.items():
             row = counter.snapshot(account)
             peer = collectors[shard_of(account, self.shards)]
@@ -147,14 +149,14 @@
                 self._sent[account] = row
                 rows.setdefault(peer.host, []).append(row)
         for host, services in rows.items():
-            mask = self._masks()[host] if full else 0
+            mask = self._shard_masks()[host] if full else 0
             yield Send(host, ShareReport(self._seq, tuple(services), mask))
 
     def _find_collectors(self, view: FleetView) -> tuple[PeerId | None, ...]:
         hosts = (view.collector_of(view.zone, shard) for shard in range(self.shards))
         return tuple(PeerId(h, view.live[h].boot) if h else None for h in hosts)
 
-    def _masks(self) -> dict[str, int]:
+    def _shard_masks(self) -> dict[str, int]:
         """Return the shards of each collector, as bit masks."""
         masks: dict[str, int] = {}
         for shard, peer in enumerate(self._collectors):
@@ -166,17 +168,17 @@
 
     def on_totals(self, now: float, sender: PeerId, message: FleetTotals) -> None:
         """Apply fleet totals; duplicates and late copies are ignored."""
-        if message.seq <= self._heard.get(sender, 0):
+        if message.seq <= self._last_seq.get(sender, 0):
             return
-        self._heard[sender] = message.seq
+        self._last_seq[sender] = message.seq
         for row in message.services:
             self._totals[row.account] = row
-            self._heard_at[row.account] = now
+            self._totals_at[row.account] = now
         self._floor = None
 
-    def heard_at(self, account: str) -> float:
+    def totals_at(self, account: str) -> float:
         """Return the time at which an account's totals were last received."""
-        return self._heard_at.get(account, float("-inf"))
+        return self._totals_at.get(account, float("-inf"))
 
     def weight(self, account: str) -> float:
         """Return the account's weight; 1 for an unknown account."""
@@ -193,7 +195,7 @@
         return level if row.waiting else max(level, self.floor)
 
     def _row(self, account: str) -> AccountService:
-        total = None if self._alone else self._totals.get(account)
+        total = None if self._local_only else self._totals.get(account)
         if total is not None:
             return total
         counter = self._counters.get(account) or _Counter()
@@ -203,7 +205,7 @@
     def floor(self) -> float:
         """Lowest level of backlogged accounts; if there are none, the highest level."""
         if self._floor is None:
-            names = self._counters if self._alone else self._totals
+            names = self._counters if self._local_only else self._totals
             rows = [self._row(name) for name in names]
             self._floor = floor_of(rows, self._weights)
         return self._floor
--- a/greengageflow/daemon/control.py
+++ b/greengageflow/daemon/control.py
@@ -114,7 +114,7 @@
         sharing: str = "owned",
     ) -> None:
         self.own = own
-        self.ledger = ServiceLedger(own, alone=sharing == "local")
+        self.ledger = ServiceLedger(own, local_only=sharing == "local")
         self.leaving = LeavingSigns(own)
         self.entry = EntryQueue(own, self.ledger, is_leaving=self.leaving.has_left)
         self.owner = EndpointOwner(own, self.ledger, settle_s=SETTLE_S)
--- a/greengageflow/lab/_slopes_shares.py
+++ b/greengageflow/lab/_slopes_shares.py
@@ -97,7 +97,9 @@
         sent = []
         for node in self.nodes.values():
             for name in self._random.sample(self._accounts, self._busy):
-                node.ledger.expect(name, 480.0).charge(self._random.randint(20, 60))
+                node.ledger.start_meter(name, 480.0).charge(
+                    self._random.randint(20, 60)
+                )
             sent += self._report(node)
         for to, data in sent:
             node = self.nodes[to]
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -32,7 +32,7 @@
 
 
 def serve(net, host, account, tokens):
-    net.nodes[host].ledger.expect(account, tokens).settle(tokens)
+    net.nodes[host].ledger.start_meter(account, tokens).settle(tokens)
 
 
 def served(net, account):
@@ -125,7 +125,7 @@
     removed, or the account would count as backlogged forever.
     """
     net = fleet()
-    net.nodes["r1"].ledger.expect("a", 500).charge(200)
+    net.nodes["r1"].ledger.start_meter("a", 500).charge(200)
     net.nodes["r1"].ledger.set_waiting("a", 3)
     settle(net)
     assert net.nodes["r3"].ledger.totals["a"] == AccountService("a", 200, 300, 3)
