--- a/greengageflow/core/_zone_sums.py
+++ b/greengageflow/core/_zone_sums.py
@@ -7,11 +7,11 @@
 from greengageflow.core.placement import FleetView
 from greengageflow.core.shares import shard_of
 
-_BELIEVED_AFTER = 20
+_ACCEPT_LOWER_AFTER = 20
 
 
 @dataclass(slots=True)
-class Origin:
+class RouterCounters:
     """Last reported counters of one boot of a router.
 
     Args:
@@ -24,15 +24,15 @@
     full: int = 0
     rows: dict[str, tuple[int, AccountService]] = field(default_factory=dict)
 
-    def before(self, row: AccountService, shard: int) -> AccountService:
+    def baseline(self, row: AccountService, shard: int) -> AccountService:
         """Return the counters that the sums already include, before ``row``."""
-        known = self.rows.get(row.account)
-        if known is not None:
-            return known[1]
+        previous = self.rows.get(row.account)
+        if previous is not None:
+            return previous[1]
         # Until the first full report, the router's service so far has been counted by
         # an earlier collector. Counting it again would charge the account twice.
-        known_anew = self.full >> shard & 1
-        return AccountService(row.account, 0.0 if known_anew else row.served)
+        reported_in_full = self.full >> shard & 1
+        return AccountService(row.account, 0.0 if reported_in_full else row.served)
 
 
 @dataclass(slots=True)
@@ -56,8 +56,8 @@
     raised: float = 0.0
     forgiven: float = 0.0
     zones: dict[str, AccountService] = field(default_factory=dict)
-    _lower: dict[str, int] = field(default_factory=dict)
-    _short_since: float | None = None
+    _lower_count: dict[str, int] = field(default_factory=dict)
+    _shortfall_since: float | None = None
 
     def count(self, old: AccountService, new: AccountService) -> None:
         """Add the difference between two values of a router's counters."""
@@ -74,49 +74,49 @@
         """Merge the zone's service as counted by an earlier collector."""
         self.base = max(self.base, served)
 
-    def merge_late(self, now: float, served: float, patience_s: float) -> None:
-        """Raise the base to ``served`` if it stays higher for ``patience_s``.
+    def merge_shortfall(self, now: float, served: float, confirm_s: float) -> None:
+        """Raise the base to ``served`` if it stays higher for ``confirm_s``.
 
         Service that routers counted while unreachable arrives with their next reports,
         within two intervals. What is still missing was lost with an earlier collector.
         """
-        short = served - self.base - self.served
-        if short <= 0:
-            self._short_since = None
-        elif self._short_since is None:
-            self._short_since = now
-        elif now - self._short_since >= patience_s:
-            self.base += short
-            self._short_since = None
-
-    def hand_over(self) -> None:
+        shortfall = served - self.base - self.served
+        if shortfall <= 0:
+            self._shortfall_since = None
+        elif self._shortfall_since is None:
+            self._shortfall_since = now
+        elif now - self._shortfall_since >= confirm_s:
+            self.base += shortfall
+            self._shortfall_since = None
+
+    def fold_into_base(self) -> None:
         """Fold the counters into the base, since another router takes over."""
         self.base += self.served
         self.served = self.pending = 0.0
         self.waiting = 0
 
-    def knows_more(self, zone: str, row: AccountService) -> bool:
+    def is_ahead(self, zone: str, row: AccountService) -> bool:
         """Return whether this router has a higher sum for a zone than ``row``."""
-        known = self.zones.get(zone)
-        return known is not None and row.served < known.served
+        previous = self.zones.get(zone)
+        return previous is not None and row.served < previous.served
 
-    def merge_zone(self, zone: str, row: AccountService, first_hand: bool) -> None:
+    def merge_zone(self, zone: str, row: AccountService, authoritative: bool) -> None:
         """Merge another zone's sums; normally ``served`` does not decrease.
 
         A collector that took over without the previous sum starts from zero. If its
         rows were ignored until it caught up, the zone's service would be uncharged in
         the meantime, so a lower value is accepted once it has been repeated.
         """
-        known = self.zones.get(zone) or AccountService(row.account, 0.0)
-        if row.served < known.served:
-            self._lower[zone] = self._lower.get(zone, 0) + first_hand
-            if self._lower[zone] < _BELIEVED_AFTER:
+        previous = self.zones.get(zone) or AccountService(row.account, 0.0)
+        if row.served < previous.served:
+            self._lower_count[zone] = self._lower_count.get(zone, 0) + authoritative
+            if self._lower_count[zone] < _ACCEPT_LOWER_AFTER:
                 return
-        if first_hand:
-            self._lower.pop(zone, None)
+        if authoritative:
+            self._lower_count.pop(zone, None)
         else:
             # A replicated row has a valid sum, but its other fields are outdated.
-            row = replace(row, pending=known.pending, waiting=known.waiting)
+            row = replace(row, pending=previous.pending, waiting=previous.waiting)
         self.zones[zone] = row
 
     def zone_row(self, account: str) -> AccountService:
@@ -155,9 +155,9 @@
     def __init__(self, shards: int) -> None:
         self._shards = shards
         self.accounts: dict[str, AccountSums] = {}
-        self._origins: dict[str, Origin] = {}
+        self._routers: dict[str, RouterCounters] = {}
 
-    def of(self, account: str) -> AccountSums:
+    def for_account(self, account: str) -> AccountSums:
         """Return the sums of an account, created empty when missing."""
         sums = self.accounts.get(account)
         if sums is None:
@@ -168,51 +168,51 @@
         self, sender: PeerId, report: ShareReport, services: Iterable[AccountService]
     ) -> None:
         """Apply the rows of a report that belong to shards collected here."""
-        origin = self._origins.get(sender.host)
-        if origin is None or origin.boot < sender.boot:
-            self._zero(origin)
-            origin = self._origins[sender.host] = Origin(sender.boot)
-        if origin.boot != sender.boot:
+        counters = self._routers.get(sender.host)
+        if counters is None or counters.boot < sender.boot:
+            self._clear_in_flight(counters)
+            counters = self._routers[sender.host] = RouterCounters(sender.boot)
+        if counters.boot != sender.boot:
             return
         for row in services:
-            known = origin.rows.get(row.account)
-            if known is None or known[0] < report.seq:
+            previous = counters.rows.get(row.account)
+            if previous is None or previous[0] < report.seq:
                 shard = shard_of(row.account, self._shards)
-                self.of(row.account).count(origin.before(row, shard), row)
-                origin.rows[row.account] = (report.seq, row)
-        origin.full |= report.full
+                self.for_account(row.account).count(counters.baseline(row, shard), row)
+                counters.rows[row.account] = (report.seq, row)
+        counters.full |= report.full
 
-    def _zero(self, origin: Origin | None) -> None:
-        if origin is None:
+    def _clear_in_flight(self, counters: RouterCounters | None) -> None:
+        if counters is None:
             return
-        for account, (seq, row) in origin.rows.items():
+        for account, (seq, row) in counters.rows.items():
             rest = replace(row, pending=0.0, waiting=0)
-            self.of(account).count(row, rest)
-            origin.rows[account] = (seq, rest)
+            self.for_account(account).count(row, rest)
+            counters.rows[account] = (seq, rest)
 
     def on_view(self, view: FleetView) -> None:
         """Remove the pending tokens and waiting requests of unreachable routers."""
-        for host, origin in list(self._origins.items()):
-            peer = PeerId(host, origin.boot)
+        for host, counters in list(self._routers.items()):
+            peer = PeerId(host, counters.boot)
             if view.is_live(peer):
                 continue
-            self._zero(origin)
+            self._clear_in_flight(counters)
             # The counters of a router that is only unreachable are kept: when it is
             # back, their difference is what it served meanwhile.
             if view.is_terminated(peer):
-                del self._origins[host]
+                del self._routers[host]
 
-    def collect(self, shard: int) -> None:
+    def start_collecting(self, shard: int) -> None:
         """Start collecting a shard; its service so far was counted elsewhere."""
-        for origin in self._origins.values():
-            origin.full &= ~(1 << shard)
+        for counters in self._routers.values():
+            counters.full &= ~(1 << shard)
 
-    def hand_over(self, shard: int) -> None:
+    def stop_collecting(self, shard: int) -> None:
         """Stop collecting a shard, but keep its sums."""
         for name in self.names(shard):
-            self.accounts[name].hand_over()
-            for origin in self._origins.values():
-                origin.rows.pop(name, None)
+            self.accounts[name].fold_into_base()
+            for counters in self._routers.values():
+                counters.rows.pop(name, None)
 
     def drop(self, shard: int) -> None:
         """Delete the sums of a shard."""
--- a/greengageflow/core/collector.py
+++ b/greengageflow/core/collector.py
@@ -22,8 +22,8 @@
 from greengageflow.core.shares import FULL_REPORT_EVERY, ServiceLedger, shard_of
 
 _SETTLE_INTERVALS = 3
-_TOLD_INTERVALS = 10
-_COPY_EVERY = 4
+_BASE_MERGE_INTERVALS = 10
+_REPLICATE_EVERY = 4
 
 
 class Collector:
@@ -48,11 +48,11 @@
         self._ready: set[int] = set()
         self._sums = ZoneSums(ledger.shards)
         self._sent: dict[str, AccountService] = {}
-        self._told: dict[str, AccountService] = {}
+        self._broadcast: dict[str, AccountService] = {}
         self._routers: set[PeerId] = set()
         self._new_routers: set[str] = set()
-        self._lines: dict[int, tuple[str, ...]] = {}
-        self._copied: dict[tuple[str, str], tuple[float, float, float]] = {}
+        self._candidates: dict[int, tuple[str, ...]] = {}
+        self._replicated: dict[tuple[str, str], tuple[float, float, float]] = {}
         self._partners: dict[tuple[str, int], PeerId] = {}
         self._new_partners: set[tuple[str, int]] = set()
         self._seq = 0
@@ -60,7 +60,7 @@
     def set_interval(self, interval_s: float) -> None:
         """Set the seconds between two calls of ``report``."""
         self._settle_s = _SETTLE_INTERVALS * interval_s
-        self._told_s = _TOLD_INTERVALS * interval_s
+        self._base_merge_s = _BASE_MERGE_INTERVALS * interval_s
 
     @property
     def shards(self) -> frozenset[int]:
@@ -76,46 +76,46 @@
         """Apply a changed view of the fleet."""
         self._view = view
         self._zone = view.zone
-        lines = {
+        candidates = {
             shard: view.collectors_of(self._zone, shard)
             for shard in range(self._ledger.shards)
         }
-        for shard, line in lines.items():
-            if line != self._lines.get(shard):
-                self._on_line(now, shard, line)
-        self._lines = lines
-        self._note_routers(view)
-        self._note_partners(view)
+        for shard, hosts in candidates.items():
+            if hosts != self._candidates.get(shard):
+                self._on_candidates(now, shard, hosts)
+        self._candidates = candidates
+        self._update_routers(view)
+        self._update_partners(view)
         self._sums.on_view(view)
 
-    def _on_line(self, now: float, shard: int, line: tuple[str, ...]) -> None:
-        collects = line[:1] == (self._own.host,)
+    def _on_candidates(self, now: float, shard: int, hosts: tuple[str, ...]) -> None:
+        collects = hosts[:1] == (self._own.host,)
         if collects and shard not in self._ready_at:
             self._ready_at[shard] = now + self._settle_s
-            self._sums.collect(shard)
+            self._sums.start_collecting(shard)
         if not collects and shard in self._ready_at:
             del self._ready_at[shard]
             self._ready.discard(shard)
-            self._sums.hand_over(shard)
-        if self._own.host not in line:
+            self._sums.stop_collecting(shard)
+        if self._own.host not in hosts:
             self._sums.drop(shard)
-        for key in [key for key in self._copied if self._shard(key[0]) == shard]:
-            del self._copied[key]
+        for key in [key for key in self._replicated if self._shard(key[0]) == shard]:
+            del self._replicated[key]
 
-    def _note_routers(self, view: FleetView) -> None:
+    def _update_routers(self, view: FleetView) -> None:
         routers = {
             PeerId(host, view.live[host].boot) for host in view.zone_hosts(self._zone)
         }
         self._new_routers |= {peer.host for peer in routers - self._routers}
         self._routers = routers
 
-    def _note_partners(self, view: FleetView) -> None:
+    def _update_partners(self, view: FleetView) -> None:
         """Update the collectors of the same shards, in all zones including this."""
         partners = {}
         for zone in view.zones:
-            for shard, line in self._lines.items():
+            for shard, hosts in self._candidates.items():
                 host = view.collector_of(zone, shard)
-                if host in (None, self._own.host) or self._own.host not in line:
+                if host in (None, self._own.host) or self._own.host not in hosts:
                     continue
                 partners[zone, shard] = PeerId(host, view.live[host].boot)
         changed = partners.items() - self._partners.items()
@@ -133,7 +133,9 @@
                     self._sums.on_report(sender, message, mine)
             case ZoneTotals(zone=zone, services=services):
                 for row in services:
-                    if self._own.host in self._lines.get(self._shard(row.account), ()):
+                    if self._own.host in self._candidates.get(
+                        self._shard(row.account), ()
+                    ):
                         self._on_zone_row(now, sender, zone, row)
 
     def _collects(self, row: AccountService) -> bool:
@@ -142,26 +144,26 @@
     def _on_zone_row(
         self, now: float, sender: PeerId, zone: str, row: AccountService
     ) -> None:
-        sums = self._sums.of(row.account)
+        sums = self._sums.for_account(row.account)
         sums.merge_offsets(row)
         shard = self._shard(row.account)
         if zone != self._zone:
             member = self._view.live.get(sender.host)
-            first_hand = member is not None and member.zone == zone
-            if first_hand and sums.knows_more(zone, row):
+            authoritative = member is not None and member.zone == zone
+            if authoritative and sums.is_ahead(zone, row):
                 self._new_partners.add((zone, shard))
-            sums.merge_zone(zone, row, first_hand)
+            sums.merge_zone(zone, row, authoritative)
             return
         if shard not in self._ready_at:
             if row.served < sums.zone_row(row.account).served:
                 self._new_partners.add((zone, shard))
             sums.merge_base(row.served)
-        elif now <= self._ready_at[shard] + self._told_s:
+        elif now <= self._ready_at[shard] + self._base_merge_s:
             # Service that the zone's previous collector counted.
             counted = sums.served if shard in self._ready else 0.0
             sums.merge_base(row.served - counted)
         else:
-            sums.merge_late(now, row.served, self._told_s)
+            sums.merge_shortfall(now, row.served, self._base_merge_s)
 
     # Timers.
 
@@ -174,27 +176,27 @@
             return
         self._seq += 1
         self._offsets.sample_rate(now)
-        self._become_ready(now)
+        self._update_ready(now)
         names = [n for n in self._sums.accounts if self._shard(n) in self._ready]
-        totals = {name: self._shifted_total(now, name) for name in names}
+        totals = {name: self._total_with_offsets(now, name) for name in names}
         if self._seq % FULL_REPORT_EVERY == 0:
             self._sent.clear()
-            self._told.clear()
-        yield from self._send_known_zones()
+            self._broadcast.clear()
+        yield from self._send_handover()
         yield from self._send_zone_totals(names)
-        if self._seq % _COPY_EVERY == 0:
-            yield from self._send_copies(names)
+        if self._seq % _REPLICATE_EVERY == 0:
+            yield from self._replicate(names)
         yield from self._send_fleet_totals(totals)
 
-    def _become_ready(self, now: float) -> None:
+    def _update_ready(self, now: float) -> None:
         ready = {shard for shard, at in self._ready_at.items() if at <= now}
         if ready != self._ready:
             self._ready = ready
             self._sent.clear()
-            self._told.clear()
+            self._broadcast.clear()
 
-    def _shifted_total(self, now: float, name: str) -> AccountService:
-        sums = self._sums.of(name)
+    def _total_with_offsets(self, now: float, name: str) -> AccountService:
+        sums = self._sums.for_account(name)
         raised, forgiven = self._offsets.increments(
             now, sums.total(name, self._view.zones)
         )
@@ -202,11 +204,11 @@
         sums.forgiven += forgiven
         return sums.total(name, self._view.zones)
 
-    def _known_zones(self, name: str) -> dict[str, AccountService]:
-        sums = self._sums.of(name)
+    def _all_zone_rows(self, name: str) -> dict[str, AccountService]:
+        sums = self._sums.for_account(name)
         return {**sums.zones, self._zone: sums.zone_row(name)}
 
-    def _send_known_zones(self) -> Iterator[Send]:
+    def _send_handover(self) -> Iterator[Send]:
         """Send all known zone sums to new collectors, including their own zone's.
 
         A collector that has just restarted has no state. Without the sums, the
@@ -216,28 +218,28 @@
         for key in self._new_partners & self._partners.keys():
             host = self._partners[key].host
             for name in self._sums.names(key[1]):
-                for zone, row in self._known_zones(name).items():
+                for zone, row in self._all_zone_rows(name).items():
                     rows.setdefault((host, zone), []).append(row)
         self._new_partners.clear()
         yield from _zone_messages(rows)
 
-    def _send_copies(self, names: list[str]) -> Iterator[Send]:
+    def _replicate(self, names: list[str]) -> Iterator[Send]:
         """Replicate changed sums of all zones to the standby collectors."""
         rows: dict[tuple[str, str], list[AccountService]] = {}
         for name in names:
-            for zone, row in self._known_zones(name).items():
+            for zone, row in self._all_zone_rows(name).items():
                 sums = (row.served, row.raised, row.forgiven)
-                if self._copied.get((name, zone)) == sums:
+                if self._replicated.get((name, zone)) == sums:
                     continue
-                self._copied[name, zone] = sums
-                for host in self._lines[self._shard(name)][1:]:
+                self._replicated[name, zone] = sums
+                for host in self._candidates[self._shard(name)][1:]:
                     rows.setdefault((host, zone), []).append(row)
         yield from _zone_messages(rows)
 
     def _send_zone_totals(self, names: list[str]) -> Iterator[Send]:
         rows: dict[tuple[str, str], list[AccountService]] = {}
         for name in names:
-            row = self._sums.of(name).zone_row(name)
+            row = self._sums.for_account(name).zone_row(name)
             if self._sent.get(name) == row:
                 continue
             self._sent[name] = row
@@ -248,12 +250,14 @@
         yield from _zone_messages(rows)
 
     def _send_fleet_totals(self, totals: dict[str, AccountService]) -> Iterator[Send]:
-        changed = [row for name, row in totals.items() if self._told.get(name) != row]
-        self._told.update(totals)
-        news = FleetTotals(tuple(changed), self._seq)
+        changed = [
+            row for name, row in totals.items() if self._broadcast.get(name) != row
+        ]
+        self._broadcast.update(totals)
+        delta = FleetTotals(tuple(changed), self._seq)
         full = FleetTotals(tuple(totals.values()), self._seq)
         for host in self._view.zone_hosts(self._zone):
-            message = full if host in self._new_routers else news
+            message = full if host in self._new_routers else delta
             if message.services:
                 yield Send(host, message)
         if totals:
