--- a/greengageflow/core/_offsets.py
+++ b/greengageflow/core/_offsets.py
@@ -38,9 +38,9 @@
         confirm_s: float = 8.0,
     ) -> None:
         self._ledger = ledger
-        self._debt_s = max_debt_s
-        self._least_debt = min_debt_tokens
-        self._patience_s = confirm_s
+        self._max_debt_s = max_debt_s
+        self._min_debt_tokens = min_debt_tokens
+        self._confirm_s = confirm_s
         # Uses the median, because the fleet's sum jumps when a partition heals.
         self._rates: deque[float] = deque(maxlen=_RATE_SAMPLES)
         self._last_sample: tuple[float, float] | None = None
@@ -51,7 +51,7 @@
         """Sample how fast the level of backlogged accounts rises."""
         totals = self._ledger.totals.values()
         if totals and self._ready_at is None:
-            self._ready_at = now + self._patience_s
+            self._ready_at = now + self._confirm_s
         served = sum(row.served for row in totals)
         weights = sum(self._ledger.weight(r.account) for r in totals if r.waiting)
         if self._last_sample and self._last_sample[0] < now and weights:
@@ -63,7 +63,7 @@
     def max_debt(self) -> float:
         """Maximum distance of a backlogged account above the floor."""
         rate = median(self._rates) if self._rates else 0.0
-        return max(self._least_debt, self._debt_s * rate)
+        return max(self._min_debt_tokens, self._max_debt_s * rate)
 
     def increments(self, now: float, row: AccountService) -> tuple[float, float]:
         """Return the increments of ``raised`` and ``forgiven`` of an account.
@@ -85,7 +85,7 @@
             return -above * weight, 0.0
         if (
             excess <= 0
-            or now < self._over_limit_since.setdefault(account, now) + self._patience_s
+            or now < self._over_limit_since.setdefault(account, now) + self._confirm_s
         ):
             return 0.0, 0.0
         return 0.0, excess * weight
--- a/greengageflow/core/affinity.py
+++ b/greengageflow/core/affinity.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 PREFIX_CHARS = 512
-CAPACITY = 2048
+MAX_PREFIXES = 2048
 
 
 class PrefixMap:
@@ -18,7 +18,7 @@
         capacity: Maximum number of prefixes.
     """
 
-    def __init__(self, capacity: int = CAPACITY) -> None:
+    def __init__(self, capacity: int = MAX_PREFIXES) -> None:
         self._capacity = capacity
         self._endpoints: OrderedDict[bytes, str] = OrderedDict()
 
@@ -26,7 +26,7 @@
         """Return the endpoint that last served ``prefix``, or an empty string."""
         return self._endpoints.get(prefix, "")
 
-    def note(self, prefix: bytes, endpoint: str) -> None:
+    def record(self, prefix: bytes, endpoint: str) -> None:
         """Record that a prompt with ``prefix`` was sent to ``endpoint``."""
         self._endpoints[prefix] = endpoint
         self._endpoints.move_to_end(prefix)
@@ -37,11 +37,11 @@
 def prefix_of(model: str, body: Mapping[str, Any]) -> bytes:
     """Return a digest of the model and the beginning of the prompt."""
     digest = blake2b(model.encode(), digest_size=8)
-    left = PREFIX_CHARS
+    remaining = PREFIX_CHARS
     for message in body["messages"]:
-        text = message["content"][:left]
+        text = message["content"][:remaining]
         digest.update(text.encode())
-        left -= len(text)
-        if left <= 0:
+        remaining -= len(text)
+        if remaining <= 0:
             break
     return digest.digest()
--- a/greengageflow/core/fleet_demand.py
+++ b/greengageflow/core/fleet_demand.py
@@ -10,45 +10,49 @@
 from greengageflow.core.peer_report import HeardReport
 
 
-def add_up(now: float, heard: Iterable[HeardReport], fade_s: float) -> FleetTotals:
+def sum_reports(
+    now: float, reports: Iterable[HeardReport], decay_s: float
+) -> FleetTotals:
     """Aggregate the reports of other routers.
 
     Args:
         now: Current time.
-        heard: Reports received from them.
-        fade_s: Time constant of the exponential decay, which is applied up to ``now``.
+        reports: Reports received from them.
+        decay_s: Time constant of the exponential decay, which is applied up to ``now``.
     """
-    known = list(heard)
-    return replace(add_work(now, known, fade_s), loads=add_loads(known))
+    listed = list(reports)
+    return replace(sum_work(now, listed, decay_s), loads=sum_report_loads(listed))
 
 
-def add_work(now: float, heard: Iterable[HeardReport], fade_s: float) -> FleetTotals:
-    """Aggregate the reports without loads; arguments as for ``add_up``."""
+def sum_work(now: float, reports: Iterable[HeardReport], decay_s: float) -> FleetTotals:
+    """Aggregate the reports without loads; arguments as for ``sum_reports``."""
     served: dict[tuple[str, str], float] = {}
     offered: dict[tuple[str, str], float] = {}
-    known = list(heard)
-    for one in known:
-        faded = exp(min(0.0, (one.at - now) / fade_s))
-        _add_faded(served, one.report.served, faded)
-        _add_faded(offered, one.report.offered, faded)
-    return FleetTotals(served, offered, hosts=len(known))
-
-
-def _add_faded(
-    sums: dict[tuple[str, str], float], part: Mapping[tuple[str, str], float], x: float
+    listed = list(reports)
+    for received in listed:
+        decay_factor = exp(min(0.0, (received.at - now) / decay_s))
+        _add_decayed(served, received.report.served, decay_factor)
+        _add_decayed(offered, received.report.offered, decay_factor)
+    return FleetTotals(served, offered, hosts=len(listed))
+
+
+def _add_decayed(
+    sums: dict[tuple[str, str], float],
+    part: Mapping[tuple[str, str], float],
+    decay_factor: float,
 ) -> None:
     get = sums.get
     for key, work in part.items():
-        sums[key] = get(key, 0.0) + work * x
+        sums[key] = get(key, 0.0) + work * decay_factor
 
 
-def add_loads(heard: Iterable[HeardReport]) -> dict[str, LoadShare]:
+def sum_report_loads(reports: Iterable[HeardReport]) -> dict[str, LoadShare]:
     """Return the load in flight from other routers, by endpoint."""
-    return sum_loads(one.report.loads for one in heard)
+    return sum_loads(received.report.loads for received in reports)
 
 
 @dataclass(frozen=True, slots=True)
-class DemandParts:
+class CapacityShares:
     """Shares of a service's capacity.
 
     Args:
@@ -60,9 +64,9 @@
     shares: Mapping[str, float]
 
 
-def part_demand(
+def divide_capacity(
     own: Mapping[str, float], others: Mapping[str, float], capacity: float
-) -> DemandParts:
+) -> CapacityShares:
     """Divide a service's capacity among client accounts and hosts.
 
     Each client account gets its max-min share of the capacity, and each host the
@@ -74,17 +78,17 @@
         others: Demand of all other hosts' callers, by account.
         capacity: Work that the service can do in the same period.
     """
-    asked = {
+    demand = {
         account: own.get(account, 0.0) + others.get(account, 0.0)
         for account in own.keys() | others.keys()
     }
-    shares = max_min_shares(asked, capacity)
+    shares = max_min_shares(demand, capacity)
     total = sum(shares.values())
     if total <= 0:
-        return DemandParts(1.0, shares)
-    mine = sum(
-        shares[account] * work / asked[account]
+        return CapacityShares(1.0, shares)
+    own_capacity = sum(
+        shares[account] * work / demand[account]
         for account, work in own.items()
-        if asked[account] > 0
+        if demand[account] > 0
     )
-    return DemandParts(mine / total, shares)
+    return CapacityShares(own_capacity / total, shares)
--- a/greengageflow/core/limits.py
+++ b/greengageflow/core/limits.py
@@ -1,10 +1,10 @@
 """Endpoint protection: adaptive slot limit, circuit breaker and retry budget."""
 
-_SMOOTHING = 0.1
-_FEWEST_SAMPLES = 8
-_GROWTH = 0.25
-_CUT = 0.75
-_BEST_RISE = 1.0005
+_SMOOTHING_FACTOR = 0.1
+_MIN_SAMPLES = 8
+_INCREASE_SLOTS = 0.25
+_DECREASE_FACTOR = 0.75
+_BEST_DECAY_FACTOR = 1.0005
 
 
 class SlotLimit:
@@ -36,22 +36,22 @@
         self.backoff_until = 0.0
         self._limit = float(slots)
         self._slow_ratio = slow_ratio
-        self._failures_allowed = failures
+        self._failure_threshold = failures
         self._rest_s = rest_s
         self._longest_rest_s = longest_rest_s
         self._failures = 0
         self._rest_until = 0.0
-        self._rested_at = float("-inf")
-        self._cut_at = float("-inf")
+        self._rest_started_at = float("-inf")
+        self._decreased_at = float("-inf")
         self._samples = 0
         self._seconds = 0.0
         self._tokens = 0.0
-        self._best = float("inf")
+        self._best_s_per_token = float("inf")
 
     @property
     def resting(self) -> bool:
         """Whether the circuit is open after consecutive failures."""
-        return self._failures >= self._failures_allowed
+        return self._failures >= self._failure_threshold
 
     @property
     def rest_until(self) -> float:
@@ -73,7 +73,7 @@
             return 0 if now < self._rest_until else 1
         return max(1, min(self.slots, int(self._limit)))
 
-    def ask_backoff(self, now: float, seconds: float) -> None:
+    def back_off(self, now: float, seconds: float) -> None:
         """Use no slot for a number of seconds, as requested by the endpoint."""
         self.backoff_until = max(self.backoff_until, now + seconds)
 
@@ -84,45 +84,47 @@
             return
         self._failures = 0
         if served > 0 and seconds > 0:
-            self._on_pace(now, served, seconds)
+            self._on_success(now, served, seconds)
 
     def _on_failure(self, now: float, seconds: float) -> None:
         # One fault fails all concurrent requests. If each doubled the rest, an engine
         # of eight slots would stay unused for a long time after a single fault.
-        if self.resting and now - seconds < self._rested_at:
+        if self.resting and now - seconds < self._rest_started_at:
             return
         self._failures += 1
-        self._shrink(now, 0.0)
-        over = self._failures - self._failures_allowed
-        if over >= 0:
-            rest_s = min(self._longest_rest_s, self._rest_s * 2 ** min(over, 10))
+        self._decrease(now, 0.0)
+        excess = self._failures - self._failure_threshold
+        if excess >= 0:
+            rest_s = min(self._longest_rest_s, self._rest_s * 2 ** min(excess, 10))
             self._rest_until = now + rest_s
-            self._rested_at = now
+            self._rest_started_at = now
 
-    def _on_pace(self, now: float, served: float, seconds: float) -> None:
+    def _on_success(self, now: float, served: float, seconds: float) -> None:
         # Seconds and tokens are smoothed separately: the time of a short answer is
         # mostly its time to first token, and its ratio would look like an overload.
         self._samples += 1
-        self._seconds += _SMOOTHING * (seconds - self._seconds)
-        self._tokens += _SMOOTHING * (served - self._tokens)
-        if self._samples < _FEWEST_SAMPLES:
+        self._seconds += _SMOOTHING_FACTOR * (seconds - self._seconds)
+        self._tokens += _SMOOTHING_FACTOR * (served - self._tokens)
+        if self._samples < _MIN_SAMPLES:
             return
-        pace = self._seconds / self._tokens
+        s_per_token = self._seconds / self._tokens
         # The best value decays slowly; otherwise one unusually fast period would
         # keep the limit low permanently.
-        self._best = min(self._best * _BEST_RISE, pace)
-        if pace > self._slow_ratio * self._best:
-            self._shrink(now, seconds)
+        self._best_s_per_token = min(
+            self._best_s_per_token * _BEST_DECAY_FACTOR, s_per_token
+        )
+        if s_per_token > self._slow_ratio * self._best_s_per_token:
+            self._decrease(now, seconds)
         else:
-            self._limit = min(float(self.slots), self._limit + _GROWTH)
+            self._limit = min(float(self.slots), self._limit + _INCREASE_SLOTS)
 
-    def _shrink(self, now: float, seconds: float) -> None:
+    def _decrease(self, now: float, seconds: float) -> None:
         # Requests that started before the last decrease do not show its effect.
         # Counting them would drop the limit to one slot in the first slow period.
-        if now - seconds < self._cut_at:
+        if now - seconds < self._decreased_at:
             return
-        self._cut_at = now
-        self._limit = max(1.0, self._limit * _CUT)
+        self._decreased_at = now
+        self._limit = max(1.0, self._limit * _DECREASE_FACTOR)
 
 
 class RetryBudget:
@@ -152,7 +154,7 @@
         self.ratio = ratio
         self._burst = burst
         self._tokens = 0.0
-        self._began = now
+        self._started_at = now
         self._fill_s = fill_s
         self._filled = 0.0
 
@@ -162,7 +164,7 @@
 
     def take(self, now: float) -> bool:
         """Take one retry from the budget; return False when it is exhausted."""
-        filled = self._burst * min(1.0, (now - self._began) / self._fill_s)
+        filled = self._burst * min(1.0, (now - self._started_at) / self._fill_s)
         self._tokens = min(self._burst, self._tokens + filled - self._filled)
         self._filled = filled
         if self._tokens < 1.0:
--- a/greengageflow/core/owner.py
+++ b/greengageflow/core/owner.py
@@ -280,7 +280,7 @@
         elif lease.charge:
             self._charges.cancel(lease.charge)
         if message.backoff_s > 0:
-            slots.limit.ask_backoff(now, message.backoff_s)
+            slots.limit.back_off(now, message.backoff_s)
         yield from self._fill(now, slots.endpoint.pool)
 
     # Timers.
--- a/greengageflow/core/relay_sums.py
+++ b/greengageflow/core/relay_sums.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, replace
 
 from greengageflow.core.endpoint_load import LoadShare
-from greengageflow.core.fleet_demand import add_work
+from greengageflow.core.fleet_demand import sum_work
 from greengageflow.core.fleet_sums import (
     FleetTotals,
     OwnHistory,
@@ -193,7 +193,7 @@
         known, revision = self._zone_work, self._book.revision
         if known and known.revision == revision and now - known.at <= SAME_S:
             return known.totals
-        totals = add_work(now, self._members(now), self._fade_s)
+        totals = sum_work(now, self._members(now), self._fade_s)
         self._zone_work = _ZoneWork(now, revision, totals)
         return totals
 
--- a/greengageflow/core/service_book.py
+++ b/greengageflow/core/service_book.py
@@ -9,7 +9,7 @@
 from greengageflow.core.endpoint_health import EndpointHealth
 from greengageflow.core.endpoint_list import EndpointList, ListedEndpoint
 from greengageflow.core.endpoint_load import EndpointLoad, LoadBook, LoadShare
-from greengageflow.core.fleet_demand import part_demand
+from greengageflow.core.fleet_demand import divide_capacity
 from greengageflow.core.fleet_size import FleetSize
 from greengageflow.core.fleet_sums import FleetTotals
 from greengageflow.core.forward_request import Prompt, PromptPart
@@ -210,7 +210,7 @@
         own = _of_service(service, dict(self._offered.items(now, 1.0)))
         others = _of_service(service, self._totals.offered)
         done = sum(self.level(service, a) for a in own.keys() | others.keys())
-        parts = part_demand(own, others, self._owed(done))
+        parts = divide_capacity(own, others, self._owed(done))
         loads = [self._load(e) for e in self._placed_at(service)]
         slots = sum(load.slots for load in loads)
         reading = sum(_read_ahead(load) for load in loads)
--- a/greengageflow/daemon/dispatch.py
+++ b/greengageflow/daemon/dispatch.py
@@ -280,7 +280,7 @@
         )
         received = flight.call.traceparent
         traceparent = self._tracing.traceparent(flight.hop, received)
-        self._prefixes.note(flight.prefix, flight.endpoint.name)
+        self._prefixes.record(flight.prefix, flight.endpoint.name)
         self._runs.start(flight, traceparent, self)
 
     # What the endpoint did; see ``endpoint_run.RunListener``.
--- a/greengageflow/daemon/fleet_exchange.py
+++ b/greengageflow/daemon/fleet_exchange.py
@@ -10,7 +10,7 @@
 
 from greengageflow.core.announcer import Announcer
 from greengageflow.core.endpoint_load import LoadShare
-from greengageflow.core.fleet_demand import add_up
+from greengageflow.core.fleet_demand import sum_reports
 from greengageflow.core.fleet_sums import FleetTotals, SumReport, relay_turns
 from greengageflow.core.hello_cache import HelloCache
 from greengageflow.core.hello_ring import HelloRing
@@ -416,7 +416,7 @@
         """Return the sums of all other routers."""
         now = self._now
         if not self._is_large:
-            return add_up(now, self._book.live(now), FADE_S)
+            return sum_reports(now, self._book.live(now), FADE_S)
         return self._relayed.others(now, self._quiet_s)
 
     def _relay(self) -> None:
--- a/greengageflow/lab/_gateway_world.py
+++ b/greengageflow/lab/_gateway_world.py
@@ -12,7 +12,7 @@
 from greengageflow.core.decayed import DecayedSums
 from greengageflow.core.endpoint_list import EndpointList
 from greengageflow.core.endpoint_load import LoadBook, LoadShare
-from greengageflow.core.fleet_demand import part_demand
+from greengageflow.core.fleet_demand import divide_capacity
 from greengageflow.core.fleet_sums import FleetTotals
 from greengageflow.core.leaving_signs import LeavingReport
 from greengageflow.core.peer_report import PeerReport
@@ -331,7 +331,7 @@
             name = f"model-{number}"
             mine = {a: x for (s, a), x in own.items() if s == name}
             others = {a: x for (s, a), x in totals.offered.items() if s == name}
-            part_demand(mine, others, 1e6)
+            divide_capacity(mine, others, 1e6)
 
 
 def hello(number: int, zones: int) -> Hello:
