--- a/greengageflow/core/_member_table.py
+++ b/greengageflow/core/_member_table.py
@@ -13,7 +13,7 @@
 DEAD = "dead"
 LEFT = "left"
 
-# Of two statements about one life with the same bump, the later in this order wins.
+# Of two statements about one boot and incarnation, the later in this order wins.
 RANKS = {ALIVE: 0, STOPPING: 1, SUSPECT: 2, DEAD: 3, LEFT: 4}
 REPEAT_FACTOR = 3
 
@@ -40,7 +40,7 @@
     return (
         isinstance(member.host, str)
         and isinstance(member.boot, int)
-        and isinstance(member.bump, int)
+        and isinstance(member.incarnation, int)
         and isinstance(member.ip, str)
         and isinstance(member.port, int)
         and isinstance(member.zone, str)
@@ -49,7 +49,7 @@
 
 
 def _order(member: Member) -> tuple[int, int, int]:
-    return member.boot, member.bump, RANKS[member.status]
+    return member.boot, member.incarnation, RANKS[member.status]
 
 
 def _hash(entry: Entry) -> int:
@@ -150,7 +150,7 @@
 
     def set_own_status(self, status: str) -> None:
         """State this router's own status, as a newer word than any before."""
-        self._restate(self.own.bump + 1, status)
+        self._restate(self.own.incarnation + 1, status)
 
     def forget(self, host: str) -> None:
         """Drop ``host`` unless it is live."""
@@ -189,11 +189,11 @@
             return False
         if member.boot < own.boot or _order(member) <= _order(own):
             return False
-        self._restate(member.bump + 1, own.status)
+        self._restate(member.incarnation + 1, own.status)
         return True
 
-    def _restate(self, bump: int, status: str) -> None:
-        member = replace(self.own, bump=bump, status=status)
+    def _restate(self, incarnation: int, status: str) -> None:
+        member = replace(self.own, incarnation=incarnation, status=status)
         self._put(Entry(member, status == STOPPING))
         self._news[self._own_host] = 0
 
--- a/greengageflow/core/membership.py
+++ b/greengageflow/core/membership.py
@@ -217,7 +217,7 @@
         """Take in one membership message of another router."""
         self.notice_pause(now)
         if isinstance(message, Ping | Ack):
-            yield from self._merge(message.news, now)
+            yield from self._merge(message.updates, now)
         if not self._current(sender):
             return
         match message:
--- a/greengageflow/core/messages.py
+++ b/greengageflow/core/messages.py
@@ -208,7 +208,7 @@
     Args:
         host: Host name.
         boot: Boot number.
-        bump: Incremented by the member itself to refute a suspicion.
+        incarnation: Incremented by the member itself to refute a suspicion.
         status: ``alive``, ``stopping``, ``suspect``, ``dead`` or ``left``.
         ip: IP address for peer connections.
         port: TCP port for peer connections.
@@ -217,7 +217,7 @@
 
     host: str
     boot: int
-    bump: int
+    incarnation: int
     status: str
     ip: str
     port: int
@@ -232,13 +232,13 @@
         seq: Echoed by the ``Ack``.
         revision: Newest configuration revision of the sender.
         digest: Digest of the sender's view, used to detect a stale view.
-        news: Members whose state changed recently.
+        updates: Members whose state changed recently.
     """
 
     seq: int
     revision: int
     digest: int
-    news: tuple[Member, ...] = ()
+    updates: tuple[Member, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
@@ -248,7 +248,7 @@
     seq: int
     revision: int
     digest: int
-    news: tuple[Member, ...] = ()
+    updates: tuple[Member, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
--- a/greengageflow/net/wire.py
+++ b/greengageflow/net/wire.py
@@ -80,8 +80,8 @@
     (ShareReport, "services"): AccountService,
     (ZoneTotals, "services"): AccountService,
     (FleetTotals, "services"): AccountService,
-    (Ping, "news"): Member,
-    (Ack, "news"): Member,
+    (Ping, "updates"): Member,
+    (Ack, "updates"): Member,
     (View, "members"): Member,
     (CrashReport, "records"): CrashRecord,
 }
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -17,8 +17,8 @@
     return set(fleet.core(name).members)
 
 
-def member(host, bump=0, status="alive", *, boot=1):
-    return Member(host, boot, bump, status, "127.0.0.1", 1, "z1")
+def member(host, incarnation=0, status="alive", *, boot=1):
+    return Member(host, boot, incarnation, status, "127.0.0.1", 1, "z1")
 
 
 def lone(boot=1, **options):
@@ -159,7 +159,7 @@
     assert {e.to for e in core.on_tick(0.1) if isinstance(e, Send)} == {"r2"}
     meet(core, member("r3", 0, "suspect"))
     sent = [e.message for e in core.on_tick(60.0) if isinstance(e, Send)]
-    told = [m for message in sent for m in getattr(message, "news", ())]
+    told = [m for message in sent for m in getattr(message, "updates", ())]
     assert {m.host for m in told if m.status in ("suspect", "dead")} <= {"r3"}
     assert set(core.members) == {"r1", "r2", "r3"}
     tick(core, 60.1, 65.0)
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -37,4 +37,4 @@
 def test_news_comes_back_as_members():
     member = Member("r2", 1, 0, "alive", "127.0.0.2", 7000, "z1")
     _, ping = decode(encode(PeerId("r1", 7), Ping(1, 2, 3, (member,))))
-    assert ping.news == (member,)
+    assert ping.updates == (member,)
