--- a/tests/test_core_machine.py
+++ b/tests/test_core_machine.py
@@ -19,11 +19,11 @@
 
 SLOTS = 2
 DEADLINE_S = 20.0
-LATEST_S = 10.0
+MAX_DELAY_S = 10.0
 RUN_S = 0.5
-GAP = 6000.0
+MAX_SERVICE_GAP_TOKENS = 6000.0
 COSTS = {"large": 300.0, "small": 100.0, "rare": 100.0}
-BUSY = ("large", "small")
+BACKLOGGED = ("large", "small")
 
 
 class CoreMachine(RuleBasedStateMachine):
@@ -56,10 +56,10 @@
         return sorted(items)[number % len(items)]
 
     @property
-    def whole(self):
+    def is_connected(self):
         return len(set(self.net.sides.values())) == 1
 
-    def loses_safely(self, index):
+    def can_be_lost(self, index):
         sender, to, message = self.net.messages[index]
         if not isinstance(message, GrantTaken):
             return True
@@ -74,14 +74,14 @@
     @rule(data=st.data(), what=st.sampled_from(["deliver", "drop", "delay", "copy"]))
     def disturb(self, data, what):
         index = data.draw(st.integers(0, len(self.net.messages) - 1))
-        if what == "deliver" or not self.loses_safely(index):
+        if what == "deliver" or not self.can_be_lost(index):
             self.net.deliver(index)
             return
         message = self.net.messages[index]
         if what in ("drop", "delay"):
             del self.net.messages[index]
         if what in ("delay", "copy"):
-            self.late.append((self.net.now + LATEST_S, message))
+            self.late.append((self.net.now + MAX_DELAY_S, message))
 
     @precondition(lambda self: self.late)
     @rule(data=st.data())
@@ -103,7 +103,7 @@
         while self.net.now < until:
             self.net.step(min(0.25, seconds))
 
-    def end_old_runs(self):
+    def finish_old_requests(self):
         for grant, (_, _, _, since) in list(self.net.running.items()):
             if self.net.now - since >= RUN_S:
                 account = self.account_of(grant)
@@ -121,16 +121,21 @@
         The gap may already exist at the start, for instance after a partition, and
         may then be closed. Beyond that it is bounded.
         """
-        low, high = min(0.0, self.gap) - GAP, max(0.0, self.gap) + GAP
+        low, high = (
+            min(0.0, self.gap) - MAX_SERVICE_GAP_TOKENS,
+            max(0.0, self.gap) + MAX_SERVICE_GAP_TOKENS,
+        )
         for _ in range(steps):
             for host, node in self.net.nodes.items():
-                for account in BUSY if host == min(self.net.nodes) else BUSY[:1]:
+                for account in (
+                    BACKLOGGED if host == min(self.net.nodes) else BACKLOGGED[:1]
+                ):
                     for _ in range(8 - node.entry._waiting.get(account, 0)):
                         self.submit(host, account)
             self.net.step(0.25)
-            self.end_old_runs()
+            self.finish_old_requests()
             self.check_slots()
-            if self.whole:
+            if self.is_connected:
                 assert low <= self.gap <= high, f"service gap of {self.gap}"
 
     @rule(cut=st.sets(st.sampled_from(["r0", "r1", "r2", "r3", "r4"])))
@@ -139,7 +144,7 @@
             self.net.sides[host] = int(host in cut)
         self.net.refresh_views()
 
-    @precondition(lambda self: self.whole)
+    @precondition(lambda self: self.is_connected)
     @rule(number=st.integers(0, 9))
     def restart(self, number):
         self.net.restart(self.pick(number, self.net.zones))
@@ -171,7 +176,7 @@
         until = self.net.now + 2 * DEADLINE_S
         while self.net.now < until:
             self.net.step(0.25)
-            self.end_old_runs()
+            self.finish_old_requests()
             self.check_slots()
         assert all(self.net.ended[id] == 1 for id in self.submitted)
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -3,7 +3,7 @@
 from greengageflow.core.limits import SlotLimit
 
 
-def test_requests_that_break_together_cause_one_rest():
+def test_concurrent_failures_start_one_rest():
     """One engine fault causes a rest of one second, not of fifteen.
 
     Eight concurrent requests fail together. If each counted, every failure after the
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -15,7 +15,7 @@
 
 @settings(max_examples=200)
 @given(st.data())
-def test_every_message_survives_the_wire(data):
+def test_every_message_round_trips(data):
     type_ = data.draw(st.sampled_from(list(wire.TYPES.values())))
     message = data.draw(st.from_type(type_))
     sender = PeerId("r1", 7)
@@ -24,7 +24,7 @@
 
 @settings(max_examples=200)
 @given(st.binary(max_size=64))
-def test_broken_bytes_raise_only_message_error(data):
+def test_malformed_bytes_raise_only_message_error(data):
     with suppress(MessageError):
         decode(data)
 
@@ -34,7 +34,7 @@
     assert decode(data)[1] == Ping(1, 2, 3)
 
 
-def test_news_comes_back_as_members():
+def test_updates_are_decoded_as_members():
     member = Member("r2", 1, 0, "alive", "127.0.0.2", 7000, "z1")
     _, ping = decode(encode(PeerId("r1", 7), Ping(1, 2, 3, (member,))))
     assert ping.updates == (member,)
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -40,7 +40,7 @@
 
 
 @given(st.sets(st.sampled_from([f"r{i}" for i in range(9)])), st.integers(1, 20))
-def test_two_sides_never_use_more_slots_than_there_are(cut, slots):
+def test_slot_quotas_of_two_sides_add_up_to_all_slots(cut, slots):
     """Each side of a partition considers itself the owner of every endpoint.
 
     Each uses only the slots assigned to its live hosts. Together that is exactly all
@@ -73,7 +73,7 @@
 
 
 @given(st.randoms(use_true_random=False))
-def test_late_and_doubled_reports_change_nothing(random: Random):
+def test_late_and_duplicate_reports_change_nothing(random: Random):
     """Reports arrive out of order and duplicated.
 
     The collector must end with the sum of the newest values, as if each report had
@@ -97,7 +97,7 @@
 
 
 @pytest.mark.parametrize("lost", [["za"], ["zb"], ["za", "zb"]])
-def test_totals_survive_collectors_that_lose_their_memory(lost):
+def test_totals_survive_collector_restarts(lost):
     """Collectors restart without state, in one zone or in both at once.
 
     If the totals were lost, the accounts of their shards would be far below all
@@ -118,7 +118,7 @@
     assert (served(net, "a"), served(net, "b")) == ({4010}, {12000})
 
 
-def test_what_waits_at_a_dead_router_waits_no_more():
+def test_requests_at_a_dead_router_are_removed_from_totals():
     """A router dies with requests waiting and in flight.
 
     Its served tokens stay charged. Its pending tokens and waiting requests must be
@@ -135,7 +135,7 @@
     assert net.nodes["r3"].ledger.totals["a"] == AccountService("a", 200, 0, 0)
 
 
-def test_an_idle_account_saves_up_no_credit():
+def test_an_idle_account_earns_no_credit():
     """One account is served for a long time while another one is idle.
 
     When the idle account becomes backlogged, it starts at the level of the first.
@@ -193,7 +193,7 @@
     assert limit.allowed(200) == 8
 
 
-def test_an_endpoint_that_fails_in_a_row_rests_and_is_probed():
+def test_consecutive_failures_start_a_rest_followed_by_a_probe():
     limit = SlotLimit(8, failures=3, rest_s=1.0)
     for _ in range(3):
         limit.observe(10.0, 0, 0, True)
@@ -214,7 +214,7 @@
     assert 100 <= retries <= 102
 
 
-def test_a_router_that_starts_again_and_again_has_no_burst_each_time():
+def test_repeated_restarts_grant_no_burst():
     retries = 0
     for start in range(20):
         budget = RetryBudget(0.1, burst=10.0, now=start, fill_s=10.0)
