--- a/greengageflow/core/membership.py
+++ b/greengageflow/core/membership.py
@@ -80,7 +80,7 @@
     """The fleet as one router sees it.
 
     Args:
-        own: The member that this router is; its ``bump`` and ``status`` count.
+        own: The member that this router is; its ``incarnation`` and ``status`` count.
         seeds: Routers to look for.
         period_s: Seconds between two probes.
         suspicion_s: Seconds from a suspicion to the death that follows.
@@ -129,7 +129,7 @@
 
     @property
     def own(self) -> Member:
-        """This router's own entry, with its present bump and status."""
+        """This router's own entry, with its present incarnation and status."""
         return self._table.own
 
     @property
