--- a/greengageflow/core/_slots.py
+++ b/greengageflow/core/_slots.py
@@ -58,7 +58,7 @@
         self.endpoint = endpoint
         self.limit = SlotLimit(endpoint.slots)
         self.leases: dict[str, SlotLease] = {}
-        self.left_generation = 0
+        self.leaving_generation = 0
         self.owned = False
         self._quota = 0
         self._pending_growth: list[tuple[float, int]] = []
@@ -72,7 +72,7 @@
     @property
     def leaving(self) -> bool:
         """Whether the endpoint gets no new requests."""
-        has_left = self.left_generation >= self.endpoint.generation
+        has_left = self.leaving_generation >= self.endpoint.generation
         return has_left or self.endpoint.leaving
 
     def configure(self, endpoint: Endpoint) -> None:
@@ -169,7 +169,9 @@
         """
         cutoff = self._reported_at - _REPORT_LAG_MAX_S
         recent = sum(
-            h.granted_at > cutoff for h in self.leases.values() if not h.unreachable
+            lease.granted_at > cutoff
+            for lease in self.leases.values()
+            if not lease.unreachable
         )
         running = self._reported + recent
         return max(0, min(usable - reachable, self.endpoint.slots - running))
--- a/greengageflow/core/_zone_sums.py
+++ b/greengageflow/core/_zone_sums.py
@@ -7,7 +7,7 @@
 from greengageflow.core.placement import FleetView
 from greengageflow.core.shares import shard_of
 
-_ACCEPT_LOWER_AFTER = 20
+_ACCEPT_LOWER_AFTER_ROWS = 20
 
 
 @dataclass(slots=True)
@@ -110,7 +110,7 @@
         previous = self.zones.get(zone) or AccountService(row.account, 0.0)
         if row.served < previous.served:
             self._lower_count[zone] = self._lower_count.get(zone, 0) + authoritative
-            if self._lower_count[zone] < _ACCEPT_LOWER_AFTER:
+            if self._lower_count[zone] < _ACCEPT_LOWER_AFTER_ROWS:
                 return
         if authoritative:
             self._lower_count.pop(zone, None)
--- a/greengageflow/core/collector.py
+++ b/greengageflow/core/collector.py
@@ -23,7 +23,7 @@
 
 _SETTLE_INTERVALS = 3
 _BASE_MERGE_INTERVALS = 10
-_REPLICATE_EVERY = 4
+_REPLICATE_EVERY_REPORTS = 4
 
 
 class Collector:
@@ -129,8 +129,8 @@
         match message:
             case ShareReport(services=services):
                 if self._view is not None and not self._view.is_terminated(sender):
-                    mine = [row for row in services if self._collects(row)]
-                    self._sums.on_report(sender, message, mine)
+                    collected = [row for row in services if self._collects(row)]
+                    self._sums.on_report(sender, message, collected)
             case ZoneTotals(zone=zone, services=services):
                 for row in services:
                     if self._own.host in self._candidates.get(
@@ -184,7 +184,7 @@
             self._broadcast.clear()
         yield from self._send_handover()
         yield from self._send_zone_totals(names)
-        if self._seq % _REPLICATE_EVERY == 0:
+        if self._seq % _REPLICATE_EVERY_REPORTS == 0:
             yield from self._replicate(names)
         yield from self._send_fleet_totals(totals)
 
--- a/greengageflow/core/owner.py
+++ b/greengageflow/core/owner.py
@@ -175,7 +175,7 @@
         """Stop granting slots of the endpoint; permanent for this generation."""
         slots = self._slots.get(endpoint)
         if slots is not None:
-            slots.left_generation = max(slots.left_generation, generation)
+            slots.leaving_generation = max(slots.leaving_generation, generation)
 
     def on_load(self, now: float, endpoint: str, running: int) -> None:
         """Record the number of running requests that an endpoint reports."""
--- a/tests/core_net.py
+++ b/tests/core_net.py
@@ -20,7 +20,7 @@
 INTERVAL_S = 0.5
 
 
-def config(accounts, endpoints, *, slots=2, queue_limit=64, deadline_s=20.0, **more):
+def config(accounts, endpoints, *, slots=2, queue_limit=64, deadline_s=20.0, **fields):
     return FleetConfig(
         accounts={
             name: ClientAccount(name, weight, queue_limit=queue_limit)
@@ -30,7 +30,7 @@
         endpoints={
             name: Endpoint(name, "m", "127.0.0.1", 1, slots=slots) for name in endpoints
         },
-        **more,
+        **fields,
     )
 
 
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -7,8 +7,8 @@
 HOSTS = {"r0": "za", "r1": "za", "r2": "zb"}
 
 
-def fleet(accounts=("a", "b"), endpoints=("e1",), **more):
-    cfg = config(dict.fromkeys(accounts, 1.0), endpoints, **more)
+def fleet(accounts=("a", "b"), endpoints=("e1",), **fields):
+    cfg = config(dict.fromkeys(accounts, 1.0), endpoints, **fields)
     net = Net(HOSTS, cfg)
     net.step(1.1)
     return net
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -22,11 +22,11 @@
 
 def fleet():
     net = Net(HOSTS, config({"a": 1.0, "b": 2.0}, ["e1", "e2"]))
-    settle(net)
+    run_for(net)
     return net
 
 
-def settle(net, seconds=8.0):
+def run_for(net, seconds=8.0):
     for _ in range(int(seconds / 0.25)):
         net.step(0.25)
 
@@ -68,7 +68,7 @@
     net = fleet()
     for host in HOSTS:
         serve(net, host, "a", 100)
-    settle(net)
+    run_for(net)
     assert served(net, "a") == {400}
 
 
@@ -108,13 +108,13 @@
     for host in HOSTS:
         serve(net, host, "a", 1000)
         serve(net, host, "b", 3000)
-    settle(net)
+    run_for(net)
     view = net.nodes["r0"].view
     for zone in lost:
         net.restart(view.collector_of(zone, shard_of("a")))
-    settle(net, 3.0)
+    run_for(net, 3.0)
     serve(net, "r3", "a", 10)
-    settle(net)
+    run_for(net)
     assert (served(net, "a"), served(net, "b")) == ({4010}, {12000})
 
 
@@ -127,11 +127,11 @@
     net = fleet()
     net.nodes["r1"].ledger.start_meter("a", 500).charge(200)
     net.nodes["r1"].ledger.set_waiting("a", 3)
-    settle(net)
+    run_for(net)
     assert net.nodes["r3"].ledger.totals["a"] == AccountService("a", 200, 300, 3)
     net.crash("r1")
     net.refresh_views()
-    settle(net)
+    run_for(net)
     assert net.nodes["r3"].ledger.totals["a"] == AccountService("a", 200, 0, 0)
 
 
@@ -144,10 +144,10 @@
     net = fleet()
     net.nodes["r0"].ledger.set_waiting("b", 1)
     serve(net, "r0", "b", 60_000)
-    settle(net)
+    run_for(net)
     net.nodes["r2"].ledger.set_waiting("a", 1)
     assert net.nodes["r1"].ledger.level("a") == 30_000
-    settle(net)
+    run_for(net)
     for node in net.nodes.values():
         assert node.ledger.level("a") == node.ledger.level("b") == 30_000
         assert node.ledger.totals["a"].waiting == 1
@@ -163,20 +163,20 @@
     for host in ("r0", "r2"):
         for account in ("a", "b"):
             net.nodes[host].ledger.set_waiting(account, 1)
-    settle(net)
+    run_for(net)
     serve(net, "r2", "a", 1_000_000)
-    settle(net, 2.0)
+    run_for(net, 2.0)
     assert net.nodes["r0"].ledger.level("a") > 900_000
-    settle(net, 12.0)
+    run_for(net, 12.0)
     assert net.nodes["r0"].ledger.level("a") == 10_000
 
 
 def test_reports_hold_changed_accounts_only():
     net = fleet()
-    settle(net, 20 * INTERVAL_S)
+    run_for(net, 20 * INTERVAL_S)
     before = net.sent["FleetTotals"]
     serve(net, "r0", "a", 10)
-    settle(net, 3 * INTERVAL_S)
+    run_for(net, 3 * INTERVAL_S)
     assert 1 <= net.sent["FleetTotals"] - before <= 2 * len(HOSTS)
 
 
