--- a/greengageflow/core/entry.py
+++ b/greengageflow/core/entry.py
@@ -166,7 +166,7 @@
         backoff_s = self._backoff_until.get(grant.endpoint, now) - now
         if backoff_s > 0:
             # Ownership may have changed since the endpoint requested the backoff, so
-            # the current owner is told as well.
+            # the remaining time is passed on to the current owner.
             yield from self._decline(sender, grant, backoff_s)
         elif queue and self._is_valid(sender, grant):
             yield from self._start(now, sender, grant, queue)
