--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -40,14 +40,14 @@
 
 
 @given(st.sets(st.sampled_from([f"r{i}" for i in range(9)])), st.integers(1, 20))
-def test_slot_quotas_of_two_sides_add_up_to_all_slots(cut, slots):
+def test_slot_quotas_of_two_sides_add_up_to_all_slots(one_side, slots):
     """Each side of a partition considers itself the owner of every endpoint.
 
     Each uses only the slots assigned to its live hosts. Together that is exactly all
     slots, for any division of the hosts.
     """
     hosts = {f"r{i}" for i in range(9)}
-    sides = [side for side in (cut, hosts - cut) if side]
+    sides = [side for side in (one_side, hosts - one_side) if side]
     used = [view_of(min(s), s, hosts).slot_quota("e", slots) for s in sides]
     assert sum(used) == slots
 
