--- a/greengageflow/core/_charges.py
+++ b/greengageflow/core/_charges.py
@@ -1,4 +1,4 @@
-"""Charges of an owner's own grants that the fleet's totals do not show yet."""
+"""Charges for an owner's recent grants, not yet included in the fleet totals."""
 
 from collections import deque
 from dataclasses import dataclass
@@ -9,21 +9,21 @@
     """The charge of one grant.
 
     Args:
-        at: Time of the grant.
+        granted_at: Time of the grant.
         account: Client account.
-        tokens: Tokens charged.
+        tokens: Charged tokens; 0 once the charge is cancelled.
     """
 
-    at: float
+    granted_at: float
     account: str
     tokens: float
 
 
-class Charges:
-    """Sums charges per account until the totals show them.
+class PendingCharges:
+    """Sums charges per account until the fleet totals include them.
 
-    The totals lag. Without these charges every owner would give all its free slots
-    to the same account until the next totals come.
+    The totals lag. Without these charges, every owner would grant all its free slots
+    to the same account until the next totals arrive.
     """
 
     def __init__(self) -> None:
@@ -37,20 +37,21 @@
         self._sums[account] = self._sums.get(account, 0.0) + tokens
         return charge
 
-    def of(self, account: str, reflected: float) -> float:
+    def pending(self, account: str, included_until: float) -> float:
         """Return the tokens charged to an account.
 
         Args:
             account: Client account.
-            reflected: Forget charges up to this time, since the totals show them.
+            included_until: Time up to which the totals include charges; those are
+                dropped.
         """
         charges = self._charges.get(account, ())
-        while charges and charges[0].at <= reflected:
+        while charges and charges[0].granted_at <= included_until:
             self.cancel(charges.popleft())
         return self._sums.get(account, 0.0)
 
     def cancel(self, charge: Charge) -> None:
-        """Take a charge back."""
-        left = self._sums.get(charge.account, 0.0) - charge.tokens
+        """Remove a charge from its account's sum."""
+        remaining = self._sums.get(charge.account, 0.0) - charge.tokens
         charge.tokens = 0.0
-        self._sums[charge.account] = max(0.0, left)
+        self._sums[charge.account] = max(0.0, remaining)
--- a/greengageflow/core/_demand.py
+++ b/greengageflow/core/_demand.py
@@ -1,4 +1,4 @@
-"""What entry routers said that waits there, as one owner holds it."""
+"""Demand that entry routers have registered with one endpoint owner."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -6,61 +6,61 @@
 from greengageflow.core.messages import Demand, PeerId
 from greengageflow.core.placement import FleetView
 
-FORGET_S = 20.0
+DEMAND_TTL_S = 20.0
 
 
 @dataclass(slots=True)
-class Waiting:
+class EntryDemand:
     """Demand of one account at one entry router.
 
     Args:
         peer: The entry router.
-        seq: Number of the statement.
-        waiting: Requests that wait there and have no grant of ours yet.
-        cost: Expected cost of one of them, in tokens.
-        since: Time at which it began to wait.
-        heard_at: Time of the last statement.
-        granted: Serial number of our last grant to it.
+        seq: Sequence number of the ``Demand`` message.
+        waiting: Requests that wait there without a grant from this owner.
+        cost: Expected cost of one request, in tokens.
+        waiting_since: Time at which the demand became non-zero.
+        updated_at: Time of the last ``Demand`` message.
+        last_grant_seq: Serial number of this owner's last grant to it.
     """
 
     peer: PeerId
     seq: int
     waiting: int
     cost: float
-    since: float
-    heard_at: float
-    granted: int = 0
+    waiting_since: float
+    updated_at: float
+    last_grant_seq: int = 0
 
 
-class DemandBook:
-    """Demands of one pool per account and entry router."""
+class PoolDemand:
+    """Demand for one pool, by account and entry router."""
 
     def __init__(self) -> None:
-        self.heard_at = float("-inf")
-        self._accounts: dict[str, dict[str, Waiting]] = {}
-        self._serial = 0
+        self.last_demand_at = float("-inf")
+        self._accounts: dict[str, dict[str, EntryDemand]] = {}
+        self._grant_seq = 0
 
-    def put(self, now: float, sender: PeerId, demand: Demand) -> None:
-        """Take in a statement; late copies change nothing."""
+    def update(self, now: float, sender: PeerId, demand: Demand) -> None:
+        """Apply a ``Demand`` message; duplicates and late copies are ignored."""
         entries = self._accounts.setdefault(demand.account, {})
         old = entries.get(sender.host)
         if old and (sender.boot, demand.seq) <= (old.peer.boot, old.seq):
             return
         if demand.waiting:
-            self.heard_at = now
+            self.last_demand_at = now
         fresh = old is None or not old.waiting
-        entries[sender.host] = Waiting(
+        entries[sender.host] = EntryDemand(
             sender,
             demand.seq,
             demand.waiting,
             demand.cost,
-            now if fresh else old.since,
+            now if fresh else old.waiting_since,
             now,
-            old.granted if old else 0,
+            old.last_grant_seq if old else 0,
         )
 
-    def candidates(self, view: FleetView) -> Iterator[tuple[str, Waiting]]:
-        """Yield each account that waits, with the entry router that is next."""
+    def candidates(self, view: FleetView) -> Iterator[tuple[str, EntryDemand]]:
+        """Yield each waiting account with its least recently granted router."""
         for account, entries in self._accounts.items():
             ready = [
                 entry
@@ -68,23 +68,25 @@
                 if entry.waiting > 0 and view.is_live(entry.peer)
             ]
             if ready:
-                yield account, min(ready, key=lambda entry: entry.granted)
+                yield account, min(ready, key=lambda entry: entry.last_grant_seq)
 
-    def take(self, entry: Waiting) -> None:
+    def on_granted(self, entry: EntryDemand) -> None:
         """Count one request of an entry router as granted."""
-        self._serial += 1
-        entry.granted = self._serial
+        self._grant_seq += 1
+        entry.last_grant_seq = self._grant_seq
         entry.waiting -= 1
 
-    def any_waiting(self, view: FleetView) -> bool:
-        """Tell whether a live entry router has something waiting."""
+    def has_waiting(self, view: FleetView) -> bool:
+        """Return whether requests wait at a live entry router."""
         return next(self.candidates(view), None) is not None
 
-    def forget(self, now: float, view: FleetView) -> None:
-        """Drop what was not refreshed and what dead routers said."""
+    def expire(self, now: float, view: FleetView) -> None:
+        """Drop demand that was not refreshed or whose router is dead."""
         for account, entries in list(self._accounts.items()):
             for host, entry in list(entries.items()):
-                if now - entry.heard_at > FORGET_S or view.is_gone(entry.peer):
+                if now - entry.updated_at > DEMAND_TTL_S or view.is_terminated(
+                    entry.peer
+                ):
                     del entries[host]
             if not entries:
                 del self._accounts[account]
--- a/greengageflow/core/_offsets.py
+++ b/greengageflow/core/_offsets.py
@@ -1,11 +1,11 @@
-"""Where an account joins in, and how far behind it may be.
+"""Offsets to the virtual service of accounts: idle credit and debt limits.
 
-Two counters an account shift its virtual service. ``raised`` lifts an account that
-begins to wait to the level of those that wait already: what it did not use while it
-was idle is no credit. ``forgiven`` lowers an account that is far above the others,
-for instance after two sides of a partition have rejoined: it must not starve until
-all others have caught up. Both only grow and are merged by maximum, so collectors of
-several zones may raise the same account at the same time.
+Each account has two counters that shift its virtual service. ``raised`` lifts an
+account that becomes backlogged to the level of the other backlogged accounts, so
+that idle time earns no credit. ``forgiven`` lowers an account that is far above the
+others, for instance after a partition heals, so that it does not starve until the
+others have caught up. Both counters only grow and are merged by maximum, so
+collectors in several zones may raise the same account concurrently.
 """
 
 from collections import deque
@@ -18,74 +18,74 @@
 
 
 class Offsets:
-    """Works out both offsets of accounts from the fleet's totals.
+    """Computes both offsets of accounts from the fleet totals.
 
     Args:
-        ledger: The fleet's totals.
-        debt_s: Most seconds of its share that a backlogged account is held back.
-        least_debt: Tokens a unit of weight below which nothing is forgiven.
-        patience_s: Seconds for which totals must look the same. A collector that
-            has just taken over may know too little for a moment, and an offset is
-            never taken back.
+        ledger: Ledger with the fleet totals.
+        max_debt_s: Maximum debt of a backlogged account, in seconds of its share.
+        min_debt_tokens: Debt in tokens per unit of weight that is never forgiven.
+        confirm_s: Seconds for which a condition must hold before an offset changes.
+            A collector that has just taken over may have incomplete totals, and an
+            offset is never reverted.
     """
 
     def __init__(
         self,
         ledger: ServiceLedger,
         *,
-        debt_s: float = 10.0,
-        least_debt: float = 10_000.0,
-        patience_s: float = 8.0,
+        max_debt_s: float = 10.0,
+        min_debt_tokens: float = 10_000.0,
+        confirm_s: float = 8.0,
     ) -> None:
         self._ledger = ledger
-        self._debt_s = debt_s
-        self._least_debt = least_debt
-        self._patience_s = patience_s
-        # The median, since the sum of the fleet jumps when two sides rejoin.
+        self._max_debt_s = max_debt_s
+        self._min_debt_tokens = min_debt_tokens
+        self._confirm_s = confirm_s
+        # Uses the median, because the fleet's sum jumps when a partition heals.
         self._rates: deque[float] = deque(maxlen=_RATE_SAMPLES)
-        self._last: tuple[float, float] | None = None
-        self._warm_at: float | None = None
-        self._indebted: dict[str, float] = {}
+        self._last_sample: tuple[float, float] | None = None
+        self._ready_at: float | None = None
+        self._over_limit_since: dict[str, float] = {}
 
-    def measure(self, now: float) -> None:
-        """Take a sample of how fast the level of the backlogged rises."""
+    def sample_rate(self, now: float) -> None:
+        """Sample how fast the level of backlogged accounts rises."""
         totals = self._ledger.totals.values()
-        if totals and self._warm_at is None:
-            self._warm_at = now + self._patience_s
+        if totals and self._ready_at is None:
+            self._ready_at = now + self._confirm_s
         served = sum(row.served for row in totals)
         weights = sum(self._ledger.weight(r.account) for r in totals if r.waiting)
-        if self._last and self._last[0] < now and weights:
-            then, before = self._last
+        if self._last_sample and self._last_sample[0] < now and weights:
+            then, before = self._last_sample
             self._rates.append((served - before) / (now - then) / weights)
-        self._last = (now, served)
+        self._last_sample = (now, served)
 
     @property
-    def most_debt(self) -> float:
-        """Farthest that a backlogged account may be above the floor."""
+    def max_debt(self) -> float:
+        """Maximum distance of a backlogged account above the floor."""
         rate = median(self._rates) if self._rates else 0.0
-        return max(self._least_debt, self._debt_s * rate)
+        return max(self._min_debt_tokens, self._max_debt_s * rate)
 
-    def shift(self, now: float, row: AccountService) -> tuple[float, float]:
-        """Return what to add to ``raised`` and ``forgiven`` of an account.
+    def increments(self, now: float, row: AccountService) -> tuple[float, float]:
+        """Return the increments of ``raised`` and ``forgiven`` of an account.
 
         Args:
-            now: The time.
-            row: The account's totals with the present offsets.
+            now: Current time.
+            row: The account's totals with its current offsets.
         """
         account = row.account
         weight = self._ledger.weight(account)
         above = level_of(row, weight) - self._ledger.floor
-        excess = above - self.most_debt
+        excess = above - self.max_debt
         if not row.waiting or excess <= 0:
-            self._indebted.pop(account, None)
-        if not row.waiting or self._warm_at is None or now < self._warm_at:
+            self._over_limit_since.pop(account, None)
+        if not row.waiting or self._ready_at is None or now < self._ready_at:
             return 0.0, 0.0
         before = self._ledger.totals.get(account)
         if above < 0 and not (before and before.waiting):
             return -above * weight, 0.0
         if (
             excess <= 0
-            or now < self._indebted.setdefault(account, now) + self._patience_s
+            or now < self._over_limit_since.setdefault(account, now) + self._confirm_s
         ):
             return 0.0, 0.0
         return 0.0, excess * weight
--- a/greengageflow/core/affinity.py
+++ b/greengageflow/core/affinity.py
@@ -1,4 +1,4 @@
-"""Which endpoint lately saw the beginning of a prompt."""
+"""Prefix-cache affinity: which endpoint last served a prompt prefix."""
 
 from collections import OrderedDict
 from collections.abc import Mapping
@@ -6,28 +6,28 @@
 from typing import Any
 
 PREFIX_CHARS = 512
-CAPACITY = 2048
+MAX_PREFIXES = 2048
 
 
 class PrefixMap:
-    """Remembers where prompts with the same beginning went.
+    """LRU map from prompt prefixes to the endpoint that served them last.
 
-    It is a hint: a prompt's prefix may have left the engine's cache since.
+    An entry is only a hint: the engine may have evicted the prefix from its cache.
 
     Args:
-        capacity: Most prefixes that are remembered.
+        capacity: Maximum number of prefixes.
     """
 
-    def __init__(self, capacity: int = CAPACITY) -> None:
+    def __init__(self, capacity: int = MAX_PREFIXES) -> None:
         self._capacity = capacity
         self._endpoints: OrderedDict[bytes, str] = OrderedDict()
 
     def endpoint(self, prefix: bytes) -> str:
-        """Return the endpoint that saw ``prefix`` last, or an empty string."""
+        """Return the endpoint that last served ``prefix``, or an empty string."""
         return self._endpoints.get(prefix, "")
 
-    def note(self, prefix: bytes, endpoint: str) -> None:
-        """Remember that a prompt with ``prefix`` went to ``endpoint``."""
+    def record(self, prefix: bytes, endpoint: str) -> None:
+        """Record that a prompt with ``prefix`` was sent to ``endpoint``."""
         self._endpoints[prefix] = endpoint
         self._endpoints.move_to_end(prefix)
         if len(self._endpoints) > self._capacity:
@@ -37,11 +37,11 @@
 def prefix_of(model: str, body: Mapping[str, Any]) -> bytes:
     """Return a digest of the model and the beginning of the prompt."""
     digest = blake2b(model.encode(), digest_size=8)
-    left = PREFIX_CHARS
+    remaining = PREFIX_CHARS
     for message in body["messages"]:
-        text = message["content"][:left]
+        text = message["content"][:remaining]
         digest.update(text.encode())
-        left -= len(text)
-        if left <= 0:
+        remaining -= len(text)
+        if remaining <= 0:
             break
     return digest.digest()
--- a/greengageflow/core/membership.py
+++ b/greengageflow/core/membership.py
@@ -80,7 +80,7 @@
     """The fleet as one router sees it.
 
     Args:
-        own: The member that this router is; its ``bump`` and ``status`` count.
+        own: The member that this router is; its ``incarnation`` and ``status`` count.
         seeds: Routers to look for.
         period_s: Seconds between two probes.
         suspicion_s: Seconds from a suspicion to the death that follows.
@@ -129,7 +129,7 @@
 
     @property
     def own(self) -> Member:
-        """This router's own entry, with its present bump and status."""
+        """This router's own entry, with its present incarnation and status."""
         return self._table.own
 
     @property
@@ -217,7 +217,7 @@
         """Take in one membership message of another router."""
         self.notice_pause(now)
         if isinstance(message, Ping | Ack):
-            yield from self._merge(message.news, now)
+            yield from self._merge(message.updates, now)
         if not self._current(sender):
             return
         match message:
@@ -273,7 +273,7 @@
             self._next_probe + self._period_s, now + self._period_s - self.tick_s
         )
         self._periods += 1
-        probe = self._probes.begin(self._neighbours().watched, now)
+        probe = self._probes.begin(self._neighbours().probed, now)
         host = None if probe is None else probe.host
         if probe is not None:
             yield from self._ping(probe.host, probe.seq)
@@ -307,7 +307,7 @@
         return sorted(hosts)
 
     def _sample(self, size: int, *excluded: str | None) -> list[str]:
-        hosts = [host for host in self._neighbours().near if host not in excluded]
+        hosts = [host for host in self._neighbours().adjacent if host not in excluded]
         return self._random.sample(hosts, min(size, len(hosts)))
 
     def _ask_helpers(self, probe: Probe, now: float) -> Iterator[Send]:
--- a/greengageflow/core/owner.py
+++ b/greengageflow/core/owner.py
@@ -1,38 +1,38 @@
-"""Which account gets the next free slot of the endpoints that this router owns."""
+"""Grants slots of the endpoints that this router owns to accounts, fairly."""
 
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass
 from random import Random
 from typing import Any
 
-from greengageflow.core._charges import Charges
-from greengageflow.core._demand import DemandBook, Waiting
-from greengageflow.core._slots import EndpointSlots, Hold
-from greengageflow.core._work_calls import WorkCalls
+from greengageflow.core._charges import PendingCharges
+from greengageflow.core._demand import EntryDemand, PoolDemand
+from greengageflow.core._slots import EndpointSlots, SlotLease
+from greengageflow.core._work_calls import WorkCallSchedule
 from greengageflow.core.catalog import FleetConfig, PoolKind
 from greengageflow.core.effects import Send
 from greengageflow.core.messages import Demand, Grant, GrantReturned, GrantTaken, PeerId
 from greengageflow.core.placement import FleetView
 from greengageflow.core.shares import ServiceLedger, share_interval_s
 
-_REFLECT_INTERVALS = 3
-_SERVICE_DOUBT_S = 3.0
+_TOTALS_LAG_INTERVALS = 3
+_SERVICE_UNCERTAIN_S = 3.0
 _DEFAULT_DEADLINE_S = 60.0
-_POOL_QUIET_S = 10.0
-_FORGET_EVERY_S = 5.0
+_POOL_IDLE_AFTER_S = 10.0
+_DEMAND_EXPIRY_INTERVAL_S = 5.0
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointUsage:
-    """How an owned endpoint is used.
+    """Slot usage of one owned endpoint.
 
     Args:
-        endpoint: Its name.
-        allowed: Slots that may be used now.
+        endpoint: Name of the endpoint.
+        allowed: Slots that may currently be used.
         used: Slots in use.
-        resting: True after several failures in a row.
-        rest_until: Time of the next probe; meaningful while resting.
-        leaving: True when it gets no new work.
+        resting: True after several consecutive failures.
+        rest_until: Time of the next probe; only meaningful while resting.
+        leaving: True when the endpoint gets no new requests.
     """
 
     endpoint: str
@@ -48,12 +48,12 @@
 
     Args:
         own: This router.
-        ledger: The fleet's service per account.
-        seed: Of the choice of routers that are called for work.
-        settle_s: Seconds after becoming owner, or after routers came back, in which
-            running requests are registered before more slots are granted; longer
-            than a change of the view takes to reach all routers.
-        expires_s: Seconds after which an unanswered grant is sent again.
+        ledger: Service per account across the fleet.
+        seed: Seed for choosing the routers that are sent a ``WorkCall``.
+        settle_s: Seconds after an ownership change, or after routers rejoin, during
+            which running requests register here before more slots are granted. Must
+            exceed the time that a view change takes to reach all routers.
+        expires_s: Seconds after which an unanswered grant is retransmitted.
     """
 
     def __init__(
@@ -75,16 +75,16 @@
         self._slots: dict[str, EndpointSlots] = {}
         self._active: dict[str, EndpointSlots] = {}
         self._owned: dict[str, list[EndpointSlots]] = {}
-        self._demands: dict[str, DemandBook] = {}
-        self._calls: dict[str, WorkCalls] = {}
-        self._lost: set[str] = set()
+        self._demands: dict[str, PoolDemand] = {}
+        self._work_calls: dict[str, WorkCallSchedule] = {}
+        self._unreachable: set[str] = set()
         self._paused = False
-        self._charges = Charges()
-        self._spread: dict[str, float] = {}
-        self._number = 0
-        self.lapsed = 0
-        self._forget_at = 0.0
-        self._lag_s = 0.0
+        self._charges = PendingCharges()
+        self._charge_scale: dict[str, float] = {}
+        self._grant_seq = 0
+        self.retransmitted = 0
+        self._expire_demand_at = 0.0
+        self._totals_lag_s = 0.0
 
     @property
     def owned(self) -> list[str]:
@@ -93,33 +93,36 @@
 
     @property
     def granted(self) -> int:
-        """Grants given since the start."""
-        return self._number
+        """Number of grants issued since the start."""
+        return self._grant_seq
 
     def usage(self, now: float) -> Iterator[EndpointUsage]:
-        """Yield how each owned endpoint is used."""
+        """Yield the usage of each owned endpoint."""
         for owned in self._owned.values():
             for slots in owned:
                 yield EndpointUsage(
                     slots.endpoint.name,
                     slots.limit.allowed(now),
-                    len(slots.holds),
+                    len(slots.leases),
                     slots.limit.resting,
                     slots.limit.rest_until,
                     slots.leaving,
                 )
 
-    # What changes around it.
+    # Configuration, view and load reports.
 
     def on_config(
-        self, now: float, cfg: FleetConfig, left: Mapping[str, int] | None = None
+        self,
+        now: float,
+        cfg: FleetConfig,
+        leaving_generations: Mapping[str, int] | None = None,
     ) -> Iterator[Send]:
-        """Take over a configuration.
+        """Apply a configuration.
 
         Args:
-            now: The time.
+            now: Current time.
             cfg: The configuration.
-            left: Generation of each endpoint that has left.
+            leaving_generations: Generation of each leaving endpoint.
         """
         self._cfg = cfg
         for name, endpoint in cfg.endpoints.items():
@@ -129,186 +132,194 @@
                 self._slots[name] = EndpointSlots(endpoint)
         for name in self._slots.keys() - cfg.endpoints.keys():
             del self._slots[name]
-        for name, generation in (left or {}).items():
+        for name, generation in (leaving_generations or {}).items():
             self.mark_leaving(name, generation)
-        self._assign(now)
+        self._update_ownership(now)
         yield from self._fill_all(now)
 
     def on_view(self, now: float, view: FleetView) -> Iterator[Send]:
-        """Take over a changed view of the fleet."""
+        """Apply a changed view of the fleet."""
         before = self._view.live.keys() if self._view else set()
-        self._lost = (self._lost | before) & view.roster - view.live.keys()
-        cut = bool(self._lost & before)
+        self._unreachable = (
+            self._unreachable | before
+        ) & view.roster - view.live.keys()
+        partitioned = bool(self._unreachable & before)
         self._view = view
-        self._assign(now, cut=cut)
+        self._update_ownership(now, partitioned=partitioned)
         yield from self._fill_all(now)
 
     def on_pause(self) -> None:
-        """Note that this process stood still, and grant nothing until it is sure."""
+        """Stop granting after a process pause, until the view is confirmed."""
         self._paused = True
 
-    def on_confirmed(self, now: float, *, anew: bool) -> Iterator[Send]:
-        """Grant again, as the view is confirmed after a pause.
+    def on_view_confirmed(self, now: float, *, maybe_replaced: bool) -> Iterator[Send]:
+        """Resume granting once the view is confirmed after a pause.
 
-        Others may have owned the endpoints meanwhile and granted their slots. Going
-        on at once, this router added its own: 7 requests ran in 4 slots. As a new
-        owner it hears first what runs.
+        During a long pause other routers may have taken over the endpoints and
+        granted their slots. Resuming at once oversubscribed them: 7 requests ran in
+        4 slots. The router therefore starts as a new owner, which waits for running
+        requests to register first.
 
         Args:
-            now: The time.
-            anew: True when the pause was long enough for that.
+            now: Current time.
+            maybe_replaced: True when the pause was long enough for a takeover.
         """
         self._paused = False
-        if anew:
+        if maybe_replaced:
             for slots in self._slots.values():
-                slots.lose()
-            self._assign(now)
+                slots.on_ownership_lost()
+            self._update_ownership(now)
         yield from self._fill_all(now)
 
     def mark_leaving(self, endpoint: str, generation: int) -> None:
-        """Give the endpoint no new work, for this generation of it for good."""
+        """Stop granting slots of the endpoint; permanent for this generation."""
         slots = self._slots.get(endpoint)
         if slots is not None:
-            slots.left_generation = max(slots.left_generation, generation)
+            slots.leaving_generation = max(slots.leaving_generation, generation)
 
     def on_load(self, now: float, endpoint: str, running: int) -> None:
-        """Take an endpoint's own count of the requests that it runs."""
+        """Record the number of running requests that an endpoint reports."""
         slots = self._slots.get(endpoint)
         if slots is not None:
-            slots.report(now, running)
+            slots.on_load_report(now, running)
 
-    def _assign(self, now: float, *, cut: bool = False) -> None:
+    def _update_ownership(self, now: float, *, partitioned: bool = False) -> None:
         view = self._view
         self._owned = {}
         if view is None:
             return
         policy_s = self._cfg.policy.share_interval_s
-        self._lag_s = _REFLECT_INTERVALS * share_interval_s(policy_s, len(view.live))
+        self._totals_lag_s = _TOTALS_LAG_INTERVALS * share_interval_s(
+            policy_s, len(view.live)
+        )
         for name, slots in self._slots.items():
             if view.owner_of(name) != self._own.host:
-                slots.lose()
+                slots.on_ownership_lost()
                 continue
             endpoint = slots.endpoint
-            borne = view.borne_slots(name, endpoint.slots)
-            doubt_s = self._doubt_s(endpoint.pool)
-            slots.own(now, borne, self._settle_s, doubt_s, cut)
-            if not self._lost:
-                slots.clear_doubt()
+            quota = view.slot_quota(name, endpoint.slots)
+            uncertain_s = self._uncertain_s(endpoint.pool)
+            slots.set_quota(now, quota, self._settle_s, uncertain_s, partitioned)
+            if not self._unreachable:
+                slots.end_uncertainty()
             self._owned.setdefault(endpoint.pool, []).append(slots)
         self._active = {
             name: slots
             for name, slots in self._slots.items()
-            if slots.owned or slots.holds
+            if slots.owned or slots.leases
         }
         for slots in self._active.values():
             slots.expire(now, view)
-            slots.note_reach(view)
-        self._measure_spread()
+            slots.update_reachability(view)
+        self._update_charge_scale()
 
-    def _measure_spread(self) -> None:
+    def _update_charge_scale(self) -> None:
         totals: dict[str, int] = {}
         for slots in self._slots.values():
             pool = slots.endpoint.pool
             totals[pool] = totals.get(pool, 0) + slots.endpoint.slots
         for pool, owned in self._owned.items():
             own = sum(slots.endpoint.slots for slots in owned)
-            self._spread[pool] = 1.0 if self._view.split else totals[pool] / max(1, own)
+            self._charge_scale[pool] = (
+                1.0 if self._view.split else totals[pool] / max(1, own)
+            )
 
-    def _doubt_s(self, pool: str) -> float:
-        if not self._lost:
+    def _uncertain_s(self, pool: str) -> float:
+        if not self._unreachable:
             return 0.0
-        # An engine's load report ends the doubt within a second or two. A plain
-        # service reports none: up to its deadline, the new owner of a lost router's
-        # endpoints would grant nothing, and a pool of few replicas would stand still
-        # for a minute. Its calls are short; what outlasts this bound is the exception.
-        known = self._cfg.pools.get(pool)
+        # For an engine, a load report shows the requests of unreachable routers
+        # within a second or two. A plain service sends no load reports: the new owner
+        # of a lost router's endpoints would grant nothing up to the deadline, which
+        # stalls a pool of few replicas for a minute. Service calls are short, so few
+        # outlast this shorter bound.
+        pool_config = self._cfg.pools.get(pool)
         longest_s = self._deadline_s(pool)
-        if known and known.kind is PoolKind.SERVICE:
-            longest_s = min(longest_s, _SERVICE_DOUBT_S)
+        if pool_config and pool_config.kind is PoolKind.SERVICE:
+            longest_s = min(longest_s, _SERVICE_UNCERTAIN_S)
         return self._settle_s + longest_s
 
     def _deadline_s(self, pool: str) -> float:
-        known = self._cfg.pools.get(pool)
-        return known.deadline_s if known else _DEFAULT_DEADLINE_S
+        pool_config = self._cfg.pools.get(pool)
+        return pool_config.deadline_s if pool_config else _DEFAULT_DEADLINE_S
 
     # Messages.
 
     def receive(self, now: float, sender: PeerId, message: Any) -> Iterator[Send]:
-        """Take in a message from an entry router."""
+        """Handle a message from an entry router."""
         match message:
             case Demand(pool=pool, waiting=waiting):
-                self._book(pool).put(now, sender, message)
+                self._demand_for(pool).update(now, sender, message)
                 if waiting:
-                    self._calls[pool].reset()
+                    self._work_calls[pool].reset_backoff()
                     yield from self._fill(now, pool)
             case GrantTaken():
                 self._on_taken(now, sender, message)
             case GrantReturned():
                 yield from self._on_returned(now, message)
 
-    def _book(self, pool: str) -> DemandBook:
+    def _demand_for(self, pool: str) -> PoolDemand:
         if pool not in self._demands:
-            self._demands[pool] = DemandBook()
-            self._calls[pool] = WorkCalls(pool, self._random)
+            self._demands[pool] = PoolDemand()
+            self._work_calls[pool] = WorkCallSchedule(pool, self._random)
         return self._demands[pool]
 
     def _on_taken(self, now: float, sender: PeerId, message: GrantTaken) -> None:
         slots = self._slots.get(message.endpoint)
-        if slots is None or (self._view and self._view.is_gone(sender)):
+        if slots is None or (self._view and self._view.is_terminated(sender)):
             return
-        slots.take(now, sender, message)
+        slots.on_taken(now, sender, message)
         self._active[message.endpoint] = slots
 
     def _on_returned(self, now: float, message: GrantReturned) -> Iterator[Send]:
         slots = self._slots.get(message.endpoint)
-        hold = slots.give_back(message.grant) if slots else None
-        if hold is None:
+        lease = slots.release(message.grant) if slots else None
+        if lease is None:
             return
         if message.seconds or message.failed:
             slots.limit.observe(now, message.served, message.seconds, message.failed)
-        elif hold.charge:
-            self._charges.cancel(hold.charge)
+        elif lease.charge:
+            self._charges.cancel(lease.charge)
         if message.backoff_s > 0:
-            slots.limit.ask_backoff(now, message.backoff_s)
+            slots.limit.back_off(now, message.backoff_s)
         yield from self._fill(now, slots.endpoint.pool)
 
-    # Time.
+    # Timers.
 
     def on_tick(self, now: float) -> Iterator[Send]:
-        """Do what has become due."""
+        """Run everything that is due."""
         view = self._view
         if view is None:
             return
         for slots in self._active.values():
             slots.expire(now, view)
             if not self._paused:
-                yield from self._ask_again(now, slots)
-        if now >= self._forget_at:
-            self._forget_at = now + _FORGET_EVERY_S
-            for book in self._demands.values():
-                book.forget(now, view)
+                yield from self._retransmit(now, slots)
+        if now >= self._expire_demand_at:
+            self._expire_demand_at = now + _DEMAND_EXPIRY_INTERVAL_S
+            for pool_demand in self._demands.values():
+                pool_demand.expire(now, view)
         yield from self._fill_all(now)
-        yield from self._call_for_work(now, view)
+        yield from self._send_work_calls(now, view)
 
     def next_tick(self, now: float) -> float:
-        """Return the time by which ``on_tick`` is to be called."""
-        times = [self._forget_at]
+        """Return the latest time at which ``on_tick`` must be called next."""
+        times = [self._expire_demand_at]
         for slots in self._active.values():
             times.append(slots.due_at)
             if slots.limit.resting and slots.limit.rest_until > now:
                 times.append(slots.limit.rest_until)
             if slots.limit.backoff_until > now:
                 times.append(slots.limit.backoff_until)
-        times += [calls.at for calls, _ in self._idle(now)]
+        times += [schedule.next_at for schedule, _ in self._idle_pools(now)]
         return max(now, min(times))
 
-    def _ask_again(self, now: float, slots: EndpointSlots) -> Iterator[Send]:
-        for grant, hold in slots.holds.items():
-            if hold.ask_at is None or hold.ask_at > now:
+    def _retransmit(self, now: float, slots: EndpointSlots) -> Iterator[Send]:
+        for grant, lease in slots.leases.items():
+            if lease.retransmit_at is None or lease.retransmit_at > now:
                 continue
-            hold.ask_at = now + self._expires_s
-            self.lapsed += 1
-            yield self._grant_message(grant, slots, hold)
+            lease.retransmit_at = now + self._expires_s
+            self.retransmitted += 1
+            yield self._grant_message(grant, slots, lease)
 
     # Granting.
 
@@ -317,78 +328,89 @@
             yield from self._fill(now, pool)
 
     def _fill(self, now: float, pool: str) -> Iterator[Send]:
-        book = self._demands.get(pool)
-        if book is None or self._view is None or self._paused:
+        pool_demand = self._demands.get(pool)
+        if pool_demand is None or self._view is None or self._paused:
             return
-        while book.any_waiting(self._view) and (slots := self._freest(now, pool)):
-            picked = self._pick(book)
+        while pool_demand.has_waiting(self._view) and (
+            slots := self._most_free(now, pool)
+        ):
+            picked = self._pick(pool_demand)
             if picked is None:
                 return
             account, entry = picked
-            book.take(entry)
+            pool_demand.on_granted(entry)
             yield self._grant(now, slots, account, entry)
 
-    def _freest(self, now: float, pool: str) -> EndpointSlots | None:
+    def _most_free(self, now: float, pool: str) -> EndpointSlots | None:
         best = None
-        most = 0
+        most_free = 0
         for slots in self._owned.get(pool, ()):
             free = slots.free(now)
-            if free > most:
-                best, most = slots, free
+            if free > most_free:
+                best, most_free = slots, free
         return best
 
-    def _pick(self, book: DemandBook) -> tuple[str, Waiting] | None:
-        """Return the account with the least service, and its next entry router."""
+    def _pick(self, pool_demand: PoolDemand) -> tuple[str, EntryDemand] | None:
+        """Return the least-served account and its next entry router."""
         return min(
-            book.candidates(self._view),
-            key=lambda pair: (self._level(pair[0]), pair[1].since),
+            pool_demand.candidates(self._view),
+            key=lambda pair: (self._level(pair[0]), pair[1].waiting_since),
             default=None,
         )
 
     def _level(self, account: str) -> float:
-        reflected = self._ledger.heard_at(account) - self._lag_s
-        charged = self._charges.of(account, reflected)
+        included_until = self._ledger.totals_at(account) - self._totals_lag_s
+        charged = self._charges.pending(account, included_until)
         return self._ledger.level(account) + charged / self._ledger.weight(account)
 
     def _grant(
-        self, now: float, slots: EndpointSlots, account: str, entry: Waiting
+        self, now: float, slots: EndpointSlots, account: str, entry: EntryDemand
     ) -> Send:
         pool = slots.endpoint.pool
-        self._number += 1
-        grant = f"{self._own.host}:{self._own.boot}:{self._number}"
+        self._grant_seq += 1
+        grant = f"{self._own.host}:{self._own.boot}:{self._grant_seq}"
         ends_at = now + self._deadline_s(pool) + self._expires_s
-        # An owner sees only its own grants until the totals show the others', and
-        # takes the other owners to grant as it does; hence the spread.
-        charge = self._charges.add(now, account, entry.cost * self._spread[pool])
-        ask_at = now + self._expires_s
-        hold = Hold(entry.peer, account, ends_at, ask_at, charge, since=now)
-        slots.hold(grant, hold)
-        return self._grant_message(grant, slots, hold)
-
-    def _grant_message(self, grant: str, slots: EndpointSlots, hold: Hold) -> Send:
+        # Until the totals are updated, an owner sees only its own grants. It assumes
+        # that the other owners of the pool grant at the same rate and scales the
+        # charge by the pool's slots relative to its own.
+        charge = self._charges.add(now, account, entry.cost * self._charge_scale[pool])
+        retransmit_at = now + self._expires_s
+        lease = SlotLease(
+            entry.peer, account, ends_at, retransmit_at, charge, granted_at=now
+        )
+        slots.add_lease(grant, lease)
+        return self._grant_message(grant, slots, lease)
+
+    def _grant_message(
+        self, grant: str, slots: EndpointSlots, lease: SlotLease
+    ) -> Send:
         endpoint = slots.endpoint
         message = Grant(
             grant,
-            hold.account,
+            lease.account,
             endpoint.pool,
             endpoint.name,
             self._expires_s,
-            hold.peer.boot,
+            lease.peer.boot,
         )
-        return Send(hold.peer.host, message)
-
-    # Calls for work.
-
-    def _idle(self, now: float) -> Iterator[tuple[WorkCalls, int]]:
-        """Yield what has free slots and lately had demand, but has none now."""
-        for pool, book in self._demands.items():
-            quiet = now - book.heard_at > _POOL_QUIET_S
-            if quiet or not self._freest(now, pool) or book.any_waiting(self._view):
+        return Send(lease.peer.host, message)
+
+    # Work calls.
+
+    def _idle_pools(self, now: float) -> Iterator[tuple[WorkCallSchedule, int]]:
+        """Yield pools with free slots and recent, but no current demand."""
+        for pool, pool_demand in self._demands.items():
+            quiet = now - pool_demand.last_demand_at > _POOL_IDLE_AFTER_S
+            if (
+                quiet
+                or not self._most_free(now, pool)
+                or pool_demand.has_waiting(self._view)
+            ):
                 continue
-            yield self._calls[pool], sum(s.free(now) for s in self._owned[pool])
+            yield self._work_calls[pool], sum(s.free(now) for s in self._owned[pool])
 
-    def _call_for_work(self, now: float, view: FleetView) -> Iterator[Send]:
+    def _send_work_calls(self, now: float, view: FleetView) -> Iterator[Send]:
         hosts = sorted(view.live.keys() - {self._own.host})
-        for calls, free in self._idle(now):
-            if calls.at <= now and hosts:
-                yield from calls.call(now, free, hosts)
+        for schedule, free in self._idle_pools(now):
+            if schedule.next_at <= now and hosts:
+                yield from schedule.send(now, free, hosts)
--- a/greengageflow/core/placement.py
+++ b/greengageflow/core/placement.py
@@ -1,7 +1,7 @@
-"""Which router owns which endpoint, and which slots one side may use.
+"""Endpoint ownership and slot quotas, derived from the membership view.
 
-Every router works this out by itself with rendezvous hashing over the same view, so
-there is no election and no message.
+Every router computes ownership locally, by rendezvous hashing over the same view.
+This needs no election and no messages.
 """
 
 from bisect import insort
@@ -16,7 +16,7 @@
 Rank = tuple[str, ...]
 """Hosts in rendezvous order for one key, best first."""
 
-COLLECTORS_IN_LINE = 3
+COLLECTOR_CANDIDATES = 3
 _SCORE_BYTES = 8
 
 
@@ -26,12 +26,12 @@
 
 @dataclass(frozen=True, slots=True)
 class LiveMember:
-    """A router that answers.
+    """A live router.
 
     Args:
-        boot: Life of the host.
+        boot: Boot number of the router.
         zone: Availability zone.
-        stopping: True when it must get nothing new to own.
+        stopping: True when the router must not own anything.
     """
 
     boot: int
@@ -41,15 +41,15 @@
 
 @dataclass(frozen=True)
 class FleetView:
-    """The members that one router sees, and what follows from them.
+    """Membership as seen by one router, and the placement derived from it.
 
     Args:
         own: This router.
-        live: Routers that answer, this one included, by host.
-        roster: Hosts of the platform's list; the live ones are added. A host that
-            does not answer leaves it only when the list drops it.
-        split: True to let each router own its part of the slots of every endpoint,
-            for comparison with owned endpoints.
+        live: Live routers by host, including this one.
+        roster: Hosts of the platform's host list, plus the live hosts. An unreachable
+            host stays in it until the list drops it.
+        split: True to give each router its share of the slots of every endpoint
+            (baseline for comparison with endpoint ownership).
     """
 
     own: PeerId
@@ -57,7 +57,9 @@
     roster: frozenset[str]
     split: bool = False
     _ranks: dict[str, Rank] = field(default_factory=dict, repr=False, compare=False)
-    _older: dict[str, Rank] = field(default_factory=dict, repr=False, compare=False)
+    _previous_ranks: dict[str, Rank] = field(
+        default_factory=dict, repr=False, compare=False
+    )
     _owners: dict[str, str | None] = field(
         default_factory=dict, init=False, repr=False, compare=False
     )
@@ -69,40 +71,42 @@
         """Add the live hosts to the roster."""
         object.__setattr__(self, "roster", self.roster | self.live.keys())
 
-    def succeeded(
+    def updated(
         self, live: Mapping[str, LiveMember], roster: frozenset[str]
     ) -> "FleetView":
-        """Return the next view, which takes over the ranks worked out so far."""
+        """Return the next view, which reuses the ranks computed so far."""
         roster = roster | live.keys()
         if roster == self.roster:
             return FleetView(self.own, live, roster, self.split, self._ranks)
-        return FleetView(self.own, live, roster, self.split, _older=self._ranks)
+        return FleetView(
+            self.own, live, roster, self.split, _previous_ranks=self._ranks
+        )
 
     def ranked(self, key: str) -> Rank:
         """Return the roster in rendezvous order for ``key``."""
         rank = self._ranks.get(key)
         if rank is None:
-            rank = self._ranks[key] = self._new_rank(key)
+            rank = self._ranks[key] = self._compute_rank(key)
         return rank
 
-    def _new_rank(self, key: str) -> Rank:
+    def _compute_rank(self, key: str) -> Rank:
         score = partial(_score, key)
-        older = self._older.pop(key, None)
-        if older is None:
+        previous = self._previous_ranks.pop(key, None)
+        if previous is None:
             return tuple(sorted(self.roster, key=score))
-        # Scores are worked out again rather than kept: with them, the ranks of a
-        # large fleet would take most of the memory allowed for control.
-        rank = [host for host in older if host in self.roster]
-        for host in self.roster.difference(older):
+        # Scores are recomputed instead of stored: stored scores would make the ranks
+        # of a large fleet take most of the memory budget of the control plane.
+        rank = [host for host in previous if host in self.roster]
+        for host in self.roster.difference(previous):
             insort(rank, host, key=score)
         return tuple(rank)
 
     def owner_of(self, endpoint: str) -> str | None:
-        """Return the host that grants the endpoint's slots, if there is one."""
+        """Return the host that owns the endpoint, or None if no host can."""
         if self.split:
             return self.own.host
         if endpoint not in self._owners:
-            self._owners[endpoint] = next(self._able(endpoint), None)
+            self._owners[endpoint] = next(self._eligible(endpoint), None)
         return self._owners[endpoint]
 
     def collector_of(self, zone: str, shard: int) -> str | None:
@@ -111,13 +115,15 @@
         return hosts[0] if hosts else None
 
     def collectors_of(self, zone: str, shard: int) -> tuple[str, ...]:
-        """Return the collector of a shard in a zone and the next two in line."""
+        """Return the collector of a shard in a zone, followed by its two standbys."""
         if (zone, shard) not in self._collectors:
-            able = self._able(f"collector\0{zone}\0{shard}", zone)
-            self._collectors[zone, shard] = tuple(islice(able, COLLECTORS_IN_LINE))
+            eligible = self._eligible(f"collector\0{zone}\0{shard}", zone)
+            self._collectors[zone, shard] = tuple(
+                islice(eligible, COLLECTOR_CANDIDATES)
+            )
         return self._collectors[zone, shard]
 
-    def _able(self, key: str, zone: str | None = None) -> Iterator[str]:
+    def _eligible(self, key: str, zone: str | None = None) -> Iterator[str]:
         for host in self.ranked(key):
             member = self.live.get(host)
             if member is None or member.stopping:
@@ -125,19 +131,18 @@
             if zone is None or member.zone == zone:
                 yield host
 
-    def borne_slots(self, endpoint: str, slots: int) -> int:
-        """Return how many of an endpoint's slots this side may use.
+    def slot_quota(self, endpoint: str, slots: int) -> int:
+        """Return how many of an endpoint's slots this side of a partition may use.
 
-        Slot k is borne by the k-th host of the roster in rendezvous order. Were all
-        slots used on both sides of a partition, the endpoint would get twice its
-        load; each side counts only those that its live members bear, and these sets
-        are disjoint.
+        Slot k is assigned to the k-th host of the roster in rendezvous order. Each
+        side of a partition uses only the slots assigned to its live members. These
+        sets are disjoint, so both sides together do not overload the endpoint.
         """
         rank = self.ranked(endpoint)
-        bearers = (rank[k % len(rank)] for k in range(slots))
+        assignees = (rank[k % len(rank)] for k in range(slots))
         if self.split:
-            return sum(host == self.own.host for host in bearers)
-        return sum(host in self.live for host in bearers)
+            return sum(host == self.own.host for host in assignees)
+        return sum(host in self.live for host in assignees)
 
     @property
     def zone(self) -> str:
@@ -147,22 +152,22 @@
 
     @property
     def zones(self) -> set[str]:
-        """Availability zones with a live router."""
+        """Availability zones with at least one live router."""
         return {member.zone for member in self.live.values()}
 
     def zone_hosts(self, zone: str) -> list[str]:
-        """Return the live routers of a zone, in order of name."""
+        """Return the hosts of a zone's live routers, sorted by name."""
         return sorted(h for h, member in self.live.items() if member.zone == zone)
 
     def is_live(self, peer: PeerId) -> bool:
-        """Tell whether this very life of a host answers."""
+        """Return whether this boot of a router is live."""
         member = self.live.get(peer.host)
         return member is not None and member.boot == peer.boot
 
-    def is_gone(self, peer: PeerId) -> bool:
-        """Tell whether this life of a host is surely over.
+    def is_terminated(self, peer: PeerId) -> bool:
+        """Return whether this boot of a router has certainly ended.
 
-        A host that merely does not answer may still run requests.
+        A router that is only unreachable may still run requests.
         """
         member = self.live.get(peer.host)
         if member is not None:
--- a/greengageflow/daemon/control.py
+++ b/greengageflow/daemon/control.py
@@ -114,9 +114,9 @@
         sharing: str = "owned",
     ) -> None:
         self.own = own
-        self.ledger = ServiceLedger(own, alone=sharing == "local")
+        self.ledger = ServiceLedger(own, local_only=sharing == "local")
         self.leaving = LeavingSigns(own)
-        self.entry = EntryQueue(own, self.ledger, has_left=self.leaving.has_left)
+        self.entry = EntryQueue(own, self.ledger, is_leaving=self.leaving.has_left)
         self.owner = EndpointOwner(own, self.ledger, settle_s=SETTLE_S)
         self.collector = Collector(own, self.ledger)
         self.writer = ActionWriter()
@@ -323,9 +323,9 @@
             return
         self._confirmed = confirmed
         if confirmed:
-            anew = self.membership.long_pause
-            self.run(self.owner.on_confirmed(now, anew=anew))
-            self.run(self.entry.on_confirmed(now, anew=anew))
+            maybe_replaced = self.membership.long_pause
+            self.run(self.owner.on_view_confirmed(now, maybe_replaced=maybe_replaced))
+            self.run(self.entry.on_view_confirmed(now, maybe_replaced=maybe_replaced))
         else:
             self.owner.on_pause()
             self.entry.on_pause()
@@ -346,7 +346,7 @@
         if self.own.host not in live:
             return
         now = monotonic()
-        self.view = view = self.view.succeeded(live, roster)
+        self.view = view = self.view.updated(live, roster)
         self.run(self.leaving.on_view(view))
         self._pace_shares()
         self.collector.on_view(now, view)
--- a/tests/core_net.py
+++ b/tests/core_net.py
@@ -1,4 +1,4 @@
-"""Core nodes in one process, with messages in a list that the test controls."""
+"""Core nodes in one process, with a message queue that the test controls."""
 
 from collections import Counter
 
@@ -20,7 +20,7 @@
 INTERVAL_S = 0.5
 
 
-def config(accounts, endpoints, *, slots=2, queue_limit=64, deadline_s=20.0, **more):
+def config(accounts, endpoints, *, slots=2, queue_limit=64, deadline_s=20.0, **fields):
     return FleetConfig(
         accounts={
             name: ClientAccount(name, weight, queue_limit=queue_limit)
@@ -30,7 +30,7 @@
         endpoints={
             name: Endpoint(name, "m", "127.0.0.1", 1, slots=slots) for name in endpoints
         },
-        **more,
+        **fields,
     )
 
 
@@ -52,7 +52,7 @@
         if self.view is None:
             self.view = FleetView(self.peer, live, roster)
         else:
-            self.view = self.view.succeeded(live, roster)
+            self.view = self.view.updated(live, roster)
         self.collector.on_view(self.net.now, self.view)
         self.net.run(self, self.owner.on_view(self.net.now, self.view))
         self.net.run(self, self.entry.on_view(self.net.now, self.view))
@@ -76,7 +76,7 @@
 
 
 class Net:
-    """Nodes, messages under way, running requests and every answer given."""
+    """Nodes, messages in transit, running requests and all answers."""
 
     def __init__(self, hosts, cfg):
         self.now = 100.0
@@ -160,7 +160,7 @@
         node, id, _, since = self.running.pop(grant)
         self.ended[id] += 1
         seconds = max(0.01, self.now - since)
-        self.run(node, node.entry.finished(grant, served, seconds, failed=failed))
+        self.run(node, node.entry.on_finished(grant, served, seconds, failed=failed))
 
     def deliver(self, index=0):
         sender, to, message = self.messages.pop(index)
--- a/tests/test_core_machine.py
+++ b/tests/test_core_machine.py
@@ -1,4 +1,4 @@
-"""Random faults against three to five core nodes."""
+"""Stateful property test: random faults on three to five core nodes."""
 
 import pytest
 from core_net import Net, config
@@ -13,25 +13,26 @@
     run_state_machine_as_test,
 )
 
-from greengageflow.core._demand import DemandBook
+from greengageflow.core._demand import PoolDemand
 from greengageflow.core.messages import GrantTaken
 from greengageflow.core.owner import EndpointOwner
 
 SLOTS = 2
 DEADLINE_S = 20.0
-LATEST_S = 10.0
+MAX_DELAY_S = 10.0
 RUN_S = 0.5
-GAP = 6000.0
+MAX_SERVICE_GAP_TOKENS = 6000.0
 COSTS = {"large": 300.0, "small": 100.0, "rare": 100.0}
-BUSY = ("large", "small")
+BACKLOGGED = ("large", "small")
 
 
 class CoreMachine(RuleBasedStateMachine):
-    """Callers send requests while messages and routers are lost.
+    """Callers send requests while messages are lost and routers fail.
 
-    Messages come in any order, late, twice or never; sides are cut off and rejoin;
-    routers lose their memory. A new view reaches all routers of a side, and a taken
-    grant its new owner, within the settle time: the core relies on that.
+    Messages are reordered, delayed, duplicated or lost; the network is partitioned
+    and heals; routers restart without state. A new view reaches all routers of a
+    side, and ``GrantTaken`` the new owner, within the settle time: the core relies on
+    that.
     """
 
     @initialize(nodes=st.integers(3, 5))
@@ -55,10 +56,10 @@
         return sorted(items)[number % len(items)]
 
     @property
-    def whole(self):
+    def is_connected(self):
         return len(set(self.net.sides.values())) == 1
 
-    def loses_safely(self, index):
+    def can_be_lost(self, index):
         sender, to, message = self.net.messages[index]
         if not isinstance(message, GrantTaken):
             return True
@@ -73,14 +74,14 @@
     @rule(data=st.data(), what=st.sampled_from(["deliver", "drop", "delay", "copy"]))
     def disturb(self, data, what):
         index = data.draw(st.integers(0, len(self.net.messages) - 1))
-        if what == "deliver" or not self.loses_safely(index):
+        if what == "deliver" or not self.can_be_lost(index):
             self.net.deliver(index)
             return
         message = self.net.messages[index]
         if what in ("drop", "delay"):
             del self.net.messages[index]
         if what in ("delay", "copy"):
-            self.late.append((self.net.now + LATEST_S, message))
+            self.late.append((self.net.now + MAX_DELAY_S, message))
 
     @precondition(lambda self: self.late)
     @rule(data=st.data())
@@ -102,7 +103,7 @@
         while self.net.now < until:
             self.net.step(min(0.25, seconds))
 
-    def end_old_runs(self):
+    def finish_old_requests(self):
         for grant, (_, _, _, since) in list(self.net.running.items()):
             if self.net.now - since >= RUN_S:
                 account = self.account_of(grant)
@@ -115,21 +116,26 @@
 
     @rule(steps=st.integers(20, 60))
     def work(self, steps):
-        """Both accounts wait all the time, the small one at one router only.
+        """Keep both accounts backlogged, the small one at one router only.
 
-        What one is ahead at the beginning, after a cut perhaps, it may be made to
-        wait for; beyond that the gap is bounded.
+        The gap may already exist at the start, for instance after a partition, and
+        may then be closed. Beyond that it is bounded.
         """
-        low, high = min(0.0, self.gap) - GAP, max(0.0, self.gap) + GAP
+        low, high = (
+            min(0.0, self.gap) - MAX_SERVICE_GAP_TOKENS,
+            max(0.0, self.gap) + MAX_SERVICE_GAP_TOKENS,
+        )
         for _ in range(steps):
             for host, node in self.net.nodes.items():
-                for account in BUSY if host == min(self.net.nodes) else BUSY[:1]:
+                for account in (
+                    BACKLOGGED if host == min(self.net.nodes) else BACKLOGGED[:1]
+                ):
                     for _ in range(8 - node.entry._waiting.get(account, 0)):
                         self.submit(host, account)
             self.net.step(0.25)
-            self.end_old_runs()
+            self.finish_old_requests()
             self.check_slots()
-            if self.whole:
+            if self.is_connected:
                 assert low <= self.gap <= high, f"service gap of {self.gap}"
 
     @rule(cut=st.sets(st.sampled_from(["r0", "r1", "r2", "r3", "r4"])))
@@ -138,7 +144,7 @@
             self.net.sides[host] = int(host in cut)
         self.net.refresh_views()
 
-    @precondition(lambda self: self.whole)
+    @precondition(lambda self: self.is_connected)
     @rule(number=st.integers(0, 9))
     def restart(self, number):
         self.net.restart(self.pick(number, self.net.zones))
@@ -170,7 +176,7 @@
         until = self.net.now + 2 * DEADLINE_S
         while self.net.now < until:
             self.net.step(0.25)
-            self.end_old_runs()
+            self.finish_old_requests()
             self.check_slots()
         assert all(self.net.ended[id] == 1 for id in self.submitted)
 
@@ -189,26 +195,28 @@
 
 
 def test_faults_never_overload_an_endpoint_and_each_request_ends_once():
-    """Callers get exactly one answer each, and no endpoint more than its slots.
+    """Each request gets exactly one answer, and no endpoint exceeds its slots.
 
-    Hypothesis draws what happens: requests, lost, late and doubled messages, cuts,
-    rejoins and restarts, in any order. After each step the running requests are
-    counted, and at the end every request must have ended.
+    Hypothesis draws requests, lost, late and duplicated messages, partitions and
+    restarts, in any order. The running requests are counted after each step, and at
+    the end every request must have ended.
     """
     run(Phase.generate, Phase.shrink)
 
 
 def test_the_gap_bound_fails_without_the_least_served_pick(monkeypatch):
-    """The bound on the gap must be tight enough to notice an unfair owner.
+    """The bound on the service gap must be tight enough to detect an unfair owner.
 
-    Owners take the entry router that waits longest, whichever account it is for.
-    The large account waits at all routers and its requests cost more, so it gets
-    far more service; the same machine has to find that.
+    Owners pick the entry router with the oldest grant, regardless of the account. The
+    large account waits at all routers and its requests cost more, so it gets far more
+    service. The state machine must detect that.
     """
 
-    def pick(self, book: DemandBook):
+    def pick(self, pool_demand: PoolDemand):
         return min(
-            book.candidates(self._view), key=lambda pair: pair[1].granted, default=None
+            pool_demand.candidates(self._view),
+            key=lambda pair: pair[1].last_grant_seq,
+            default=None,
         )
 
     monkeypatch.setattr(EndpointOwner, "_pick", pick)
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -22,17 +22,17 @@
 
 def fleet():
     net = Net(HOSTS, config({"a": 1.0, "b": 2.0}, ["e1", "e2"]))
-    settle(net)
+    run_for(net)
     return net
 
 
-def settle(net, seconds=8.0):
+def run_for(net, seconds=8.0):
     for _ in range(int(seconds / 0.25)):
         net.step(0.25)
 
 
 def serve(net, host, account, tokens):
-    net.nodes[host].ledger.expect(account, tokens).settle(tokens)
+    net.nodes[host].ledger.start_meter(account, tokens).settle(tokens)
 
 
 def served(net, account):
@@ -40,15 +40,15 @@
 
 
 @given(st.sets(st.sampled_from([f"r{i}" for i in range(9)])), st.integers(1, 20))
-def test_two_sides_never_use_more_slots_than_there_are(cut, slots):
-    """Both sides of a partition believe that they own every endpoint.
+def test_slot_quotas_of_two_sides_add_up_to_all_slots(one_side, slots):
+    """Each side of a partition considers itself the owner of every endpoint.
 
-    Each counts only the slots that its live hosts bear; together that is all of
-    them and not one more, whoever is on which side.
+    Each uses only the slots assigned to its live hosts. Together that is exactly all
+    slots, for any division of the hosts.
     """
     hosts = {f"r{i}" for i in range(9)}
-    sides = [side for side in (cut, hosts - cut) if side]
-    used = [view_of(min(s), s, hosts).borne_slots("e", slots) for s in sides]
+    sides = [side for side in (one_side, hosts - one_side) if side]
+    used = [view_of(min(s), s, hosts).slot_quota("e", slots) for s in sides]
     assert sum(used) == slots
 
 
@@ -58,7 +58,7 @@
     names = [f"e{i}" for i in range(200)]
     owners = {name: before.owner_of(name) for name in names}
     live = {host: before.live[host] for host in hosts - {"r4"}}
-    after = before.succeeded(live, frozenset(live))
+    after = before.updated(live, frozenset(live))
     moved = {name for name in names if after.owner_of(name) != owners[name]}
     assert moved == {name for name in names if owners[name] == "r4"}
     assert max(Counter(owners.values()).values()) < 2 * 200 / 9
@@ -68,16 +68,16 @@
     net = fleet()
     for host in HOSTS:
         serve(net, host, "a", 100)
-    settle(net)
+    run_for(net)
     assert served(net, "a") == {400}
 
 
 @given(st.randoms(use_true_random=False))
-def test_late_and_doubled_reports_change_nothing(random: Random):
-    """Reports arrive in any order and several times.
+def test_late_and_duplicate_reports_change_nothing(random: Random):
+    """Reports arrive out of order and duplicated.
 
-    The collector must end with the sum of the newest values, as if each had come
-    once and in order: counting a copy would charge an account twice.
+    The collector must end with the sum of the newest values, as if each report had
+    arrived once and in order. Counting a duplicate would charge an account twice.
     """
     own = PeerId("r0", 1)
     ledger = ServiceLedger(own)
@@ -97,85 +97,86 @@
 
 
 @pytest.mark.parametrize("lost", [["za"], ["zb"], ["za", "zb"]])
-def test_totals_survive_collectors_that_lose_their_memory(lost):
-    """Collectors restart, in one zone or in both at once, and know nothing.
+def test_totals_survive_collector_restarts(lost):
+    """Collectors restart without state, in one zone or in both at once.
 
-    Were the totals lost, the accounts of their shards would be far below all others
-    and get every slot. The next in line and the other zone's collectors tell them.
+    If the totals were lost, the accounts of their shards would be far below all
+    others and get every slot. Standby collectors and the other zone's collectors
+    send the totals.
     """
     net = fleet()
     for host in HOSTS:
         serve(net, host, "a", 1000)
         serve(net, host, "b", 3000)
-    settle(net)
+    run_for(net)
     view = net.nodes["r0"].view
     for zone in lost:
         net.restart(view.collector_of(zone, shard_of("a")))
-    settle(net, 3.0)
+    run_for(net, 3.0)
     serve(net, "r3", "a", 10)
-    settle(net)
+    run_for(net)
     assert (served(net, "a"), served(net, "b")) == ({4010}, {12000})
 
 
-def test_what_waits_at_a_dead_router_waits_no_more():
+def test_requests_at_a_dead_router_are_removed_from_totals():
     """A router dies with requests waiting and in flight.
 
-    Its served tokens stay charged; what was pending or waited there must vanish, or
-    its account would count as backlogged for ever.
+    Its served tokens stay charged. Its pending tokens and waiting requests must be
+    removed, or the account would count as backlogged forever.
     """
     net = fleet()
-    net.nodes["r1"].ledger.expect("a", 500).charge(200)
+    net.nodes["r1"].ledger.start_meter("a", 500).charge(200)
     net.nodes["r1"].ledger.set_waiting("a", 3)
-    settle(net)
+    run_for(net)
     assert net.nodes["r3"].ledger.totals["a"] == AccountService("a", 200, 300, 3)
     net.crash("r1")
     net.refresh_views()
-    settle(net)
+    run_for(net)
     assert net.nodes["r3"].ledger.totals["a"] == AccountService("a", 200, 0, 0)
 
 
-def test_an_idle_account_saves_up_no_credit():
-    """One account is served for long while another one sends nothing.
+def test_an_idle_account_earns_no_credit():
+    """One account is served for a long time while another one is idle.
 
-    When the other begins to wait, it starts level with the first. With the credit
-    of its idle time it would get every slot for as long as it was idle.
+    When the idle account becomes backlogged, it starts at the level of the first.
+    With credit for its idle time, it would get every slot for as long as it was idle.
     """
     net = fleet()
     net.nodes["r0"].ledger.set_waiting("b", 1)
     serve(net, "r0", "b", 60_000)
-    settle(net)
+    run_for(net)
     net.nodes["r2"].ledger.set_waiting("a", 1)
     assert net.nodes["r1"].ledger.level("a") == 30_000
-    settle(net)
+    run_for(net)
     for node in net.nodes.values():
         assert node.ledger.level("a") == node.ledger.level("b") == 30_000
         assert node.ledger.totals["a"].waiting == 1
 
 
 def test_debt_is_forgiven_down_to_a_bound():
-    """Two sides rejoin, and one account had far more service on one of them.
+    """A partition heals, and one account had far more service on one side.
 
-    Held back until all have caught up, it would starve; it keeps ten seconds' worth
-    of debt, or the least bound.
+    It would starve until the others have caught up. Its debt is limited to ten
+    seconds of its share, or to the minimum debt if that is larger.
     """
     net = fleet()
     for host in ("r0", "r2"):
         for account in ("a", "b"):
             net.nodes[host].ledger.set_waiting(account, 1)
-    settle(net)
+    run_for(net)
     serve(net, "r2", "a", 1_000_000)
-    settle(net, 2.0)
+    run_for(net, 2.0)
     assert net.nodes["r0"].ledger.level("a") > 900_000
-    settle(net, 12.0)
+    run_for(net, 12.0)
     assert net.nodes["r0"].ledger.level("a") == 10_000
 
 
 def test_reports_hold_changed_accounts_only():
     net = fleet()
-    settle(net, 20 * INTERVAL_S)
+    run_for(net, 20 * INTERVAL_S)
     before = net.sent["FleetTotals"]
     serve(net, "r0", "a", 10)
-    settle(net, 3 * INTERVAL_S)
+    run_for(net, 3 * INTERVAL_S)
     assert 1 <= net.sent["FleetTotals"] - before <= 2 * len(HOSTS)
 
 
@@ -192,7 +193,7 @@
     assert limit.allowed(200) == 8
 
 
-def test_an_endpoint_that_fails_in_a_row_rests_and_is_probed():
+def test_consecutive_failures_start_a_rest_followed_by_a_probe():
     limit = SlotLimit(8, failures=3, rest_s=1.0)
     for _ in range(3):
         limit.observe(10.0, 0, 0, True)
@@ -213,7 +214,7 @@
     assert 100 <= retries <= 102
 
 
-def test_a_router_that_starts_again_and_again_has_no_burst_each_time():
+def test_repeated_restarts_grant_no_burst():
     retries = 0
     for start in range(20):
         budget = RetryBudget(0.1, burst=10.0, now=start, fill_s=10.0)
