--- a/greengageflow/core/arrival_gate.py
+++ b/greengageflow/core/arrival_gate.py
@@ -1,31 +1,36 @@
-"""Which requests a host turns away unread when it works behind what arrives."""
+"""Admission control of an overloaded host: which requests are rejected unread."""
 
 from math import exp
 
 ROUND_S = 0.03
-"""Seconds of a round in which all requests are read."""
+"""Seconds since the start of an event loop round in which all requests are read."""
 
 LATE_S = 0.08
-"""Average round, in seconds, from which the host counts as late."""
+"""Average round, in seconds, from which the host counts as overloaded."""
 
 LEAST = 1.0
-"""Requests of each account that are read however late the host is."""
+"""Requests of each account that are read even under overload."""
 
 FADE_S = 1.0
+"""Time constant with which the counts of read requests decay, in seconds."""
+
 FORGET = 0.05
+"""Count from which an account is deleted."""
+
 LOOK_S = 0.05
+"""Least seconds between two updates of the counts and of the fair share."""
 
 RETRY_S = 0.5
-"""When who was turned away should come back; the host may be on time by then."""
+"""Retry delay of rejected callers, in seconds; the overload may be over by then."""
 
 
 class ArrivalGate:
-    """Keeps a host on time by turning away what one account sends beyond its part.
+    """Rejects the requests of accounts beyond their fair share under overload.
 
-    To read a request and to decide on it costs several times what turning it away
-    does. A host that is sent more than it can read gets later and later, for all
-    accounts alike, until callers leave before they are read. So a host that is late
-    reads no more of an account that has had its even part of what was read lately.
+    Reading and scheduling a request costs several times as much as rejecting it. A
+    host that receives more than it can read falls behind for all accounts, until
+    callers leave before their requests are read. An overloaded host therefore reads
+    no request of an account that has had its even share of those read lately.
     """
 
     def __init__(self) -> None:
@@ -37,13 +42,13 @@
     def admits(
         self, now: float, account: str, *, present_s: float, average_s: float
     ) -> bool:
-        """Return whether a request is read; if so it counts for its account.
+        """Return whether a request is read; if so, count it for its account.
 
         Args:
-            now: Present time.
-            account: Whose it is, as far as its first bytes tell.
-            present_s: Seconds for which the loop's present round has gone on.
-            average_s: Seconds that rounds took lately.
+            now: Current time.
+            account: Client account, as far as the first bytes identify it.
+            present_s: Seconds since the current round of the event loop began.
+            average_s: Average round of the event loop, in seconds.
         """
         self._fade(now)
         read = self._read.get(account, 0.0)
--- a/greengageflow/core/fleet_size.py
+++ b/greengageflow/core/fleet_size.py
@@ -1,16 +1,18 @@
-"""How many hosts share what all may do together."""
+"""Estimate of the number of hosts that share fleet-wide limits."""
 
 KEPT_S = 3600.0
+"""Seconds for which the largest number of hosts is kept."""
 
 
 class FleetSize:
-    """The largest number of hosts that was known lately.
+    """The largest number of live hosts seen lately.
 
-    A host that wakes from a freeze or is cut off hears nobody, while the others go on.
+    The present number is not safe to divide by: a host that resumes after a freeze or
+    is partitioned sees no other, while the others still use their shares.
 
     Args:
-        least: Hosts that are known from the start.
-        kept_s: Seconds after which a number that was not reached again is forgotten.
+        least: Lower bound, used from the start.
+        kept_s: Seconds after which a maximum that was not reached again expires.
     """
 
     def __init__(self, least: int = 1, kept_s: float = KEPT_S) -> None:
@@ -21,11 +23,11 @@
 
     @property
     def hosts(self) -> int:
-        """Hosts that may live."""
+        """Hosts that may be alive."""
         return self._largest
 
     def note(self, now: float, hosts: int) -> None:
-        """Take note of how many hosts are heard now, this one with them."""
+        """Record the number of hosts that are live now, including this one."""
         if hosts >= self._largest or now - self._at > self._kept_s:
             self._largest = max(hosts, self._least)
             self._at = now
--- a/greengageflow/core/fleet_sums.py
+++ b/greengageflow/core/fleet_sums.py
@@ -1,9 +1,9 @@
-"""Sums of what many routers tell, so that none has to hear all of them.
+"""Hierarchical aggregation of router reports.
 
-In a large fleet each router tells the relays of its availability zone. A relay adds
-up its zone, exchanges the sum with the relays of other zones, and tells its zone the
-sums of all. A router takes its own part off again: the sum says which of its messages
-it counts.
+In a large fleet a router does not receive the reports of all others. Each one reports
+to the relays of its availability zone. A relay aggregates its zone, exchanges the sum
+with the relays of other zones, and sends the sum of the fleet to its zone. A router
+then subtracts its own part: the sum names the newest of its messages that it includes.
 """
 
 from collections import defaultdict, deque
@@ -14,7 +14,11 @@
 
 AccountKey = tuple[str, str]
 QUIET_S = 1.0
+"""Seconds after which a received sum expires."""
+
 KEPT = 64
+"""Own messages whose totals are kept, to be subtracted from sums."""
+
 LEAST_RELAY_TURNS = 2
 MOST_RELAY_TURNS = 8
 HOSTS_A_TURN = 40
@@ -22,13 +26,13 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetTotals:
-    """What routers told lately, added up.
+    """Sum of the reports of several routers.
 
     Args:
-        served: Work begun lately by service and client account.
-        offered: Work asked for lately by service and client account.
-        loads: Requests under way by endpoint.
-        hosts: Routers that are counted.
+        served: Work started lately by service and client account.
+        offered: Work requested lately by service and client account.
+        loads: Load in flight by endpoint.
+        hosts: Routers that are included.
     """
 
     served: Mapping[AccountKey, float] = field(default_factory=dict)
@@ -39,22 +43,24 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SumReport:
-    """What a relay tells: the sum of its zone, or that of the whole fleet.
+    """Full sum of a relay: that of its zone, or that of the whole fleet.
 
     Args:
         host: The relay.
-        boot: Start of its process.
-        number: Count of its sums.
-        base: Number of the sum with which its tables began, see ``sum_changes``.
+        boot: Start time of its process.
+        number: Sequence number of the sum.
+        base: Number of the sum at which the relay's tables were last reset, see
+            ``sum_changes``.
         zone: Its availability zone.
-        whole: It is the sum of all zones.
-        totals: The sums.
-        counted: Sequence of the newest message that is counted, by host of the zone.
-        work_counted: The same when the work was told; not sent, see ``sum_changes``.
-        version: Newest configuration that a counted router knows.
-        list_mark: Offset of the last change of the list that one knows.
-        heard_s: Seconds since that configuration was known to be the newest.
-        list_heard_s: The same of the list.
+        whole: It is the sum of all zones, not that of one.
+        totals: The totals.
+        counted: Sequence of the newest message that is included, by host of the zone.
+        work_counted: The same for the work, which is updated less often; set by the
+            receiver, not sent, see ``sum_changes``.
+        version: Newest configuration that an included router has.
+        list_mark: Newest offset up to which one has read the list of endpoints.
+        heard_s: Seconds since that configuration was confirmed as the newest.
+        list_heard_s: Seconds since that list was confirmed as the newest.
         placed: Prompt parts and the endpoints that they were sent to lately.
     """
 
@@ -75,17 +81,17 @@
 
 
 def relay_turns(hosts: int) -> int:
-    """Return the turns from one sum of a relay to the next, in a fleet of ``hosts``.
+    """Return the turns between two sums of a relay, in a fleet of ``hosts``.
 
-    What a sum costs grows with the fleet, and so does the number of sums; from 120
-    hosts on they become rarer. One that is lost must not make a relay seem silent,
-    so that two of the longest intervals stay below ``QUIET_S``.
+    The cost of a sum grows with the fleet, and so does the number of its receivers;
+    from 120 hosts on sums are sent less often. One lost sum must not make a relay
+    appear dead, so two of the longest intervals are shorter than ``QUIET_S``.
     """
     return min(MOST_RELAY_TURNS, max(LEAST_RELAY_TURNS, hosts // HOSTS_A_TURN))
 
 
 def merge(parts: Iterable[FleetTotals]) -> FleetTotals:
-    """Return the sum of several sums."""
+    """Return the sum of several totals."""
     served: dict[AccountKey, float] = defaultdict(float)
     offered: dict[AccountKey, float] = defaultdict(float)
     known = list(parts)
@@ -115,7 +121,7 @@
 
 
 def without(whole: FleetTotals, own: FleetTotals) -> FleetTotals:
-    """Return a sum less one router's part; nothing falls below 0."""
+    """Return totals minus one router's part, clamped at 0."""
 
     def less(
         sums: Mapping[AccountKey, float], part: Mapping[AccountKey, float]
@@ -137,7 +143,7 @@
 def loads_without(
     whole: Mapping[str, LoadShare], own: Mapping[str, LoadShare]
 ) -> dict[str, LoadShare]:
-    """Return loads less one router's part; nothing falls below 0."""
+    """Return loads minus one router's part, clamped at 0."""
     loads = dict(whole)
     for name, (running, reading, memory) in own.items():
         if name in loads:
@@ -149,17 +155,17 @@
 
 
 class OwnHistory:
-    """What this router told of itself lately, by sequence."""
+    """The last totals that this router reported of itself, by sequence."""
 
     def __init__(self) -> None:
         self._told: deque[tuple[int, FleetTotals]] = deque(maxlen=KEPT)
 
     def note(self, sequence: int, totals: FleetTotals) -> None:
-        """Note what a report or notice told."""
+        """Record the totals of a report or notice."""
         self._told.append((sequence, totals))
 
     def at(self, sequence: int) -> FleetTotals:
-        """Return what was told up to ``sequence``; nothing when it is not known."""
+        """Return the totals as of ``sequence``, empty ones when it is not known."""
         for told, totals in reversed(self._told):
             if told <= sequence:
                 return totals
--- a/greengageflow/core/lateness.py
+++ b/greengageflow/core/lateness.py
@@ -1,16 +1,23 @@
-"""How late the event loop runs."""
+"""Event loop lag, measured by a periodic timer."""
 
 BEHIND_S = 0.3
+"""Lag of one call, in seconds, beyond which the loop is behind."""
+
 CALM_S = 0.1
+"""Lag, in seconds, up to which a call counts as on time."""
+
 CALM_FOR_S = 1.0
+"""Seconds for which all calls must be on time before the loop has caught up."""
+
 WINDOW_S = 1.0
+"""Length of each of the two windows of ``worst_s``, in seconds."""
 
 
 class Lateness:
-    """Watches a timer that should fire at a fixed pace.
+    """Tracks how late a periodic timer fires.
 
     Args:
-        period_s: Seconds between two calls of the timer.
+        period_s: Period of the timer, in seconds.
     """
 
     def __init__(self, period_s: float) -> None:
@@ -24,11 +31,11 @@
 
     @property
     def worst_s(self) -> float:
-        """The latest call of the last one to two seconds, in seconds."""
+        """Largest lag within the last one to two windows, in seconds."""
         return max(self._worst)
 
     def tick(self, now: float) -> bool:
-        """Note a call; return whether the loop got behind or caught up just now."""
+        """Record a call of the timer; return whether ``behind`` changed."""
         late_s = max(0.0, now - self._last - self._period_s) if self._last else 0.0
         self._last = now
         if now - self._window_at >= WINDOW_S:
--- a/greengageflow/core/loop_load.py
+++ b/greengageflow/core/loop_load.py
@@ -1,15 +1,16 @@
-"""How long the rounds of the event loop are."""
+"""Average duration of the rounds of the event loop."""
 
 from math import exp
 
 WINDOW_S = 1.0
+"""Time constant of the average, in seconds."""
 
 
 class LoopLoad:
-    """Averages the rounds of the event loop over time.
+    """Time-weighted average of the event loop's rounds.
 
-    A round begins when the poller has said which sockets are ready. What it handles
-    last has waited for as long as it lasts, and so has what arrives meanwhile.
+    A round begins when the poller returns the ready sockets. Its duration is the time
+    that the last socket handled, and whatever arrives meanwhile, has to wait.
     """
 
     def __init__(self) -> None:
@@ -18,21 +19,21 @@
         self._ended = 0.0
 
     def begin(self, now: float) -> None:
-        """Note that a round begins."""
+        """Record the start of a round."""
         self._began = now
 
     def end(self, now: float) -> None:
-        """Note that the round is over and the poller waits for events."""
+        """Record the end of the round; the poller waits for events from now on."""
         self._average_s = self.average_s(now)
         self._ended = now
 
     def present_s(self, now: float) -> float:
-        """Return the seconds for which the round has gone on."""
+        """Return the seconds since the current round began."""
         return 0.0 if self._began is None else now - self._began
 
     def average_s(self, now: float) -> float:
-        """Return the average round, weighted by time, with the present one."""
+        """Return the average round in seconds, including the current one."""
         present_s = self.present_s(now)
-        # Time for which the poller waited is no round, and brings the average down.
+        # Time that the poller waited counts as rounds of 0 s and lowers the average.
         average_s = self._average_s * exp((self._ended + present_s - now) / WINDOW_S)
         return average_s + (present_s - average_s) * (1 - exp(-present_s / WINDOW_S))
--- a/greengageflow/core/peer_report.py
+++ b/greengageflow/core/peer_report.py
@@ -1,4 +1,4 @@
-"""What each router tells the others of itself, and what one makes of it."""
+"""State reports between routers, and the table that keeps the newest of each peer."""
 
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass, field, replace
@@ -6,30 +6,33 @@
 from greengageflow.core.endpoint_load import LoadShare
 
 QUIET_S = 1.5
+"""Seconds without a report after which a peer is no longer counted as live."""
+
 FORGET_S = 10.0
+"""Seconds without a report after which a peer's last report is deleted."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PeerReport:
-    """The present state of one router; each report stands for itself.
+    """Complete current state of one router; replaces its earlier reports.
 
     Args:
         host: Host name.
-        boot: Start of the process; later ones are greater.
-        number: Count of its reports.
-        sequence: Count of its reports and notices.
-        ip: IP number for reports.
+        boot: Start time of the process; that of a later start is greater.
+        number: Sequence number among its reports.
+        sequence: Sequence number among its reports and notices.
+        ip: IP address for reports.
         port: UDP port for reports.
         zone: Availability zone.
-        stopping: It takes no more requests.
-        served: Work begun lately by service and client account (faded sums).
-        offered: Work asked for lately by service and client account.
-        loads: What it has under way by endpoint.
+        stopping: It accepts no more requests.
+        served: Work started lately by service and client account (decayed sums).
+        offered: Work requested lately by service and client account (decayed sums).
+        loads: Its load in flight by endpoint.
         version: Configuration in force there.
-        list_mark: Offset of the last change of the list of endpoints that it knows.
-        heard_s: Seconds since its configuration was known to be the newest.
-        list_heard_s: Seconds since its list was known to be the newest.
-        placed: Prompt parts and the endpoints that they were sent to, lately.
+        list_mark: Offset up to which it has read the list of endpoints.
+        heard_s: Seconds since its configuration was confirmed as the newest.
+        list_heard_s: Seconds since its list was confirmed as the newest.
+        placed: Prompt parts and the endpoints that they were sent to lately.
         peers: Addresses of some routers that it knows.
     """
 
@@ -53,20 +56,20 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """IP number and UDP port."""
+        """IP address and UDP port."""
         return self.ip, self.port
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LoadNotice:
-    """What changed at one router since its last report or notice.
+    """Changes of one router's load since its last report or notice.
 
     Args:
         host: Host name.
-        boot: Start of the process.
-        number: Number of the report that it adds to.
-        sequence: Count of its reports and notices.
-        loads: What it has under way now at the endpoints where that changed.
+        boot: Start time of the process.
+        number: Number of the report that it updates.
+        sequence: Sequence number among the router's reports and notices.
+        loads: New load at the endpoints where it changed.
         placed: Prompt parts and the endpoints that they were sent to.
     """
 
@@ -80,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HeardReport:
-    """A report and the time at which it came."""
+    """A report and its arrival time."""
 
     report: PeerReport
     at: float
@@ -90,7 +93,7 @@
     """The newest report of each other router.
 
     Args:
-        host: This host, whose own reports are left out.
+        host: This host, whose own reports are ignored.
     """
 
     def __init__(self, host: str) -> None:
@@ -99,7 +102,7 @@
         self._heard: dict[str, HeardReport] = {}
 
     def put(self, now: float, report: PeerReport) -> bool:
-        """Take a report; False when it is old or this host's own."""
+        """Store a report; False when it is outdated or this host's own."""
         if report.host == self._host:
             return False
         known = self._heard.get(report.host)
@@ -112,7 +115,7 @@
         return True
 
     def add(self, notice: LoadNotice) -> bool:
-        """Take a notice; False when the report that it adds to is not known."""
+        """Apply a notice; False when it is outdated or its report is not the newest."""
         known = self._heard.get(notice.host)
         if known is None:
             return False
@@ -128,7 +131,7 @@
         return True
 
     def live(self, now: float) -> Iterator[HeardReport]:
-        """Yield what was heard lately, and forget who was silent for long."""
+        """Yield the reports of live peers, and delete those of long-silent ones."""
         for host, heard in list(self._heard.items()):
             if now - heard.at <= QUIET_S:
                 yield heard
@@ -136,5 +139,5 @@
                 del self._heard[host]
 
     def count(self, now: float) -> int:
-        """Return how many other routers were heard lately."""
+        """Return the number of live peers."""
         return sum(1 for _ in self.live(now))
--- a/greengageflow/core/place_desk.py
+++ b/greengageflow/core/place_desk.py
@@ -1,4 +1,4 @@
-"""A placer's part: the requests of other hosts in this host's queues and loads."""
+"""Placer side of placement: requests of other hosts in this host's queues and loads."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -19,7 +19,10 @@
 from greengageflow.core.work_queue import Waiter
 
 ROLL_SLACK_S = 0.5
+"""Seconds for which a new request may be missing from its host's snapshots."""
+
 HOST_QUIET_S = 2.0
+"""Seconds without a message after which the requests of a host are dropped."""
 
 
 @dataclass(slots=True)
@@ -38,7 +41,7 @@
 
     Args:
         host: This host.
-        book: Decides.
+        book: Queues requests and chooses endpoints.
     """
 
     def __init__(self, host: str, book: ServiceBook) -> None:
@@ -48,16 +51,16 @@
         self._heard: dict[str, float] = {}
 
     def __len__(self) -> int:
-        """Return the requests of other hosts that wait or run."""
+        """Return the number of requests of other hosts, waiting or running."""
         return len(self._placed)
 
     @property
     def waiting(self) -> int:
-        """Requests of other hosts that wait here."""
+        """Number of requests of other hosts that wait here."""
         return sum(one.endpoint is None for one in self._placed.values())
 
     def ask(self, now: float, ask: PlaceAsk) -> Iterator[Decision]:
-        """Queue a request, and yield what can be decided."""
+        """Queue a request, and yield the decisions that can now be made."""
         key = _key(ask.host, ask.boot, ask.request)
         if key in self._placed:
             return
@@ -83,7 +86,7 @@
         return found is not None and found.endpoint is None
 
     def decided(self, now: float, decision: Decision) -> tuple[str, PlaceAnswer] | None:
-        """Return whom to answer what, or None when nobody asked."""
+        """Return the host to answer and the answer, or None for an unknown request."""
         placed = self._placed.get(decision.request)
         if placed is None:
             return None
@@ -115,7 +118,7 @@
                 )
 
     def note(self, now: float, note: PlaceNote) -> Iterator[Decision]:
-        """Take what became of a request, and yield what can be decided."""
+        """Apply an event of a request, and yield the decisions that can now be made."""
         self._heard[note.host] = now
         key = _key(note.host, note.boot, note.request)
         placed = self._placed.get(key)
@@ -128,7 +131,7 @@
                 return
             case Happened.FIRST_EVENT if endpoint is not None:
                 self._book.first_event(now, key, endpoint)
-                # Its prompt is read: the next one may be sent.
+                # Its prefill is done: the next prompt may be sent.
                 yield from self._book.pump(now)
             case Happened.FAILED if endpoint is not None:
                 self._book.answered(endpoint, False)
@@ -136,11 +139,12 @@
                 self._book.silent(now, endpoint)
 
     def roll(self, now: float, roll: PlaceRoll) -> Iterator[Decision]:
-        """Drop what a host no longer has, and take on what an earlier placer sent.
+        """Reconcile with a snapshot of all requests that a host has here.
 
-        A note that is lost would take up an engine's slot for good, and a placer that
-        begins would take engines for idle. A host tells all that it has twice a
-        second, which bounds both to the time between two rolls.
+        Requests that the host no longer has are dropped, and those that an earlier
+        placer started are adopted. Without this, a lost event would occupy a slot of
+        an engine for good, and a new placer would assume that engines are idle. Hosts
+        send a snapshot twice a second, which bounds both errors to that interval.
         """
         self._heard[roll.host] = now
         live = {_key(roll.host, roll.boot, run.request): run for run in roll.runs}
@@ -166,13 +170,13 @@
         self._book.adopt(now, key, endpoint, run.reading, run.memory)
 
     def drop_silent(self, now: float) -> Iterator[Decision]:
-        """Drop what hosts have that were not heard for long."""
+        """Drop the requests of hosts that have sent nothing for ``HOST_QUIET_S``."""
         for key, placed in list(self._placed.items()):
             if now - self._heard.get(placed.host, now) > HOST_QUIET_S:
                 yield from self._end(now, key)
 
     def _end(self, now: float, key: str) -> Iterator[Decision]:
-        # What is decided on the way may have refused it already.
+        # A decision made earlier in the same call may have refused it already.
         placed = self._placed.pop(key, None)
         if placed is None:
             return
@@ -201,7 +205,7 @@
     avoid: tuple[str, ...],
     zone: str,
 ) -> PlaceAsk:
-    """Return the ask of a host for a request; ``PlaceDesk.ask`` takes it."""
+    """Return the message that asks a placer to place a request."""
     waiter, prompt = job.waiter, job.prompt
     return PlaceAsk(
         host=host,
--- a/greengageflow/core/place_messages.py
+++ b/greengageflow/core/place_messages.py
@@ -1,49 +1,49 @@
-"""What hosts and placers tell each other of requests."""
+"""Messages between hosts and placers about requests."""
 
 from dataclasses import dataclass
 from enum import IntEnum
 
 
 class Verdict(IntEnum):
-    """What a placer says of a request."""
+    """Verdict of a placer on a request."""
 
     START = 1
     REFUSE = 2
     QUEUED = 3
     PASS = 4
-    """It does not place this now; the host decides for itself."""
+    """The placer does not place it now; the host decides for itself."""
 
 
 class Happened(IntEnum):
-    """What became of a request that was placed."""
+    """Event in the life of a placed request."""
 
     FIRST_EVENT = 1
     ENDED = 2
-    """Its caller has its answer or is gone, or the endpoint no longer works on it."""
+    """Its caller has the answer or left, or the endpoint no longer works on it."""
     FAILED = 3
-    """The endpoint answered with a failure of its own."""
+    """The endpoint answered with an error of its own."""
     SILENT = 4
     """The endpoint did not answer."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PlaceAsk:
-    """A host asks where a request goes.
+    """Request of a host to place a call.
 
     Args:
-        host: The host that has it.
-        boot: Start of its process.
-        request: Its id there.
+        host: The host that received it from the caller.
+        boot: Start time of the host's process.
+        request: Its id at the host.
         service: Service that runs it.
         account: Client account.
         priority: Rank within the account.
-        waited_s: Seconds since it came.
-        left_s: Seconds until its answer is late, negative when it is.
-        patience_s: Seconds until it is given up.
-        target_s: Time from its arrival within which it is worth most, in seconds.
-        parts: Ids and tokens of the prompt parts that others may share, in order.
-        tokens_in: All prompt tokens.
-        tokens_out: Most tokens to generate.
+        waited_s: Seconds since its arrival.
+        left_s: Seconds until its target time, negative when that has passed.
+        patience_s: Seconds until it is abandoned.
+        target_s: Target latency, in seconds from its arrival.
+        parts: Ids and tokens of the shareable prompt parts, in order.
+        tokens_in: Prompt tokens in total.
+        tokens_out: Upper bound of the tokens to generate.
         avoid: Endpoints that do not answer this host.
         zone: Availability zone of the host.
     """
@@ -67,20 +67,20 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PlaceAnswer:
-    """What a placer decided.
+    """Answer of a placer.
 
     Args:
         host: The placer.
-        boot: Start of the process that asked.
-        request: Id of the request there.
+        boot: Start time of the process that asked.
+        request: Id of the request at the asking host.
         verdict: The decision.
-        endpoint: Where it goes, with ``START``.
-        fetch_from: Engine that keeps shared parts, or empty.
-        reading: Prompt tokens that the endpoint has to read.
+        endpoint: Endpoint to send it to, with ``START``.
+        fetch_from: Engine that holds the shared parts in its prefix cache, or empty.
+        reading: Prompt tokens that the endpoint has to prefill.
         wait_s: Predicted seconds to the first event.
         kind: Error kind, with ``REFUSE``.
-        message: Why, with ``REFUSE``.
-        retry_after_s: When to come back, in seconds.
+        message: Reason, with ``REFUSE``.
+        retry_after_s: Seconds after which the caller may retry, with ``REFUSE``.
     """
 
     host: str
@@ -98,13 +98,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PlaceNote:
-    """A host tells what became of a request.
+    """Event of a placed request, sent by its host.
 
     Args:
         host: The host.
-        boot: Start of its process.
+        boot: Start time of its process.
         request: Id of the request.
-        happened: What became of it.
+        happened: The event.
     """
 
     host: str
@@ -115,13 +115,13 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacedRun:
-    """A request that a host has under way by a placer's word, or asked for.
+    """A request of a host that a placer started or still has to place.
 
     Args:
         request: Its id at the host.
         endpoint: Where it runs; empty while it waits at the placer.
-        reading: Prompt tokens of which no first event has come.
-        memory: Tokens that it takes up in the end.
+        reading: Prompt tokens to prefill; 0 after the first event.
+        memory: Tokens of engine memory that it occupies at its end.
     """
 
     request: str
@@ -132,12 +132,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PlaceRoll:
-    """All that a host has at the endpoints of one placer; makes lost messages good.
+    """Snapshot of a host's requests at one placer; makes up for lost messages.
 
     Args:
         host: The host.
-        boot: Start of its process.
-        runs: What it has there.
+        boot: Start time of its process.
+        runs: All its requests that wait there or run on the placer's endpoints.
     """
 
     host: str
--- a/greengageflow/core/placers.py
+++ b/greengageflow/core/placers.py
@@ -1,10 +1,11 @@
-"""Which hosts decide for the whole fleet what a model engine is sent.
-
-Sums of what other hosts told are 50 to 250 ms old. While one is on its way, all hosts
-see the same engine idle and send to it, the more hosts the more. So each engine has a
-placer: one host that queues and places the requests of all for it, and knows at once
-what it sent. Nothing hangs on agreement: hosts that see placers differently for a while
-cost accuracy, and one that gets no word from a placer decides for itself.
+"""Assignment of model engines to placers, the hosts that schedule them.
+
+Load reports of other hosts are 50 to 250 ms old. In that time all hosts would see the
+same engine idle and overload it, the more so the larger the fleet. Each engine
+therefore has a placer: one host that queues and places the requests of all hosts for
+it, and knows the load that it causes without delay. Agreement is not required: hosts
+that disagree on placers for a while place less accurately, and a host that gets no
+answer from a placer decides for itself.
 """
 
 from collections.abc import Iterable, Sequence
@@ -14,8 +15,10 @@
 from greengageflow.core.router_table import Address, Hello
 
 HOSTS_A_PLACER = 20
+"""Hosts for each placer after the first one."""
+
 TOGETHER_MS = 10_000
-"""Milliseconds between starts that count as one, by clocks that differ."""
+"""Milliseconds between starts that count as simultaneous; allows for clock skew."""
 
 
 @lru_cache(maxsize=4096)
@@ -24,11 +27,11 @@
 
 
 def placers_among(rows: Iterable[Hello]) -> tuple[str, ...]:
-    """Return the placers of a fleet, the same on each host that knows the same hosts.
+    """Return the placers of a fleet, the same for all hosts with the same membership.
 
-    They are those that have run longest. A placer that begins knows neither what
-    engines can do nor what they keep; by name alone, a host that joins may become one
-    at once.
+    They are the hosts that have run longest. A new placer has not measured the engines
+    and does not know their prefix caches. With a ranking by name alone, a host could
+    become a placer as soon as it joins.
 
     Args:
         rows: Live hosts that are not stopping.
@@ -38,20 +41,19 @@
 
 
 def placer_of(endpoint: str, placers: Sequence[str]) -> str:
-    """Return the placer of an endpoint.
+    """Return the placer of an endpoint by rendezvous hashing.
 
-    It is the one with the highest hash of both, so that a placer that comes or goes
-    moves no other endpoints than its own.
+    When a placer joins or leaves, only its own endpoints are reassigned.
     """
     return max(placers, key=lambda host: _rank(f"{endpoint} {host}"), default="")
 
 
 class PlacerTable:
-    """The placers that this host knows, and which of them are left alone.
+    """The placers as this host sees them, and which of them are in backoff.
 
     Args:
         host: This host.
-        mute_s: Time for which a placer that did not answer is left alone, in seconds.
+        mute_s: Backoff after an unanswered request, in seconds.
     """
 
     def __init__(self, host: str, mute_s: float) -> None:
@@ -65,7 +67,7 @@
         self._silent_since: dict[str, float] = {}
 
     def update(self, rows: Iterable[Hello]) -> bool:
-        """Take over who lives; True when the placers have changed."""
+        """Take the live hosts; return whether the placers changed."""
         known_rows = list(rows)
         self._addresses = {row.host: row.address for row in known_rows}
         for known in (self._mute, self._silent_since):
@@ -83,14 +85,14 @@
         return changed
 
     def owner(self, endpoint: str) -> str:
-        """Return the placer of an endpoint, empty when there is none."""
+        """Return the placer of an endpoint, or an empty string if there is none."""
         found = self._owners.get(endpoint)
         if found is None:
             found = self._owners[endpoint] = placer_of(endpoint, self.placers)
         return found
 
     def owned(self, endpoints: Iterable[str]) -> frozenset[str] | None:
-        """Return the endpoints that this host places; None when it is no placer."""
+        """Return the endpoints that this host places, or None if it is not a placer."""
         if self._host not in self.placers:
             return None
         known = set(endpoints)
@@ -98,29 +100,29 @@
         return frozenset(e for e in known if self.owner(e) == self._host)
 
     def address(self, host: str) -> Address | None:
-        """Return where a live host takes messages, or None."""
+        """Return the address of a live host, or None."""
         return self._addresses.get(host)
 
     @property
     def is_alone(self) -> bool:
-        """Whether no other host is known."""
+        """Whether no other host is live."""
         return not self._addresses.keys() - {self._host}
 
     def answers(self, now: float, host: str) -> bool:
-        """Whether another host lives and may be asked."""
+        """Return whether another host is live and not in backoff."""
         known = host != self._host and host in self._addresses
         return known and now >= self._mute.get(host, 0.0)
 
     def on_silence(self, now: float, host: str) -> bool:
-        """Note that a placer did not answer; True when it did before."""
+        """Record a missing answer; return whether it is the first one in a row."""
         self._mute[host] = now + self._mute_s
         return self._silent_since.setdefault(host, now) == now
 
     def on_pass(self, now: float, host: str, seconds: float) -> None:
-        """Note that a placer does not place now."""
+        """Record that a placer does not place for the given time."""
         self._mute[host] = now + seconds
 
     def on_heard(self, now: float, host: str) -> float | None:
-        """Note an answer; return for how long the placer was silent, if it was."""
+        """Record an answer; return the seconds of silence that it ends, or None."""
         since = self._silent_since.pop(host, None)
         return None if since is None else now - since
--- a/greengageflow/core/relay_sums.py
+++ b/greengageflow/core/relay_sums.py
@@ -1,4 +1,4 @@
-"""What a router of a large fleet knows of the others, and what a relay adds up."""
+"""Fleet aggregates of a large fleet: what members read and what relays compute."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass, replace
@@ -22,19 +22,23 @@
 from greengageflow.core.zone_loads import ZoneLoads
 
 STEP_IN_S = 0.5
+"""Age of the newest fleet sum, in seconds, from which the second relay takes over."""
+
 SILENT_S = 1.5
-"""Seconds after which relays of which nothing was heard are given up."""
+"""Seconds without a message after which the relays of a zone are dropped."""
+
 SAME_S = 0.02
+"""Seconds for which the cached work of the zone may be used again."""
 
 
 @dataclass(frozen=True, slots=True)
 class _ZoneWork:
-    """The work of the zone's other routers.
+    """Cached work of the zone's other routers.
 
     Args:
-        at: Time at which it was added up.
-        revision: State of the book of reports then.
-        totals: The sums, without loads.
+        at: Time at which it was computed.
+        revision: Revision of the peer reports that it was computed from.
+        totals: The totals, without loads.
     """
 
     at: float
@@ -43,13 +47,16 @@
 
 
 class RelaySums:
-    """Adds up for a zone, and tells what one router knows of all others.
+    """Aggregates the reports of a zone, and the zones into a sum of the fleet.
+
+    A relay computes the sums; a member reads those of its relay and subtracts its
+    own part.
 
     Args:
         own: This router.
-        table: Routers that were heard.
-        book: Their reports.
-        fade_s: Time constant of faded sums.
+        table: Routers of the fleet.
+        book: Their newest reports.
+        fade_s: Time constant of the exponential decay of work, in seconds.
     """
 
     def __init__(
@@ -66,7 +73,7 @@
         self._zone_work: _ZoneWork | None = None
 
     def others(self, now: float, quiet_s: float) -> FleetTotals:
-        """Return the sums of all other routers."""
+        """Return the totals of all other routers."""
         loads = self.other_loads(now, quiet_s)
         whole = self._whole(now, quiet_s)
         if whole is None:
@@ -90,16 +97,16 @@
         return loads_without(whole.totals.loads, own.loads)
 
     def _whole(self, now: float, quiet_s: float) -> SumReport | None:
-        """Return the sum of the fleet, unless this router adds it up itself."""
+        """Return the newest fleet sum, or None when this router computes it itself."""
         whole = self.sums.whole(now)
         return None if whole is None or self.is_relay(now, quiet_s) else whole[0]
 
     def is_relay(self, now: float, quiet_s: float) -> bool:
-        """Return whether this router tells its zone the sums now.
+        """Return whether this router sends sums to its zone now.
 
-        The second relay does so when nothing came from the first one lately, and
-        before members drop the last sums: without any, each would take itself for
-        the only router and begin what the whole fleet may.
+        The second relay takes over when the first one has sent nothing lately, and
+        does so before the last sums of the members expire. A member without sums
+        assumes that it is the only router and starts as much as the whole fleet may.
         """
         relays = self._table.relays(now, quiet_s).get(self._own.zone, ())
         names = [row.host for row in relays]
@@ -108,16 +115,16 @@
         return names[0] == self._own.host or self.is_missed(now)
 
     def is_missed(self, now: float) -> bool:
-        """Return whether no sum of the fleet came lately."""
+        """Return whether no fleet sum has arrived within ``STEP_IN_S``."""
         whole = self.sums.whole(now)
         return whole is None or now - whole[1] > STEP_IN_S
 
     def drop_silent(self, now: float, quiet_s: float) -> None:
-        """Let the next routers of a zone relay whose relays fell silent together.
+        """Drop the relays of zones whose relays are all silent, so that others follow.
 
-        A member hears the relays of its own zone all the time, a relay those of other
-        zones. Until a router counts as dead like any other, which in a fleet of
-        hundreds takes long, a zone would go without sums.
+        A member watches the relays of its own zone, a relay those of the other zones.
+        The failure detector for ordinary routers takes long in a fleet of hundreds,
+        and the zone would be without sums until then.
         """
         relays = self._table.relays(now, quiet_s)
         own = self._own.zone
@@ -126,18 +133,18 @@
             self._table.drop_silent(now, relays.get(zone, ()), SILENT_S)
 
     def want_whole(self, now: float, whole: bool) -> bool:
-        """Return whether sums are due at once, since a router missed some."""
+        """Make the next sum a full one; return whether to send it at once."""
         return self._publishers[whole].want_whole(now)
 
     def tell(
         self, now: float, own: PeerReport, number: int
     ) -> tuple[SumReport | SumChanges, SumReport | SumChanges]:
-        """Return what to tell other zones, and what to tell this one.
+        """Return the next message for other zones, and the one for this zone.
 
         Args:
-            now: The time.
-            own: The present report of this router.
-            number: Count of its sums.
+            now: Current time.
+            own: Current report of this router.
+            number: Sequence number of the sums.
         """
         zone, whole = self._add(now, own, number)
         return (
@@ -176,7 +183,7 @@
         return zone, replace(whole, whole=True, counted=counted)
 
     def words(self, now: float) -> Iterator[StoreWord]:
-        """Yield what sums say of the store."""
+        """Yield what the sums report about the store."""
         sums = self.sums.zones(now, self._own.zone)
         whole = self.sums.whole(now)
         if whole is not None:
@@ -184,12 +191,12 @@
         return (word_of(report, at) for report, at in sums)
 
     def _members(self, now: float) -> list[HeardReport]:
-        """Return the reports of this router's zone."""
+        """Return the live reports of this router's zone."""
         heard = self._book.live(now)
         return [one for one in heard if one.report.zone == self._own.zone]
 
     def _members_work(self, now: float) -> FleetTotals:
-        # A turn needs it twice when a round falls into it.
+        # A turn in which a round falls needs this twice.
         known, revision = self._zone_work, self._book.revision
         if known and known.revision == revision and now - known.at <= SAME_S:
             return known.totals
@@ -220,7 +227,7 @@
 
 
 def word_of(report: PeerReport | SumReport, at: float) -> StoreWord:
-    """Return what a router or a zone said of the store at a time."""
+    """Return what a report received at ``at`` says about the store."""
     return StoreWord(
         at, report.version, report.list_mark, report.heard_s, report.list_heard_s
     )
--- a/greengageflow/core/sum_book.py
+++ b/greengageflow/core/sum_book.py
@@ -1,4 +1,4 @@
-"""The newest sum of each relay."""
+"""Received sums, one for each relay and scope."""
 
 from enum import Enum
 
@@ -7,12 +7,12 @@
 
 
 class Taken(Enum):
-    """What became of a message."""
+    """Outcome of a received message."""
 
     NEW = "new"
     OLD = "old"
     MISSED = "missed"
-    """Others before it were missed: a whole sum is needed."""
+    """Messages before it are missing: a full sum is needed."""
 
 
 class SumBook:
@@ -22,7 +22,7 @@
         self._heard: dict[tuple[str, bool], SumHeard] = {}
 
     def put(self, now: float, message: SumReport | SumChanges) -> Taken:
-        """Take a sum, or what changed in one."""
+        """Apply a full sum or a delta."""
         key = (message.host, message.whole)
         known = self._heard.get(key)
         if known is not None and known.is_old(message.boot, message.number):
@@ -44,7 +44,7 @@
         return self._heard[host, whole].report.placed
 
     def zones(self, now: float, own: str) -> list[tuple[SumReport, float]]:
-        """Return the newest sum of each other zone, with the time that it came."""
+        """Return the newest sum of each other zone with its arrival time."""
         newest: dict[str, tuple[SumReport, float]] = {}
         for report, at in self._live(now, whole=False):
             known = newest.get(report.zone)
@@ -53,7 +53,7 @@
         return list(newest.values())
 
     def whole(self, now: float) -> tuple[SumReport, float] | None:
-        """Return the newest sum of the fleet, or None when none came lately."""
+        """Return the newest fleet sum with its arrival time, or None if all expired."""
         return max(self._live(now, whole=True), key=lambda row: row[1], default=None)
 
     def _live(self, now: float, *, whole: bool) -> list[tuple[SumReport, float]]:
--- a/greengageflow/core/sum_changes.py
+++ b/greengageflow/core/sum_changes.py
@@ -1,13 +1,13 @@
-"""Sums of which only what changed is told.
+"""Incremental updates of sums.
 
-A whole sum comes about each second; those between name what changed since the fifth
-message before, so that four that are lost in a row are made good by the next one. Keys
-go as numbers, their places in a table that grows in the order in which the relay first
-told them. A router that missed more asks for a whole sum.
+A relay sends a full sum about once a second and deltas in between. A delta holds the
+changes since the fifth message before it, so that the next one makes up for four lost
+in a row. Keys are sent as indexes into a table that grows in the order in which the
+relay first sent them. A router that missed more messages asks for a full sum.
 
-Work of accounts changes with each moment, and routers tell it four times a second; it
-goes in some of the messages, and with it which messages of routers it counts. So a
-router takes off its own part of the loads and of the work as they were counted.
+The work of accounts changes all the time, and routers report it four times a second.
+Only some messages carry it, with the report sequences that it includes. A router can
+therefore subtract its own part of the loads and of the work as they were counted.
 """
 
 from collections import deque
@@ -21,12 +21,26 @@
 from greengageflow.core.fleet_sums import AccountKey, FleetTotals, SumReport
 
 WHOLE_S = 1.0
+"""Seconds between two full sums."""
+
 WORK_S = 0.25
+"""Seconds between two messages that carry work."""
+
 ASKED_S = 0.1
+"""Least seconds between a full sum and one sent on request."""
+
 OVERLAP = 5
+"""Messages whose changes each delta covers."""
+
 SPARE = 64
+"""Removed keys that a table may hold, besides as many as there are live ones."""
+
 AGAIN_S = 0.15
+"""Seconds for which a new pair of prompt part and endpoint is sent."""
+
 TOLD_PLACES_S = 1.0
+"""Seconds for which a pair that was sent is remembered."""
+
 NOTHING = LoadShare(0, 0, 0)
 
 Work = tuple[int, int]
@@ -36,13 +50,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Changes(Generic[K, V]):
-    """What changed in one table.
+    """Changes of one table.
 
     Args:
-        after: Number of the sum since which it did.
-        start: Place of the first new key.
-        new: Keys that came since then.
-        values: New values by place of their key.
+        after: Number of the sum since which the values changed.
+        start: Index of the first new key.
+        new: Keys that were added since then.
+        values: Changed values by the index of their key.
     """
 
     after: int
@@ -53,23 +67,23 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SumChanges:
-    """What changed in a sum.
+    """Delta of a sum.
 
     Args:
         host: The relay.
-        boot: Start of its process.
-        number: Count of its sums.
-        whole: It is of the sum of all zones.
-        base: Number of the sum with which the relay's tables began.
+        boot: Start time of its process.
+        number: Sequence number of the sum.
+        whole: It belongs to the sum of all zones, not to that of one.
+        base: Number of the sum at which the relay's tables were last reset.
         loads: Changed loads.
-        counted: Changed sequences of the messages that are counted.
-        work: Changed work (begun, asked for), when this message tells it.
-        hosts: Routers that are counted.
+        counted: Changed report sequences that are included.
+        work: Changed work (served, offered); None in messages without work.
+        hosts: Routers that are included.
         version: As in the sum.
         list_mark: As in the sum.
         heard_s: As in the sum.
         list_heard_s: As in the sum.
-        placed: Prompt parts, and places of endpoints that got them lately.
+        placed: Prompt parts, and indexes of the endpoints that got them lately.
     """
 
     host: str
@@ -90,20 +104,20 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SumWanted:
-    """A router asks a relay for a whole sum.
+    """Request of a router for a full sum.
 
     Args:
-        whole: It is that of all zones.
+        whole: The sum of all zones is wanted, not that of one.
     """
 
     whole: bool
 
 
 class _Told(Generic[K, V]):
-    """A table as it was told.
+    """A table as the receivers of its deltas hold it.
 
     Args:
-        gone: What keys hold that are in the sums no more.
+        gone: Value of keys that are no longer in the sums.
     """
 
     def __init__(self, gone: V) -> None:
@@ -114,13 +128,13 @@
         self._sizes = deque([(0, 0)], maxlen=OVERLAP)
 
     def change(self, number: int, values: Mapping[K, V]) -> Changes[K, V]:
-        """Return what differs from what was told some messages ago."""
+        """Take the current values; return the changes of the last ``OVERLAP`` calls."""
         known = self.values
         for key in known.keys() - values.keys():
             if known[key] != self._gone:
                 known[key] = self._gone
                 self._changed[key] = number
-        # As sets, since most entries are as they were: no step for each of them.
+        # Set operations skip the unchanged entries, which are most of them.
         for key, value in values.items() - known.items():
             known[key] = value
             self._changed[key] = number
@@ -137,12 +151,12 @@
         )
 
     def is_worn(self, live: int) -> bool:
-        """Return whether most keys are gone, when ``live`` are not."""
+        """Return whether most keys are removed ones, given ``live`` keys in use."""
         return len(self.values) > 2 * live + SPARE
 
 
 class SumTeller:
-    """Makes of a relay's sums, one after the other, what it sends."""
+    """Turns the successive sums of a relay into full sums and deltas."""
 
     def __init__(self) -> None:
         self._whole_at = -inf
@@ -157,9 +171,10 @@
         self._work: _Told[AccountKey, Work] = _Told((0, 0))
 
     def want_whole(self, now: float) -> bool:
-        """Make the next one whole, and return whether it is due at once.
+        """Make the next message a full sum; return whether to send it at once.
 
-        Many may have missed the same one, and ask for it one after the other.
+        Many routers may miss the same message and ask one after the other, so a
+        request within ``ASKED_S`` of the last full sum is ignored.
         """
         if now - self._whole_at < ASKED_S:
             return False
@@ -167,13 +182,13 @@
         return True
 
     def tells_work(self, now: float) -> bool:
-        """Return whether the next message tells work; else it may be left out."""
-        # A little early, or turns of 0.1 s would make 0.3 s of it.
+        """Return whether the next message carries work; otherwise it may be omitted."""
+        # Slightly early: with turns of 0.1 s the interval would otherwise be 0.3 s.
         is_due = now - self._work_at >= 0.8 * WORK_S
         return is_due or now - self._whole_at >= WHOLE_S
 
     def tell(self, now: float, report: SumReport) -> SumReport | SumChanges:
-        """Return the sum, or what changed in it."""
+        """Return the full sum, or its delta."""
         totals, number = report.totals, report.number
         loads = {name: _rounded(load) for name, load in totals.loads.items()}
         placed = self._new_placed(now, report)
@@ -218,7 +233,7 @@
         )
 
     def _whole(self, report: SumReport) -> SumReport:
-        """Return a sum with all keys in the order of their places."""
+        """Return the full sum with all keys in the order of their indexes."""
         work = self._work.values.items()
         totals = FleetTotals(
             {key: row[0] for key, row in work},
@@ -230,10 +245,11 @@
         return replace(report, totals=totals, counted=counted, base=self._base)
 
     def _new_placed(self, now: float, report: SumReport) -> tuple[tuple[str, str], ...]:
-        """Return the pairs that were not told before, or just now.
+        """Return the pairs that were first sent within ``AGAIN_S``.
 
-        Reports hold a pair for 0.3 s, and so did each sum in that time; twice, where
-        sums are not far apart, is enough against a lost one.
+        Reports repeat a pair for 0.3 s, and each sum of that time used to repeat it
+        as well. Sending it twice is enough against one lost message, unless sums are
+        far apart.
         """
         old = now - TOLD_PLACES_S
         self._placed = {pair: at for pair, at in self._placed.items() if at > old}
@@ -244,11 +260,11 @@
 
 
 class SumHeard:
-    """One relay's sum, kept up to date.
+    """The sum of one relay, kept up to date by deltas.
 
     Args:
-        now: Time at which the whole sum came.
-        report: The whole sum.
+        now: Time at which the full sum arrived.
+        report: The full sum.
     """
 
     def __init__(self, now: float, report: SumReport) -> None:
@@ -260,11 +276,11 @@
         self._accounts = list(report.totals.served)
 
     def is_old(self, boot: int, number: int) -> bool:
-        """Return whether a message is no newer than what is known."""
+        """Return whether a message is not newer than the last one applied."""
         return (boot, number) <= (self.report.boot, self.report.number)
 
     def lacks(self, changes: SumChanges) -> bool:
-        """Return whether changes before these were missed."""
+        """Return whether a message that this delta builds on was missed."""
         if changes.boot != self.report.boot or changes.base != self.report.base:
             return True
         number = self.report.number
@@ -273,10 +289,10 @@
         return lost or number < min(changes.loads.after, changes.counted.after)
 
     def apply(self, now: float, changes: SumChanges) -> None:
-        """Take changes of which none before were missed.
+        """Apply a delta without a gap before it.
 
         Raises:
-            LookupError: A place has no key.
+            LookupError: An index has no key.
         """
         before, totals = self.report, self.report.totals
         loads = dict(totals.loads)
@@ -310,7 +326,7 @@
 
 
 def _named(keys: list[K], changes: Changes[K, V]) -> Iterable[tuple[K, V]]:
-    """Take over new keys; return the values by their keys."""
+    """Add the new keys; return the changed values with their keys."""
     if changes.new:
         keys[changes.start :] = changes.new
     return [(keys[place], value) for place, value in changes.values.items()]
@@ -322,7 +338,7 @@
 
 
 def work_of(totals: FleetTotals) -> dict[AccountKey, Work]:
-    """Return work begun and asked for, by service and account."""
+    """Return (served, offered) work by service and account."""
     served, offered = totals.served, totals.offered
     return {
         key: (int(served.get(key, 0)), int(offered.get(key, 0)))
--- a/greengageflow/core/zone_loads.py
+++ b/greengageflow/core/zone_loads.py
@@ -1,4 +1,4 @@
-"""The sum of several routers' loads, kept up to date by what changed."""
+"""Incrementally maintained sum of several routers' loads."""
 
 from collections.abc import Iterable, Mapping
 
@@ -9,10 +9,10 @@
 
 
 class ZoneLoads:
-    """Adds up loads without going through all of them each time.
+    """Sums loads by applying only the changes since the last call.
 
-    Loads must hold whole numbers, as those that were received do: sums and differences
-    of others would drift apart.
+    Loads must be integers, as received ones are: with fractions, rounding errors of
+    repeated additions and subtractions would accumulate.
     """
 
     def __init__(self) -> None:
@@ -20,7 +20,7 @@
         self._sums: dict[str, LoadShare] = {}
 
     def add_up(self, heard: Iterable[HeardReport]) -> dict[str, LoadShare]:
-        """Return the sum of what routers have under way, by endpoint."""
+        """Return the sum of the routers' loads by endpoint."""
         gone = set(self._known)
         for one in heard:
             host, loads = one.report.host, one.report.loads
@@ -36,7 +36,7 @@
         before = self._known.get(host, {})
         self._known[host] = loads
         sums = self._sums
-        # As sets: most entries of a whole report are as they were.
+        # Set operations skip the unchanged entries, which are most of a full report.
         changed = [(name, load) for name, load in loads.items() - before.items()]
         changed += [(name, NOTHING) for name in before.keys() - loads.keys()]
         for name, (running, reading, memory) in changed:
