--- a/tests/test_arrival_gate.py
+++ b/tests/test_arrival_gate.py
@@ -1,4 +1,4 @@
-"""A host that is sent more than it can read, in simulated time."""
+"""Admission control of an overloaded host, in simulated time."""
 
 from random import Random
 from types import SimpleNamespace
@@ -10,8 +10,7 @@
 from greengageflow.daemon.arrivals import Arrivals
 
 READ_S, TURN_AWAY_S, LEFT_S = 0.0035, 0.0007, 0.0003
-"""Processor time of a request that is read, turned away, or found to be abandoned, on
-half a core."""
+"""Seconds on half a core to read a request, reject it, or find it abandoned."""
 
 PATIENCE_S = 1.0
 SECONDS = 6
@@ -19,14 +18,14 @@
 
 
 class Open:
-    """Reads everything."""
+    """Admits every request."""
 
     def admits(self, *_args, **_fields):
         return True
 
 
 def arrivals(hot_a_second):
-    """Return (time, account) of requests, one account's beside those of ten others."""
+    """Return (time, account) of the requests of a hot account and of ten others."""
     random = Random(3)
     rows = [(random.uniform(0, SECONDS), "hot") for _ in range(hot_a_second * SECONDS)]
     rows += [(random.uniform(0, SECONDS), one) for one in OTHERS for _ in range(18)]
@@ -34,7 +33,7 @@
 
 
 def play(gate, rows):
-    """Return for each account the waits of what was read, and counts of the rest."""
+    """Return by account the waits of read requests, and counts of rejected and left."""
     load, now = LoopLoad(), 0.0
     waits, turned, left = {}, {}, {}
     rows = list(rows)
@@ -60,11 +59,12 @@
 
 
 def test_one_account_beyond_a_host_keeps_no_other_from_it():
-    """One account's callers gather at one host, at twice what it can read. Callers of
-    all accounts waited the longer the more came, and left before they were read.
+    """One account sends a host twice as much as it can read.
 
-    The host must read what the others send, in time, and use what is left of it for the
-    account; whom it can't read it tells at once, so that nobody leaves unread.
+    Without admission control the waits of all accounts grow until callers leave before
+    they are read. The host must read the requests of the other accounts in time and
+    use the rest of its capacity for the hot one. It rejects the remainder at once, so
+    that no caller leaves unread.
     """
     rows = arrivals(500)
     waits, _, left = play(Open(), rows)
@@ -87,7 +87,7 @@
 
 
 def test_a_short_burst_is_read_in_full():
-    """Seventy callers come back in the same moment after a loss of all hosts."""
+    """Seventy callers reconnect at the same moment after an outage of all hosts."""
     rows = [(1.0, f"{number % 12}") for number in range(70)]
     waits, turned, _ = play(ArrivalGate(), rows)
     assert not turned
@@ -95,8 +95,11 @@
 
 
 def test_one_long_round_turns_away_no_more_than_it_delayed():
-    """A host stands still for seconds in the middle of a round. What it reads after it
-    comes in short rounds again, and nobody is turned away any more."""
+    """A host freezes for seconds in the middle of a round.
+
+    The rounds after it are short again, so no further request may be rejected, even
+    though the average is still high.
+    """
     load, gate = LoopLoad(), ArrivalGate()
     load.end(10.0)
     load.begin(10.0)
@@ -108,8 +111,10 @@
 
 
 def test_an_account_that_was_not_read_lately_is_read():
-    """A host is late from the start, or after a quiet second: with nothing read, nobody
-    has had a part, and all were turned away."""
+    """A host is overloaded from the start, or after an idle second.
+
+    With nothing read lately, the fair share is 0, and all requests were rejected.
+    """
     gate, late = ArrivalGate(), {"present_s": 0.05, "average_s": 0.2}
     assert [gate.admits(1.0, "one", **late) for _ in range(3)] == [True, False, False]
     assert gate.admits(1.0, "other", **late)
@@ -117,9 +122,11 @@
 
 
 def test_keys_that_nobody_holds_are_one_account():
-    """Somebody sends as much as the host can read, each request with another key that
-    nobody holds. Each its own account, all would be read, and accounts with keys that
-    are held would be turned away in their place."""
+    """A caller floods the host, each request with a different unknown key.
+
+    With an account for each key, all of these would be read, and requests with valid
+    keys would be rejected in their place.
+    """
     counts = {}
     load = SimpleNamespace(present_s=lambda _now: 0.05, average_s=lambda _now: 0.2)
     timers = SimpleNamespace(now=0.0, after=lambda *_args: None)
--- a/tests/test_lateness.py
+++ b/tests/test_lateness.py
@@ -1,4 +1,4 @@
-"""When a host counts as behind, in simulated time."""
+"""Event loop lag detection, in simulated time."""
 
 from greengageflow.core.lateness import CALM_FOR_S, Lateness
 
@@ -6,7 +6,7 @@
 
 
 def play(lateness, start, gaps):
-    """Call at these gaps; return the time and the changes that were told."""
+    """Call the timer at these gaps; return the time and the reported changes."""
     now, changes = start, []
     for gap in gaps:
         now += gap
@@ -16,8 +16,10 @@
 
 
 def test_a_late_loop_is_told_once_and_once_more_when_it_is_on_time():
-    """A host works seconds behind what callers send. Its lines must say so once, not
-    at each tick, and that it caught up only when it stays on time."""
+    """An overloaded host must log that it is behind once, not at each tick.
+
+    It logs that it caught up only after it has stayed on time.
+    """
     lateness = Lateness(TICK_S)
     now, changes = play(lateness, 100.0, [TICK_S] * 20)
     assert not changes and lateness.worst_s < 1e-6
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Placers decide for all hosts: on a network in memory and in simulated time."""
+"""Placement by placers, on an in-memory network and in simulated time."""
 
 from contextlib import suppress
 from heapq import heappop, heappush
@@ -45,7 +45,7 @@
 
 
 class Fleet:
-    """Hosts with one engine before them; a host in ``deaf`` gets no message."""
+    """Hosts with one shared engine; a host in ``deaf`` receives no messages."""
 
     def __init__(self, hosts=3):
         self.now, self.deaf, self.dead = 0.0, set(), set()
@@ -69,7 +69,7 @@
         self.now = end
 
     def restart(self, host):
-        """Replace a host's process by a new one, which has nothing under way."""
+        """Replace a host's process by a new one without requests."""
         new = HostStub(self, host.name, host.hello.port - 9, host.hello.boot + 1)
         self.hosts[host.name] = new
         return new
@@ -80,7 +80,7 @@
 
 
 class HostStub:
-    """Timer service, sender and requests of one host."""
+    """One host: its placement, with this stub as timers, sender and log."""
 
     def __init__(self, fleet, name, index, boot=1):
         self.fleet, self.name = fleet, name
@@ -168,9 +168,11 @@
 
 
 def test_no_more_is_started_than_the_engine_runs_whoever_asks():
-    """Callers of all hosts ask at the same moment for an engine of four slots. Hosts
-    that each knew it idle would send it all; the placer has it run three or four, lets
-    the others wait, and starts one of them as soon as one has ended."""
+    """Hosts that each see an engine of four slots idle would all send to it at once.
+
+    The placer starts three or four of the requests, queues the others, and starts one
+    of them when one has ended.
+    """
     fleet = Fleet()
     names = [(host, host.ask()) for host in fleet.hosts.values() for _ in range(5)]
     fleet.run(0.1)
@@ -186,8 +188,11 @@
 
 
 def test_host_decides_alone_when_its_placer_is_silent():
-    """The placer's host hangs. A request waits no longer than the time for an answer,
-    later ones not at all, and the placer is asked again a second later."""
+    """The placer's host hangs.
+
+    The first request waits for the answer timeout, later ones are decided at once, and
+    the placer is asked again after its backoff of a second.
+    """
     fleet = Fleet()
     host = fleet.others[0]
     fleet.deaf.add(fleet.placer)
@@ -206,9 +211,11 @@
 
 
 def test_answers_to_an_earlier_process_start_nothing_of_the_next_one():
-    """A host's process is killed and started again, and numbers its requests from 1 as
-    the one before it did. A place found for a request of the old process would start
-    the new one's of that number, at an engine that nobody counts it at."""
+    """A restarted process numbers its requests from 1 again.
+
+    An answer for the earlier process would start the new request of the same number,
+    on an engine whose load does not include it.
+    """
     fleet = Fleet()
     host = fleet.others[0]
     for _ in range(SLOTS + 1):
@@ -225,9 +232,11 @@
 
 
 def test_a_placer_that_knows_no_engine_lets_hosts_decide():
-    """A placer's host is started again while it is cut off from the store, so that its
-    list of endpoints is empty. It would refuse the engine requests of the whole fleet
-    for want of an endpoint that all the other hosts know."""
+    """A placer that restarts while cut off from the store has an empty endpoint list.
+
+    It would refuse the engine requests of the whole fleet, although all other hosts
+    know the endpoint.
+    """
     fleet = Fleet()
     host = fleet.others[0]
     list(fleet.hosts[fleet.placer].endpoints.drop("e0"))
@@ -250,8 +259,10 @@
 
 
 def test_next_placer_counts_what_an_earlier_one_started():
-    """The placer's host is lost with requests under way on the engine. The next one
-    would take the engine for idle and send it as much again."""
+    """The placer's host fails while its requests run on the engine.
+
+    The next placer would assume that the engine is idle and overload it.
+    """
     fleet = Fleet()
     host = fleet.others[0]
     names = [host.ask() for _ in range(2)]
@@ -264,8 +275,10 @@
 
 @pytest.mark.parametrize("lost", [PlaceNote, PlaceAnswer])
 def test_lost_messages_take_up_no_slot_for_good(lost):
-    """The note that a request has ended is lost, or the answer that it may start. The
-    placer would count it for ever, and the engine have a slot less."""
+    """The event that a request ended, or the answer that starts it, is lost.
+
+    The placer would count the request for ever, and the engine would lose a slot.
+    """
     fleet = Fleet()
     host = fleet.others[0]
     fleet.drops = lambda message: (
@@ -295,8 +308,11 @@
 
 @pytest.mark.parametrize("known_after_s", [0.0, 0.2])
 def test_hosts_that_all_begin_at_once_send_an_engine_what_one_may(known_after_s):
-    """After the loss of all hosts callers come at once. Hosts that each decided for
-    themselves until they knew a placer that had settled sent it several times that."""
+    """All hosts restart together and callers reconnect at once.
+
+    Hosts that decided for themselves until a placer had settled sent the engine
+    several times what it can run.
+    """
     fleet = Fleet(6)
     fleet.known_at = fleet.now + known_after_s
     for host in list(fleet.hosts.values()):
@@ -331,7 +347,7 @@
 
 
 def test_a_request_waits_at_the_host_of_its_caller():
-    """A placer's log line said that less than none of its requests were running."""
+    """A placer logged a negative number of running requests."""
     fleet = Fleet()
     host = fleet.others[0]
     for _ in range(SLOTS + 2):
@@ -346,9 +362,11 @@
 
 
 def test_a_roll_may_end_what_its_own_decisions_refuse():
-    """A host was cut off and has nothing any more. To end its first request lets the
-    queue be looked through, which refuses its second, long overdue; that was still on
-    the list of what to end, and the placer's handler failed there."""
+    """A host that was cut off sends an empty snapshot.
+
+    Ending its first request runs the queue, which refuses its overdue second one. That
+    one was still to be ended as well, and the placer's handler failed.
+    """
     fleet = Fleet()
     desk = PlaceDesk("p", fleet.hosts[fleet.placer].book)
     for number in range(SLOTS + 2):
@@ -383,8 +401,10 @@
 
 @given(HOSTS, st.dictionaries(st.text(min_size=6, max_size=8), st.just(10), max_size=9))
 def test_hosts_that_join_or_start_anew_displace_no_placer(hosts, joining):
-    """Hosts are added while others serve. Chosen by name alone, a new one may become
-    the placer, which begins with nothing known of engines."""
+    """With placers chosen by name alone, a host that joins may become a placer.
+
+    It would start without any knowledge of the engines.
+    """
     rows = [hello(host, boot) for host, boot in hosts.items()]
     before = placers_among(rows)
     after = placers_among([*rows, *(hello(h, boot) for h, boot in joining.items())])
--- a/tests/test_relay_pace.py
+++ b/tests/test_relay_pace.py
@@ -7,9 +7,9 @@
 
 
 def test_a_lost_sum_does_not_silence_a_relay():
-    """Routers of a large fleet drop the sums, and two relays tell them at once.
+    """One lost sum must not make members drop the sums of a live relay.
 
-    A sum is lost; the next one comes an interval later, when the one before the
-    lost one counts as old already, and the second relay takes over.
+    The next sum arrives two intervals after the last received one. If that had expired
+    by then, the second relay would take over, and both would send sums.
     """
     assert 2 * relay_turns(10_000) * NOTICE_S < QUIET_S
--- a/tests/test_started_again.py
+++ b/tests/test_started_again.py
@@ -1,4 +1,4 @@
-"""An endpoint that starts again under its id: what is late from its earlier start."""
+"""An endpoint that restarts under its id: late messages about its earlier start."""
 
 from dataclasses import replace
 
@@ -27,7 +27,7 @@
 
 
 class Fleet:
-    """One host and two engines, of which the first one starts again."""
+    """One host and two engines, of which the first one restarts."""
 
     def __init__(self):
         self.listed = EndpointList()
@@ -55,7 +55,7 @@
 
 
 def test_the_later_start_keeps_no_parts_of_the_earlier_one(fleet):
-    """Counted as kept, they would be read at once by an engine that is never first."""
+    """A restarted engine has an empty prefix cache and has to prefill again."""
     choice = fleet.choice(0.0)
     fleet.book.sent(0.0, "r0.0", choice, PROMPT)
     fleet.book.first_event(0.5, "r0.0", choice.endpoint)
@@ -69,7 +69,7 @@
 def test_late_failures_of_the_earlier_start_do_not_make_the_later_one_rest(
     fleet, happened
 ):
-    """Its connections break when it crashes, some after it is listed again."""
+    """Connections to a crashed engine may break only after it is listed again."""
     fleet.put(NEW)
     for _ in range(9):
         if happened == "silent":
@@ -79,7 +79,7 @@
     assert fleet.book.resting(1.0, "m") == ()
     assert fleet.book.failures(NEW) == 0
     fleet.book.sent(1.5, "r", Choice(OTHER), None)
-    assert fleet.choice(2.0, None).endpoint == NEW, "not behind the other one"
+    assert fleet.choice(2.0, None).endpoint == NEW, "not ranked behind the other one"
     fleet.book.silent(3.0, NEW)
     fleet.book.silent(3.0, NEW)
     assert fleet.book.resting(3.0, "m") == ("e",), "its own failures count"
@@ -105,13 +105,13 @@
 
 @pytest.mark.parametrize("born", [0, 5])
 def test_sign_of_leaving_outlasts_an_entry_that_lapses_and_comes_back(born):
-    """Entries of live endpoints lapse while the store is away."""
+    """Entries of live endpoints expire while the store is unreachable."""
     listed = EndpointList()
     entry = replace(OLD, born=born)
     list(listed.put(entry))
     assert listed.note_left(entry.id, entry.born)
     list(listed.drop(entry.id))
-    assert not listed.note_left(entry.id, entry.born), "no news"
+    assert not listed.note_left(entry.id, entry.born), "already recorded"
     list(listed.put(entry))
     assert not listed.usable(entry.service)
     assert not listed.may_use(entry.id)
@@ -133,7 +133,7 @@
 
 
 def test_another_hosts_word_of_the_earlier_start_is_not_the_later_ones(fleet):
-    """A host tells its placer of requests that it sent before the engine crashed."""
+    """A host reports failures of requests that it sent before the engine crashed."""
     desk = PlaceDesk("placer", fleet.book)
     list(fleet.listed.drop("f"))
     for number in range(4):
--- a/tests/test_sum_changes.py
+++ b/tests/test_sum_changes.py
@@ -1,4 +1,4 @@
-"""Sums of changes on a network that loses, doubles and reorders datagrams."""
+"""Incremental sums on a network that loses, duplicates and reorders datagrams."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -22,7 +22,7 @@
 
 
 def shown(report):
-    """Return what a sum says; what is gone stands in it as nothing."""
+    """Return the contents of a sum; removed keys, which hold zeros, are left out."""
     totals = report.totals
     loads = {name: load for name, load in totals.loads.items() if load != LoadShare()}
     work = some(totals.served), some(totals.offered)
@@ -30,11 +30,11 @@
 
 
 class Sums(RuleBasedStateMachine):
-    """A relay tells its sums; a member takes what arrives, in any order.
+    """A relay sends its sums; a member applies what arrives, in any order.
 
-    What the member holds must be the sum of the message that it took last, as it was
-    told then: with a mixture of two it would take off more or less than is counted
-    of itself, and count itself or miss others.
+    The member must hold exactly the sum of the last message that it applied. With a
+    mixture of two, it would subtract another part of its own than the sum includes,
+    and so count itself or miss others.
     """
 
     def __init__(self):
@@ -118,13 +118,13 @@
         loads, served, offered, counted, hosts, version = self.told[report.number]
         has = shown(report)
         assert (has[0], *has[3:]) == (loads, counted, hosts, version)
-        # Work is of one message, too, and with it who is counted there.
+        # The work and the sequences that it includes come from one message, too.
         works = (row for at, row in self.told.items() if self.work_told[at] == at)
         counted = some(report.work_counted)
         assert has[1:3] in [row[1:3] for row in works if row[3] == counted]
 
     def teardown(self):
-        """After quiet the member knows what the relay knows."""
+        """Without further loss the member converges to the sum of the relay."""
         self.flying.clear()
         for _ in range(int(2 * WHOLE_S / TURN_S)):
             self.tell(1)
@@ -137,7 +137,7 @@
 
 
 def relay(turns):
-    """Yield what a relay tells in turns of which each changes one load."""
+    """Yield the messages of a relay when one load changes in each turn."""
     teller = SumTeller()
     for turn in range(1, turns + 1):
         loads = {f"e{n}": LoadShare(n + 1) for n in range(30)}
@@ -154,13 +154,13 @@
     assert len(whole) == 4
     for message in told[OVERLAP + 1 :]:
         if isinstance(message, SumChanges):
-            # Each turn changes one load and sets the one before back.
+            # Each turn changes one load and restores the previous one.
             assert len(message.loads.values) <= OVERLAP + 1
             assert len(encode(message)) < len(encode(whole[0])) / 2
 
 
 def test_lost_datagrams_are_made_good_by_the_next_one_that_comes():
-    """A member without sums takes itself for the only router."""
+    """A member without sums assumes that it is the only router."""
     book, told = SumBook(), list(relay(9))
     assert book.put(0.1, told[0]) is Taken.NEW
     assert book.put(0.1 + OVERLAP * TURN_S, told[OVERLAP]) is Taken.NEW
@@ -174,7 +174,7 @@
 
 @given(st.lists(st.dictionaries(st.sampled_from(["r1", "r2", "r3"]), LOADS)))
 def test_loads_kept_by_changes_are_those_added_up_anew(turns):
-    """A router that goes or changes leaves nothing behind in the zone's sum."""
+    """A router that leaves or changes leaves no remainder in the sum of the zone."""
     zone = ZoneLoads()
     for reports in turns:
         heard = [
