--- a/greengageflow/core/fleet_demand.py
+++ b/greengageflow/core/fleet_demand.py
@@ -7,11 +7,11 @@
 from greengageflow.core.endpoint_load import LoadShare
 from greengageflow.core.fleet_sums import FleetTotals, sum_loads
 from greengageflow.core.max_min import max_min_shares
-from greengageflow.core.peer_report import HeardReport
+from greengageflow.core.peer_report import ReceivedReport
 
 
 def sum_reports(
-    now: float, reports: Iterable[HeardReport], decay_s: float
+    now: float, reports: Iterable[ReceivedReport], decay_s: float
 ) -> FleetTotals:
     """Aggregate the reports of other routers.
 
@@ -24,7 +24,7 @@
     return replace(sum_work(now, listed, decay_s), loads=sum_report_loads(listed))
 
 
-def sum_work(now: float, reports: Iterable[HeardReport], decay_s: float) -> FleetTotals:
+def sum_work(now: float, reports: Iterable[ReceivedReport], decay_s: float) -> FleetTotals:
     """Aggregate the reports without loads; arguments as for ``sum_reports``."""
     served: dict[tuple[str, str], float] = {}
     offered: dict[tuple[str, str], float] = {}
@@ -46,7 +46,7 @@
         sums[key] = get(key, 0.0) + work * decay_factor
 
 
-def sum_report_loads(reports: Iterable[HeardReport]) -> dict[str, LoadShare]:
+def sum_report_loads(reports: Iterable[ReceivedReport]) -> dict[str, LoadShare]:
     """Return the load in flight from other routers, by endpoint."""
     return sum_loads(received.report.loads for received in reports)
 
--- a/greengageflow/core/fleet_sums.py
+++ b/greengageflow/core/fleet_sums.py
@@ -120,7 +120,7 @@
     return dict(zip(sums, load_shares(sums.values()), strict=True))
 
 
-def without(whole: FleetTotals, own: FleetTotals) -> FleetTotals:
+def subtract_totals(whole: FleetTotals, own: FleetTotals) -> FleetTotals:
     """Return totals minus one router's part, clamped at 0."""
 
     def less(
@@ -135,12 +135,12 @@
     return FleetTotals(
         less(whole.served, own.served),
         less(whole.offered, own.offered),
-        loads_without(whole.loads, own.loads),
+        subtract_loads(whole.loads, own.loads),
         max(0, whole.hosts - own.hosts),
     )
 
 
-def loads_without(
+def subtract_loads(
     whole: Mapping[str, LoadShare], own: Mapping[str, LoadShare]
 ) -> dict[str, LoadShare]:
     """Return loads minus one router's part, clamped at 0."""
--- a/greengageflow/core/peer_report.py
+++ b/greengageflow/core/peer_report.py
@@ -82,14 +82,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HeardReport:
+class ReceivedReport:
     """A report and its arrival time."""
 
     report: PeerReport
     at: float
 
 
-class PeerBook:
+class PeerTable:
     """The newest report of each other router.
 
     Args:
@@ -99,7 +99,7 @@
     def __init__(self, host: str) -> None:
         self.revision = 0
         self._host = host
-        self._heard: dict[str, HeardReport] = {}
+        self._heard: dict[str, ReceivedReport] = {}
 
     def put(self, now: float, report: PeerReport) -> bool:
         """Store a report; False when it is outdated or this host's own."""
@@ -110,7 +110,7 @@
             before = (known.report.boot, known.report.number)
             if (report.boot, report.number) <= before:
                 return False
-        self._heard[report.host] = HeardReport(report, now)
+        self._heard[report.host] = ReceivedReport(report, now)
         self.revision += 1
         return True
 
@@ -126,11 +126,11 @@
             return False
         loads = {**report.loads, **notice.loads}
         report = replace(report, loads=loads, sequence=notice.sequence)
-        self._heard[notice.host] = HeardReport(report, known.at)
+        self._heard[notice.host] = ReceivedReport(report, known.at)
         self.revision += 1
         return True
 
-    def live(self, now: float) -> Iterator[HeardReport]:
+    def live(self, now: float) -> Iterator[ReceivedReport]:
         """Yield the reports of live peers, and delete those of long-silent ones."""
         for host, heard in list(self._heard.items()):
             if now - heard.at <= QUIET_S:
--- a/greengageflow/core/place_desk.py
+++ b/greengageflow/core/place_desk.py
@@ -6,12 +6,12 @@
 from greengageflow.core.endpoint_list import ListedEndpoint
 from greengageflow.core.forward_request import Prompt, PromptPart
 from greengageflow.core.place_messages import (
-    Happened,
-    PlaceAnswer,
-    PlaceAsk,
-    PlacedRun,
-    PlaceNote,
-    PlaceRoll,
+    PlacementAnswer,
+    PlacementEntry,
+    PlacementEvent,
+    PlacementEventKind,
+    PlacementRequest,
+    PlacementSnapshot,
     Verdict,
 )
 from greengageflow.core.service_book import ServiceBook
@@ -26,7 +26,7 @@
 
 
 @dataclass(slots=True)
-class _Placed:
+class _RemotePlacement:
     host: str
     boot: int
     request: str
@@ -36,7 +36,7 @@
     endpoint: ListedEndpoint | None = None
 
 
-class PlaceDesk:
+class RemotePlacements:
     """Requests that other hosts asked this one to place.
 
     Args:
@@ -47,7 +47,7 @@
     def __init__(self, host: str, book: ServiceBook) -> None:
         self._host = host
         self._book = book
-        self._placed: dict[str, _Placed] = {}
+        self._placed: dict[str, _RemotePlacement] = {}
         self._heard: dict[str, float] = {}
 
     def __len__(self) -> int:
@@ -59,14 +59,16 @@
         """Number of requests of other hosts that wait here."""
         return sum(one.endpoint is None for one in self._placed.values())
 
-    def ask(self, now: float, ask: PlaceAsk) -> Iterator[Decision]:
+    def ask(self, now: float, ask: PlacementRequest) -> Iterator[Decision]:
         """Queue a request, and yield the decisions that can now be made."""
         key = _key(ask.host, ask.boot, ask.request)
         if key in self._placed:
             return
         self._heard[ask.host] = now
         prompt = _prompt(ask)
-        placed = _Placed(ask.host, ask.boot, ask.request, ask.service, now, prompt)
+        placed = _RemotePlacement(
+            ask.host, ask.boot, ask.request, ask.service, now, prompt
+        )
         self._placed[key] = placed
         waiter = Waiter(
             key,
@@ -80,12 +82,14 @@
         job = Job(waiter, ask.target_s, prompt, frozenset(ask.avoid), ask.zone)
         yield from self._book.submit(now, ask.service, job, ask.account, counted=False)
 
-    def is_waiting(self, ask: PlaceAsk) -> bool:
+    def is_waiting(self, ask: PlacementRequest) -> bool:
         """Whether a request waits here."""
         found = self._placed.get(_key(ask.host, ask.boot, ask.request))
         return found is not None and found.endpoint is None
 
-    def decided(self, now: float, decision: Decision) -> tuple[str, PlaceAnswer] | None:
+    def decided(
+        self, now: float, decision: Decision
+    ) -> tuple[str, PlacementAnswer] | None:
         """Return the host to answer and the answer, or None for an unknown request."""
         placed = self._placed.get(decision.request)
         if placed is None:
@@ -95,7 +99,7 @@
                 placed.endpoint = choice.endpoint
                 self._book.sent(now, decision.request, choice, placed.prompt)
                 source = choice.fetch_from
-                return placed.host, PlaceAnswer(
+                return placed.host, PlacementAnswer(
                     host=self._host,
                     boot=placed.boot,
                     request=placed.request,
@@ -107,7 +111,7 @@
                 )
             case RefuseJob(kind=kind, message=message, retry_after_s=wait_s):
                 del self._placed[decision.request]
-                return placed.host, PlaceAnswer(
+                return placed.host, PlacementAnswer(
                     host=self._host,
                     boot=placed.boot,
                     request=placed.request,
@@ -117,7 +121,7 @@
                     retry_after_s=wait_s,
                 )
 
-    def note(self, now: float, note: PlaceNote) -> Iterator[Decision]:
+    def note(self, now: float, note: PlacementEvent) -> Iterator[Decision]:
         """Apply an event of a request, and yield the decisions that can now be made."""
         self._heard[note.host] = now
         key = _key(note.host, note.boot, note.request)
@@ -126,19 +130,19 @@
             return
         endpoint = placed.endpoint
         match note.happened:
-            case Happened.ENDED:
+            case PlacementEventKind.ENDED:
                 yield from self._end(now, key)
                 return
-            case Happened.FIRST_EVENT if endpoint is not None:
+            case PlacementEventKind.FIRST_EVENT if endpoint is not None:
                 self._book.first_event(now, key, endpoint)
                 # Its prefill is done: the next prompt may be sent.
                 yield from self._book.pump(now)
-            case Happened.FAILED if endpoint is not None:
+            case PlacementEventKind.FAILED if endpoint is not None:
                 self._book.answered(endpoint, False)
-            case Happened.SILENT if endpoint is not None:
+            case PlacementEventKind.SILENT if endpoint is not None:
                 self._book.silent(now, endpoint)
 
-    def roll(self, now: float, roll: PlaceRoll) -> Iterator[Decision]:
+    def roll(self, now: float, roll: PlacementSnapshot) -> Iterator[Decision]:
         """Reconcile with a snapshot of all requests that a host has here.
 
         Requests that the host no longer has are dropped, and those that an earlier
@@ -155,11 +159,13 @@
         for key, run in live.items():
             self._adopt(now, key, roll, run)
 
-    def _adopt(self, now: float, key: str, roll: PlaceRoll, run: PlacedRun) -> None:
+    def _adopt(
+        self, now: float, key: str, roll: PlacementSnapshot, run: PlacementEntry
+    ) -> None:
         endpoint = self._book.listed(run.endpoint)
         if key in self._placed or endpoint is None:
             return
-        self._placed[key] = _Placed(
+        self._placed[key] = _RemotePlacement(
             roll.host,
             roll.boot,
             run.request,
@@ -189,13 +195,13 @@
     return f"{host}/{boot}/{request}"
 
 
-def _prompt(ask: PlaceAsk) -> Prompt:
+def _prompt(ask: PlacementRequest) -> Prompt:
     shared = [PromptPart(name, tokens) for name, tokens in ask.parts]
     own = max(0, ask.tokens_in - sum(part.tokens for part in shared))
     return Prompt((*shared, PromptPart("", own)), ask.tokens_in, ask.tokens_out)
 
 
-def ask_for(
+def placement_request(
     host: str,
     boot: int,
     now: float,
@@ -204,10 +210,10 @@
     account: str,
     avoid: tuple[str, ...],
     zone: str,
-) -> PlaceAsk:
+) -> PlacementRequest:
     """Return the message that asks a placer to place a request."""
     waiter, prompt = job.waiter, job.prompt
-    return PlaceAsk(
+    return PlacementRequest(
         host=host,
         boot=boot,
         request=waiter.id,
--- a/greengageflow/core/place_messages.py
+++ b/greengageflow/core/place_messages.py
@@ -14,7 +14,7 @@
     """The placer does not place it now; the host decides for itself."""
 
 
-class Happened(IntEnum):
+class PlacementEventKind(IntEnum):
     """Event in the life of a placed request."""
 
     FIRST_EVENT = 1
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class PlaceAsk:
+class PlacementRequest:
     """Request of a host to place a call.
 
     Args:
@@ -66,7 +66,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class PlaceAnswer:
+class PlacementAnswer:
     """Answer of a placer.
 
     Args:
@@ -97,7 +97,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class PlaceNote:
+class PlacementEvent:
     """Event of a placed request, sent by its host.
 
     Args:
@@ -110,11 +110,11 @@
     host: str
     boot: int
     request: str
-    happened: Happened
+    happened: PlacementEventKind
 
 
 @dataclass(frozen=True, slots=True)
-class PlacedRun:
+class PlacementEntry:
     """A request of a host that a placer started or still has to place.
 
     Args:
@@ -131,7 +131,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class PlaceRoll:
+class PlacementSnapshot:
     """Snapshot of a host's requests at one placer; makes up for lost messages.
 
     Args:
@@ -142,7 +142,9 @@
 
     host: str
     boot: int
-    runs: tuple[PlacedRun, ...] = ()
+    runs: tuple[PlacementEntry, ...] = ()
 
 
-PlaceMessage = PlaceAsk | PlaceAnswer | PlaceNote | PlaceRoll
+PlacementMessage = (
+    PlacementRequest | PlacementAnswer | PlacementEvent | PlacementSnapshot
+)
--- a/greengageflow/core/placers.py
+++ b/greengageflow/core/placers.py
@@ -58,7 +58,7 @@
 
     def __init__(self, host: str, mute_s: float) -> None:
         self.placers: tuple[str, ...] = ()
-        self.began_together = True
+        self.started_together = True
         self._host = host
         self._mute_s = mute_s
         self._addresses: dict[str, Address] = {}
@@ -75,7 +75,7 @@
                 del known[host]
         placers = placers_among(known_rows)
         boots = [row.boot for row in known_rows if row.host in placers]
-        self.began_together = (
+        self.started_together = (
             max(boots, default=0) <= min(boots, default=0) + TOGETHER_MS
         )
         changed = placers != self.placers
--- a/greengageflow/core/relay_sums.py
+++ b/greengageflow/core/relay_sums.py
@@ -9,16 +9,16 @@
     FleetTotals,
     OwnHistory,
     SumReport,
-    loads_without,
     merge,
+    subtract_loads,
+    subtract_totals,
     sum_loads,
-    without,
 )
-from greengageflow.core.peer_report import HeardReport, PeerBook, PeerReport
+from greengageflow.core.peer_report import PeerReport, PeerTable, ReceivedReport
 from greengageflow.core.router_table import Hello, RouterTable
 from greengageflow.core.store_duty import StoreWord, best_word
-from greengageflow.core.sum_book import SumBook
-from greengageflow.core.sum_changes import SumChanges, SumTeller
+from greengageflow.core.sum_book import SumTable
+from greengageflow.core.sum_changes import SumDelta, SumPublisher
 from greengageflow.core.zone_loads import ZoneLoads
 
 STEP_IN_S = 0.5
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _ZoneWork:
+class _CachedWork:
     """Cached work of the zone's other routers.
 
     Args:
@@ -46,7 +46,7 @@
     totals: FleetTotals
 
 
-class RelaySums:
+class RelayAggregator:
     """Aggregates the reports of a zone, and the zones into a sum of the fleet.
 
     A relay computes the sums; a member reads those of its relay and subtracts its
@@ -60,21 +60,21 @@
     """
 
     def __init__(
-        self, own: Hello, table: RouterTable, book: PeerBook, fade_s: float
+        self, own: Hello, table: RouterTable, book: PeerTable, fade_s: float
     ) -> None:
-        self.sums = SumBook()
+        self.sums = SumTable()
         self.history = OwnHistory()
         self._own = own
         self._table = table
         self._book = book
         self._fade_s = fade_s
-        self._publishers = {whole: SumTeller() for whole in (False, True)}
+        self._publishers = {whole: SumPublisher() for whole in (False, True)}
         self._zone_loads = ZoneLoads()
-        self._zone_work: _ZoneWork | None = None
+        self._cached_work: _CachedWork | None = None
 
     def others(self, now: float, quiet_s: float) -> FleetTotals:
         """Return the totals of all other routers."""
-        loads = self.other_loads(now, quiet_s)
+        loads = self.peer_loads(now, quiet_s)
         whole = self._whole(now, quiet_s)
         if whole is None:
             zones = self.sums.zones(now, self._own.zone)
@@ -84,9 +84,11 @@
         hosts = self.history.at(whole.counted.get(host, 0)).hosts
         work = self.history.at(whole.work_counted.get(host, 0))
         own = replace(work, loads={}, hosts=hosts)
-        return replace(without(replace(whole.totals, loads={}), own), loads=loads)
+        return replace(
+            subtract_totals(replace(whole.totals, loads={}), own), loads=loads
+        )
 
-    def other_loads(self, now: float, quiet_s: float) -> dict[str, LoadShare]:
+    def peer_loads(self, now: float, quiet_s: float) -> dict[str, LoadShare]:
         """Return the loads of all other routers."""
         whole = self._whole(now, quiet_s)
         if whole is None:
@@ -94,7 +96,7 @@
             loads = self._zone_loads.add_up(self._members(now))
             return sum_loads([loads, *(report.totals.loads for report, _ in zones)])
         own = self.history.at(whole.counted.get(self._own.host, 0))
-        return loads_without(whole.totals.loads, own.loads)
+        return subtract_loads(whole.totals.loads, own.loads)
 
     def _whole(self, now: float, quiet_s: float) -> SumReport | None:
         """Return the newest fleet sum, or None when this router computes it itself."""
@@ -132,13 +134,13 @@
         for zone in relays.keys() - {own} if is_relay else {own}:
             self._table.drop_silent(now, relays.get(zone, ()), SILENT_S)
 
-    def want_whole(self, now: float, whole: bool) -> bool:
+    def request_full_sum(self, now: float, whole: bool) -> bool:
         """Make the next sum a full one; return whether to send it at once."""
-        return self._publishers[whole].want_whole(now)
+        return self._publishers[whole].request_full_sum(now)
 
     def tell(
         self, now: float, own: PeerReport, number: int
-    ) -> tuple[SumReport | SumChanges, SumReport | SumChanges]:
+    ) -> tuple[SumReport | SumDelta, SumReport | SumDelta]:
         """Return the next message for other zones, and the one for this zone.
 
         Args:
@@ -155,23 +157,23 @@
     def _add(
         self, now: float, own: PeerReport, number: int
     ) -> tuple[SumReport, SumReport]:
-        members = [*self._members(now), HeardReport(own, now)]
+        members = [*self._members(now), ReceivedReport(own, now)]
         loads = self._zone_loads.add_up(members[:-1])
         totals = FleetTotals(loads=loads, hosts=len(members) - 1)
         mine = FleetTotals(loads=own.loads, hosts=1)
-        is_due = any(teller.tells_work(now) for teller in self._publishers.values())
+        is_due = any(teller.is_work_due(now) for teller in self._publishers.values())
         if is_due:
             totals = replace(self._members_work(now), loads=loads)
             mine = FleetTotals(own.served, own.offered, own.loads, 1)
         totals = merge([totals, mine])
-        word = best_word(now, (word_of(one.report, one.at) for one in members))
+        word = best_word(now, (store_state_of(one.report, one.at) for one in members))
         placed = tuple({pair for one in members for pair in one.report.placed})
         zone = self._sum(number, totals, word, placed)
         zones = self.sums.zones(now, self._own.zone)
         parts = [report.totals for report, _ in zones]
         if not is_due:
             parts = [replace(part, served={}, offered={}) for part in parts]
-        words = [word, *(word_of(report, at) for report, at in zones)]
+        words = [word, *(store_state_of(report, at) for report, at in zones)]
         pairs = {pair for report, _ in zones for pair in report.placed}
         whole = self._sum(
             number,
@@ -188,20 +190,20 @@
         whole = self.sums.whole(now)
         if whole is not None:
             sums.append(whole)
-        return (word_of(report, at) for report, at in sums)
+        return (store_state_of(report, at) for report, at in sums)
 
-    def _members(self, now: float) -> list[HeardReport]:
+    def _members(self, now: float) -> list[ReceivedReport]:
         """Return the live reports of this router's zone."""
         heard = self._book.live(now)
         return [one for one in heard if one.report.zone == self._own.zone]
 
     def _members_work(self, now: float) -> FleetTotals:
         # A turn in which a round falls needs this twice.
-        known, revision = self._zone_work, self._book.revision
+        known, revision = self._cached_work, self._book.revision
         if known and known.revision == revision and now - known.at <= SAME_S:
             return known.totals
         totals = sum_work(now, self._members(now), self._fade_s)
-        self._zone_work = _ZoneWork(now, revision, totals)
+        self._cached_work = _CachedWork(now, revision, totals)
         return totals
 
     def _sum(
@@ -226,7 +228,7 @@
         )
 
 
-def word_of(report: PeerReport | SumReport, at: float) -> StoreWord:
+def store_state_of(report: PeerReport | SumReport, at: float) -> StoreWord:
     """Return what a report received at ``at`` says about the store."""
     return StoreWord(
         at, report.version, report.list_mark, report.heard_s, report.list_heard_s
--- a/greengageflow/core/sum_book.py
+++ b/greengageflow/core/sum_book.py
@@ -3,10 +3,10 @@
 from enum import Enum
 
 from greengageflow.core.fleet_sums import QUIET_S, SumReport
-from greengageflow.core.sum_changes import SumChanges, SumHeard
+from greengageflow.core.sum_changes import ReceivedSum, SumDelta
 
 
-class Taken(Enum):
+class SumOutcome(Enum):
     """Outcome of a received message."""
 
     NEW = "new"
@@ -15,29 +15,29 @@
     """Messages before it are missing: a full sum is needed."""
 
 
-class SumBook:
+class SumTable:
     """The newest sum of each relay."""
 
     def __init__(self) -> None:
-        self._heard: dict[tuple[str, bool], SumHeard] = {}
+        self._heard: dict[tuple[str, bool], ReceivedSum] = {}
 
-    def put(self, now: float, message: SumReport | SumChanges) -> Taken:
+    def put(self, now: float, message: SumReport | SumDelta) -> SumOutcome:
         """Apply a full sum or a delta."""
         key = (message.host, message.whole)
         known = self._heard.get(key)
         if known is not None and known.is_old(message.boot, message.number):
-            return Taken.OLD
+            return SumOutcome.OLD
         match message:
             case SumReport():
-                self._heard[key] = SumHeard(now, message)
-            case SumChanges() if known is None or known.lacks(message):
-                return Taken.MISSED
-            case SumChanges():
+                self._heard[key] = ReceivedSum(now, message)
+            case SumDelta() if known is None or known.lacks(message):
+                return SumOutcome.MISSED
+            case SumDelta():
                 try:
                     known.apply(now, message)
                 except LookupError:
-                    return Taken.MISSED
-        return Taken.NEW
+                    return SumOutcome.MISSED
+        return SumOutcome.NEW
 
     def placed(self, host: str, whole: bool) -> tuple[tuple[str, str], ...]:
         """Return the prompt parts and endpoints in the newest sum of a relay."""
--- a/greengageflow/core/sum_changes.py
+++ b/greengageflow/core/sum_changes.py
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Changes(Generic[K, V]):
+class TableDelta(Generic[K, V]):
     """Changes of one table.
 
     Args:
@@ -66,7 +66,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class SumChanges:
+class SumDelta:
     """Delta of a sum.
 
     Args:
@@ -91,9 +91,9 @@
     number: int
     whole: bool
     base: int
-    loads: Changes[str, LoadShare]
-    counted: Changes[str, int]
-    work: Changes[AccountKey, Work] | None = None
+    loads: TableDelta[str, LoadShare]
+    counted: TableDelta[str, int]
+    work: TableDelta[AccountKey, Work] | None = None
     hosts: int = 0
     version: int = 0
     list_mark: int = 0
@@ -103,7 +103,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class SumWanted:
+class FullSumRequest:
     """Request of a router for a full sum.
 
     Args:
@@ -113,7 +113,7 @@
     whole: bool
 
 
-class _Told(Generic[K, V]):
+class _DeltaTable(Generic[K, V]):
     """A table as the receivers of its deltas hold it.
 
     Args:
@@ -127,7 +127,7 @@
         self._changed: dict[K, int] = {}
         self._sizes = deque([(0, 0)], maxlen=OVERLAP)
 
-    def change(self, number: int, values: Mapping[K, V]) -> Changes[K, V]:
+    def change(self, number: int, values: Mapping[K, V]) -> TableDelta[K, V]:
         """Take the current values; return the changes of the last ``OVERLAP`` calls."""
         known = self.values
         for key in known.keys() - values.keys():
@@ -143,7 +143,7 @@
         self._sizes.append((number, len(known)))
         self._changed = {key: at for key, at in self._changed.items() if at > after}
         places = self.places
-        return Changes(
+        return TableDelta(
             after=after,
             start=start,
             new=tuple(islice(places, start, None)),
@@ -155,7 +155,7 @@
         return len(self.values) > 2 * live + SPARE
 
 
-class SumTeller:
+class SumPublisher:
     """Turns the successive sums of a relay into full sums and deltas."""
 
     def __init__(self) -> None:
@@ -166,11 +166,11 @@
 
     def _begin(self, number: int) -> None:
         self._base = number
-        self._loads: _Told[str, LoadShare] = _Told(NOTHING)
-        self._counted: _Told[str, int] = _Told(0)
-        self._work: _Told[AccountKey, Work] = _Told((0, 0))
+        self._loads: _DeltaTable[str, LoadShare] = _DeltaTable(NOTHING)
+        self._counted: _DeltaTable[str, int] = _DeltaTable(0)
+        self._work: _DeltaTable[AccountKey, Work] = _DeltaTable((0, 0))
 
-    def want_whole(self, now: float) -> bool:
+    def request_full_sum(self, now: float) -> bool:
         """Make the next message a full sum; return whether to send it at once.
 
         Many routers may miss the same message and ask one after the other, so a
@@ -181,33 +181,33 @@
         self._whole_at = -inf
         return True
 
-    def tells_work(self, now: float) -> bool:
+    def is_work_due(self, now: float) -> bool:
         """Return whether the next message carries work; otherwise it may be omitted."""
         # Slightly early: with turns of 0.1 s the interval would otherwise be 0.3 s.
         is_due = now - self._work_at >= 0.8 * WORK_S
         return is_due or now - self._whole_at >= WHOLE_S
 
-    def tell(self, now: float, report: SumReport) -> SumReport | SumChanges:
+    def tell(self, now: float, report: SumReport) -> SumReport | SumDelta:
         """Return the full sum, or its delta."""
         totals, number = report.totals, report.number
         loads = {name: _rounded(load) for name, load in totals.loads.items()}
         placed = self._new_placed(now, report)
         for _, endpoint in placed:
             loads.setdefault(endpoint, NOTHING)
-        if self.tells_work(now) and self._is_worn(report):
+        if self.is_work_due(now) and self._is_worn(report):
             self._begin(number)
             self._whole_at = -inf
         changed = self._loads.change(number, loads)
         counted = self._counted.change(number, report.counted)
         is_whole = now - self._whole_at >= WHOLE_S
         work = None
-        if self.tells_work(now):
+        if self.is_work_due(now):
             self._work_at = now
             work = self._work.change(number, work_of(totals))
         if is_whole:
             self._whole_at = now
             return replace(self._whole(report), placed=placed)
-        return SumChanges(
+        return SumDelta(
             host=report.host,
             boot=report.boot,
             number=number,
@@ -259,7 +259,7 @@
         return tuple(pair for pair, at in self._placed.items() if at >= again)
 
 
-class SumHeard:
+class ReceivedSum:
     """The sum of one relay, kept up to date by deltas.
 
     Args:
@@ -279,7 +279,7 @@
         """Return whether a message is not newer than the last one applied."""
         return (boot, number) <= (self.report.boot, self.report.number)
 
-    def lacks(self, changes: SumChanges) -> bool:
+    def lacks(self, changes: SumDelta) -> bool:
         """Return whether a message that this delta builds on was missed."""
         if changes.boot != self.report.boot or changes.base != self.report.base:
             return True
@@ -288,7 +288,7 @@
         lost = work is not None and self._work_number < work.after
         return lost or number < min(changes.loads.after, changes.counted.after)
 
-    def apply(self, now: float, changes: SumChanges) -> None:
+    def apply(self, now: float, changes: SumDelta) -> None:
         """Apply a delta without a gap before it.
 
         Raises:
@@ -325,7 +325,7 @@
         )
 
 
-def _named(keys: list[K], changes: Changes[K, V]) -> Iterable[tuple[K, V]]:
+def _named(keys: list[K], changes: TableDelta[K, V]) -> Iterable[tuple[K, V]]:
     """Add the new keys; return the changed values with their keys."""
     if changes.new:
         keys[changes.start :] = changes.new
--- a/greengageflow/core/zone_loads.py
+++ b/greengageflow/core/zone_loads.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable, Mapping
 
 from greengageflow.core.endpoint_load import LoadShare
-from greengageflow.core.peer_report import HeardReport
+from greengageflow.core.peer_report import ReceivedReport
 
 NOTHING = LoadShare(0, 0, 0)
 
@@ -19,7 +19,7 @@
         self._known: dict[str, Mapping[str, LoadShare]] = {}
         self._sums: dict[str, LoadShare] = {}
 
-    def add_up(self, heard: Iterable[HeardReport]) -> dict[str, LoadShare]:
+    def add_up(self, heard: Iterable[ReceivedReport]) -> dict[str, LoadShare]:
         """Return the sum of the routers' loads by endpoint."""
         gone = set(self._known)
         for one in heard:
--- a/greengageflow/daemon/exchange_listener.py
+++ b/greengageflow/daemon/exchange_listener.py
@@ -7,7 +7,7 @@
 from greengageflow.core.fleet_sums import FleetTotals
 from greengageflow.core.leaving_signs import LeavingReport
 from greengageflow.core.peer_report import PeerReport
-from greengageflow.core.place_messages import PlaceMessage
+from greengageflow.core.place_messages import PlacementMessage
 from greengageflow.core.quarantine import CrashReport
 from greengageflow.core.store_updates import StoreUpdate
 
@@ -44,5 +44,5 @@
     def on_leaving_report(self, report: LeavingReport) -> None:
         """Take which endpoints said that they leave."""
 
-    def on_place_message(self, message: PlaceMessage) -> None:
+    def on_place_message(self, message: PlacementMessage) -> None:
         """Take what another router asks or tells of a request's place."""
--- a/greengageflow/daemon/fleet_exchange.py
+++ b/greengageflow/daemon/fleet_exchange.py
@@ -15,22 +15,22 @@
 from greengageflow.core.hello_cache import HelloCache
 from greengageflow.core.hello_ring import HelloRing
 from greengageflow.core.leaving_signs import LeavingReport
-from greengageflow.core.peer_report import LoadNotice, PeerBook, PeerReport
+from greengageflow.core.peer_report import LoadNotice, PeerReport, PeerTable
 from greengageflow.core.place_messages import (
-    PlaceAnswer,
-    PlaceAsk,
-    PlaceMessage,
-    PlaceNote,
-    PlaceRoll,
+    PlacementAnswer,
+    PlacementEvent,
+    PlacementMessage,
+    PlacementRequest,
+    PlacementSnapshot,
 )
 from greengageflow.core.quarantine import CrashRecord, CrashReport
-from greengageflow.core.relay_sums import RelaySums, word_of
+from greengageflow.core.relay_sums import RelayAggregator, store_state_of
 from greengageflow.core.router_table import RELAYS_A_ZONE, Hello, RouterTable
 from greengageflow.core.service_book import FADE_S
 from greengageflow.core.store_duty import READING_ZONES, StoreRole, StoreWord
 from greengageflow.core.store_updates import StoreUpdate
-from greengageflow.core.sum_book import Taken
-from greengageflow.core.sum_changes import SumChanges, SumWanted
+from greengageflow.core.sum_book import SumOutcome
+from greengageflow.core.sum_changes import FullSumRequest, SumDelta
 from greengageflow.core.zone_loads import ZoneLoads
 from greengageflow.daemon.exchange_listener import ExchangeListener
 from greengageflow.net.gossip_link import GossipLink
@@ -82,8 +82,8 @@
         self._seeds = set(seeds) - {own.address}
         self._listener = listener
         self._table = RouterTable(own)
-        self._book = PeerBook(own.host)
-        self._relayed = RelaySums(own, self._table, self._book, FADE_S)
+        self._book = PeerTable(own.host)
+        self._relayed = RelayAggregator(own, self._table, self._book, FADE_S)
         self._mesh_loads = ZoneLoads()
         self._words: tuple[float, list[StoreWord]] = (float("-inf"), [])
         self._addresses: dict[Address, float] = {}
@@ -133,7 +133,7 @@
         rows = [*self._table.live(self._now, self._quiet_s), own]
         return [row for row in rows if not row.stopping]
 
-    def send_to(self, to: Address, message: PlaceMessage) -> None:
+    def send_to(self, to: Address, message: PlacementMessage) -> None:
         """Send one router a message, at best effort."""
         self._link.send(to, encode(message))
 
@@ -204,7 +204,7 @@
         now = self._now
         at, words = self._words
         if now - at > SAME_S:
-            words = [word_of(one.report, one.at) for one in self._book.live(now)]
+            words = [store_state_of(one.report, one.at) for one in self._book.live(now)]
             words += self._relayed.words(now)
             self._words = now, words
         return words
@@ -234,11 +234,11 @@
                 self._on_hello(now, _hello(message))
             case LoadNotice() if self._book.add(message):
                 self._changed = True
-            case SumReport() | SumChanges():
+            case SumReport() | SumDelta():
                 self._on_sum(now, message)
                 return
-            case SumWanted():
-                self._wanted |= self._relayed.want_whole(now, message.whole)
+            case FullSumRequest():
+                self._wanted |= self._relayed.request_full_sum(now, message.whole)
                 return
             case Hello():
                 if not message.peers:
@@ -254,24 +254,29 @@
             case LeavingReport():
                 self._listener.on_leaving_report(message)
                 return
-            case PlaceAsk() | PlaceAnswer() | PlaceNote() | PlaceRoll():
+            case (
+                PlacementRequest()
+                | PlacementAnswer()
+                | PlacementEvent()
+                | PlacementSnapshot()
+            ):
                 self._listener.on_place_message(message)
                 return
             case _:
                 return
         self._listener.on_placed(message.placed)
 
-    def _on_sum(self, now: float, message: SumReport | SumChanges) -> None:
+    def _on_sum(self, now: float, message: SumReport | SumDelta) -> None:
         # Hellos of a few a round miss a router now and then; whoever forgot
         # the first relay so would tell others, and its sums would lack them.
         self._table.touch(now, message.host, message.boot)
         sums = self._relayed.sums
         match sums.put(now, message):
-            case Taken.NEW:
+            case SumOutcome.NEW:
                 self._changed = True
                 self._listener.on_placed(sums.placed(message.host, message.whole))
-            case Taken.MISSED:
-                data = encode(SumWanted(whole=message.whole))
+            case SumOutcome.MISSED:
+                data = encode(FullSumRequest(whole=message.whole))
                 self._send(data, self._table.addresses(message.host))
 
     def _on_hello(self, now: float, hello: Hello) -> None:
@@ -314,7 +319,7 @@
         if self._changed:
             self._changed = False
             if self._is_large:
-                loads = self._relayed.other_loads(self._now, self._quiet_s)
+                loads = self._relayed.peer_loads(self._now, self._quiet_s)
                 self._listener.on_loads(loads)
             else:
                 heard = self._book.live(self._now)
--- a/greengageflow/daemon/gateway.py
+++ b/greengageflow/daemon/gateway.py
@@ -12,7 +12,7 @@
 from greengageflow.core.fleet_sums import FleetTotals
 from greengageflow.core.leaving_signs import LeavingReport
 from greengageflow.core.peer_report import PeerReport
-from greengageflow.core.place_messages import PlaceMessage
+from greengageflow.core.place_messages import PlacementMessage
 from greengageflow.core.quarantine import CrashReport, Quarantine
 from greengageflow.core.router_table import Hello
 from greengageflow.core.routes import Routing
@@ -339,7 +339,7 @@
         """Take which endpoints said that they leave."""
         self._leaving.receive(report.signs)
 
-    def on_place_message(self, message: PlaceMessage) -> None:
+    def on_place_message(self, message: PlacementMessage) -> None:
         """Take what another router asks or tells of a request's place."""
         self._placement.receive(message)
 
--- a/greengageflow/daemon/pending_placements.py
+++ b/greengageflow/daemon/pending_placements.py
@@ -4,7 +4,7 @@
 from typing import Protocol
 
 from greengageflow.core.endpoint_list import ListedEndpoint
-from greengageflow.core.place_messages import PlaceMessage
+from greengageflow.core.place_messages import PlacementMessage
 from greengageflow.core.router_table import Hello
 from greengageflow.core.service_scheduler import Job
 
@@ -15,7 +15,7 @@
     def routers(self) -> list[Hello]:
         """Return the live hosts that are not stopping, this one with them."""
 
-    def send_to(self, to: tuple[str, int], message: PlaceMessage) -> None:
+    def send_to(self, to: tuple[str, int], message: PlacementMessage) -> None:
         """Send a message, at best effort."""
 
 
--- a/greengageflow/daemon/placement.py
+++ b/greengageflow/daemon/placement.py
@@ -5,15 +5,15 @@
 from greengageflow.core.endpoint_choice import Choice
 from greengageflow.core.endpoint_list import EndpointList, ListedEndpoint
 from greengageflow.core.forward_request import Prompt
-from greengageflow.core.place_desk import PlaceDesk, ask_for
+from greengageflow.core.place_desk import RemotePlacements, placement_request
 from greengageflow.core.place_messages import (
-    Happened,
-    PlaceAnswer,
-    PlaceAsk,
-    PlacedRun,
-    PlaceMessage,
-    PlaceNote,
-    PlaceRoll,
+    PlacementAnswer,
+    PlacementEntry,
+    PlacementEvent,
+    PlacementEventKind,
+    PlacementMessage,
+    PlacementRequest,
+    PlacementSnapshot,
     Verdict,
 )
 from greengageflow.core.placers import PlacerTable
@@ -88,7 +88,7 @@
         self._carry_out = carry_out
         self._log = log
         self._parts = parts
-        self._desk = PlaceDesk(own.host, book)
+        self._desk = RemotePlacements(own.host, book)
         self._pending: dict[str, PendingPlacement] = {}
         self._runs: dict[str, Run] = {}
         self._table = PlacerTable(own.host, MUTE_S)
@@ -155,7 +155,7 @@
         self._pending[request] = PendingPlacement(placer, service, job, account, now)
         self._roll_until[placer] = now + ROLLS_ON_S
         avoid = self._book.resting(now, service)
-        ask = ask_for(
+        ask = placement_request(
             self._host, self._boot, now, service, job, account, avoid, self._zone
         )
         self._send(placer, ask)
@@ -220,20 +220,20 @@
         run = self._runs.get(request)
         if run is not None and run.live:
             run.reading = 0.0
-            self._note(request, run, Happened.FIRST_EVENT)
+            self._note(request, run, PlacementEventKind.FIRST_EVENT)
 
     def answered(self, request: str, endpoint: ListedEndpoint, good: bool) -> None:
         """Note an endpoint's answer."""
         self._book.answered(endpoint, good)
         run = self._runs.get(request)
         if run is not None and run.live and not good:
-            self._note(request, run, Happened.FAILED)
+            self._note(request, run, PlacementEventKind.FAILED)
 
     def silent(self, now: float, request: str, endpoint: ListedEndpoint) -> bool:
         """Note that an endpoint did not answer; True when it begins to rest."""
         run = self._runs.get(request)
         if run is not None and run.live:
-            self._note(request, run, Happened.SILENT)
+            self._note(request, run, PlacementEventKind.SILENT)
         return self._book.silent(now, endpoint)
 
     def left(self, request: str, endpoint: ListedEndpoint) -> None:
@@ -242,25 +242,25 @@
         run = self._runs.get(request)
         if run is not None and run.live:
             run.live = False
-            self._note(request, run, Happened.ENDED)
+            self._note(request, run, PlacementEventKind.ENDED)
 
     def ended(self, now: float, service: str, request: str) -> Iterator[Decision]:
         """Note that a request has its answer, or its caller is gone."""
         asked = self._pending.pop(request, None)
         if asked is not None:
-            self._tell(asked.placer, request, Happened.ENDED)
+            self._tell(asked.placer, request, PlacementEventKind.ENDED)
         run = self._runs.pop(request, None)
         if run is not None and run.live:
-            self._note(request, run, Happened.ENDED)
+            self._note(request, run, PlacementEventKind.ENDED)
         yield from self._book.ended(now, service, request)
 
-    def _note(self, request: str, run: Run, happened: Happened) -> None:
+    def _note(self, request: str, run: Run, happened: PlacementEventKind) -> None:
         # An endpoint may have got another placer since, which has it from a roll.
         for host in {run.placer, self._table.owner(run.endpoint.id)}:
             self._tell(host, request, happened)
 
-    def _tell(self, host: str, request: str, happened: Happened) -> None:
-        note = PlaceNote(
+    def _tell(self, host: str, request: str, happened: PlacementEventKind) -> None:
+        note = PlacementEvent(
             host=self._host, boot=self._boot, request=request, happened=happened
         )
         if host == self._host:
@@ -270,20 +270,20 @@
 
     # What others tell.
 
-    def receive(self, message: PlaceMessage) -> None:
+    def receive(self, message: PlacementMessage) -> None:
         """Take a message of another host."""
         now = self._timers.now
         match message:
-            case PlaceAsk():
+            case PlacementRequest():
                 self._on_ask(now, message)
-            case PlaceAnswer():
+            case PlacementAnswer():
                 self._on_answer(now, message)
-            case PlaceNote():
+            case PlacementEvent():
                 self._carry_out(self._desk.note(now, message))
-            case PlaceRoll():
+            case PlacementSnapshot():
                 self._carry_out(self._desk.roll(now, message))
 
-    def _on_ask(self, now: float, ask: PlaceAsk) -> None:
+    def _on_ask(self, now: float, ask: PlacementRequest) -> None:
         # A host that began while cut off from the store knows no endpoint, and would
         # refuse the requests of all; others know theirs and decide.
         if not self._places(now) or not self._endpoints.usable(ask.service):
@@ -295,17 +295,17 @@
 
     def _places(self, now: float) -> bool:
         # Where all began together there was no placer before, and nothing runs.
-        fresh = self._begins and self._table.began_together
+        fresh = self._begins and self._table.started_together
         settled = fresh or now - self._placer_since >= SETTLE_S
         return self._host in self._table.placers and settled and not self.stopping
 
-    def _answer(self, ask: PlaceAsk, verdict: Verdict) -> None:
-        answer = PlaceAnswer(
+    def _answer(self, ask: PlacementRequest, verdict: Verdict) -> None:
+        answer = PlacementAnswer(
             host=self._host, boot=ask.boot, request=ask.request, verdict=verdict
         )
         self._send(ask.host, answer)
 
-    def _send(self, host: str, message: PlaceMessage) -> None:
+    def _send(self, host: str, message: PlacementMessage) -> None:
         address = self._table.address(host)
         if address is not None:
             self._sender.send_to(address, message)
@@ -316,7 +316,7 @@
         if told is not None:
             self._send(*told)
 
-    def _on_answer(self, now: float, answer: PlaceAnswer) -> None:
+    def _on_answer(self, now: float, answer: PlacementAnswer) -> None:
         self._on_heard(now, answer.host)
         asked = self._pending.get(answer.request)
         # Each process numbers its requests from 1: an answer to the one before this
@@ -343,11 +343,11 @@
             case Verdict.START:
                 self._on_start(asked, answer)
 
-    def _on_start(self, asked: PendingPlacement, answer: PlaceAnswer) -> None:
+    def _on_start(self, asked: PendingPlacement, answer: PlacementAnswer) -> None:
         endpoint = self._endpoints.get(answer.endpoint)
         now = self._timers.now
         if endpoint is None or not self._book.is_open(now, endpoint):
-            self._tell(asked.placer, answer.request, Happened.ENDED)
+            self._tell(asked.placer, answer.request, PlacementEventKind.ENDED)
             self._decide_here(lambda other: other is asked)
             return
         del self._pending[answer.request]
@@ -406,22 +406,24 @@
         now = self._timers.now
         # An answer that was lost leaves a place at the placer of which this host knows
         # nothing: it goes on saying what it has, if only that it has nothing.
-        rolls: dict[str, list[PlacedRun]] = {
+        rolls: dict[str, list[PlacementEntry]] = {
             host: [] for host, until in self._roll_until.items() if now < until
         }
         for request, asked in self._pending.items():
             if asked.placer:
-                rolls.setdefault(asked.placer, []).append(PlacedRun(request))
+                rolls.setdefault(asked.placer, []).append(PlacementEntry(request))
         for request, run in self._runs.items():
             if run.live:
-                placed = PlacedRun(request, run.endpoint.id, run.reading, run.memory)
+                placed = PlacementEntry(
+                    request, run.endpoint.id, run.reading, run.memory
+                )
                 rolls.setdefault(self._table.owner(run.endpoint.id), []).append(placed)
         self._roll_until = {
             host: now + ROLLS_ON_S if runs else self._roll_until[host]
             for host, runs in rolls.items()
         }
         for host, runs in rolls.items():
-            roll = PlaceRoll(host=self._host, boot=self._boot, runs=tuple(runs))
+            roll = PlacementSnapshot(host=self._host, boot=self._boot, runs=tuple(runs))
             if host == self._host:
                 self._carry_out(self._desk.roll(now, roll))
             else:
--- a/greengageflow/net/place_codec.py
+++ b/greengageflow/net/place_codec.py
@@ -4,13 +4,13 @@
 from typing import Any
 
 from greengageflow.core.place_messages import (
-    Happened,
-    PlaceAnswer,
-    PlaceAsk,
-    PlacedRun,
-    PlaceMessage,
-    PlaceNote,
-    PlaceRoll,
+    PlacementAnswer,
+    PlacementEntry,
+    PlacementEvent,
+    PlacementEventKind,
+    PlacementMessage,
+    PlacementRequest,
+    PlacementSnapshot,
     Verdict,
 )
 from greengageflow.errors import ErrorKind
@@ -20,10 +20,10 @@
 _MOST = 2.0**53
 
 
-def place_values(message: PlaceMessage) -> tuple[Any, ...]:
+def place_values(message: PlacementMessage) -> tuple[Any, ...]:
     """Return the values of a message, its kind first."""
     match message:
-        case PlaceAsk():
+        case PlacementRequest():
             return (
                 ASK,
                 message.host,
@@ -42,7 +42,7 @@
                 message.avoid,
                 message.zone,
             )
-        case PlaceAnswer():
+        case PlacementAnswer():
             return (
                 ANSWER,
                 message.host,
@@ -57,10 +57,10 @@
                 message.message,
                 round(message.retry_after_s, 3),
             )
-        case PlaceNote():
+        case PlacementEvent():
             what = int(message.happened)
             return (NOTE, message.host, message.boot, message.request, what)
-        case PlaceRoll():
+        case PlacementSnapshot():
             runs = tuple(
                 (run.request, run.endpoint, int(run.reading), int(run.memory))
                 for run in message.runs
@@ -68,12 +68,12 @@
             return (ROLL, message.host, message.boot, runs)
 
 
-def ask_of(values: list[Any]) -> PlaceAsk:
+def ask_of(values: list[Any]) -> PlacementRequest:
     """Return an ask; raises ValueError, TypeError for what is none."""
     host, boot, request, service, account, priority, *rest = values
     waited_s, left_s, patience_s, target_s, *rest = rest
     parts, tokens_in, tokens_out, avoid, zone = rest
-    return PlaceAsk(
+    return PlacementRequest(
         host=str(host),
         boot=int(boot),
         request=str(request),
@@ -92,13 +92,13 @@
     )
 
 
-def answer_of(values: list[Any]) -> PlaceAnswer:
+def answer_of(values: list[Any]) -> PlacementAnswer:
     """Return an answer; raises ValueError, TypeError for what is none."""
     host, boot, request, verdict, endpoint, fetch_from, *rest = values
     reading, wait_s, kind, text, retry_after_s = rest
     if int(verdict) == Verdict.REFUSE:
         ErrorKind(kind)
-    return PlaceAnswer(
+    return PlacementAnswer(
         host=str(host),
         boot=int(boot),
         request=str(request),
@@ -113,25 +113,25 @@
     )
 
 
-def note_of(values: list[Any]) -> PlaceNote:
+def note_of(values: list[Any]) -> PlacementEvent:
     """Return a note; raises ValueError, TypeError for what is none."""
     host, boot, request, happened = values
-    return PlaceNote(
+    return PlacementEvent(
         host=str(host),
         boot=int(boot),
         request=str(request),
-        happened=Happened(happened),
+        happened=PlacementEventKind(happened),
     )
 
 
-def roll_of(values: list[Any]) -> PlaceRoll:
+def roll_of(values: list[Any]) -> PlacementSnapshot:
     """Return a roll; raises ValueError, TypeError for what is none."""
     host, boot, runs = values
     rows = (
-        PlacedRun(str(request), str(endpoint), _amount(reading), _amount(memory))
+        PlacementEntry(str(request), str(endpoint), _amount(reading), _amount(memory))
         for request, endpoint, reading, memory in runs
     )
-    return PlaceRoll(host=str(host), boot=int(boot), runs=tuple(rows))
+    return PlacementSnapshot(host=str(host), boot=int(boot), runs=tuple(rows))
 
 
 def _finite(value: Any) -> float:
--- a/greengageflow/net/report_codec.py
+++ b/greengageflow/net/report_codec.py
@@ -10,11 +10,11 @@
 from greengageflow.core.keyed_record import KeyedRecord
 from greengageflow.core.leaving_signs import LeavingReport
 from greengageflow.core.peer_report import LoadNotice, PeerReport
-from greengageflow.core.place_messages import PlaceMessage
+from greengageflow.core.place_messages import PlacementMessage
 from greengageflow.core.quarantine import CrashReport
 from greengageflow.core.router_table import Hello
 from greengageflow.core.store_updates import StoreTopic, StoreUpdate
-from greengageflow.core.sum_changes import Changes, SumChanges, SumWanted, Work
+from greengageflow.core.sum_changes import FullSumRequest, SumDelta, TableDelta, Work
 from greengageflow.net._columns import (
     change_columns,
     check_amounts,
@@ -54,12 +54,12 @@
     | LoadNotice
     | Hello
     | SumReport
-    | SumChanges
-    | SumWanted
+    | SumDelta
+    | FullSumRequest
     | StoreUpdate
     | CrashReport
     | LeavingReport
-    | PlaceMessage
+    | PlacementMessage
 )
 
 
@@ -78,9 +78,9 @@
             return packb((HELLO, *_hello_values(message)))
         case SumReport():
             return packb((SUM, *_sum_values(message)))
-        case SumChanges():
+        case SumDelta():
             return packb((CHANGES, *_changes_values(message)))
-        case SumWanted():
+        case FullSumRequest():
             return packb((WANTED, message.whole))
         case StoreUpdate():
             return packb((UPDATE, *_update_values(message)))
@@ -242,7 +242,7 @@
     )
 
 
-def _changes_values(changes: SumChanges) -> tuple[Any, ...]:
+def _changes_values(changes: SumDelta) -> tuple[Any, ...]:
     loads, counted, work = changes.loads, changes.counted, changes.work
     return (
         changes.host,
@@ -272,15 +272,15 @@
     return list(values), list(values.values())
 
 
-def _work_values(work: Changes[AccountKey, Work]) -> tuple[Any, ...]:
+def _work_values(work: TableDelta[AccountKey, Work]) -> tuple[Any, ...]:
     columns = change_columns(work.values, 2)
     return (work.after, work.start, pair_columns(work.new), *columns)
 
 
-def _changes(values: list[Any]) -> SumChanges:
+def _changes(values: list[Any]) -> SumDelta:
     (host, boot, number, whole, base, loads, counted, work, hosts, *rest) = values
     (version, mark, heard_s, list_heard_s, placed) = rest
-    return SumChanges(
+    return SumDelta(
         host=str(host),
         boot=int(boot),
         number=int(number),
@@ -298,26 +298,30 @@
     )
 
 
-def _load_changes(*values: Any) -> Changes[str, LoadShare]:
+def _load_changes(*values: Any) -> TableDelta[str, LoadShare]:
     after, start, new, *columns = values
     check_names(new)
     changed = read_changes(columns, 3)
     rows = dict(zip(changed, load_shares(changed.values()), strict=True))
-    return Changes(after=int(after), start=_place(start), new=tuple(new), values=rows)
+    return TableDelta(
+        after=int(after), start=_place(start), new=tuple(new), values=rows
+    )
 
 
-def _counted_changes(*values: Any) -> Changes[str, int]:
+def _counted_changes(*values: Any) -> TableDelta[str, int]:
     after, start, new, *columns = values
     check_names(new)
     rows = {place: row[0] for place, row in read_changes(columns, 1).items()}
-    return Changes(after=int(after), start=_place(start), new=tuple(new), values=rows)
+    return TableDelta(
+        after=int(after), start=_place(start), new=tuple(new), values=rows
+    )
 
 
-def _work_changes(*values: Any) -> Changes[AccountKey, Work]:
+def _work_changes(*values: Any) -> TableDelta[AccountKey, Work]:
     after, start, new, *columns = values
     rows = read_changes(columns, 2)
     new = read_pairs(new)
-    return Changes(after=int(after), start=_place(start), new=new, values=rows)
+    return TableDelta(after=int(after), start=_place(start), new=new, values=rows)
 
 
 def _place(value: Any) -> int:
@@ -326,9 +330,9 @@
     return int(value)
 
 
-def _wanted(values: list[Any]) -> SumWanted:
+def _wanted(values: list[Any]) -> FullSumRequest:
     (whole,) = values
-    return SumWanted(whole=bool(whole))
+    return FullSumRequest(whole=bool(whole))
 
 
 def _update_values(update: StoreUpdate) -> tuple[Any, ...]:
--- a/tests/test_fleet_exchange.py
+++ b/tests/test_fleet_exchange.py
@@ -16,11 +16,11 @@
 from greengageflow.core.endpoint_load import LoadShare
 from greengageflow.core.fleet_sums import FleetTotals, SumReport, merge
 from greengageflow.core.keyed_record import KeyedRecord
-from greengageflow.core.peer_report import LoadNotice, PeerBook, PeerReport
+from greengageflow.core.peer_report import LoadNotice, PeerReport, PeerTable
 from greengageflow.core.router_table import Hello
 from greengageflow.core.store_duty import READING_ZONES, StoreRole
 from greengageflow.core.store_updates import StoreTopic, StoreUpdate
-from greengageflow.core.sum_book import SumBook, Taken
+from greengageflow.core.sum_book import SumOutcome, SumTable
 from greengageflow.daemon import fleet_exchange
 from greengageflow.daemon.fleet_exchange import SETTLE_S, FleetExchange
 
@@ -270,7 +270,7 @@
     """Datagrams overtake each other; an old one must not undo a newer one."""
     report = RouterStub(Network(), 1, "z", ()).report(5, 8)
     old, again = replace(report, number=4), replace(report, boot=2, number=1)
-    book = PeerBook("other")
+    book = PeerTable("other")
     assert [book.put(1.0, r) for r in (report, report, old, again, report)] == [
         *(True, False, False),
         *(True, False),
@@ -281,12 +281,12 @@
         *(True, False),
         *(False, False),
     ]
-    assert not PeerBook("r001").put(1.0, report)
+    assert not PeerTable("r001").put(1.0, report)
     assert [h.report.sequence for h in book.live(1.1)] == [10] and not book.count(9.0)
-    sums = SumBook()
+    sums = SumTable()
     head = {"host": "r1", "boot": 1, "zone": "z", "whole": False}
     first, second = (SumReport(number=n, totals=FleetTotals(), **head) for n in (1, 2))
-    new, old = Taken.NEW, Taken.OLD
+    new, old = SumOutcome.NEW, SumOutcome.OLD
     assert [sums.put(1.0, s) for s in (second, first, second)] == [new, old, old]
     assert sums.zones(1.1, "other") == [(second, 1.0)]
     assert not sums.zones(1.1, "z") and not sums.whole(1.1)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -14,12 +14,12 @@
 from greengageflow.core.endpoint_list import EndpointList, ListedEndpoint
 from greengageflow.core.fleet_sums import FleetTotals
 from greengageflow.core.forward_request import Prompt, PromptPart
-from greengageflow.core.place_desk import PlaceDesk, ask_for
+from greengageflow.core.place_desk import RemotePlacements, placement_request
 from greengageflow.core.place_messages import (
-    PlaceAnswer,
-    PlaceMessage,
-    PlaceNote,
-    PlaceRoll,
+    PlacementAnswer,
+    PlacementEvent,
+    PlacementMessage,
+    PlacementSnapshot,
     Verdict,
 )
 from greengageflow.core.placers import placer_of, placers_among
@@ -273,7 +273,7 @@
     assert sum(fleet.running(h.name) for h in fleet.others) == 2
 
 
-@pytest.mark.parametrize("lost", [PlaceNote, PlaceAnswer])
+@pytest.mark.parametrize("lost", [PlacementEvent, PlacementAnswer])
 def test_lost_messages_take_up_no_slot_for_good(lost):
     """The event that a request ended, or the answer that starts it, is lost.
 
@@ -368,13 +368,15 @@
     one was still to be ended as well, and the placer's handler failed.
     """
     fleet = Fleet()
-    desk = PlaceDesk("p", fleet.hosts[fleet.placer].book)
+    desk = RemotePlacements("p", fleet.hosts[fleet.placer].book)
     for number in range(SLOTS + 2):
         waiter = Waiter(str(number), "a", 100.0, 0, 9.0, 10.0, 9.2)
         job = Job(waiter, 1.0, PROMPT)
-        for decision in desk.ask(9.0, ask_for("h", 1, 9.0, "model", job, "a", (), "z")):
+        for decision in desk.ask(
+            9.0, placement_request("h", 1, 9.0, "model", job, "a", (), "z")
+        ):
             desk.decided(9.0, decision)
-    roll = PlaceRoll(host="h", boot=1)
+    roll = PlacementSnapshot(host="h", boot=1)
     told = [desk.decided(10.0, decision) for decision in desk.roll(10.0, roll)]
     assert {answer.verdict for _, answer in told} == {Verdict.REFUSE}
     assert not len(desk)
@@ -384,7 +386,7 @@
     fleet = Fleet()
     host, stranger = fleet.others
     job = Job(Waiter("7", "a", 1.0, 0, 0.0, 1.0, 0.5), 1.0, PROMPT)
-    ask = ask_for(host.name, 1, 0.0, "model", job, "a", (), "z")
+    ask = placement_request(host.name, 1, 0.0, "model", job, "a", (), "z")
     answers = []
     host.placement.receive = answers.append
     stranger.placement.receive(decode(encode(ask)))
@@ -426,4 +428,4 @@
 @given(st.integers(15, 18), st.lists(st.integers(0, 9) | st.text() | st.floats()))
 def test_spoiled_place_messages_are_told_apart(kind, values):
     with suppress(ReportError):
-        assert isinstance(decode(packb((kind, *values))), PlaceMessage)
+        assert isinstance(decode(packb((kind, *values))), PlacementMessage)
--- a/tests/test_report_codec.py
+++ b/tests/test_report_codec.py
@@ -22,7 +22,7 @@
 )
 from greengageflow.core.router_table import Hello
 from greengageflow.core.store_updates import StoreTopic, StoreUpdate
-from greengageflow.core.sum_changes import Changes, SumChanges, SumWanted
+from greengageflow.core.sum_changes import FullSumRequest, SumDelta, TableDelta
 from greengageflow.net.report_codec import ReportError, decode, encode
 
 # Bytes of messages.
@@ -66,7 +66,7 @@
     **HEAD,
     **MARKS,
 )
-WANTED = st.builds(SumWanted, whole=st.booleans())
+WANTED = st.builds(FullSumRequest, whole=st.booleans())
 WORK = st.tuples(COUNTS, COUNTS)
 INTS = st.builds(LoadShare, COUNTS, COUNTS, COUNTS)
 
@@ -74,11 +74,11 @@
 def changes_of(keys, values):
     places = st.dictionaries(st.integers(0, 300), values, max_size=4)
     new = st.lists(keys, max_size=2).map(tuple)
-    return st.builds(Changes, after=COUNTS, start=COUNTS, new=new, values=places)
+    return st.builds(TableDelta, after=COUNTS, start=COUNTS, new=new, values=places)
 
 
 SUM_CHANGES = st.builds(
-    SumChanges,
+    SumDelta,
     whole=st.booleans(),
     base=COUNTS,
     loads=changes_of(NAMES, INTS),
@@ -157,7 +157,7 @@
     for ip, port in [*own, *getattr(found, "peers", ())]:
         assert inet_pton(AF_INET, ip) and 0 < port < 65536
     loads = getattr(found, "loads", {})
-    if isinstance(found, SumChanges):
+    if isinstance(found, SumDelta):
         loads = {f"{place}": load for place, load in found.loads.values.items()}
     if isinstance(found, SumReport):
         loads = found.totals.loads
--- a/tests/test_started_again.py
+++ b/tests/test_started_again.py
@@ -11,8 +11,12 @@
     ListedEndpoint,
 )
 from greengageflow.core.forward_request import Prompt, PromptPart
-from greengageflow.core.place_desk import PlaceDesk
-from greengageflow.core.place_messages import Happened, PlaceAsk, PlaceNote
+from greengageflow.core.place_desk import RemotePlacements
+from greengageflow.core.place_messages import (
+    PlacementEvent,
+    PlacementEventKind,
+    PlacementRequest,
+)
 from greengageflow.core.routes import Routing, Service
 from greengageflow.core.send_budget import SendBudget
 from greengageflow.core.service_book import ServiceBook
@@ -134,10 +138,10 @@
 
 def test_another_hosts_word_of_the_earlier_start_is_not_the_later_ones(fleet):
     """A host reports failures of requests that it sent before the engine crashed."""
-    desk = PlaceDesk("placer", fleet.book)
+    desk = RemotePlacements("placer", fleet.book)
     list(fleet.listed.drop("f"))
     for number in range(4):
-        ask = PlaceAsk(
+        ask = PlacementRequest(
             host="h",
             boot=1,
             request=f"q{number}",
@@ -158,8 +162,8 @@
             desk.decided(0.0, decision)
     fleet.put(NEW)
     for number in range(4):
-        note = PlaceNote(
-            host="h", boot=1, request=f"q{number}", happened=Happened.SILENT
+        note = PlacementEvent(
+            host="h", boot=1, request=f"q{number}", happened=PlacementEventKind.SILENT
         )
         list(desk.note(1.0, note))
     assert fleet.book.resting(1.0, "m") == ()
--- a/tests/test_sum_changes.py
+++ b/tests/test_sum_changes.py
@@ -6,9 +6,9 @@
 
 from greengageflow.core.endpoint_load import LoadShare
 from greengageflow.core.fleet_sums import FleetTotals, SumReport, sum_loads
-from greengageflow.core.peer_report import HeardReport, PeerReport
-from greengageflow.core.sum_book import SumBook, Taken
-from greengageflow.core.sum_changes import OVERLAP, WHOLE_S, SumChanges, SumTeller
+from greengageflow.core.peer_report import PeerReport, ReceivedReport
+from greengageflow.core.sum_book import SumOutcome, SumTable
+from greengageflow.core.sum_changes import OVERLAP, WHOLE_S, SumDelta, SumPublisher
 from greengageflow.core.zone_loads import ZoneLoads
 from greengageflow.net.report_codec import decode, encode
 
@@ -41,7 +41,7 @@
         super().__init__()
         self.now, self.number = 0.0, 0
         self.loads, self.work, self.counted = {}, {}, {}
-        self.teller, self.book = SumTeller(), SumBook()
+        self.teller, self.book = SumPublisher(), SumTable()
         self.flying, self.told, self.work_told = [], {}, {}
         self.work_at = None
 
@@ -105,8 +105,8 @@
 
     def take(self, message):
         taken = self.book.put(self.now, message)
-        if taken is Taken.MISSED:
-            self.teller.want_whole(self.now)
+        if taken is SumOutcome.MISSED:
+            self.teller.request_full_sum(self.now)
         return taken
 
     @invariant()
@@ -138,7 +138,7 @@
 
 def relay(turns):
     """Yield the messages of a relay when one load changes in each turn."""
-    teller = SumTeller()
+    teller = SumPublisher()
     for turn in range(1, turns + 1):
         loads = {f"e{n}": LoadShare(n + 1) for n in range(30)}
         loads[f"e{turn % 30}"] = LoadShare(90 + turn)
@@ -153,7 +153,7 @@
     whole = [message for message in told if isinstance(message, SumReport)]
     assert len(whole) == 4
     for message in told[OVERLAP + 1 :]:
-        if isinstance(message, SumChanges):
+        if isinstance(message, SumDelta):
             # Each turn changes one load and restores the previous one.
             assert len(message.loads.values) <= OVERLAP + 1
             assert len(encode(message)) < len(encode(whole[0])) / 2
@@ -161,12 +161,12 @@
 
 def test_lost_datagrams_are_made_good_by_the_next_one_that_comes():
     """A member without sums assumes that it is the only router."""
-    book, told = SumBook(), list(relay(9))
-    assert book.put(0.1, told[0]) is Taken.NEW
-    assert book.put(0.1 + OVERLAP * TURN_S, told[OVERLAP]) is Taken.NEW
-    late = SumBook()
+    book, told = SumTable(), list(relay(9))
+    assert book.put(0.1, told[0]) is SumOutcome.NEW
+    assert book.put(0.1 + OVERLAP * TURN_S, told[OVERLAP]) is SumOutcome.NEW
+    late = SumTable()
     late.put(0.1, told[0])
-    assert late.put(0.9, told[8]) is Taken.MISSED
+    assert late.put(0.9, told[8]) is SumOutcome.MISSED
 
 
 LOADS = st.dictionaries(st.sampled_from("abc"), st.builds(LoadShare, *[VALUES] * 3))
@@ -178,7 +178,7 @@
     zone = ZoneLoads()
     for reports in turns:
         heard = [
-            HeardReport(
+            ReceivedReport(
                 PeerReport(
                     host=host, boot=1, number=1, ip="", port=1, zone="z", loads=loads
                 ),
