--- a/greengageflow/core/arrival_gate.py
+++ b/greengageflow/core/arrival_gate.py
@@ -2,25 +2,25 @@
 
 from math import exp
 
-ROUND_S = 0.03
+READ_ALL_ROUND_S = 0.03
 """Seconds since the start of an event loop round in which all requests are read."""
 
-LATE_S = 0.08
+OVERLOAD_ROUND_S = 0.08
 """Average round, in seconds, from which the host counts as overloaded."""
 
-LEAST = 1.0
+MIN_READ_REQUESTS = 1.0
 """Requests of each account that are read even under overload."""
 
-FADE_S = 1.0
+DECAY_S = 1.0
 """Time constant with which the counts of read requests decay, in seconds."""
 
-FORGET = 0.05
+MIN_COUNT = 0.05
 """Count from which an account is deleted."""
 
-LOOK_S = 0.05
+UPDATE_INTERVAL_S = 0.05
 """Least seconds between two updates of the counts and of the fair share."""
 
-RETRY_S = 0.5
+RETRY_AFTER_S = 0.5
 """Retry delay of rejected callers, in seconds; the overload may be over by then."""
 
 
@@ -36,7 +36,7 @@
     def __init__(self) -> None:
         self._read: dict[str, float] = {}
         self._faded_at = 0.0
-        self._part = LEAST
+        self._part = MIN_READ_REQUESTS
         self._part_at = float("-inf")
 
     def admits(
@@ -52,23 +52,27 @@
         """
         self._fade(now)
         read = self._read.get(account, 0.0)
-        if present_s > ROUND_S and average_s > LATE_S and read >= self._even_part(now):
+        if (
+            present_s > READ_ALL_ROUND_S
+            and average_s > OVERLOAD_ROUND_S
+            and read >= self._even_part(now)
+        ):
             return False
         self._read[account] = read + 1.0
         return True
 
     def _fade(self, now: float) -> None:
         since_s = now - self._faded_at
-        if since_s < LOOK_S:
+        if since_s < UPDATE_INTERVAL_S:
             return
         self._faded_at = now
-        kept = exp(-since_s / FADE_S)
+        kept = exp(-since_s / DECAY_S)
         faded = ((account, read * kept) for account, read in self._read.items())
-        self._read = {account: read for account, read in faded if read > FORGET}
+        self._read = {account: read for account, read in faded if read > MIN_COUNT}
 
     def _even_part(self, now: float) -> float:
-        if now - self._part_at >= LOOK_S:
+        if now - self._part_at >= UPDATE_INTERVAL_S:
             self._part_at = now
             part = sum(self._read.values()) / max(1, len(self._read))
-            self._part = max(LEAST, part)
+            self._part = max(MIN_READ_REQUESTS, part)
         return self._part
--- a/greengageflow/core/fleet_size.py
+++ b/greengageflow/core/fleet_size.py
@@ -1,6 +1,6 @@
 """Estimate of the number of hosts that share fleet-wide limits."""
 
-KEPT_S = 3600.0
+RETENTION_S = 3600.0
 """Seconds for which the largest number of hosts is kept."""
 
 
@@ -15,7 +15,7 @@
         kept_s: Seconds after which a maximum that was not reached again expires.
     """
 
-    def __init__(self, least: int = 1, kept_s: float = KEPT_S) -> None:
+    def __init__(self, least: int = 1, kept_s: float = RETENTION_S) -> None:
         self._least = least
         self._kept_s = kept_s
         self._largest = least
--- a/greengageflow/core/fleet_sums.py
+++ b/greengageflow/core/fleet_sums.py
@@ -16,12 +16,12 @@
 QUIET_S = 1.0
 """Seconds after which a received sum expires."""
 
-KEPT = 64
+HISTORY_MESSAGES = 64
 """Own messages whose totals are kept, to be subtracted from sums."""
 
-LEAST_RELAY_TURNS = 2
-MOST_RELAY_TURNS = 8
-HOSTS_A_TURN = 40
+MIN_RELAY_TURNS = 2
+MAX_RELAY_TURNS = 8
+HOSTS_PER_TURN = 40
 
 
 @dataclass(frozen=True, slots=True)
@@ -87,7 +87,7 @@
     from 120 hosts on sums are sent less often. One lost sum must not make a relay
     appear dead, so two of the longest intervals are shorter than ``QUIET_S``.
     """
-    return min(MOST_RELAY_TURNS, max(LEAST_RELAY_TURNS, hosts // HOSTS_A_TURN))
+    return min(MAX_RELAY_TURNS, max(MIN_RELAY_TURNS, hosts // HOSTS_PER_TURN))
 
 
 def merge(parts: Iterable[FleetTotals]) -> FleetTotals:
@@ -158,7 +158,7 @@
     """The last totals that this router reported of itself, by sequence."""
 
     def __init__(self) -> None:
-        self._told: deque[tuple[int, FleetTotals]] = deque(maxlen=KEPT)
+        self._told: deque[tuple[int, FleetTotals]] = deque(maxlen=HISTORY_MESSAGES)
 
     def note(self, sequence: int, totals: FleetTotals) -> None:
         """Record the totals of a report or notice."""
--- a/greengageflow/core/lateness.py
+++ b/greengageflow/core/lateness.py
@@ -1,12 +1,12 @@
 """Event loop lag, measured by a periodic timer."""
 
-BEHIND_S = 0.3
+BEHIND_LAG_S = 0.3
 """Lag of one call, in seconds, beyond which the loop is behind."""
 
-CALM_S = 0.1
+ON_TIME_LAG_S = 0.1
 """Lag, in seconds, up to which a call counts as on time."""
 
-CALM_FOR_S = 1.0
+RECOVERY_S = 1.0
 """Seconds for which all calls must be on time before the loop has caught up."""
 
 WINDOW_S = 1.0
@@ -43,12 +43,12 @@
             self._worst = (late_s, self._worst[0])
         else:
             self._worst = (max(late_s, self._worst[0]), self._worst[1])
-        if late_s > CALM_S:
+        if late_s > ON_TIME_LAG_S:
             self._calm_since = now
-        if not self.behind and late_s > BEHIND_S:
+        if not self.behind and late_s > BEHIND_LAG_S:
             self.behind, self.behind_since = True, now
             return True
-        if self.behind and now - self._calm_since >= CALM_FOR_S:
+        if self.behind and now - self._calm_since >= RECOVERY_S:
             self.behind = False
             return True
         return False
--- a/greengageflow/core/peer_report.py
+++ b/greengageflow/core/peer_report.py
@@ -5,10 +5,10 @@
 
 from greengageflow.core.endpoint_load import LoadShare
 
-QUIET_S = 1.5
+LIVE_TIMEOUT_S = 1.5
 """Seconds without a report after which a peer is no longer counted as live."""
 
-FORGET_S = 10.0
+REPORT_RETENTION_S = 10.0
 """Seconds without a report after which a peer's last report is deleted."""
 
 
@@ -133,9 +133,9 @@
     def live(self, now: float) -> Iterator[ReceivedReport]:
         """Yield the reports of live peers, and delete those of long-silent ones."""
         for host, heard in list(self._heard.items()):
-            if now - heard.at <= QUIET_S:
+            if now - heard.at <= LIVE_TIMEOUT_S:
                 yield heard
-            elif now - heard.at > FORGET_S:
+            elif now - heard.at > REPORT_RETENTION_S:
                 del self._heard[host]
 
     def count(self, now: float) -> int:
--- a/greengageflow/core/place_desk.py
+++ b/greengageflow/core/place_desk.py
@@ -18,10 +18,10 @@
 from greengageflow.core.service_scheduler import Decision, Job, RefuseJob, StartJob
 from greengageflow.core.work_queue import Waiter
 
-ROLL_SLACK_S = 0.5
+SNAPSHOT_GRACE_S = 0.5
 """Seconds for which a new request may be missing from its host's snapshots."""
 
-HOST_QUIET_S = 2.0
+HOST_TIMEOUT_S = 2.0
 """Seconds without a message after which the requests of a host are dropped."""
 
 
@@ -153,7 +153,7 @@
         self._heard[roll.host] = now
         live = {_key(roll.host, roll.boot, run.request): run for run in roll.runs}
         for key, placed in list(self._placed.items()):
-            settled = now - placed.since > ROLL_SLACK_S or placed.boot != roll.boot
+            settled = now - placed.since > SNAPSHOT_GRACE_S or placed.boot != roll.boot
             if placed.host == roll.host and key not in live and settled:
                 yield from self._end(now, key)
         for key, run in live.items():
@@ -176,9 +176,9 @@
         self._book.adopt(now, key, endpoint, run.reading, run.memory)
 
     def drop_silent(self, now: float) -> Iterator[Decision]:
-        """Drop the requests of hosts that have sent nothing for ``HOST_QUIET_S``."""
+        """Drop the requests of hosts that have sent nothing for ``HOST_TIMEOUT_S``."""
         for key, placed in list(self._placed.items()):
-            if now - self._heard.get(placed.host, now) > HOST_QUIET_S:
+            if now - self._heard.get(placed.host, now) > HOST_TIMEOUT_S:
                 yield from self._end(now, key)
 
     def _end(self, now: float, key: str) -> Iterator[Decision]:
--- a/greengageflow/core/placers.py
+++ b/greengageflow/core/placers.py
@@ -14,10 +14,10 @@
 
 from greengageflow.core.router_table import Address, Hello
 
-HOSTS_A_PLACER = 20
+HOSTS_PER_PLACER = 20
 """Hosts for each placer after the first one."""
 
-TOGETHER_MS = 10_000
+SAME_START_WINDOW_MS = 10_000
 """Milliseconds between starts that count as simultaneous; allows for clock skew."""
 
 
@@ -37,7 +37,7 @@
         rows: Live hosts that are not stopping.
     """
     ranked = sorted(rows, key=lambda row: (row.boot, _rank(row.host)))
-    return tuple(row.host for row in ranked[: 1 + len(ranked) // HOSTS_A_PLACER])
+    return tuple(row.host for row in ranked[: 1 + len(ranked) // HOSTS_PER_PLACER])
 
 
 def placer_of(endpoint: str, placers: Sequence[str]) -> str:
@@ -76,7 +76,7 @@
         placers = placers_among(known_rows)
         boots = [row.boot for row in known_rows if row.host in placers]
         self.started_together = (
-            max(boots, default=0) <= min(boots, default=0) + TOGETHER_MS
+            max(boots, default=0) <= min(boots, default=0) + SAME_START_WINDOW_MS
         )
         changed = placers != self.placers
         if changed:
--- a/greengageflow/core/relay_sums.py
+++ b/greengageflow/core/relay_sums.py
@@ -21,13 +21,13 @@
 from greengageflow.core.sum_changes import SumDelta, SumPublisher
 from greengageflow.core.zone_loads import ZoneLoads
 
-STEP_IN_S = 0.5
+TAKEOVER_S = 0.5
 """Age of the newest fleet sum, in seconds, from which the second relay takes over."""
 
-SILENT_S = 1.5
+RELAY_TIMEOUT_S = 1.5
 """Seconds without a message after which the relays of a zone are dropped."""
 
-SAME_S = 0.02
+WORK_CACHE_S = 0.02
 """Seconds for which the cached work of the zone may be used again."""
 
 
@@ -117,9 +117,9 @@
         return names[0] == self._own.host or self.is_missed(now)
 
     def is_missed(self, now: float) -> bool:
-        """Return whether no fleet sum has arrived within ``STEP_IN_S``."""
+        """Return whether no fleet sum has arrived within ``TAKEOVER_S``."""
         whole = self.sums.whole(now)
-        return whole is None or now - whole[1] > STEP_IN_S
+        return whole is None or now - whole[1] > TAKEOVER_S
 
     def drop_silent(self, now: float, quiet_s: float) -> None:
         """Drop the relays of zones whose relays are all silent, so that others follow.
@@ -132,7 +132,7 @@
         own = self._own.zone
         is_relay = self._own.host in (row.host for row in relays.get(own, ()))
         for zone in relays.keys() - {own} if is_relay else {own}:
-            self._table.drop_silent(now, relays.get(zone, ()), SILENT_S)
+            self._table.drop_silent(now, relays.get(zone, ()), RELAY_TIMEOUT_S)
 
     def request_full_sum(self, now: float, whole: bool) -> bool:
         """Make the next sum a full one; return whether to send it at once."""
@@ -200,7 +200,7 @@
     def _members_work(self, now: float) -> FleetTotals:
         # A turn in which a round falls needs this twice.
         known, revision = self._cached_work, self._book.revision
-        if known and known.revision == revision and now - known.at <= SAME_S:
+        if known and known.revision == revision and now - known.at <= WORK_CACHE_S:
             return known.totals
         totals = sum_work(now, self._members(now), self._fade_s)
         self._cached_work = _CachedWork(now, revision, totals)
--- a/greengageflow/core/sum_changes.py
+++ b/greengageflow/core/sum_changes.py
@@ -20,28 +20,28 @@
 from greengageflow.core.endpoint_load import LoadShare
 from greengageflow.core.fleet_sums import AccountKey, FleetTotals, SumReport
 
-WHOLE_S = 1.0
+FULL_SUM_INTERVAL_S = 1.0
 """Seconds between two full sums."""
 
-WORK_S = 0.25
+WORK_INTERVAL_S = 0.25
 """Seconds between two messages that carry work."""
 
-ASKED_S = 0.1
+MIN_FULL_SUM_INTERVAL_S = 0.1
 """Least seconds between a full sum and one sent on request."""
 
-OVERLAP = 5
+DELTA_OVERLAP_MESSAGES = 5
 """Messages whose changes each delta covers."""
 
-SPARE = 64
+SPARE_KEYS = 64
 """Removed keys that a table may hold, besides as many as there are live ones."""
 
-AGAIN_S = 0.15
+PLACED_REPEAT_S = 0.15
 """Seconds for which a new pair of prompt part and endpoint is sent."""
 
-TOLD_PLACES_S = 1.0
+PLACED_MEMORY_S = 1.0
 """Seconds for which a pair that was sent is remembered."""
 
-NOTHING = LoadShare(0, 0, 0)
+NO_LOAD = LoadShare(0, 0, 0)
 
 Work = tuple[int, int]
 K = TypeVar("K", bound=Hashable)
@@ -125,10 +125,10 @@
         self._gone = gone
         self.places: dict[K, int] = {}
         self._changed: dict[K, int] = {}
-        self._sizes = deque([(0, 0)], maxlen=OVERLAP)
+        self._sizes = deque([(0, 0)], maxlen=DELTA_OVERLAP_MESSAGES)
 
     def change(self, number: int, values: Mapping[K, V]) -> TableDelta[K, V]:
-        """Take the current values; return the changes of the last ``OVERLAP`` calls."""
+        """Take the current values; return the changes that the next delta covers."""
         known = self.values
         for key in known.keys() - values.keys():
             if known[key] != self._gone:
@@ -152,7 +152,7 @@
 
     def is_worn(self, live: int) -> bool:
         """Return whether most keys are removed ones, given ``live`` keys in use."""
-        return len(self.values) > 2 * live + SPARE
+        return len(self.values) > 2 * live + SPARE_KEYS
 
 
 class SumPublisher:
@@ -166,7 +166,7 @@
 
     def _begin(self, number: int) -> None:
         self._base = number
-        self._loads: _DeltaTable[str, LoadShare] = _DeltaTable(NOTHING)
+        self._loads: _DeltaTable[str, LoadShare] = _DeltaTable(NO_LOAD)
         self._counted: _DeltaTable[str, int] = _DeltaTable(0)
         self._work: _DeltaTable[AccountKey, Work] = _DeltaTable((0, 0))
 
@@ -174,9 +174,9 @@
         """Make the next message a full sum; return whether to send it at once.
 
         Many routers may miss the same message and ask one after the other, so a
-        request within ``ASKED_S`` of the last full sum is ignored.
+        request within ``MIN_FULL_SUM_INTERVAL_S`` of the last full sum is ignored.
         """
-        if now - self._whole_at < ASKED_S:
+        if now - self._whole_at < MIN_FULL_SUM_INTERVAL_S:
             return False
         self._whole_at = -inf
         return True
@@ -184,8 +184,8 @@
     def is_work_due(self, now: float) -> bool:
         """Return whether the next message carries work; otherwise it may be omitted."""
         # Slightly early: with turns of 0.1 s the interval would otherwise be 0.3 s.
-        is_due = now - self._work_at >= 0.8 * WORK_S
-        return is_due or now - self._whole_at >= WHOLE_S
+        is_due = now - self._work_at >= 0.8 * WORK_INTERVAL_S
+        return is_due or now - self._whole_at >= FULL_SUM_INTERVAL_S
 
     def tell(self, now: float, report: SumReport) -> SumReport | SumDelta:
         """Return the full sum, or its delta."""
@@ -193,13 +193,13 @@
         loads = {name: _rounded(load) for name, load in totals.loads.items()}
         placed = self._new_placed(now, report)
         for _, endpoint in placed:
-            loads.setdefault(endpoint, NOTHING)
+            loads.setdefault(endpoint, NO_LOAD)
         if self.is_work_due(now) and self._is_worn(report):
             self._begin(number)
             self._whole_at = -inf
         changed = self._loads.change(number, loads)
         counted = self._counted.change(number, report.counted)
-        is_whole = now - self._whole_at >= WHOLE_S
+        is_whole = now - self._whole_at >= FULL_SUM_INTERVAL_S
         work = None
         if self.is_work_due(now):
             self._work_at = now
@@ -245,17 +245,17 @@
         return replace(report, totals=totals, counted=counted, base=self._base)
 
     def _new_placed(self, now: float, report: SumReport) -> tuple[tuple[str, str], ...]:
-        """Return the pairs that were first sent within ``AGAIN_S``.
+        """Return the pairs that were first sent within ``PLACED_REPEAT_S``.
 
         Reports repeat a pair for 0.3 s, and each sum of that time used to repeat it
         as well. Sending it twice is enough against one lost message, unless sums are
         far apart.
         """
-        old = now - TOLD_PLACES_S
+        old = now - PLACED_MEMORY_S
         self._placed = {pair: at for pair, at in self._placed.items() if at > old}
         for pair in report.placed:
             self._placed.setdefault(pair, now)
-        again = now - AGAIN_S
+        again = now - PLACED_REPEAT_S
         return tuple(pair for pair, at in self._placed.items() if at >= again)
 
 
--- a/greengageflow/core/zone_loads.py
+++ b/greengageflow/core/zone_loads.py
@@ -5,7 +5,7 @@
 from greengageflow.core.endpoint_load import LoadShare
 from greengageflow.core.peer_report import ReceivedReport
 
-NOTHING = LoadShare(0, 0, 0)
+NO_LOAD = LoadShare(0, 0, 0)
 
 
 class ZoneLoads:
@@ -38,12 +38,12 @@
         sums = self._sums
         # Set operations skip the unchanged entries, which are most of a full report.
         changed = [(name, load) for name, load in loads.items() - before.items()]
-        changed += [(name, NOTHING) for name in before.keys() - loads.keys()]
+        changed += [(name, NO_LOAD) for name in before.keys() - loads.keys()]
         for name, (running, reading, memory) in changed:
-            a, b, c = before.get(name, NOTHING)
-            x, y, z = sums.get(name, NOTHING)
+            a, b, c = before.get(name, NO_LOAD)
+            x, y, z = sums.get(name, NO_LOAD)
             total = LoadShare(x + running - a, y + reading - b, z + memory - c)
-            if total == NOTHING:
+            if total == NO_LOAD:
                 sums.pop(name, None)
             else:
                 sums[name] = total
--- a/greengageflow/daemon/arrivals.py
+++ b/greengageflow/daemon/arrivals.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from greengageflow.core.arrival_gate import LATE_S, ArrivalGate
+from greengageflow.core.arrival_gate import OVERLOAD_ROUND_S, ArrivalGate
 from greengageflow.core.loop_load import LoopLoad
 from greengageflow.errors import ErrorKind
 from greengageflow.net.decision_events import DecisionEvent
@@ -45,7 +45,7 @@
     @property
     def is_closing(self) -> bool:
         """Whether the host is so late that some requests may be turned away."""
-        return self._load.average_s(self._timers.now) > LATE_S
+        return self._load.average_s(self._timers.now) > OVERLOAD_ROUND_S
 
     def turns_away(self, data: bytes) -> bool:
         """Return whether a request that begins with ``data`` is not read."""
--- a/greengageflow/net/reply.py
+++ b/greengageflow/net/reply.py
@@ -7,7 +7,7 @@
 from math import ceil
 from typing import Any, Protocol
 
-from greengageflow.core.arrival_gate import RETRY_S
+from greengageflow.core.arrival_gate import RETRY_AFTER_S
 from greengageflow.errors import ErrorKind, RouterError
 from greengageflow.net._http_write import date_header
 
@@ -72,7 +72,7 @@
         _second: Time of day; each answer is made once a second.
     """
     text = "this host is busy"
-    exc = RouterError(ErrorKind.HOST_BUSY, text, retry_after_s=RETRY_S)
+    exc = RouterError(ErrorKind.HOST_BUSY, text, retry_after_s=RETRY_AFTER_S)
     body = json.dumps(exc.body).encode()
     headers = (
         date_header(),
--- a/tests/test_lateness.py
+++ b/tests/test_lateness.py
@@ -1,6 +1,6 @@
 """Event loop lag detection, in simulated time."""
 
-from greengageflow.core.lateness import CALM_FOR_S, Lateness
+from greengageflow.core.lateness import RECOVERY_S, Lateness
 
 TICK_S = 0.05
 
@@ -26,7 +26,7 @@
     now, changes = play(lateness, now, [0.6, 0.7, 0.15, TICK_S, 0.9])
     assert changes == [True]
     assert 0.8 < lateness.worst_s < 0.9
-    now, changes = play(lateness, now, [TICK_S] * int(CALM_FOR_S / TICK_S + 2))
+    now, changes = play(lateness, now, [TICK_S] * int(RECOVERY_S / TICK_S + 2))
     assert changes == [False]
     _, changes = play(lateness, now, [TICK_S] * 60)
     assert not changes and lateness.worst_s < 1e-6
--- a/tests/test_repeat_budget.py
+++ b/tests/test_repeat_budget.py
@@ -7,7 +7,7 @@
 import pytest
 
 from greengageflow.core.endpoint_list import EndpointList
-from greengageflow.core.fleet_size import KEPT_S, FleetSize
+from greengageflow.core.fleet_size import RETENTION_S, FleetSize
 from greengageflow.core.fleet_sums import FleetTotals
 from greengageflow.core.send_budget import SendBudget
 from greengageflow.core.service_book import ServiceBook
@@ -187,9 +187,9 @@
     for now, heard in ((0.0, 9), (1.0, 1), (2.0, 4)):
         fleet.note(now, heard)
         assert fleet.hosts == 9
-    fleet.note(KEPT_S + 1.0, 4)
+    fleet.note(RETENTION_S + 1.0, 4)
     assert fleet.hosts == 4
-    fleet.note(2 * KEPT_S + 2.0, 1)
+    fleet.note(2 * RETENTION_S + 2.0, 1)
     assert fleet.hosts == 3
 
 
--- a/tests/test_sum_changes.py
+++ b/tests/test_sum_changes.py
@@ -8,7 +8,12 @@
 from greengageflow.core.fleet_sums import FleetTotals, SumReport, sum_loads
 from greengageflow.core.peer_report import PeerReport, ReceivedReport
 from greengageflow.core.sum_book import SumOutcome, SumTable
-from greengageflow.core.sum_changes import OVERLAP, WHOLE_S, SumDelta, SumPublisher
+from greengageflow.core.sum_changes import (
+    DELTA_OVERLAP_MESSAGES,
+    FULL_SUM_INTERVAL_S,
+    SumDelta,
+    SumPublisher,
+)
 from greengageflow.core.zone_loads import ZoneLoads
 from greengageflow.net.report_codec import decode, encode
 
@@ -126,7 +131,7 @@
     def teardown(self):
         """Without further loss the member converges to the sum of the relay."""
         self.flying.clear()
-        for _ in range(int(2 * WHOLE_S / TURN_S)):
+        for _ in range(int(2 * FULL_SUM_INTERVAL_S / TURN_S)):
             self.tell(1)
             self.take(decode(self.flying.pop()))
         assert shown(self.book.whole(self.now)[0]) == shown(self.sum())
@@ -152,10 +157,10 @@
     told = list(relay(40))
     whole = [message for message in told if isinstance(message, SumReport)]
     assert len(whole) == 4
-    for message in told[OVERLAP + 1 :]:
+    for message in told[DELTA_OVERLAP_MESSAGES + 1 :]:
         if isinstance(message, SumDelta):
             # Each turn changes one load and restores the previous one.
-            assert len(message.loads.values) <= OVERLAP + 1
+            assert len(message.loads.values) <= DELTA_OVERLAP_MESSAGES + 1
             assert len(encode(message)) < len(encode(whole[0])) / 2
 
 
@@ -163,7 +168,10 @@
     """A member without sums assumes that it is the only router."""
     book, told = SumTable(), list(relay(9))
     assert book.put(0.1, told[0]) is SumOutcome.NEW
-    assert book.put(0.1 + OVERLAP * TURN_S, told[OVERLAP]) is SumOutcome.NEW
+    assert (
+        book.put(0.1 + DELTA_OVERLAP_MESSAGES * TURN_S, told[DELTA_OVERLAP_MESSAGES])
+        is SumOutcome.NEW
+    )
     late = SumTable()
     late.put(0.1, told[0])
     assert late.put(0.9, told[8]) is SumOutcome.MISSED
