--- a/greengageflow/core/arrival_gate.py
+++ b/greengageflow/core/arrival_gate.py
@@ -34,10 +34,10 @@
     """
 
     def __init__(self) -> None:
-        self._read: dict[str, float] = {}
-        self._faded_at = 0.0
-        self._part = MIN_READ_REQUESTS
-        self._part_at = float("-inf")
+        self._read_counts: dict[str, float] = {}
+        self._decayed_at = 0.0
+        self._share = MIN_READ_REQUESTS
+        self._share_at = float("-inf")
 
     def admits(
         self, now: float, account: str, *, present_s: float, average_s: float
@@ -50,29 +50,33 @@
             present_s: Seconds since the current round of the event loop began.
             average_s: Average round of the event loop, in seconds.
         """
-        self._fade(now)
-        read = self._read.get(account, 0.0)
+        self._decay(now)
+        read = self._read_counts.get(account, 0.0)
         if (
             present_s > READ_ALL_ROUND_S
             and average_s > OVERLOAD_ROUND_S
-            and read >= self._even_part(now)
+            and read >= self._fair_share(now)
         ):
             return False
-        self._read[account] = read + 1.0
+        self._read_counts[account] = read + 1.0
         return True
 
-    def _fade(self, now: float) -> None:
-        since_s = now - self._faded_at
+    def _decay(self, now: float) -> None:
+        since_s = now - self._decayed_at
         if since_s < UPDATE_INTERVAL_S:
             return
-        self._faded_at = now
-        kept = exp(-since_s / DECAY_S)
-        faded = ((account, read * kept) for account, read in self._read.items())
-        self._read = {account: read for account, read in faded if read > MIN_COUNT}
-
-    def _even_part(self, now: float) -> float:
-        if now - self._part_at >= UPDATE_INTERVAL_S:
-            self._part_at = now
-            part = sum(self._read.values()) / max(1, len(self._read))
-            self._part = max(MIN_READ_REQUESTS, part)
-        return self._part
+        self._decayed_at = now
+        factor = exp(-since_s / DECAY_S)
+        decayed = (
+            (account, read * factor) for account, read in self._read_counts.items()
+        )
+        self._read_counts = {
+            account: read for account, read in decayed if read > MIN_COUNT
+        }
+
+    def _fair_share(self, now: float) -> float:
+        if now - self._share_at >= UPDATE_INTERVAL_S:
+            self._share_at = now
+            share = sum(self._read_counts.values()) / max(1, len(self._read_counts))
+            self._share = max(MIN_READ_REQUESTS, share)
+        return self._share
--- a/greengageflow/core/fleet_size.py
+++ b/greengageflow/core/fleet_size.py
@@ -11,23 +11,23 @@
     is partitioned sees no other, while the others still use their shares.
 
     Args:
-        least: Lower bound, used from the start.
-        kept_s: Seconds after which a maximum that was not reached again expires.
+        min_hosts: Lower bound, used from the start.
+        retention_s: Seconds after which a maximum that was not reached again expires.
     """
 
-    def __init__(self, least: int = 1, kept_s: float = RETENTION_S) -> None:
-        self._least = least
-        self._kept_s = kept_s
-        self._largest = least
-        self._at = float("-inf")
+    def __init__(self, min_hosts: int = 1, retention_s: float = RETENTION_S) -> None:
+        self._min_hosts = min_hosts
+        self._retention_s = retention_s
+        self._largest = min_hosts
+        self._reached_at = float("-inf")
 
     @property
     def hosts(self) -> int:
         """Hosts that may be alive."""
         return self._largest
 
-    def note(self, now: float, hosts: int) -> None:
+    def observe(self, now: float, hosts: int) -> None:
         """Record the number of hosts that are live now, including this one."""
-        if hosts >= self._largest or now - self._at > self._kept_s:
-            self._largest = max(hosts, self._least)
-            self._at = now
+        if hosts >= self._largest or now - self._reached_at > self._retention_s:
+            self._largest = max(hosts, self._min_hosts)
+            self._reached_at = now
--- a/greengageflow/core/fleet_sums.py
+++ b/greengageflow/core/fleet_sums.py
@@ -52,10 +52,10 @@
         base: Number of the sum at which the relay's tables were last reset, see
             ``sum_changes``.
         zone: Its availability zone.
-        whole: It is the sum of all zones, not that of one.
+        fleet_wide: It is the sum of all zones, not that of one.
         totals: The totals.
-        counted: Sequence of the newest message that is included, by host of the zone.
-        work_counted: The same for the work, which is updated less often; set by the
+        included: Sequence of the newest message that is included, by host of the zone.
+        work_included: The same for the work, which is updated less often; set by the
             receiver, not sent, see ``sum_changes``.
         version: Newest configuration that an included router has.
         list_mark: Newest offset up to which one has read the list of endpoints.
@@ -68,10 +68,10 @@
     boot: int
     number: int
     zone: str
-    whole: bool
+    fleet_wide: bool
     totals: FleetTotals
-    counted: Mapping[str, int] = field(default_factory=dict)
-    work_counted: Mapping[str, int] = field(default_factory=dict)
+    included: Mapping[str, int] = field(default_factory=dict)
+    work_included: Mapping[str, int] = field(default_factory=dict)
     base: int = 0
     version: int = 0
     list_mark: int = 0
@@ -94,15 +94,15 @@
     """Return the sum of several totals."""
     served: dict[AccountKey, float] = defaultdict(float)
     offered: dict[AccountKey, float] = defaultdict(float)
-    known = list(parts)
+    all_parts = list(parts)
     hosts = 0
-    for part in known:
+    for part in all_parts:
         hosts += part.hosts
         for key, work in part.served.items():
             served[key] += work
         for key, work in part.offered.items():
             offered[key] += work
-    return FleetTotals(served, offered, sum_loads(p.loads for p in known), hosts)
+    return FleetTotals(served, offered, sum_loads(p.loads for p in all_parts), hosts)
 
 
 def sum_loads(parts: Iterable[Mapping[str, LoadShare]]) -> dict[str, LoadShare]:
@@ -120,31 +120,31 @@
     return dict(zip(sums, load_shares(sums.values()), strict=True))
 
 
-def subtract_totals(whole: FleetTotals, own: FleetTotals) -> FleetTotals:
+def subtract_totals(total: FleetTotals, own: FleetTotals) -> FleetTotals:
     """Return totals minus one router's part, clamped at 0."""
 
-    def less(
+    def minus(
         sums: Mapping[AccountKey, float], part: Mapping[AccountKey, float]
     ) -> dict[AccountKey, float]:
-        left = dict(sums)
-        left.update(
+        rest = dict(sums)
+        rest.update(
             (key, max(0.0, sums[key] - x)) for key, x in part.items() if key in sums
         )
-        return left
+        return rest
 
     return FleetTotals(
-        less(whole.served, own.served),
-        less(whole.offered, own.offered),
-        subtract_loads(whole.loads, own.loads),
-        max(0, whole.hosts - own.hosts),
+        minus(total.served, own.served),
+        minus(total.offered, own.offered),
+        subtract_loads(total.loads, own.loads),
+        max(0, total.hosts - own.hosts),
     )
 
 
 def subtract_loads(
-    whole: Mapping[str, LoadShare], own: Mapping[str, LoadShare]
+    total: Mapping[str, LoadShare], own: Mapping[str, LoadShare]
 ) -> dict[str, LoadShare]:
     """Return loads minus one router's part, clamped at 0."""
-    loads = dict(whole)
+    loads = dict(total)
     for name, (running, reading, memory) in own.items():
         if name in loads:
             a, b, c = loads[name]
@@ -158,15 +158,15 @@
     """The last totals that this router reported of itself, by sequence."""
 
     def __init__(self) -> None:
-        self._told: deque[tuple[int, FleetTotals]] = deque(maxlen=HISTORY_MESSAGES)
+        self._entries: deque[tuple[int, FleetTotals]] = deque(maxlen=HISTORY_MESSAGES)
 
-    def note(self, sequence: int, totals: FleetTotals) -> None:
+    def record(self, sequence: int, totals: FleetTotals) -> None:
         """Record the totals of a report or notice."""
-        self._told.append((sequence, totals))
+        self._entries.append((sequence, totals))
 
-    def at(self, sequence: int) -> FleetTotals:
+    def as_of(self, sequence: int) -> FleetTotals:
         """Return the totals as of ``sequence``, empty ones when it is not known."""
-        for told, totals in reversed(self._told):
-            if told <= sequence:
+        for entry_sequence, totals in reversed(self._entries):
+            if entry_sequence <= sequence:
                 return totals
         return FleetTotals()
--- a/greengageflow/core/lateness.py
+++ b/greengageflow/core/lateness.py
@@ -25,7 +25,7 @@
         self.behind_since = 0.0
         self._period_s = period_s
         self._last = 0.0
-        self._calm_since = 0.0
+        self._late_at = 0.0
         self._window_at = 0.0
         self._worst = (0.0, 0.0)
 
@@ -44,11 +44,11 @@
         else:
             self._worst = (max(late_s, self._worst[0]), self._worst[1])
         if late_s > ON_TIME_LAG_S:
-            self._calm_since = now
+            self._late_at = now
         if not self.behind and late_s > BEHIND_LAG_S:
             self.behind, self.behind_since = True, now
             return True
-        if self.behind and now - self._calm_since >= RECOVERY_S:
+        if self.behind and now - self._late_at >= RECOVERY_S:
             self.behind = False
             return True
         return False
--- a/greengageflow/core/peer_report.py
+++ b/greengageflow/core/peer_report.py
@@ -99,44 +99,44 @@
     def __init__(self, host: str) -> None:
         self.revision = 0
         self._host = host
-        self._heard: dict[str, ReceivedReport] = {}
+        self._received: dict[str, ReceivedReport] = {}
 
     def put(self, now: float, report: PeerReport) -> bool:
         """Store a report; False when it is outdated or this host's own."""
         if report.host == self._host:
             return False
-        known = self._heard.get(report.host)
-        if known is not None:
-            before = (known.report.boot, known.report.number)
+        current = self._received.get(report.host)
+        if current is not None:
+            before = (current.report.boot, current.report.number)
             if (report.boot, report.number) <= before:
                 return False
-        self._heard[report.host] = ReceivedReport(report, now)
+        self._received[report.host] = ReceivedReport(report, now)
         self.revision += 1
         return True
 
     def add(self, notice: LoadNotice) -> bool:
         """Apply a notice; False when it is outdated or its report is not the newest."""
-        known = self._heard.get(notice.host)
-        if known is None:
+        current = self._received.get(notice.host)
+        if current is None:
             return False
-        report = known.report
+        report = current.report
         if (report.boot, report.number) != (notice.boot, notice.number):
             return False
         if notice.sequence <= report.sequence:
             return False
         loads = {**report.loads, **notice.loads}
         report = replace(report, loads=loads, sequence=notice.sequence)
-        self._heard[notice.host] = ReceivedReport(report, known.at)
+        self._received[notice.host] = ReceivedReport(report, current.at)
         self.revision += 1
         return True
 
     def live(self, now: float) -> Iterator[ReceivedReport]:
         """Yield the reports of live peers, and delete those of long-silent ones."""
-        for host, heard in list(self._heard.items()):
-            if now - heard.at <= LIVE_TIMEOUT_S:
-                yield heard
-            elif now - heard.at > REPORT_RETENTION_S:
-                del self._heard[host]
+        for host, received in list(self._received.items()):
+            if now - received.at <= LIVE_TIMEOUT_S:
+                yield received
+            elif now - received.at > REPORT_RETENTION_S:
+                del self._received[host]
 
     def count(self, now: float) -> int:
         """Return the number of live peers."""
--- a/greengageflow/core/place_desk.py
+++ b/greengageflow/core/place_desk.py
@@ -31,7 +31,7 @@
     boot: int
     request: str
     service: str
-    since: float
+    received_at: float
     prompt: Prompt | None = None
     endpoint: ListedEndpoint | None = None
 
@@ -47,62 +47,70 @@
     def __init__(self, host: str, book: ServiceBook) -> None:
         self._host = host
         self._book = book
-        self._placed: dict[str, _RemotePlacement] = {}
-        self._heard: dict[str, float] = {}
+        self._placements: dict[str, _RemotePlacement] = {}
+        self._last_seen_at: dict[str, float] = {}
 
     def __len__(self) -> int:
         """Return the number of requests of other hosts, waiting or running."""
-        return len(self._placed)
+        return len(self._placements)
 
     @property
     def waiting(self) -> int:
         """Number of requests of other hosts that wait here."""
-        return sum(one.endpoint is None for one in self._placed.values())
+        return sum(
+            placement.endpoint is None for placement in self._placements.values()
+        )
 
-    def ask(self, now: float, ask: PlacementRequest) -> Iterator[Decision]:
+    def on_request(self, now: float, message: PlacementRequest) -> Iterator[Decision]:
         """Queue a request, and yield the decisions that can now be made."""
-        key = _key(ask.host, ask.boot, ask.request)
-        if key in self._placed:
+        key = _key(message.host, message.boot, message.request)
+        if key in self._placements:
             return
-        self._heard[ask.host] = now
-        prompt = _prompt(ask)
-        placed = _RemotePlacement(
-            ask.host, ask.boot, ask.request, ask.service, now, prompt
+        self._last_seen_at[message.host] = now
+        prompt = _prompt(message)
+        placement = _RemotePlacement(
+            message.host, message.boot, message.request, message.service, now, prompt
         )
-        self._placed[key] = placed
+        self._placements[key] = placement
         waiter = Waiter(
             key,
-            ask.account,
+            message.account,
             prompt.work,
-            ask.priority,
-            now - ask.waited_s,
-            now + ask.left_s,
-            now + ask.patience_s,
+            message.priority,
+            now - message.waited_s,
+            now + message.slack_s,
+            now + message.timeout_s,
+        )
+        job = Job(
+            waiter, message.target_s, prompt, frozenset(message.avoid), message.zone
+        )
+        yield from self._book.submit(
+            now, message.service, job, message.account, counted=False
         )
-        job = Job(waiter, ask.target_s, prompt, frozenset(ask.avoid), ask.zone)
-        yield from self._book.submit(now, ask.service, job, ask.account, counted=False)
 
-    def is_waiting(self, ask: PlacementRequest) -> bool:
+    def is_waiting(self, message: PlacementRequest) -> bool:
         """Whether a request waits here."""
-        found = self._placed.get(_key(ask.host, ask.boot, ask.request))
-        return found is not None and found.endpoint is None
+        placement = self._placements.get(
+            _key(message.host, message.boot, message.request)
+        )
+        return placement is not None and placement.endpoint is None
 
-    def decided(
+    def on_decision(
         self, now: float, decision: Decision
     ) -> tuple[str, PlacementAnswer] | None:
         """Return the host to answer and the answer, or None for an unknown request."""
-        placed = self._placed.get(decision.request)
-        if placed is None:
+        placement = self._placements.get(decision.request)
+        if placement is None:
             return None
         match decision:
             case StartJob(choice=choice):
-                placed.endpoint = choice.endpoint
-                self._book.sent(now, decision.request, choice, placed.prompt)
+                placement.endpoint = choice.endpoint
+                self._book.sent(now, decision.request, choice, placement.prompt)
                 source = choice.fetch_from
-                return placed.host, PlacementAnswer(
+                return placement.host, PlacementAnswer(
                     host=self._host,
-                    boot=placed.boot,
-                    request=placed.request,
+                    boot=placement.boot,
+                    request=placement.request,
                     verdict=Verdict.START,
                     endpoint=choice.endpoint.id,
                     fetch_from=source.id if source else "",
@@ -110,26 +118,26 @@
                     wait_s=choice.wait_s,
                 )
             case RefuseJob(kind=kind, message=message, retry_after_s=wait_s):
-                del self._placed[decision.request]
-                return placed.host, PlacementAnswer(
+                del self._placements[decision.request]
+                return placement.host, PlacementAnswer(
                     host=self._host,
-                    boot=placed.boot,
-                    request=placed.request,
+                    boot=placement.boot,
+                    request=placement.request,
                     verdict=Verdict.REFUSE,
                     kind=kind.value,
                     message=message,
                     retry_after_s=wait_s,
                 )
 
-    def note(self, now: float, note: PlacementEvent) -> Iterator[Decision]:
+    def on_event(self, now: float, event: PlacementEvent) -> Iterator[Decision]:
         """Apply an event of a request, and yield the decisions that can now be made."""
-        self._heard[note.host] = now
-        key = _key(note.host, note.boot, note.request)
-        placed = self._placed.get(key)
-        if placed is None:
+        self._last_seen_at[event.host] = now
+        key = _key(event.host, event.boot, event.request)
+        placement = self._placements.get(key)
+        if placement is None:
             return
-        endpoint = placed.endpoint
-        match note.happened:
+        endpoint = placement.endpoint
+        match event.kind:
             case PlacementEventKind.ENDED:
                 yield from self._end(now, key)
                 return
@@ -142,7 +150,9 @@
             case PlacementEventKind.SILENT if endpoint is not None:
                 self._book.silent(now, endpoint)
 
-    def roll(self, now: float, roll: PlacementSnapshot) -> Iterator[Decision]:
+    def on_snapshot(
+        self, now: float, snapshot: PlacementSnapshot
+    ) -> Iterator[Decision]:
         """Reconcile with a snapshot of all requests that a host has here.
 
         Requests that the host no longer has are dropped, and those that an earlier
@@ -150,55 +160,61 @@
         an engine for good, and a new placer would assume that engines are idle. Hosts
         send a snapshot twice a second, which bounds both errors to that interval.
         """
-        self._heard[roll.host] = now
-        live = {_key(roll.host, roll.boot, run.request): run for run in roll.runs}
-        for key, placed in list(self._placed.items()):
-            settled = now - placed.since > SNAPSHOT_GRACE_S or placed.boot != roll.boot
-            if placed.host == roll.host and key not in live and settled:
+        self._last_seen_at[snapshot.host] = now
+        entries = {
+            _key(snapshot.host, snapshot.boot, entry.request): entry
+            for entry in snapshot.entries
+        }
+        for key, placement in list(self._placements.items()):
+            settled = (
+                now - placement.received_at > SNAPSHOT_GRACE_S
+                or placement.boot != snapshot.boot
+            )
+            if placement.host == snapshot.host and key not in entries and settled:
                 yield from self._end(now, key)
-        for key, run in live.items():
-            self._adopt(now, key, roll, run)
+        for key, entry in entries.items():
+            self._adopt(now, key, snapshot, entry)
 
     def _adopt(
-        self, now: float, key: str, roll: PlacementSnapshot, run: PlacementEntry
+        self, now: float, key: str, snapshot: PlacementSnapshot, entry: PlacementEntry
     ) -> None:
-        endpoint = self._book.listed(run.endpoint)
-        if key in self._placed or endpoint is None:
+        endpoint = self._book.listed(entry.endpoint)
+        if key in self._placements or endpoint is None:
             return
-        self._placed[key] = _RemotePlacement(
-            roll.host,
-            roll.boot,
-            run.request,
+        self._placements[key] = _RemotePlacement(
+            snapshot.host,
+            snapshot.boot,
+            entry.request,
             endpoint.service,
             now,
             endpoint=endpoint,
         )
-        self._book.adopt(now, key, endpoint, run.reading, run.memory)
+        self._book.adopt(now, key, endpoint, entry.reading, entry.memory)
 
-    def drop_silent(self, now: float) -> Iterator[Decision]:
+    def drop_silent_hosts(self, now: float) -> Iterator[Decision]:
         """Drop the requests of hosts that have sent nothing for ``HOST_TIMEOUT_S``."""
-        for key, placed in list(self._placed.items()):
-            if now - self._heard.get(placed.host, now) > HOST_TIMEOUT_S:
+        for key, placement in list(self._placements.items()):
+            if now - self._last_seen_at.get(placement.host, now) > HOST_TIMEOUT_S:
                 yield from self._end(now, key)
 
     def _end(self, now: float, key: str) -> Iterator[Decision]:
         # A decision made earlier in the same call may have refused it already.
-        placed = self._placed.pop(key, None)
-        if placed is None:
+        placement = self._placements.pop(key, None)
+        if placement is None:
             return
-        if placed.endpoint is not None:
-            self._book.left(key, placed.endpoint)
-        yield from self._book.ended(now, placed.service, key)
+        if placement.endpoint is not None:
+            self._book.left(key, placement.endpoint)
+        yield from self._book.ended(now, placement.service, key)
 
 
 def _key(host: str, boot: int, request: str) -> str:
     return f"{host}/{boot}/{request}"
 
 
-def _prompt(ask: PlacementRequest) -> Prompt:
-    shared = [PromptPart(name, tokens) for name, tokens in ask.parts]
-    own = max(0, ask.tokens_in - sum(part.tokens for part in shared))
-    return Prompt((*shared, PromptPart("", own)), ask.tokens_in, ask.tokens_out)
+def _prompt(message: PlacementRequest) -> Prompt:
+    shared = [PromptPart(name, tokens) for name, tokens in message.parts]
+    own = max(0, message.tokens_in - sum(part.tokens for part in shared))
+    return Prompt((*shared, PromptPart("", own)), message.tokens_in, message.tokens_out)
 
 
 def placement_request(
@@ -221,8 +237,8 @@
         account=account,
         priority=waiter.priority,
         waited_s=now - waiter.arrived,
-        left_s=waiter.target_at - now,
-        patience_s=max(0.0, waiter.give_up_at - now),
+        slack_s=waiter.target_at - now,
+        timeout_s=max(0.0, waiter.give_up_at - now),
         target_s=job.target_s,
         parts=tuple((part.id, part.tokens) for part in prompt.parts[:-1]),
         tokens_in=prompt.tokens_in,
--- a/greengageflow/core/place_messages.py
+++ b/greengageflow/core/place_messages.py
@@ -38,8 +38,8 @@
         account: Client account.
         priority: Rank within the account.
         waited_s: Seconds since its arrival.
-        left_s: Seconds until its target time, negative when that has passed.
-        patience_s: Seconds until it is abandoned.
+        slack_s: Seconds until its target time, negative when that has passed.
+        timeout_s: Seconds until it is abandoned.
         target_s: Target latency, in seconds from its arrival.
         parts: Ids and tokens of the shareable prompt parts, in order.
         tokens_in: Prompt tokens in total.
@@ -55,8 +55,8 @@
     account: str
     priority: int
     waited_s: float
-    left_s: float
-    patience_s: float
+    slack_s: float
+    timeout_s: float
     target_s: float
     parts: tuple[tuple[str, int], ...]
     tokens_in: int
@@ -104,13 +104,13 @@
         host: The host.
         boot: Start time of its process.
         request: Id of the request.
-        happened: The event.
+        kind: The event.
     """
 
     host: str
     boot: int
     request: str
-    happened: PlacementEventKind
+    kind: PlacementEventKind
 
 
 @dataclass(frozen=True, slots=True)
@@ -137,12 +137,12 @@
     Args:
         host: The host.
         boot: Start time of its process.
-        runs: All its requests that wait there or run on the placer's endpoints.
+        entries: All its requests that wait there or run on the placer's endpoints.
     """
 
     host: str
     boot: int
-    runs: tuple[PlacementEntry, ...] = ()
+    entries: tuple[PlacementEntry, ...] = ()
 
 
 PlacementMessage = (
--- a/greengageflow/core/placers.py
+++ b/greengageflow/core/placers.py
@@ -53,28 +53,28 @@
 
     Args:
         host: This host.
-        mute_s: Backoff after an unanswered request, in seconds.
+        backoff_s: Backoff after an unanswered request, in seconds.
     """
 
-    def __init__(self, host: str, mute_s: float) -> None:
+    def __init__(self, host: str, backoff_s: float) -> None:
         self.placers: tuple[str, ...] = ()
         self.started_together = True
         self._host = host
-        self._mute_s = mute_s
+        self._backoff_s = backoff_s
         self._addresses: dict[str, Address] = {}
         self._owners: dict[str, str] = {}
-        self._mute: dict[str, float] = {}
+        self._backoff_until: dict[str, float] = {}
         self._silent_since: dict[str, float] = {}
 
     def update(self, rows: Iterable[Hello]) -> bool:
         """Take the live hosts; return whether the placers changed."""
-        known_rows = list(rows)
-        self._addresses = {row.host: row.address for row in known_rows}
-        for known in (self._mute, self._silent_since):
-            for host in known.keys() - self._addresses.keys():
-                del known[host]
-        placers = placers_among(known_rows)
-        boots = [row.boot for row in known_rows if row.host in placers]
+        live_rows = list(rows)
+        self._addresses = {row.host: row.address for row in live_rows}
+        for times in (self._backoff_until, self._silent_since):
+            for host in times.keys() - self._addresses.keys():
+                del times[host]
+        placers = placers_among(live_rows)
+        boots = [row.boot for row in live_rows if row.host in placers]
         self.started_together = (
             max(boots, default=0) <= min(boots, default=0) + SAME_START_WINDOW_MS
         )
@@ -95,9 +95,9 @@
         """Return the endpoints that this host places, or None if it is not a placer."""
         if self._host not in self.placers:
             return None
-        known = set(endpoints)
-        self._owners = {e: o for e, o in self._owners.items() if e in known}
-        return frozenset(e for e in known if self.owner(e) == self._host)
+        listed = set(endpoints)
+        self._owners = {e: o for e, o in self._owners.items() if e in listed}
+        return frozenset(e for e in listed if self.owner(e) == self._host)
 
     def address(self, host: str) -> Address | None:
         """Return the address of a live host, or None."""
@@ -108,21 +108,21 @@
         """Whether no other host is live."""
         return not self._addresses.keys() - {self._host}
 
-    def answers(self, now: float, host: str) -> bool:
+    def is_available(self, now: float, host: str) -> bool:
         """Return whether another host is live and not in backoff."""
-        known = host != self._host and host in self._addresses
-        return known and now >= self._mute.get(host, 0.0)
+        is_live = host != self._host and host in self._addresses
+        return is_live and now >= self._backoff_until.get(host, 0.0)
 
-    def on_silence(self, now: float, host: str) -> bool:
+    def on_timeout(self, now: float, host: str) -> bool:
         """Record a missing answer; return whether it is the first one in a row."""
-        self._mute[host] = now + self._mute_s
+        self._backoff_until[host] = now + self._backoff_s
         return self._silent_since.setdefault(host, now) == now
 
     def on_pass(self, now: float, host: str, seconds: float) -> None:
         """Record that a placer does not place for the given time."""
-        self._mute[host] = now + seconds
+        self._backoff_until[host] = now + seconds
 
-    def on_heard(self, now: float, host: str) -> float | None:
+    def on_answer(self, now: float, host: str) -> float | None:
         """Record an answer; return the seconds of silence that it ends, or None."""
         since = self._silent_since.pop(host, None)
         return None if since is None else now - since
--- a/greengageflow/core/relay_sums.py
+++ b/greengageflow/core/relay_sums.py
@@ -55,53 +55,53 @@
     Args:
         own: This router.
         table: Routers of the fleet.
-        book: Their newest reports.
+        peers: Their newest reports.
         fade_s: Time constant of the exponential decay of work, in seconds.
     """
 
     def __init__(
-        self, own: Hello, table: RouterTable, book: PeerTable, fade_s: float
+        self, own: Hello, table: RouterTable, peers: PeerTable, fade_s: float
     ) -> None:
         self.sums = SumTable()
         self.history = OwnHistory()
         self._own = own
         self._table = table
-        self._book = book
+        self._peers = peers
         self._fade_s = fade_s
-        self._publishers = {whole: SumPublisher() for whole in (False, True)}
+        self._publishers = {fleet_wide: SumPublisher() for fleet_wide in (False, True)}
         self._zone_loads = ZoneLoads()
         self._cached_work: _CachedWork | None = None
 
-    def others(self, now: float, quiet_s: float) -> FleetTotals:
+    def peer_totals(self, now: float, quiet_s: float) -> FleetTotals:
         """Return the totals of all other routers."""
         loads = self.peer_loads(now, quiet_s)
-        whole = self._whole(now, quiet_s)
-        if whole is None:
-            zones = self.sums.zones(now, self._own.zone)
+        fleet = self._member_fleet_sum(now, quiet_s)
+        if fleet is None:
+            zones = self.sums.zone_sums(now, self._own.zone)
             parts = (replace(report.totals, loads={}) for report, _ in zones)
-            return replace(merge([self._members_work(now), *parts]), loads=loads)
+            return replace(merge([self._member_work(now), *parts]), loads=loads)
         host = self._own.host
-        hosts = self.history.at(whole.counted.get(host, 0)).hosts
-        work = self.history.at(whole.work_counted.get(host, 0))
+        hosts = self.history.as_of(fleet.included.get(host, 0)).hosts
+        work = self.history.as_of(fleet.work_included.get(host, 0))
         own = replace(work, loads={}, hosts=hosts)
         return replace(
-            subtract_totals(replace(whole.totals, loads={}), own), loads=loads
+            subtract_totals(replace(fleet.totals, loads={}), own), loads=loads
         )
 
     def peer_loads(self, now: float, quiet_s: float) -> dict[str, LoadShare]:
         """Return the loads of all other routers."""
-        whole = self._whole(now, quiet_s)
-        if whole is None:
-            zones = self.sums.zones(now, self._own.zone)
-            loads = self._zone_loads.add_up(self._members(now))
+        fleet = self._member_fleet_sum(now, quiet_s)
+        if fleet is None:
+            zones = self.sums.zone_sums(now, self._own.zone)
+            loads = self._zone_loads.update(self._member_reports(now))
             return sum_loads([loads, *(report.totals.loads for report, _ in zones)])
-        own = self.history.at(whole.counted.get(self._own.host, 0))
-        return subtract_loads(whole.totals.loads, own.loads)
+        own = self.history.as_of(fleet.included.get(self._own.host, 0))
+        return subtract_loads(fleet.totals.loads, own.loads)
 
-    def _whole(self, now: float, quiet_s: float) -> SumReport | None:
+    def _member_fleet_sum(self, now: float, quiet_s: float) -> SumReport | None:
         """Return the newest fleet sum, or None when this router computes it itself."""
-        whole = self.sums.whole(now)
-        return None if whole is None or self.is_relay(now, quiet_s) else whole[0]
+        fleet = self.sums.fleet_sum(now)
+        return None if fleet is None or self.is_relay(now, quiet_s) else fleet[0]
 
     def is_relay(self, now: float, quiet_s: float) -> bool:
         """Return whether this router sends sums to its zone now.
@@ -114,14 +114,14 @@
         names = [row.host for row in relays]
         if self._own.host not in names:
             return False
-        return names[0] == self._own.host or self.is_missed(now)
+        return names[0] == self._own.host or self.is_fleet_sum_overdue(now)
 
-    def is_missed(self, now: float) -> bool:
+    def is_fleet_sum_overdue(self, now: float) -> bool:
         """Return whether no fleet sum has arrived within ``TAKEOVER_S``."""
-        whole = self.sums.whole(now)
-        return whole is None or now - whole[1] > TAKEOVER_S
+        fleet = self.sums.fleet_sum(now)
+        return fleet is None or now - fleet[1] > TAKEOVER_S
 
-    def drop_silent(self, now: float, quiet_s: float) -> None:
+    def drop_silent_relays(self, now: float, quiet_s: float) -> None:
         """Drop the relays of zones whose relays are all silent, so that others follow.
 
         A member watches the relays of its own zone, a relay those of the other zones.
@@ -134,11 +134,11 @@
         for zone in relays.keys() - {own} if is_relay else {own}:
             self._table.drop_silent(now, relays.get(zone, ()), RELAY_TIMEOUT_S)
 
-    def request_full_sum(self, now: float, whole: bool) -> bool:
+    def request_full_sum(self, now: float, fleet_wide: bool) -> bool:
         """Make the next sum a full one; return whether to send it at once."""
-        return self._publishers[whole].request_full_sum(now)
+        return self._publishers[fleet_wide].request_full_sum(now)
 
-    def tell(
+    def next_messages(
         self, now: float, own: PeerReport, number: int
     ) -> tuple[SumReport | SumDelta, SumReport | SumDelta]:
         """Return the next message for other zones, and the one for this zone.
@@ -148,69 +148,79 @@
             own: Current report of this router.
             number: Sequence number of the sums.
         """
-        zone, whole = self._add(now, own, number)
+        zone, fleet = self._aggregate(now, own, number)
         return (
-            self._publishers[False].tell(now, zone),
-            self._publishers[True].tell(now, whole),
+            self._publishers[False].next_message(now, zone),
+            self._publishers[True].next_message(now, fleet),
         )
 
-    def _add(
+    def _aggregate(
         self, now: float, own: PeerReport, number: int
     ) -> tuple[SumReport, SumReport]:
-        members = [*self._members(now), ReceivedReport(own, now)]
-        loads = self._zone_loads.add_up(members[:-1])
+        members = [*self._member_reports(now), ReceivedReport(own, now)]
+        loads = self._zone_loads.update(members[:-1])
         totals = FleetTotals(loads=loads, hosts=len(members) - 1)
-        mine = FleetTotals(loads=own.loads, hosts=1)
-        is_due = any(teller.is_work_due(now) for teller in self._publishers.values())
+        own_totals = FleetTotals(loads=own.loads, hosts=1)
+        is_due = any(
+            publisher.is_work_due(now) for publisher in self._publishers.values()
+        )
         if is_due:
-            totals = replace(self._members_work(now), loads=loads)
-            mine = FleetTotals(own.served, own.offered, own.loads, 1)
-        totals = merge([totals, mine])
-        word = best_word(now, (store_state_of(one.report, one.at) for one in members))
-        placed = tuple({pair for one in members for pair in one.report.placed})
-        zone = self._sum(number, totals, word, placed)
-        zones = self.sums.zones(now, self._own.zone)
+            totals = replace(self._member_work(now), loads=loads)
+            own_totals = FleetTotals(own.served, own.offered, own.loads, 1)
+        totals = merge([totals, own_totals])
+        state = best_word(
+            now, (store_state_of(received.report, received.at) for received in members)
+        )
+        placed = tuple(
+            {pair for received in members for pair in received.report.placed}
+        )
+        zone = self._sum_report(number, totals, state, placed)
+        zones = self.sums.zone_sums(now, self._own.zone)
         parts = [report.totals for report, _ in zones]
         if not is_due:
             parts = [replace(part, served={}, offered={}) for part in parts]
-        words = [word, *(store_state_of(report, at) for report, at in zones)]
+        states = [state, *(store_state_of(report, at) for report, at in zones)]
         pairs = {pair for report, _ in zones for pair in report.placed}
-        whole = self._sum(
+        fleet = self._sum_report(
             number,
             merge([totals, *parts]),
-            best_word(now, words),
+            best_word(now, states),
             (*placed, *pairs),
         )
-        counted = {one.report.host: one.report.sequence for one in members}
-        return zone, replace(whole, whole=True, counted=counted)
+        included = {
+            received.report.host: received.report.sequence for received in members
+        }
+        return zone, replace(fleet, fleet_wide=True, included=included)
 
-    def words(self, now: float) -> Iterator[StoreWord]:
+    def store_states(self, now: float) -> Iterator[StoreWord]:
         """Yield what the sums report about the store."""
-        sums = self.sums.zones(now, self._own.zone)
-        whole = self.sums.whole(now)
-        if whole is not None:
-            sums.append(whole)
+        sums = self.sums.zone_sums(now, self._own.zone)
+        fleet = self.sums.fleet_sum(now)
+        if fleet is not None:
+            sums.append(fleet)
         return (store_state_of(report, at) for report, at in sums)
 
-    def _members(self, now: float) -> list[ReceivedReport]:
+    def _member_reports(self, now: float) -> list[ReceivedReport]:
         """Return the live reports of this router's zone."""
-        heard = self._book.live(now)
-        return [one for one in heard if one.report.zone == self._own.zone]
+        reports = self._peers.live(now)
+        return [
+            received for received in reports if received.report.zone == self._own.zone
+        ]
 
-    def _members_work(self, now: float) -> FleetTotals:
+    def _member_work(self, now: float) -> FleetTotals:
         # A turn in which a round falls needs this twice.
-        known, revision = self._cached_work, self._book.revision
-        if known and known.revision == revision and now - known.at <= WORK_CACHE_S:
-            return known.totals
-        totals = sum_work(now, self._members(now), self._fade_s)
+        cached, revision = self._cached_work, self._peers.revision
+        if cached and cached.revision == revision and now - cached.at <= WORK_CACHE_S:
+            return cached.totals
+        totals = sum_work(now, self._member_reports(now), self._fade_s)
         self._cached_work = _CachedWork(now, revision, totals)
         return totals
 
-    def _sum(
+    def _sum_report(
         self,
         number: int,
         totals: FleetTotals,
-        word: StoreWord,
+        state: StoreWord,
         placed: tuple[tuple[str, str], ...],
     ) -> SumReport:
         return SumReport(
@@ -218,12 +228,12 @@
             boot=self._own.boot,
             number=number,
             zone=self._own.zone,
-            whole=False,
+            fleet_wide=False,
             totals=totals,
-            version=word.version,
-            list_mark=word.list_mark,
-            heard_s=word.heard_s,
-            list_heard_s=word.list_heard_s,
+            version=state.version,
+            list_mark=state.list_mark,
+            heard_s=state.heard_s,
+            list_heard_s=state.list_heard_s,
             placed=placed,
         )
 
--- a/greengageflow/core/service_book.py
+++ b/greengageflow/core/service_book.py
@@ -197,7 +197,7 @@
         """Take over the sums of what other hosts told."""
         self._now = now
         self._totals = totals
-        self._fleet.note(now, totals.hosts + 1)
+        self._fleet.observe(now, totals.hosts + 1)
         if self._began is None:
             self._began = now
         self._loads.set_others(totals.loads)
--- a/greengageflow/core/sum_changes.py
+++ b/greengageflow/core/sum_changes.py
@@ -53,15 +53,15 @@
     """Changes of one table.
 
     Args:
-        after: Number of the sum since which the values changed.
-        start: Index of the first new key.
-        new: Keys that were added since then.
+        since: Number of the sum since which the values changed.
+        first_index: Index of the first new key.
+        new_keys: Keys that were added since then.
         values: Changed values by the index of their key.
     """
 
-    after: int
-    start: int = 0
-    new: tuple[K, ...] = ()
+    since: int
+    first_index: int = 0
+    new_keys: tuple[K, ...] = ()
     values: Mapping[int, V] = field(default_factory=dict)
 
 
@@ -73,10 +73,10 @@
         host: The relay.
         boot: Start time of its process.
         number: Sequence number of the sum.
-        whole: It belongs to the sum of all zones, not to that of one.
+        fleet_wide: It belongs to the sum of all zones, not to that of one.
         base: Number of the sum at which the relay's tables were last reset.
         loads: Changed loads.
-        counted: Changed report sequences that are included.
+        included: Changed report sequences that are included.
         work: Changed work (served, offered); None in messages without work.
         hosts: Routers that are included.
         version: As in the sum.
@@ -89,10 +89,10 @@
     host: str
     boot: int
     number: int
-    whole: bool
+    fleet_wide: bool
     base: int
     loads: TableDelta[str, LoadShare]
-    counted: TableDelta[str, int]
+    included: TableDelta[str, int]
     work: TableDelta[AccountKey, Work] | None = None
     hosts: int = 0
     version: int = 0
@@ -107,67 +107,69 @@
     """Request of a router for a full sum.
 
     Args:
-        whole: The sum of all zones is wanted, not that of one.
+        fleet_wide: The sum of all zones is wanted, not that of one.
     """
 
-    whole: bool
+    fleet_wide: bool
 
 
 class _DeltaTable(Generic[K, V]):
     """A table as the receivers of its deltas hold it.
 
     Args:
-        gone: Value of keys that are no longer in the sums.
+        removed_value: Value of keys that are no longer in the sums.
     """
 
-    def __init__(self, gone: V) -> None:
+    def __init__(self, removed_value: V) -> None:
         self.values: dict[K, V] = {}
-        self._gone = gone
-        self.places: dict[K, int] = {}
-        self._changed: dict[K, int] = {}
-        self._sizes = deque([(0, 0)], maxlen=DELTA_OVERLAP_MESSAGES)
+        self._removed_value = removed_value
+        self.indexes: dict[K, int] = {}
+        self._changed_in: dict[K, int] = {}
+        self._sizes_sent = deque([(0, 0)], maxlen=DELTA_OVERLAP_MESSAGES)
 
-    def change(self, number: int, values: Mapping[K, V]) -> TableDelta[K, V]:
+    def update(self, number: int, values: Mapping[K, V]) -> TableDelta[K, V]:
         """Take the current values; return the changes that the next delta covers."""
-        known = self.values
-        for key in known.keys() - values.keys():
-            if known[key] != self._gone:
-                known[key] = self._gone
-                self._changed[key] = number
+        current = self.values
+        for key in current.keys() - values.keys():
+            if current[key] != self._removed_value:
+                current[key] = self._removed_value
+                self._changed_in[key] = number
         # Set operations skip the unchanged entries, which are most of them.
-        for key, value in values.items() - known.items():
-            known[key] = value
-            self._changed[key] = number
-            self.places.setdefault(key, len(self.places))
-        after, start = self._sizes[0]
-        self._sizes.append((number, len(known)))
-        self._changed = {key: at for key, at in self._changed.items() if at > after}
-        places = self.places
+        for key, value in values.items() - current.items():
+            current[key] = value
+            self._changed_in[key] = number
+            self.indexes.setdefault(key, len(self.indexes))
+        since, first_index = self._sizes_sent[0]
+        self._sizes_sent.append((number, len(current)))
+        self._changed_in = {
+            key: at for key, at in self._changed_in.items() if at > since
+        }
+        indexes = self.indexes
         return TableDelta(
-            after=after,
-            start=start,
-            new=tuple(islice(places, start, None)),
-            values={places[key]: known[key] for key in self._changed},
+            since=since,
+            first_index=first_index,
+            new_keys=tuple(islice(indexes, first_index, None)),
+            values={indexes[key]: current[key] for key in self._changed_in},
         )
 
-    def is_worn(self, live: int) -> bool:
-        """Return whether most keys are removed ones, given ``live`` keys in use."""
-        return len(self.values) > 2 * live + SPARE_KEYS
+    def is_sparse(self, live_keys: int) -> bool:
+        """Return whether most keys are removed ones, with ``live_keys`` others."""
+        return len(self.values) > 2 * live_keys + SPARE_KEYS
 
 
 class SumPublisher:
     """Turns the successive sums of a relay into full sums and deltas."""
 
     def __init__(self) -> None:
-        self._whole_at = -inf
+        self._full_at = -inf
         self._work_at = -inf
-        self._placed: dict[tuple[str, str], float] = {}
-        self._begin(0)
+        self._first_sent_at: dict[tuple[str, str], float] = {}
+        self._reset_tables(0)
 
-    def _begin(self, number: int) -> None:
+    def _reset_tables(self, number: int) -> None:
         self._base = number
         self._loads: _DeltaTable[str, LoadShare] = _DeltaTable(NO_LOAD)
-        self._counted: _DeltaTable[str, int] = _DeltaTable(0)
+        self._included: _DeltaTable[str, int] = _DeltaTable(0)
         self._work: _DeltaTable[AccountKey, Work] = _DeltaTable((0, 0))
 
     def request_full_sum(self, now: float) -> bool:
@@ -176,63 +178,63 @@
         Many routers may miss the same message and ask one after the other, so a
         request within ``MIN_FULL_SUM_INTERVAL_S`` of the last full sum is ignored.
         """
-        if now - self._whole_at < MIN_FULL_SUM_INTERVAL_S:
+        if now - self._full_at < MIN_FULL_SUM_INTERVAL_S:
             return False
-        self._whole_at = -inf
+        self._full_at = -inf
         return True
 
     def is_work_due(self, now: float) -> bool:
         """Return whether the next message carries work; otherwise it may be omitted."""
         # Slightly early: with turns of 0.1 s the interval would otherwise be 0.3 s.
         is_due = now - self._work_at >= 0.8 * WORK_INTERVAL_S
-        return is_due or now - self._whole_at >= FULL_SUM_INTERVAL_S
+        return is_due or now - self._full_at >= FULL_SUM_INTERVAL_S
 
-    def tell(self, now: float, report: SumReport) -> SumReport | SumDelta:
+    def next_message(self, now: float, report: SumReport) -> SumReport | SumDelta:
         """Return the full sum, or its delta."""
         totals, number = report.totals, report.number
-        loads = {name: _rounded(load) for name, load in totals.loads.items()}
-        placed = self._new_placed(now, report)
+        loads = {name: _as_integers(load) for name, load in totals.loads.items()}
+        placed = self._pairs_to_send(now, report)
         for _, endpoint in placed:
             loads.setdefault(endpoint, NO_LOAD)
-        if self.is_work_due(now) and self._is_worn(report):
-            self._begin(number)
-            self._whole_at = -inf
-        changed = self._loads.change(number, loads)
-        counted = self._counted.change(number, report.counted)
-        is_whole = now - self._whole_at >= FULL_SUM_INTERVAL_S
+        if self.is_work_due(now) and self._is_sparse(report):
+            self._reset_tables(number)
+            self._full_at = -inf
+        changed = self._loads.update(number, loads)
+        included = self._included.update(number, report.included)
+        is_full = now - self._full_at >= FULL_SUM_INTERVAL_S
         work = None
         if self.is_work_due(now):
             self._work_at = now
-            work = self._work.change(number, work_of(totals))
-        if is_whole:
-            self._whole_at = now
-            return replace(self._whole(report), placed=placed)
+            work = self._work.update(number, work_by_account(totals))
+        if is_full:
+            self._full_at = now
+            return replace(self._full_sum(report), placed=placed)
         return SumDelta(
             host=report.host,
             boot=report.boot,
             number=number,
-            whole=report.whole,
+            fleet_wide=report.fleet_wide,
             base=self._base,
             loads=changed,
-            counted=counted,
+            included=included,
             work=work,
             hosts=totals.hosts,
             version=report.version,
             list_mark=report.list_mark,
             heard_s=report.heard_s,
             list_heard_s=report.list_heard_s,
-            placed=tuple((part, self._loads.places[name]) for part, name in placed),
+            placed=tuple((part, self._loads.indexes[name]) for part, name in placed),
         )
 
-    def _is_worn(self, report: SumReport) -> bool:
+    def _is_sparse(self, report: SumReport) -> bool:
         totals = report.totals
         return (
-            self._loads.is_worn(len(totals.loads))
-            or self._counted.is_worn(len(report.counted))
-            or self._work.is_worn(len(totals.offered))
+            self._loads.is_sparse(len(totals.loads))
+            or self._included.is_sparse(len(report.included))
+            or self._work.is_sparse(len(totals.offered))
         )
 
-    def _whole(self, report: SumReport) -> SumReport:
+    def _full_sum(self, report: SumReport) -> SumReport:
         """Return the full sum with all keys in the order of their indexes."""
         work = self._work.values.items()
         totals = FleetTotals(
@@ -241,22 +243,28 @@
             dict(self._loads.values),
             report.totals.hosts,
         )
-        counted = dict(self._counted.values)
-        return replace(report, totals=totals, counted=counted, base=self._base)
+        included = dict(self._included.values)
+        return replace(report, totals=totals, included=included, base=self._base)
 
-    def _new_placed(self, now: float, report: SumReport) -> tuple[tuple[str, str], ...]:
+    def _pairs_to_send(
+        self, now: float, report: SumReport
+    ) -> tuple[tuple[str, str], ...]:
         """Return the pairs that were first sent within ``PLACED_REPEAT_S``.
 
         Reports repeat a pair for 0.3 s, and each sum of that time used to repeat it
         as well. Sending it twice is enough against one lost message, unless sums are
         far apart.
         """
-        old = now - PLACED_MEMORY_S
-        self._placed = {pair: at for pair, at in self._placed.items() if at > old}
+        oldest_kept = now - PLACED_MEMORY_S
+        self._first_sent_at = {
+            pair: at for pair, at in self._first_sent_at.items() if at > oldest_kept
+        }
         for pair in report.placed:
-            self._placed.setdefault(pair, now)
-        again = now - PLACED_REPEAT_S
-        return tuple(pair for pair, at in self._placed.items() if at >= again)
+            self._first_sent_at.setdefault(pair, now)
+        repeat_since = now - PLACED_REPEAT_S
+        return tuple(
+            pair for pair, at in self._first_sent_at.items() if at >= repeat_since
+        )
 
 
 class ReceivedSum:
@@ -269,26 +277,26 @@
 
     def __init__(self, now: float, report: SumReport) -> None:
         self.at = now
-        self.report = replace(report, work_counted=report.counted)
+        self.report = replace(report, work_included=report.included)
         self._work_number = report.number
         self._endpoints = list(report.totals.loads)
-        self._hosts = list(report.counted)
+        self._hosts = list(report.included)
         self._accounts = list(report.totals.served)
 
-    def is_old(self, boot: int, number: int) -> bool:
+    def is_outdated(self, boot: int, number: int) -> bool:
         """Return whether a message is not newer than the last one applied."""
         return (boot, number) <= (self.report.boot, self.report.number)
 
-    def lacks(self, changes: SumDelta) -> bool:
+    def has_gap_before(self, delta: SumDelta) -> bool:
         """Return whether a message that this delta builds on was missed."""
-        if changes.boot != self.report.boot or changes.base != self.report.base:
+        if delta.boot != self.report.boot or delta.base != self.report.base:
             return True
         number = self.report.number
-        work = changes.work
-        lost = work is not None and self._work_number < work.after
-        return lost or number < min(changes.loads.after, changes.counted.after)
+        work = delta.work
+        is_work_missing = work is not None and self._work_number < work.since
+        return is_work_missing or number < min(delta.loads.since, delta.included.since)
 
-    def apply(self, now: float, changes: SumDelta) -> None:
+    def apply(self, now: float, delta: SumDelta) -> None:
         """Apply a delta without a gap before it.
 
         Raises:
@@ -296,48 +304,48 @@
         """
         before, totals = self.report, self.report.totals
         loads = dict(totals.loads)
-        loads.update(_named(self._endpoints, changes.loads))
-        counted = dict(before.counted)
-        counted.update(_named(self._hosts, changes.counted))
-        served, offered, work_counted = (
+        loads.update(_with_keys(self._endpoints, delta.loads))
+        included = dict(before.included)
+        included.update(_with_keys(self._hosts, delta.included))
+        served, offered, work_included = (
             totals.served,
             totals.offered,
-            before.work_counted,
+            before.work_included,
         )
-        if changes.work is not None:
-            work = dict(_named(self._accounts, changes.work))
+        if delta.work is not None:
+            work = dict(_with_keys(self._accounts, delta.work))
             served = {**served, **{key: row[0] for key, row in work.items()}}
             offered = {**offered, **{key: row[1] for key, row in work.items()}}
-            work_counted = counted
-            self._work_number = changes.number
+            work_included = included
+            self._work_number = delta.number
         self.at = now
         self.report = replace(
             before,
-            number=changes.number,
-            totals=FleetTotals(served, offered, loads, changes.hosts),
-            counted=counted,
-            work_counted=work_counted,
-            version=changes.version,
-            list_mark=changes.list_mark,
-            heard_s=changes.heard_s,
-            list_heard_s=changes.list_heard_s,
-            placed=tuple((part, self._endpoints[at]) for part, at in changes.placed),
+            number=delta.number,
+            totals=FleetTotals(served, offered, loads, delta.hosts),
+            included=included,
+            work_included=work_included,
+            version=delta.version,
+            list_mark=delta.list_mark,
+            heard_s=delta.heard_s,
+            list_heard_s=delta.list_heard_s,
+            placed=tuple((part, self._endpoints[at]) for part, at in delta.placed),
         )
 
 
-def _named(keys: list[K], changes: TableDelta[K, V]) -> Iterable[tuple[K, V]]:
+def _with_keys(keys: list[K], delta: TableDelta[K, V]) -> Iterable[tuple[K, V]]:
     """Add the new keys; return the changed values with their keys."""
-    if changes.new:
-        keys[changes.start :] = changes.new
-    return [(keys[place], value) for place, value in changes.values.items()]
+    if delta.new_keys:
+        keys[delta.first_index :] = delta.new_keys
+    return [(keys[index], value) for index, value in delta.values.items()]
 
 
-def _rounded(load: LoadShare) -> LoadShare:
+def _as_integers(load: LoadShare) -> LoadShare:
     running, reading, memory = load
     return LoadShare(running, int(reading), int(memory))
 
 
-def work_of(totals: FleetTotals) -> dict[AccountKey, Work]:
+def work_by_account(totals: FleetTotals) -> dict[AccountKey, Work]:
     """Return (served, offered) work by service and account."""
     served, offered = totals.served, totals.offered
     return {
--- a/greengageflow/core/zone_loads.py
+++ b/greengageflow/core/zone_loads.py
@@ -16,25 +16,25 @@
     """
 
     def __init__(self) -> None:
-        self._known: dict[str, Mapping[str, LoadShare]] = {}
+        self._applied: dict[str, Mapping[str, LoadShare]] = {}
         self._sums: dict[str, LoadShare] = {}
 
-    def add_up(self, heard: Iterable[ReceivedReport]) -> dict[str, LoadShare]:
+    def update(self, reports: Iterable[ReceivedReport]) -> dict[str, LoadShare]:
         """Return the sum of the routers' loads by endpoint."""
-        gone = set(self._known)
-        for one in heard:
-            host, loads = one.report.host, one.report.loads
-            gone.discard(host)
-            if self._known.get(host) is not loads:
-                self._change(host, loads)
-        for host in gone:
-            self._change(host, {})
-            del self._known[host]
+        absent = set(self._applied)
+        for received in reports:
+            host, loads = received.report.host, received.report.loads
+            absent.discard(host)
+            if self._applied.get(host) is not loads:
+                self._apply(host, loads)
+        for host in absent:
+            self._apply(host, {})
+            del self._applied[host]
         return dict(self._sums)
 
-    def _change(self, host: str, loads: Mapping[str, LoadShare]) -> None:
-        before = self._known.get(host, {})
-        self._known[host] = loads
+    def _apply(self, host: str, loads: Mapping[str, LoadShare]) -> None:
+        before = self._applied.get(host, {})
+        self._applied[host] = loads
         sums = self._sums
         # Set operations skip the unchanged entries, which are most of a full report.
         changed = [(name, load) for name, load in loads.items() - before.items()]
--- a/greengageflow/daemon/fleet_exchange.py
+++ b/greengageflow/daemon/fleet_exchange.py
@@ -205,7 +205,7 @@
         at, words = self._words
         if now - at > SAME_S:
             words = [store_state_of(one.report, one.at) for one in self._book.live(now)]
-            words += self._relayed.words(now)
+            words += self._relayed.store_states(now)
             self._words = now, words
         return words
 
@@ -238,7 +238,7 @@
                 self._on_sum(now, message)
                 return
             case FullSumRequest():
-                self._wanted |= self._relayed.request_full_sum(now, message.whole)
+                self._wanted |= self._relayed.request_full_sum(now, message.fleet_wide)
                 return
             case Hello():
                 if not message.peers:
@@ -274,9 +274,9 @@
         match sums.put(now, message):
             case SumOutcome.NEW:
                 self._changed = True
-                self._listener.on_placed(sums.placed(message.host, message.whole))
+                self._listener.on_placed(sums.placed(message.host, message.fleet_wide))
             case SumOutcome.MISSED:
-                data = encode(FullSumRequest(whole=message.whole))
+                data = encode(FullSumRequest(fleet_wide=message.fleet_wide))
                 self._send(data, self._table.addresses(message.host))
 
     def _on_hello(self, now: float, hello: Hello) -> None:
@@ -305,11 +305,11 @@
             self._notice(self._everybody())
         elif self._turns % relay_turns(len(self._addresses)) == 0:
             self._wanted = False
-            self._relayed.drop_silent(self._now, self._quiet_s)
+            self._relayed.drop_silent_relays(self._now, self._quiet_s)
             self._relay()
             self._on_changed()
             # The second relay needs notices only while it stands in for the first.
-            is_missed = self._relayed.is_missed(self._now)
+            is_missed = self._relayed.is_fleet_sum_overdue(self._now)
             self._notice(self._own_relays(RELAYS_A_ZONE if is_missed else 1))
         elif self._wanted:
             self._wanted = False
@@ -323,7 +323,7 @@
                 self._listener.on_loads(loads)
             else:
                 heard = self._book.live(self._now)
-                self._listener.on_loads(self._mesh_loads.add_up(heard))
+                self._listener.on_loads(self._mesh_loads.update(heard))
 
     def _notice(self, to: Iterable[Address]) -> None:
         loads = self._changed_loads()
@@ -370,7 +370,7 @@
             return
         report = report or self._listener.report(self._number, self._sequence)
         totals = FleetTotals(report.served, report.offered, report.loads, 1)
-        self._relayed.history.note(self._sequence, totals)
+        self._relayed.history.record(self._sequence, totals)
 
     def _everybody(self) -> set[Address]:
         return self._seeds | self._addresses.keys()
@@ -422,14 +422,14 @@
         now = self._now
         if not self._is_large:
             return sum_reports(now, self._book.live(now), FADE_S)
-        return self._relayed.others(now, self._quiet_s)
+        return self._relayed.peer_totals(now, self._quiet_s)
 
     def _relay(self) -> None:
         now, quiet_s = self._now, self._quiet_s
         if not self._relayed.is_relay(now, quiet_s):
             return
         own = self._listener.report(self._number, self._sequence)
-        zone, whole = self._relayed.tell(now, own, self._turns)
+        zone, whole = self._relayed.next_messages(now, own, self._turns)
         self._send(encode(zone), self._other_relays())
         self._send(encode(whole), self._zone_mates())
 
--- a/greengageflow/daemon/placement.py
+++ b/greengageflow/daemon/placement.py
@@ -166,7 +166,7 @@
             return ""
         home = home_of(prompt.affinity, self._book.open_endpoints(now, service))
         placer = self._table.owner(home.id) if home else ""
-        return placer if self._table.answers(now, placer) else ""
+        return placer if self._table.is_available(now, placer) else ""
 
     def _on_silence(self, request: str) -> None:
         asked = self._pending.get(request)
@@ -182,13 +182,13 @@
             self._decide_here(lambda other: other is asked)
 
     def _on_mute(self, placer: str) -> None:
-        if self._table.on_silence(self._timers.now, placer):
+        if self._table.on_timeout(self._timers.now, placer):
             asked = sum(1 for other in self._pending.values() if other.placer == placer)
             self._log.write(DecisionEvent.PLACER_SILENT, placer=placer, asked=asked)
         self._decide_here(lambda other: other.placer == placer)
 
     def _on_heard(self, now: float, placer: str) -> None:
-        silent_s = self._table.on_heard(now, placer)
+        silent_s = self._table.on_answer(now, placer)
         if silent_s is not None:
             after_ms = round(1000 * silent_s)
             self._log.write(
@@ -261,10 +261,10 @@
 
     def _tell(self, host: str, request: str, happened: PlacementEventKind) -> None:
         note = PlacementEvent(
-            host=self._host, boot=self._boot, request=request, happened=happened
+            host=self._host, boot=self._boot, request=request, kind=happened
         )
         if host == self._host:
-            self._carry_out(self._desk.note(self._timers.now, note))
+            self._carry_out(self._desk.on_event(self._timers.now, note))
         else:
             self._send(host, note)
 
@@ -279,9 +279,9 @@
             case PlacementAnswer():
                 self._on_answer(now, message)
             case PlacementEvent():
-                self._carry_out(self._desk.note(now, message))
+                self._carry_out(self._desk.on_event(now, message))
             case PlacementSnapshot():
-                self._carry_out(self._desk.roll(now, message))
+                self._carry_out(self._desk.on_snapshot(now, message))
 
     def _on_ask(self, now: float, ask: PlacementRequest) -> None:
         # A host that began while cut off from the store knows no endpoint, and would
@@ -289,7 +289,7 @@
         if not self._places(now) or not self._endpoints.usable(ask.service):
             self._answer(ask, Verdict.PASS)
             return
-        self._carry_out(self._desk.ask(now, ask))
+        self._carry_out(self._desk.on_request(now, ask))
         if self._desk.is_waiting(ask):
             self._answer(ask, Verdict.QUEUED)
 
@@ -312,7 +312,7 @@
 
     def on_decision(self, decision: Decision) -> None:
         """Tell another host what was decided of its request."""
-        told = self._desk.decided(self._timers.now, decision)
+        told = self._desk.on_decision(self._timers.now, decision)
         if told is not None:
             self._send(*told)
 
@@ -378,7 +378,7 @@
             listed = filter(None, map(self._endpoints.get, self._owned or ()))
             engines = filter(self._book.is_engine, listed)
             self._parts.ask(e for e in engines if self._book.is_open(now, e))
-        self._carry_out(self._desk.drop_silent(now))
+        self._carry_out(self._desk.drop_silent_hosts(now))
 
     def _release(self, now: float) -> None:
         """Place the requests that were held back, once others are known."""
@@ -423,8 +423,10 @@
             for host, runs in rolls.items()
         }
         for host, runs in rolls.items():
-            roll = PlacementSnapshot(host=self._host, boot=self._boot, runs=tuple(runs))
+            roll = PlacementSnapshot(
+                host=self._host, boot=self._boot, entries=tuple(runs)
+            )
             if host == self._host:
-                self._carry_out(self._desk.roll(now, roll))
+                self._carry_out(self._desk.on_snapshot(now, roll))
             else:
                 self._send(host, roll)
--- a/greengageflow/net/place_codec.py
+++ b/greengageflow/net/place_codec.py
@@ -33,8 +33,8 @@
                 message.account,
                 message.priority,
                 round(message.waited_s, 4),
-                round(message.left_s, 4),
-                round(message.patience_s, 4),
+                round(message.slack_s, 4),
+                round(message.timeout_s, 4),
                 message.target_s,
                 message.parts,
                 message.tokens_in,
@@ -58,12 +58,12 @@
                 round(message.retry_after_s, 3),
             )
         case PlacementEvent():
-            what = int(message.happened)
+            what = int(message.kind)
             return (NOTE, message.host, message.boot, message.request, what)
         case PlacementSnapshot():
             runs = tuple(
                 (run.request, run.endpoint, int(run.reading), int(run.memory))
-                for run in message.runs
+                for run in message.entries
             )
             return (ROLL, message.host, message.boot, runs)
 
@@ -81,8 +81,8 @@
         account=str(account),
         priority=int(priority),
         waited_s=_amount(waited_s),
-        left_s=_finite(left_s),
-        patience_s=_amount(patience_s),
+        slack_s=_finite(left_s),
+        timeout_s=_amount(patience_s),
         target_s=_amount(target_s),
         parts=tuple((str(name), _count(tokens)) for name, tokens in parts),
         tokens_in=_count(tokens_in),
@@ -120,7 +120,7 @@
         host=str(host),
         boot=int(boot),
         request=str(request),
-        happened=PlacementEventKind(happened),
+        kind=PlacementEventKind(happened),
     )
 
 
@@ -131,7 +131,7 @@
         PlacementEntry(str(request), str(endpoint), _amount(reading), _amount(memory))
         for request, endpoint, reading, memory in runs
     )
-    return PlacementSnapshot(host=str(host), boot=int(boot), runs=tuple(rows))
+    return PlacementSnapshot(host=str(host), boot=int(boot), entries=tuple(rows))
 
 
 def _finite(value: Any) -> float:
--- a/greengageflow/net/report_codec.py
+++ b/greengageflow/net/report_codec.py
@@ -81,7 +81,7 @@
         case SumDelta():
             return packb((CHANGES, *_changes_values(message)))
         case FullSumRequest():
-            return packb((WANTED, message.whole))
+            return packb((WANTED, message.fleet_wide))
         case StoreUpdate():
             return packb((UPDATE, *_update_values(message)))
         case CrashReport():
@@ -207,11 +207,11 @@
         report.number,
         report.base,
         report.zone,
-        report.whole,
+        report.fleet_wide,
         work_columns(totals.served, totals.offered),
         load_columns(totals.loads),
         totals.hosts,
-        dict(report.counted),
+        dict(report.included),
         report.version,
         report.list_mark,
         _age(report.heard_s),
@@ -231,9 +231,9 @@
         number=int(number),
         base=int(base),
         zone=str(zone),
-        whole=bool(whole),
+        fleet_wide=bool(whole),
         totals=FleetTotals(*read_work(work), read_loads(loads), int(hosts)),
-        counted=counted,
+        included=counted,
         version=int(version),
         list_mark=int(mark),
         heard_s=_seconds(heard_s),
@@ -243,18 +243,23 @@
 
 
 def _changes_values(changes: SumDelta) -> tuple[Any, ...]:
-    loads, counted, work = changes.loads, changes.counted, changes.work
+    loads, counted, work = changes.loads, changes.included, changes.work
     return (
         changes.host,
         changes.boot,
         changes.number,
-        changes.whole,
+        changes.fleet_wide,
         changes.base,
-        (loads.after, loads.start, loads.new, *change_columns(loads.values, 3)),
         (
-            counted.after,
-            counted.start,
-            counted.new,
+            loads.since,
+            loads.first_index,
+            loads.new_keys,
+            *change_columns(loads.values, 3),
+        ),
+        (
+            counted.since,
+            counted.first_index,
+            counted.new_keys,
             list(counted.values),
             list(counted.values.values()),
         ),
@@ -274,7 +279,7 @@
 
 def _work_values(work: TableDelta[AccountKey, Work]) -> tuple[Any, ...]:
     columns = change_columns(work.values, 2)
-    return (work.after, work.start, pair_columns(work.new), *columns)
+    return (work.since, work.first_index, pair_columns(work.new_keys), *columns)
 
 
 def _changes(values: list[Any]) -> SumDelta:
@@ -284,10 +289,10 @@
         host=str(host),
         boot=int(boot),
         number=int(number),
-        whole=bool(whole),
+        fleet_wide=bool(whole),
         base=int(base),
         loads=_load_changes(*loads),
-        counted=_counted_changes(*counted),
+        included=_counted_changes(*counted),
         work=None if work is None else _work_changes(*work),
         hosts=int(hosts),
         version=int(version),
@@ -304,7 +309,7 @@
     changed = read_changes(columns, 3)
     rows = dict(zip(changed, load_shares(changed.values()), strict=True))
     return TableDelta(
-        after=int(after), start=_place(start), new=tuple(new), values=rows
+        since=int(after), first_index=_place(start), new_keys=tuple(new), values=rows
     )
 
 
@@ -313,7 +318,7 @@
     check_names(new)
     rows = {place: row[0] for place, row in read_changes(columns, 1).items()}
     return TableDelta(
-        after=int(after), start=_place(start), new=tuple(new), values=rows
+        since=int(after), first_index=_place(start), new_keys=tuple(new), values=rows
     )
 
 
@@ -321,7 +326,9 @@
     after, start, new, *columns = values
     rows = read_changes(columns, 2)
     new = read_pairs(new)
-    return TableDelta(after=int(after), start=_place(start), new=new, values=rows)
+    return TableDelta(
+        since=int(after), first_index=_place(start), new_keys=new, values=rows
+    )
 
 
 def _place(value: Any) -> int:
@@ -332,7 +339,7 @@
 
 def _wanted(values: list[Any]) -> FullSumRequest:
     (whole,) = values
-    return FullSumRequest(whole=bool(whole))
+    return FullSumRequest(fleet_wide=bool(whole))
 
 
 def _update_values(update: StoreUpdate) -> tuple[Any, ...]:
--- a/tests/test_fleet_exchange.py
+++ b/tests/test_fleet_exchange.py
@@ -284,12 +284,12 @@
     assert not PeerTable("r001").put(1.0, report)
     assert [h.report.sequence for h in book.live(1.1)] == [10] and not book.count(9.0)
     sums = SumTable()
-    head = {"host": "r1", "boot": 1, "zone": "z", "whole": False}
+    head = {"host": "r1", "boot": 1, "zone": "z", "fleet_wide": False}
     first, second = (SumReport(number=n, totals=FleetTotals(), **head) for n in (1, 2))
     new, old = SumOutcome.NEW, SumOutcome.OLD
     assert [sums.put(1.0, s) for s in (second, first, second)] == [new, old, old]
-    assert sums.zones(1.1, "other") == [(second, 1.0)]
-    assert not sums.zones(1.1, "z") and not sums.whole(1.1)
+    assert sums.zone_sums(1.1, "other") == [(second, 1.0)]
+    assert not sums.zone_sums(1.1, "z") and not sums.fleet_sum(1.1)
 
 
 def test_round_that_fails_is_not_the_last_one(monkeypatch):
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -372,12 +372,14 @@
     for number in range(SLOTS + 2):
         waiter = Waiter(str(number), "a", 100.0, 0, 9.0, 10.0, 9.2)
         job = Job(waiter, 1.0, PROMPT)
-        for decision in desk.ask(
+        for decision in desk.on_request(
             9.0, placement_request("h", 1, 9.0, "model", job, "a", (), "z")
         ):
-            desk.decided(9.0, decision)
+            desk.on_decision(9.0, decision)
     roll = PlacementSnapshot(host="h", boot=1)
-    told = [desk.decided(10.0, decision) for decision in desk.roll(10.0, roll)]
+    told = [
+        desk.on_decision(10.0, decision) for decision in desk.on_snapshot(10.0, roll)
+    ]
     assert {answer.verdict for _, answer in told} == {Verdict.REFUSE}
     assert not len(desk)
 
--- a/tests/test_repeat_budget.py
+++ b/tests/test_repeat_budget.py
@@ -182,14 +182,14 @@
 
 
 def test_host_that_hears_nobody_shares_with_as_many_as_before():
-    fleet = FleetSize(least=3)
+    fleet = FleetSize(min_hosts=3)
     assert fleet.hosts == 3
     for now, heard in ((0.0, 9), (1.0, 1), (2.0, 4)):
-        fleet.note(now, heard)
+        fleet.observe(now, heard)
         assert fleet.hosts == 9
-    fleet.note(RETENTION_S + 1.0, 4)
+    fleet.observe(RETENTION_S + 1.0, 4)
     assert fleet.hosts == 4
-    fleet.note(2 * RETENTION_S + 2.0, 1)
+    fleet.observe(2 * RETENTION_S + 2.0, 1)
     assert fleet.hosts == 3
 
 
--- a/tests/test_report_codec.py
+++ b/tests/test_report_codec.py
@@ -58,15 +58,15 @@
 SUM_REPORTS = st.builds(
     SumReport,
     zone=NAMES,
-    whole=st.booleans(),
+    fleet_wide=st.booleans(),
     base=COUNTS,
     totals=st.builds(FleetTotals, SUMS, SUMS, LOADS, COUNTS),
-    counted=st.dictionaries(NAMES, COUNTS, max_size=3),
+    included=st.dictionaries(NAMES, COUNTS, max_size=3),
     placed=PAIRS,
     **HEAD,
     **MARKS,
 )
-WANTED = st.builds(FullSumRequest, whole=st.booleans())
+WANTED = st.builds(FullSumRequest, fleet_wide=st.booleans())
 WORK = st.tuples(COUNTS, COUNTS)
 INTS = st.builds(LoadShare, COUNTS, COUNTS, COUNTS)
 
@@ -74,15 +74,17 @@
 def changes_of(keys, values):
     places = st.dictionaries(st.integers(0, 300), values, max_size=4)
     new = st.lists(keys, max_size=2).map(tuple)
-    return st.builds(TableDelta, after=COUNTS, start=COUNTS, new=new, values=places)
+    return st.builds(
+        TableDelta, since=COUNTS, first_index=COUNTS, new_keys=new, values=places
+    )
 
 
 SUM_CHANGES = st.builds(
     SumDelta,
-    whole=st.booleans(),
+    fleet_wide=st.booleans(),
     base=COUNTS,
     loads=changes_of(NAMES, INTS),
-    counted=changes_of(NAMES, COUNTS),
+    included=changes_of(NAMES, COUNTS),
     work=st.none() | changes_of(st.tuples(NAMES, NAMES), WORK),
     hosts=COUNTS,
     placed=st.lists(st.tuples(NAMES, COUNTS), max_size=3).map(tuple),
--- a/tests/test_started_again.py
+++ b/tests/test_started_again.py
@@ -149,8 +149,8 @@
             account="a",
             priority=0,
             waited_s=0.0,
-            left_s=1.0,
-            patience_s=1.0,
+            slack_s=1.0,
+            timeout_s=1.0,
             target_s=1.0,
             parts=(),
             tokens_in=10,
@@ -158,12 +158,12 @@
             avoid=(),
             zone="z",
         )
-        for decision in list(desk.ask(0.0, ask)):
-            desk.decided(0.0, decision)
+        for decision in list(desk.on_request(0.0, ask)):
+            desk.on_decision(0.0, decision)
     fleet.put(NEW)
     for number in range(4):
         note = PlacementEvent(
-            host="h", boot=1, request=f"q{number}", happened=PlacementEventKind.SILENT
+            host="h", boot=1, request=f"q{number}", kind=PlacementEventKind.SILENT
         )
-        list(desk.note(1.0, note))
+        list(desk.on_event(1.0, note))
     assert fleet.book.resting(1.0, "m") == ()
--- a/tests/test_sum_changes.py
+++ b/tests/test_sum_changes.py
@@ -31,7 +31,7 @@
     totals = report.totals
     loads = {name: load for name, load in totals.loads.items() if load != LoadShare()}
     work = some(totals.served), some(totals.offered)
-    return loads, *work, some(report.counted), totals.hosts, report.version
+    return loads, *work, some(report.included), totals.hosts, report.version
 
 
 class Sums(RuleBasedStateMachine):
@@ -45,22 +45,22 @@
     def __init__(self):
         super().__init__()
         self.now, self.number = 0.0, 0
-        self.loads, self.work, self.counted = {}, {}, {}
-        self.teller, self.book = SumPublisher(), SumTable()
+        self.loads, self.work, self.included = {}, {}, {}
+        self.publisher, self.book = SumPublisher(), SumTable()
         self.flying, self.told, self.work_told = [], {}, {}
         self.work_at = None
 
     def sum(self):
         served = {("s", f"a{key}"): float(x) for key, x in self.work.items()}
-        totals = FleetTotals(served, served, dict(self.loads), len(self.counted))
+        totals = FleetTotals(served, served, dict(self.loads), len(self.included))
         return SumReport(
             host="r1",
             boot=1,
             number=self.number,
             zone="z",
-            whole=True,
+            fleet_wide=True,
             totals=totals,
-            counted=dict(self.counted),
+            included=dict(self.included),
             version=self.number // 4,
         )
 
@@ -78,18 +78,18 @@
 
     @rule(key=KEYS, sequence=st.integers(1, 9))
     def member(self, key, sequence):
-        self.counted[f"r{key}"] = sequence
+        self.included[f"r{key}"] = sequence
 
     @rule(key=KEYS)
     def member_goes(self, key):
-        self.counted.pop(f"r{key}", None)
+        self.included.pop(f"r{key}", None)
 
     @rule(pause=st.sampled_from([1, 1, 1, 2, 4]))
     def tell(self, pause):
         self.now += pause * TURN_S
         self.number += pause
         report = self.sum()
-        message = self.teller.tell(self.now, report)
+        message = self.publisher.next_message(self.now, report)
         if isinstance(message, SumReport) or message.work is not None:
             self.work_at = self.number
         self.told[self.number] = shown(report)
@@ -111,22 +111,22 @@
     def take(self, message):
         taken = self.book.put(self.now, message)
         if taken is SumOutcome.MISSED:
-            self.teller.request_full_sum(self.now)
+            self.publisher.request_full_sum(self.now)
         return taken
 
     @invariant()
     def holds_one_sum(self):
-        found = self.book.whole(self.now)
+        found = self.book.fleet_sum(self.now)
         if found is None:
             return
         report = found[0]
-        loads, served, offered, counted, hosts, version = self.told[report.number]
+        loads, served, offered, included, hosts, version = self.told[report.number]
         has = shown(report)
-        assert (has[0], *has[3:]) == (loads, counted, hosts, version)
+        assert (has[0], *has[3:]) == (loads, included, hosts, version)
         # The work and the sequences that it includes come from one message, too.
         works = (row for at, row in self.told.items() if self.work_told[at] == at)
-        counted = some(report.work_counted)
-        assert has[1:3] in [row[1:3] for row in works if row[3] == counted]
+        included = some(report.work_included)
+        assert has[1:3] in [row[1:3] for row in works if row[3] == included]
 
     def teardown(self):
         """Without further loss the member converges to the sum of the relay."""
@@ -134,7 +134,7 @@
         for _ in range(int(2 * FULL_SUM_INTERVAL_S / TURN_S)):
             self.tell(1)
             self.take(decode(self.flying.pop()))
-        assert shown(self.book.whole(self.now)[0]) == shown(self.sum())
+        assert shown(self.book.fleet_sum(self.now)[0]) == shown(self.sum())
 
 
 TestSums = Sums.TestCase
@@ -143,14 +143,14 @@
 
 def relay(turns):
     """Yield the messages of a relay when one load changes in each turn."""
-    teller = SumPublisher()
+    publisher = SumPublisher()
     for turn in range(1, turns + 1):
         loads = {f"e{n}": LoadShare(n + 1) for n in range(30)}
         loads[f"e{turn % 30}"] = LoadShare(90 + turn)
         totals = FleetTotals({("s", "a"): 1.0 * turn}, {}, loads, 60)
-        head = {"host": "r1", "boot": 1, "zone": "z", "whole": True}
-        report = SumReport(number=turn, totals=totals, counted={"r9": turn}, **head)
-        yield teller.tell(turn * TURN_S, report)
+        head = {"host": "r1", "boot": 1, "zone": "z", "fleet_wide": True}
+        report = SumReport(number=turn, totals=totals, included={"r9": turn}, **head)
+        yield publisher.next_message(turn * TURN_S, report)
 
 
 def test_few_datagrams_name_what_did_not_change():
@@ -195,4 +195,4 @@
             for host, loads in reports.items()
         ]
         anew = sum_loads(reports.values())
-        assert zone.add_up(heard) == {k: v for k, v in anew.items() if any(v)}
+        assert zone.update(heard) == {k: v for k, v in anew.items() if any(v)}
