--- a/greengageflow/core/fleet_sums.py
+++ b/greengageflow/core/fleet_sums.py
@@ -59,8 +59,8 @@
             receiver, not sent, see ``sum_changes``.
         version: Newest configuration that an included router has.
         list_mark: Newest offset up to which one has read the list of endpoints.
-        heard_s: Seconds since that configuration was confirmed as the newest.
-        list_heard_s: Seconds since that list was confirmed as the newest.
+        config_age_s: Seconds since that configuration was confirmed as the newest.
+        list_age_s: Seconds since that list was confirmed as the newest.
         placed: Prompt parts and the endpoints that they were sent to lately.
     """
 
@@ -75,8 +75,8 @@
     base: int = 0
     version: int = 0
     list_mark: int = 0
-    heard_s: float = float("inf")
-    list_heard_s: float = float("inf")
+    config_age_s: float = float("inf")
+    list_age_s: float = float("inf")
     placed: tuple[tuple[str, str], ...] = ()
 
 
--- a/greengageflow/core/peer_report.py
+++ b/greengageflow/core/peer_report.py
@@ -30,8 +30,8 @@
         loads: Its load in flight by endpoint.
         version: Configuration in force there.
         list_mark: Offset up to which it has read the list of endpoints.
-        heard_s: Seconds since its configuration was confirmed as the newest.
-        list_heard_s: Seconds since its list was confirmed as the newest.
+        config_age_s: Seconds since its configuration was confirmed as the newest.
+        list_age_s: Seconds since its list was confirmed as the newest.
         placed: Prompt parts and the endpoints that they were sent to lately.
         peers: Addresses of some routers that it knows.
     """
@@ -49,8 +49,8 @@
     loads: Mapping[str, LoadShare] = field(default_factory=dict)
     version: int = 0
     list_mark: int = 0
-    heard_s: float = float("inf")
-    list_heard_s: float = float("inf")
+    config_age_s: float = float("inf")
+    list_age_s: float = float("inf")
     placed: tuple[tuple[str, str], ...] = ()
     peers: tuple[tuple[str, int], ...] = ()
 
--- a/greengageflow/core/relay_sums.py
+++ b/greengageflow/core/relay_sums.py
@@ -232,8 +232,8 @@
             totals=totals,
             version=state.version,
             list_mark=state.list_mark,
-            heard_s=state.heard_s,
-            list_heard_s=state.list_heard_s,
+            config_age_s=state.heard_s,
+            list_age_s=state.list_heard_s,
             placed=placed,
         )
 
@@ -241,5 +241,5 @@
 def store_state_of(report: PeerReport | SumReport, at: float) -> StoreWord:
     """Return what a report received at ``at`` says about the store."""
     return StoreWord(
-        at, report.version, report.list_mark, report.heard_s, report.list_heard_s
+        at, report.version, report.list_mark, report.config_age_s, report.list_age_s
     )
--- a/greengageflow/core/sum_changes.py
+++ b/greengageflow/core/sum_changes.py
@@ -81,8 +81,8 @@
         hosts: Routers that are included.
         version: As in the sum.
         list_mark: As in the sum.
-        heard_s: As in the sum.
-        list_heard_s: As in the sum.
+        config_age_s: As in the sum.
+        list_age_s: As in the sum.
         placed: Prompt parts, and indexes of the endpoints that got them lately.
     """
 
@@ -97,8 +97,8 @@
     hosts: int = 0
     version: int = 0
     list_mark: int = 0
-    heard_s: float = inf
-    list_heard_s: float = inf
+    config_age_s: float = inf
+    list_age_s: float = inf
     placed: tuple[tuple[str, int], ...] = ()
 
 
@@ -221,8 +221,8 @@
             hosts=totals.hosts,
             version=report.version,
             list_mark=report.list_mark,
-            heard_s=report.heard_s,
-            list_heard_s=report.list_heard_s,
+            config_age_s=report.config_age_s,
+            list_age_s=report.list_age_s,
             placed=tuple((part, self._loads.indexes[name]) for part, name in placed),
         )
 
@@ -327,8 +327,8 @@
             work_included=work_included,
             version=delta.version,
             list_mark=delta.list_mark,
-            heard_s=delta.heard_s,
-            list_heard_s=delta.list_heard_s,
+            config_age_s=delta.config_age_s,
+            list_age_s=delta.list_age_s,
             placed=tuple((part, self._endpoints[at]) for part, at in delta.placed),
         )
 
--- a/greengageflow/daemon/gateway.py
+++ b/greengageflow/daemon/gateway.py
@@ -299,8 +299,8 @@
             loads=self._book.own_loads(),
             version=self._store.version,
             list_mark=self._store.list_mark,
-            heard_s=clock() - self._store.confirmed,
-            list_heard_s=clock() - self._store.list_confirmed,
+            config_age_s=clock() - self._store.confirmed,
+            list_age_s=clock() - self._store.list_confirmed,
             placed=self._book.recently_placed(now),
         )
 
--- a/greengageflow/lab/_gateway_world.py
+++ b/greengageflow/lab/_gateway_world.py
@@ -288,8 +288,8 @@
             served=dict(self._served.items(now, 1.0)),
             offered=dict(self._offered.items(now, 1.0)),
             loads=self.loads(),
-            heard_s=now - view.confirmed,
-            list_heard_s=now - view.list_confirmed,
+            config_age_s=now - view.confirmed,
+            list_age_s=now - view.list_confirmed,
             placed=self.placed(),
         )
 
--- a/greengageflow/net/report_codec.py
+++ b/greengageflow/net/report_codec.py
@@ -118,8 +118,8 @@
         load_columns(report.loads),
         report.version,
         report.list_mark,
-        _age(report.heard_s),
-        _age(report.list_heard_s),
+        _age(report.config_age_s),
+        _age(report.list_age_s),
         pair_columns(report.placed),
         pack_addresses(report.peers),
     )
@@ -144,8 +144,8 @@
         loads=read_loads(loads),
         version=int(version),
         list_mark=int(mark),
-        heard_s=_seconds(heard_s),
-        list_heard_s=_seconds(list_heard_s),
+        config_age_s=_seconds(heard_s),
+        list_age_s=_seconds(list_heard_s),
         placed=read_pairs(placed),
         peers=read_addresses(peers),
     )
@@ -214,8 +214,8 @@
         dict(report.included),
         report.version,
         report.list_mark,
-        _age(report.heard_s),
-        _age(report.list_heard_s),
+        _age(report.config_age_s),
+        _age(report.list_age_s),
         pair_columns(report.placed),
     )
 
@@ -236,8 +236,8 @@
         included=counted,
         version=int(version),
         list_mark=int(mark),
-        heard_s=_seconds(heard_s),
-        list_heard_s=_seconds(list_heard_s),
+        config_age_s=_seconds(heard_s),
+        list_age_s=_seconds(list_heard_s),
         placed=read_pairs(placed),
     )
 
@@ -267,8 +267,8 @@
         changes.hosts,
         changes.version,
         changes.list_mark,
-        _age(changes.heard_s),
-        _age(changes.list_heard_s),
+        _age(changes.config_age_s),
+        _age(changes.list_age_s),
         pair_columns(changes.placed),
     )
 
@@ -297,8 +297,8 @@
         hosts=int(hosts),
         version=int(version),
         list_mark=int(mark),
-        heard_s=_seconds(heard_s),
-        list_heard_s=_seconds(list_heard_s),
+        config_age_s=_seconds(heard_s),
+        list_age_s=_seconds(list_heard_s),
         placed=read_places(placed),
     )
 
--- a/tests/test_report_codec.py
+++ b/tests/test_report_codec.py
@@ -38,7 +38,12 @@
 SUMS = st.dictionaries(st.tuples(NAMES, NAMES), AMOUNTS, max_size=4)
 SHARES = st.builds(LoadShare, COUNTS, AMOUNTS, AMOUNTS)
 LOADS = st.dictionaries(NAMES, SHARES, max_size=3)
-MARKS = {"version": COUNTS, "list_mark": COUNTS, "heard_s": AGES, "list_heard_s": AGES}
+MARKS = {
+    "version": COUNTS,
+    "list_mark": COUNTS,
+    "config_age_s": AGES,
+    "list_age_s": AGES,
+}
 HEAD = {"host": NAMES, "boot": COUNTS, "number": COUNTS}
 WHERE = {"ip": IPS, "port": PORTS, "zone": NAMES, "stopping": st.booleans()}
 HELLOS = st.builds(Hello, host=NAMES, boot=COUNTS, peers=ADDRESSES, **WHERE)
