--- a/greengageflow/core/relay_sums.py
+++ b/greengageflow/core/relay_sums.py
@@ -17,8 +17,8 @@
 from greengageflow.core.peer_report import PeerReport, PeerTable, ReceivedReport
 from greengageflow.core.router_table import Hello, RouterTable
 from greengageflow.core.store_duty import StoreWord, best_word
-from greengageflow.core.sum_book import SumTable
 from greengageflow.core.sum_changes import SumDelta, SumPublisher
+from greengageflow.core.sum_table import SumTable
 from greengageflow.core.zone_loads import ZoneLoads
 
 TAKEOVER_S = 0.5
--- a/greengageflow/daemon/fleet_exchange.py
+++ b/greengageflow/daemon/fleet_exchange.py
@@ -29,8 +29,8 @@
 from greengageflow.core.service_book import FADE_S
 from greengageflow.core.store_duty import READING_ZONES, StoreRole, StoreWord
 from greengageflow.core.store_updates import StoreUpdate
-from greengageflow.core.sum_book import SumOutcome
 from greengageflow.core.sum_changes import FullSumRequest, SumDelta
+from greengageflow.core.sum_table import SumOutcome
 from greengageflow.core.zone_loads import ZoneLoads
 from greengageflow.daemon.exchange_listener import ExchangeListener
 from greengageflow.net.gossip_link import GossipLink
--- a/greengageflow/daemon/placement.py
+++ b/greengageflow/daemon/placement.py
@@ -5,7 +5,6 @@
 from greengageflow.core.endpoint_choice import Choice
 from greengageflow.core.endpoint_list import EndpointList, ListedEndpoint
 from greengageflow.core.forward_request import Prompt
-from greengageflow.core.place_desk import RemotePlacements, placement_request
 from greengageflow.core.place_messages import (
     PlacementAnswer,
     PlacementEntry,
@@ -18,6 +17,7 @@
 )
 from greengageflow.core.placers import PlacerTable
 from greengageflow.core.prompt_places import home_of
+from greengageflow.core.remote_placements import RemotePlacements, placement_request
 from greengageflow.core.router_table import Hello
 from greengageflow.core.service_book import ServiceBook
 from greengageflow.core.service_scheduler import Decision, Job, RefuseJob, StartJob
--- a/tests/test_fleet_exchange.py
+++ b/tests/test_fleet_exchange.py
@@ -20,7 +20,7 @@
 from greengageflow.core.router_table import Hello
 from greengageflow.core.store_duty import READING_ZONES, StoreRole
 from greengageflow.core.store_updates import StoreTopic, StoreUpdate
-from greengageflow.core.sum_book import SumOutcome, SumTable
+from greengageflow.core.sum_table import SumOutcome, SumTable
 from greengageflow.daemon import fleet_exchange
 from greengageflow.daemon.fleet_exchange import SETTLE_S, FleetExchange
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -14,7 +14,6 @@
 from greengageflow.core.endpoint_list import EndpointList, ListedEndpoint
 from greengageflow.core.fleet_sums import FleetTotals
 from greengageflow.core.forward_request import Prompt, PromptPart
-from greengageflow.core.place_desk import RemotePlacements, placement_request
 from greengageflow.core.place_messages import (
     PlacementAnswer,
     PlacementEvent,
@@ -23,6 +22,7 @@
     Verdict,
 )
 from greengageflow.core.placers import placer_of, placers_among
+from greengageflow.core.remote_placements import RemotePlacements, placement_request
 from greengageflow.core.router_table import Hello
 from greengageflow.core.routes import Routing, Service
 from greengageflow.core.send_budget import SendBudget
--- a/tests/test_started_again.py
+++ b/tests/test_started_again.py
@@ -11,12 +11,12 @@
     ListedEndpoint,
 )
 from greengageflow.core.forward_request import Prompt, PromptPart
-from greengageflow.core.place_desk import RemotePlacements
 from greengageflow.core.place_messages import (
     PlacementEvent,
     PlacementEventKind,
     PlacementRequest,
 )
+from greengageflow.core.remote_placements import RemotePlacements
 from greengageflow.core.routes import Routing, Service
 from greengageflow.core.send_budget import SendBudget
 from greengageflow.core.service_book import ServiceBook
--- a/tests/test_sum_changes.py
+++ b/tests/test_sum_changes.py
@@ -7,13 +7,13 @@
 from greengageflow.core.endpoint_load import LoadShare
 from greengageflow.core.fleet_sums import FleetTotals, SumReport, sum_loads
 from greengageflow.core.peer_report import PeerReport, ReceivedReport
-from greengageflow.core.sum_book import SumOutcome, SumTable
 from greengageflow.core.sum_changes import (
     DELTA_OVERLAP_MESSAGES,
     FULL_SUM_INTERVAL_S,
     SumDelta,
     SumPublisher,
 )
+from greengageflow.core.sum_table import SumOutcome, SumTable
 from greengageflow.core.zone_loads import ZoneLoads
 from greengageflow.net.report_codec import decode, encode
 
