--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -45,12 +45,12 @@
 
 
 class Fleet:
-    """Hosts with one shared engine; a host in ``deaf`` receives no messages."""
+    """Hosts with one shared engine; a host in ``unreachable`` receives no messages."""
 
     def __init__(self, hosts=3):
-        self.now, self.deaf, self.dead = 0.0, set(), set()
-        self.drops = lambda message: False
-        self.known_at = 0.0
+        self.now, self.unreachable, self.crashed = 0.0, set(), set()
+        self.is_dropped = lambda message: False
+        self.members_known_at = 0.0
         self._heap, self._order = [], count()
         self.hosts = {f"h{i}": HostStub(self, f"h{i}", i) for i in range(hosts)}
         rows = [host.hello for host in self.hosts.values()]
@@ -90,7 +90,7 @@
         self.book = ServiceBook(self.endpoints, "z", lambda: SendBudget(1, 9, 10.0))
         service = Service("model", slots=SLOTS, memory_tokens=100_000)
         self.book.on_routing(Routing(version=1, services={"model": service}))
-        self.lines, self.asked = [], set()
+        self.log_events, self.asked = [], set()
         self.started, self.refused, self.runs = {}, {}, count(1)
         address = {"ip": "127.0.0.1", "port": 9 + index}
         self.hello = Hello(host=name, boot=boot, zone="z", **address)
@@ -117,14 +117,14 @@
 
     @property
     def alive(self):
-        lives = self.fleet.hosts[self.name] is self
-        return lives and self.name not in self.fleet.dead
+        is_current = self.fleet.hosts[self.name] is self
+        return is_current and self.name not in self.fleet.crashed
 
     def every(self, interval_s, call):
         self.after(interval_s, lambda: (call(), self.every(interval_s, call)))
 
     def write(self, event, **_fields):
-        self.lines.append(event.name)
+        self.log_events.append(event.name)
 
     def round(self):
         self.placement.on_round()
@@ -132,14 +132,14 @@
 
     def routers(self):
         hosts = getattr(self.fleet, "hosts", {})
-        if self.now < self.fleet.known_at:
+        if self.now < self.fleet.members_known_at:
             hosts = {self.name: self}
-        return [h.hello for n, h in hosts.items() if n not in self.fleet.dead]
+        return [h.hello for n, h in hosts.items() if n not in self.fleet.crashed]
 
     def send_to(self, to, message):
         [target] = [h for h in self.fleet.hosts.values() if h.hello.address == to]
-        lost = self.fleet.deaf | self.fleet.dead
-        if target.name in lost or self.fleet.drops(message):
+        lost = self.fleet.unreachable | self.fleet.crashed
+        if target.name in lost or self.fleet.is_dropped(message):
             return
         data = encode(message)
         arrive = lambda: target.placement.receive(decode(data))  # noqa: E731
@@ -167,7 +167,7 @@
         self.carry_out(self.placement.ended(self.now, "model", name))
 
 
-def test_no_more_is_started_than_the_engine_runs_whoever_asks():
+def test_requests_of_all_hosts_together_respect_engine_slots():
     """Hosts that each see an engine of four slots idle would all send to it at once.
 
     The placer starts three or four of the requests, queues the others, and starts one
@@ -187,7 +187,7 @@
     assert refused == len(names) - len(started) - 1
 
 
-def test_host_decides_alone_when_its_placer_is_silent():
+def test_host_decides_itself_when_its_placer_does_not_answer():
     """The placer's host hangs.
 
     The first request waits for the answer timeout, later ones are decided at once, and
@@ -195,22 +195,22 @@
     """
     fleet = Fleet()
     host = fleet.others[0]
-    fleet.deaf.add(fleet.placer)
+    fleet.unreachable.add(fleet.placer)
     first = host.ask()
     fleet.run(ANSWER_S + 0.01)
     assert host.started[first] <= fleet.now
     second = host.ask()
     assert second in host.started
-    fleet.deaf.clear()
+    fleet.unreachable.clear()
     fleet.run(MUTE_S)
     third = host.ask()
     assert third not in host.started
     fleet.run(0.01)
     assert third in host.started and fleet.running(fleet.placer) == 1
-    assert host.lines == ["PLACER_SILENT", "PLACER_HEARD"]
+    assert host.log_events == ["PLACER_SILENT", "PLACER_HEARD"]
 
 
-def test_answers_to_an_earlier_process_start_nothing_of_the_next_one():
+def test_answers_to_an_earlier_process_start_no_request_of_the_restarted_one():
     """A restarted process numbers its requests from 1 again.
 
     An answer for the earlier process would start the new request of the same number,
@@ -231,7 +231,7 @@
     assert 0 < len(new.started) == fleet.running(fleet.placer)
 
 
-def test_a_placer_that_knows_no_engine_lets_hosts_decide():
+def test_placer_without_endpoints_lets_hosts_decide():
     """A placer that restarts while cut off from the store has an empty endpoint list.
 
     It would refuse the engine requests of the whole fleet, although all other hosts
@@ -245,7 +245,7 @@
     assert name in host.started and not host.refused
 
 
-def test_requests_that_wait_at_a_placer_are_decided_when_it_is_gone():
+def test_requests_queued_at_a_crashed_placer_are_decided():
     fleet = Fleet()
     host = fleet.others[0]
     for _ in range(SLOTS + 2):
@@ -253,12 +253,12 @@
     fleet.run(0.05)
     waiting = SLOTS + 2 - len(host.started)
     assert waiting
-    fleet.dead.add(fleet.placer)
+    fleet.crashed.add(fleet.placer)
     fleet.run(3.0)
     assert len(host.started) + len(host.refused) == SLOTS + 2
 
 
-def test_next_placer_counts_what_an_earlier_one_started():
+def test_next_placer_adopts_running_requests():
     """The placer's host fails while its requests run on the engine.
 
     The next placer would assume that the engine is idle and overload it.
@@ -268,20 +268,20 @@
     names = [host.ask() for _ in range(2)]
     fleet.run(0.1)
     assert set(names) <= host.started.keys()
-    fleet.dead.add(fleet.placer)
+    fleet.crashed.add(fleet.placer)
     fleet.run(0.6)
     assert sum(fleet.running(h.name) for h in fleet.others) == 2
 
 
 @pytest.mark.parametrize("lost", [PlacementEvent, PlacementAnswer])
-def test_lost_messages_take_up_no_slot_for_good(lost):
+def test_lost_messages_leak_no_slot(lost):
     """The event that a request ended, or the answer that starts it, is lost.
 
     The placer would count the request for ever, and the engine would lose a slot.
     """
     fleet = Fleet()
     host = fleet.others[0]
-    fleet.drops = lambda message: (
+    fleet.is_dropped = lambda message: (
         isinstance(message, lost) and getattr(message, "verdict", 1) != Verdict.QUEUED
     )
     name = host.ask()
@@ -293,43 +293,43 @@
     assert sum(fleet.running(h.name) for h in fleet.others) == 0
 
 
-def test_caller_that_left_takes_its_request_out_of_the_placers_queue():
+def test_request_of_a_disconnected_caller_leaves_the_placers_queue():
     fleet = Fleet()
     host = fleet.others[0]
     names = [host.ask() for _ in range(SLOTS + 1)]
     fleet.run(0.05)
-    waits = next(name for name in names if name not in host.started)
-    host.end(waits)
+    queued = next(name for name in names if name not in host.started)
+    host.end(queued)
     fleet.run(0.05)
     host.end(next(iter(host.started)))
     fleet.run(0.1)
-    assert waits not in host.started
+    assert queued not in host.started
 
 
-@pytest.mark.parametrize("known_after_s", [0.0, 0.2])
-def test_hosts_that_all_begin_at_once_send_an_engine_what_one_may(known_after_s):
+@pytest.mark.parametrize("members_known_after_s", [0.0, 0.2])
+def test_hosts_that_start_together_do_not_overload_an_engine(members_known_after_s):
     """All hosts restart together and callers reconnect at once.
 
     Hosts that decided for themselves until a placer had settled sent the engine
     several times what it can run.
     """
     fleet = Fleet(6)
-    fleet.known_at = fleet.now + known_after_s
+    fleet.members_known_at = fleet.now + members_known_after_s
     for host in list(fleet.hosts.values()):
         fleet.restart(host)
-    known = fleet.hosts
-    names = [(host, host.ask()) for host in known.values() for _ in range(3)]
-    fleet.run(known_after_s + 0.1)
+    hosts = fleet.hosts
+    names = [(host, host.ask()) for host in hosts.values() for _ in range(3)]
+    fleet.run(members_known_after_s + 0.1)
     started = [(host, name) for host, name in names if name in host.started]
     assert 0 < len(started) <= SLOTS
-    assert not any(host.refused for host in known.values())
+    assert not any(host.refused for host in hosts.values())
     for host, name in started:
         host.end(name)
     fleet.run(0.1)
-    assert sum(len(host.started) for host in known.values()) > len(started)
+    assert sum(len(host.started) for host in hosts.values()) > len(started)
 
 
-def test_a_host_that_begins_alone_serves_its_callers_soon():
+def test_single_host_serves_callers_soon_after_its_start():
     fleet = Fleet(1)
     (host,) = fleet.hosts.values()
     host = fleet.restart(host)
@@ -338,7 +338,7 @@
     assert name in host.started
 
 
-def test_a_caller_that_leaves_while_its_request_is_held_back_is_forgotten():
+def test_held_back_request_of_a_disconnected_caller_is_dropped():
     fleet = Fleet(1)
     host = fleet.restart(next(iter(fleet.hosts.values())))
     host.end(host.ask())
@@ -346,7 +346,7 @@
     assert not host.started
 
 
-def test_a_request_waits_at_the_host_of_its_caller():
+def test_waiting_requests_count_at_the_host_of_their_caller():
     """A placer logged a negative number of running requests."""
     fleet = Fleet()
     host = fleet.others[0]
@@ -361,37 +361,38 @@
     assert placer.placement.waiting == 1
 
 
-def test_a_roll_may_end_what_its_own_decisions_refuse():
+def test_snapshot_may_end_requests_that_its_own_decisions_refuse():
     """A host that was cut off sends an empty snapshot.
 
     Ending its first request runs the queue, which refuses its overdue second one. That
     one was still to be ended as well, and the placer's handler failed.
     """
     fleet = Fleet()
-    desk = RemotePlacements("p", fleet.hosts[fleet.placer].book)
+    placements = RemotePlacements("p", fleet.hosts[fleet.placer].book)
     for number in range(SLOTS + 2):
         waiter = Waiter(str(number), "a", 100.0, 0, 9.0, 10.0, 9.2)
         job = Job(waiter, 1.0, PROMPT)
-        for decision in desk.on_request(
+        for decision in placements.on_request(
             9.0, placement_request("h", 1, 9.0, "model", job, "a", (), "z")
         ):
-            desk.on_decision(9.0, decision)
-    roll = PlacementSnapshot(host="h", boot=1)
-    told = [
-        desk.on_decision(10.0, decision) for decision in desk.on_snapshot(10.0, roll)
+            placements.on_decision(9.0, decision)
+    snapshot = PlacementSnapshot(host="h", boot=1)
+    answers = [
+        placements.on_decision(10.0, decision)
+        for decision in placements.on_snapshot(10.0, snapshot)
     ]
-    assert {answer.verdict for _, answer in told} == {Verdict.REFUSE}
-    assert not len(desk)
+    assert {answer.verdict for _, answer in answers} == {Verdict.REFUSE}
+    assert not len(placements)
 
 
-def test_a_host_that_does_not_place_says_so_at_once():
+def test_host_that_is_not_a_placer_passes_at_once():
     fleet = Fleet()
-    host, stranger = fleet.others
+    host, other = fleet.others
     job = Job(Waiter("7", "a", 1.0, 0, 0.0, 1.0, 0.5), 1.0, PROMPT)
     ask = placement_request(host.name, 1, 0.0, "model", job, "a", (), "z")
     answers = []
     host.placement.receive = answers.append
-    stranger.placement.receive(decode(encode(ask)))
+    other.placement.receive(decode(encode(ask)))
     fleet.run(0.05)
     assert [answer.verdict for answer in answers] == [Verdict.PASS]
 
@@ -404,7 +405,7 @@
 
 
 @given(HOSTS, st.dictionaries(st.text(min_size=6, max_size=8), st.just(10), max_size=9))
-def test_hosts_that_join_or_start_anew_displace_no_placer(hosts, joining):
+def test_hosts_that_join_or_restart_displace_no_placer(hosts, joining):
     """With placers chosen by name alone, a host that joins may become a placer.
 
     It would start without any knowledge of the engines.
@@ -413,12 +414,12 @@
     before = placers_among(rows)
     after = placers_among([*rows, *(hello(h, boot) for h, boot in joining.items())])
     assert after[: len(before)] == before
-    anew = [hello(h, 11 if h == before[-1] else boot) for h, boot in hosts.items()]
-    assert len(hosts) == len(before) or before[-1] not in placers_among(anew)
+    restarted = [hello(h, 11 if h == before[-1] else boot) for h, boot in hosts.items()]
+    assert len(hosts) == len(before) or before[-1] not in placers_among(restarted)
 
 
 @given(HOSTS, st.text(max_size=5))
-def test_placers_that_come_or_go_move_only_their_own_endpoints(hosts, endpoint):
+def test_placers_that_join_or_leave_move_only_their_own_endpoints(hosts, endpoint):
     rows = [hello(host, boot) for host, boot in hosts.items()]
     placers = placers_among(rows)
     assert placers == placers_among(reversed(rows)) and set(placers) <= hosts.keys()
@@ -428,6 +429,6 @@
 
 
 @given(st.integers(15, 18), st.lists(st.integers(0, 9) | st.text() | st.floats()))
-def test_spoiled_place_messages_are_told_apart(kind, values):
+def test_malformed_placement_messages_are_rejected(kind, values):
     with suppress(ReportError):
         assert isinstance(decode(packb((kind, *values))), PlacementMessage)
--- a/tests/test_started_again.py
+++ b/tests/test_started_again.py
@@ -58,7 +58,7 @@
     return Fleet()
 
 
-def test_the_later_start_keeps_no_parts_of_the_earlier_one(fleet):
+def test_restart_clears_the_prefix_cache_of_an_endpoint(fleet):
     """A restarted engine has an empty prefix cache and has to prefill again."""
     choice = fleet.choice(0.0)
     fleet.book.sent(0.0, "r0.0", choice, PROMPT)
@@ -70,7 +70,7 @@
 
 
 @pytest.mark.parametrize("happened", ["silent", "failed"])
-def test_late_failures_of_the_earlier_start_do_not_make_the_later_one_rest(
+def test_late_failures_of_an_earlier_process_do_not_make_the_restarted_one_rest(
     fleet, happened
 ):
     """Connections to a crashed engine may break only after it is listed again."""
@@ -89,7 +89,7 @@
     assert fleet.book.resting(3.0, "m") == ("e",), "its own failures count"
 
 
-def test_what_the_earlier_start_says_that_it_keeps_is_not_the_later_ones(fleet):
+def test_cache_report_of_an_earlier_process_does_not_apply_to_the_restarted_one(fleet):
     fleet.put(NEW)
     fleet.book.keeps(1.0, OLD, PROMPT.parts[:1])
     assert fleet.choice(2.0).reading >= 4000
@@ -97,7 +97,9 @@
     assert fleet.choice(3.0).reading < 4000
 
 
-def test_the_earlier_starts_sign_of_leaving_is_not_the_later_ones(fleet):
+def test_leaving_notice_of_an_earlier_process_does_not_apply_to_the_restarted_one(
+    fleet,
+):
     fleet.put(NEW)
     assert not fleet.listed.note_left(OLD.id, OLD.born)
     assert fleet.listed.may_use("e")
@@ -108,7 +110,7 @@
 
 
 @pytest.mark.parametrize("born", [0, 5])
-def test_sign_of_leaving_outlasts_an_entry_that_lapses_and_comes_back(born):
+def test_leaving_notice_survives_an_entry_that_expires_and_returns(born):
     """Entries of live endpoints expire while the store is unreachable."""
     listed = EndpointList()
     entry = replace(OLD, born=born)
@@ -121,14 +123,14 @@
     assert not listed.may_use(entry.id)
 
 
-def test_sign_of_leaving_holds_for_an_entry_that_comes_later():
+def test_leaving_notice_applies_to_an_entry_listed_later():
     listed = EndpointList()
     assert listed.note_left(OLD.id, OLD.born)
     list(listed.put(OLD))
     assert not listed.may_use(OLD.id)
 
 
-def test_signs_of_leaving_are_bounded():
+def test_leaving_notices_are_bounded():
     listed = EndpointList()
     for number in range(MOST_LEFT + 9):
         listed.note_left(f"e{number}", 0)
@@ -136,9 +138,9 @@
     assert not listed.note_left(f"e{MOST_LEFT}", 0)
 
 
-def test_another_hosts_word_of_the_earlier_start_is_not_the_later_ones(fleet):
+def test_remote_failures_of_an_earlier_process_do_not_apply_to_the_restarted_one(fleet):
     """A host reports failures of requests that it sent before the engine crashed."""
-    desk = RemotePlacements("placer", fleet.book)
+    placements = RemotePlacements("placer", fleet.book)
     list(fleet.listed.drop("f"))
     for number in range(4):
         ask = PlacementRequest(
@@ -158,12 +160,12 @@
             avoid=(),
             zone="z",
         )
-        for decision in list(desk.on_request(0.0, ask)):
-            desk.on_decision(0.0, decision)
+        for decision in list(placements.on_request(0.0, ask)):
+            placements.on_decision(0.0, decision)
     fleet.put(NEW)
     for number in range(4):
         note = PlacementEvent(
             host="h", boot=1, request=f"q{number}", kind=PlacementEventKind.SILENT
         )
-        list(desk.on_event(1.0, note))
+        list(placements.on_event(1.0, note))
     assert fleet.book.resting(1.0, "m") == ()
--- a/tests/test_sum_changes.py
+++ b/tests/test_sum_changes.py
@@ -22,19 +22,19 @@
 VALUES = st.integers(0, 3)
 
 
-def some(values):
+def nonzero(values):
     return {key: value for key, value in values.items() if value}
 
 
-def shown(report):
+def contents(report):
     """Return the contents of a sum; removed keys, which hold zeros, are left out."""
     totals = report.totals
     loads = {name: load for name, load in totals.loads.items() if load != LoadShare()}
-    work = some(totals.served), some(totals.offered)
-    return loads, *work, some(report.included), totals.hosts, report.version
+    work = nonzero(totals.served), nonzero(totals.offered)
+    return loads, *work, nonzero(report.included), totals.hosts, report.version
 
 
-class Sums(RuleBasedStateMachine):
+class SumDelivery(RuleBasedStateMachine):
     """A relay sends its sums; a member applies what arrives, in any order.
 
     The member must hold exactly the sum of the last message that it applied. With a
@@ -46,11 +46,11 @@
         super().__init__()
         self.now, self.number = 0.0, 0
         self.loads, self.work, self.included = {}, {}, {}
-        self.publisher, self.book = SumPublisher(), SumTable()
-        self.flying, self.told, self.work_told = [], {}, {}
-        self.work_at = None
+        self.publisher, self.table = SumPublisher(), SumTable()
+        self.in_flight, self.published, self.work_published_in = [], {}, {}
+        self.last_work_number = None
 
-    def sum(self):
+    def current_sum(self):
         served = {("s", f"a{key}"): float(x) for key, x in self.work.items()}
         totals = FleetTotals(served, served, dict(self.loads), len(self.included))
         return SumReport(
@@ -65,83 +65,91 @@
         )
 
     @rule(key=KEYS, value=VALUES)
-    def load(self, key, value):
+    def change_load(self, key, value):
         self.loads[f"e{key}"] = LoadShare(value, 10 * value, 0)
 
     @rule(key=KEYS)
-    def endpoint_goes(self, key):
+    def remove_endpoint(self, key):
         self.loads.pop(f"e{key}", None)
 
     @rule(key=KEYS, value=VALUES)
-    def work_of(self, key, value):
+    def change_work(self, key, value):
         self.work[key] = value
 
     @rule(key=KEYS, sequence=st.integers(1, 9))
-    def member(self, key, sequence):
+    def report_member(self, key, sequence):
         self.included[f"r{key}"] = sequence
 
     @rule(key=KEYS)
-    def member_goes(self, key):
+    def remove_member(self, key):
         self.included.pop(f"r{key}", None)
 
     @rule(pause=st.sampled_from([1, 1, 1, 2, 4]))
-    def tell(self, pause):
+    def publish(self, pause):
         self.now += pause * TURN_S
         self.number += pause
-        report = self.sum()
+        report = self.current_sum()
         message = self.publisher.next_message(self.now, report)
         if isinstance(message, SumReport) or message.work is not None:
-            self.work_at = self.number
-        self.told[self.number] = shown(report)
-        self.work_told[self.number] = self.work_at
-        self.flying.append(encode(message))
-
-    @rule(data=st.data(), stays=st.booleans())
-    def arrive(self, data, stays):
-        if self.flying:
-            place = data.draw(st.integers(0, len(self.flying) - 1))
-            message = self.flying[place] if stays else self.flying.pop(place)
-            self.take(decode(message))
+            self.last_work_number = self.number
+        self.published[self.number] = contents(report)
+        self.work_published_in[self.number] = self.last_work_number
+        self.in_flight.append(encode(message))
+
+    @rule(data=st.data(), is_duplicated=st.booleans())
+    def arrive(self, data, is_duplicated):
+        if self.in_flight:
+            index = data.draw(st.integers(0, len(self.in_flight) - 1))
+            message = (
+                self.in_flight[index] if is_duplicated else self.in_flight.pop(index)
+            )
+            self.receive(decode(message))
 
     @rule(data=st.data())
     def lose(self, data):
-        if self.flying:
-            del self.flying[data.draw(st.integers(0, len(self.flying) - 1))]
+        if self.in_flight:
+            del self.in_flight[data.draw(st.integers(0, len(self.in_flight) - 1))]
 
-    def take(self, message):
-        taken = self.book.put(self.now, message)
-        if taken is SumOutcome.MISSED:
+    def receive(self, message):
+        outcome = self.table.put(self.now, message)
+        if outcome is SumOutcome.MISSED:
             self.publisher.request_full_sum(self.now)
-        return taken
+        return outcome
 
     @invariant()
     def holds_one_sum(self):
-        found = self.book.fleet_sum(self.now)
-        if found is None:
+        received = self.table.fleet_sum(self.now)
+        if received is None:
             return
-        report = found[0]
-        loads, served, offered, included, hosts, version = self.told[report.number]
-        has = shown(report)
-        assert (has[0], *has[3:]) == (loads, included, hosts, version)
+        report = received[0]
+        loads, served, offered, included, hosts, version = self.published[report.number]
+        held = contents(report)
+        assert (held[0], *held[3:]) == (loads, included, hosts, version)
         # The work and the sequences that it includes come from one message, too.
-        works = (row for at, row in self.told.items() if self.work_told[at] == at)
-        included = some(report.work_included)
-        assert has[1:3] in [row[1:3] for row in works if row[3] == included]
+        work_rows = (
+            row
+            for at, row in self.published.items()
+            if self.work_published_in[at] == at
+        )
+        included = nonzero(report.work_included)
+        assert held[1:3] in [row[1:3] for row in work_rows if row[3] == included]
 
     def teardown(self):
         """Without further loss the member converges to the sum of the relay."""
-        self.flying.clear()
+        self.in_flight.clear()
         for _ in range(int(2 * FULL_SUM_INTERVAL_S / TURN_S)):
-            self.tell(1)
-            self.take(decode(self.flying.pop()))
-        assert shown(self.book.fleet_sum(self.now)[0]) == shown(self.sum())
+            self.publish(1)
+            self.receive(decode(self.in_flight.pop()))
+        assert contents(self.table.fleet_sum(self.now)[0]) == contents(
+            self.current_sum()
+        )
 
 
-TestSums = Sums.TestCase
+TestSums = SumDelivery.TestCase
 TestSums.settings = settings(max_examples=60, stateful_step_count=40, deadline=None)
 
 
-def relay(turns):
+def relay_messages(turns):
     """Yield the messages of a relay when one load changes in each turn."""
     publisher = SumPublisher()
     for turn in range(1, turns + 1):
@@ -153,39 +161,41 @@
         yield publisher.next_message(turn * TURN_S, report)
 
 
-def test_few_datagrams_name_what_did_not_change():
-    told = list(relay(40))
-    whole = [message for message in told if isinstance(message, SumReport)]
-    assert len(whole) == 4
-    for message in told[DELTA_OVERLAP_MESSAGES + 1 :]:
+def test_deltas_hold_only_recent_changes():
+    messages = list(relay_messages(40))
+    full_sums = [message for message in messages if isinstance(message, SumReport)]
+    assert len(full_sums) == 4
+    for message in messages[DELTA_OVERLAP_MESSAGES + 1 :]:
         if isinstance(message, SumDelta):
             # Each turn changes one load and restores the previous one.
             assert len(message.loads.values) <= DELTA_OVERLAP_MESSAGES + 1
-            assert len(encode(message)) < len(encode(whole[0])) / 2
+            assert len(encode(message)) < len(encode(full_sums[0])) / 2
 
 
-def test_lost_datagrams_are_made_good_by_the_next_one_that_comes():
+def test_next_delta_makes_up_for_lost_ones():
     """A member without sums assumes that it is the only router."""
-    book, told = SumTable(), list(relay(9))
-    assert book.put(0.1, told[0]) is SumOutcome.NEW
+    table, messages = SumTable(), list(relay_messages(9))
+    assert table.put(0.1, messages[0]) is SumOutcome.NEW
     assert (
-        book.put(0.1 + DELTA_OVERLAP_MESSAGES * TURN_S, told[DELTA_OVERLAP_MESSAGES])
+        table.put(
+            0.1 + DELTA_OVERLAP_MESSAGES * TURN_S, messages[DELTA_OVERLAP_MESSAGES]
+        )
         is SumOutcome.NEW
     )
-    late = SumTable()
-    late.put(0.1, told[0])
-    assert late.put(0.9, told[8]) is SumOutcome.MISSED
+    lagging = SumTable()
+    lagging.put(0.1, messages[0])
+    assert lagging.put(0.9, messages[8]) is SumOutcome.MISSED
 
 
 LOADS = st.dictionaries(st.sampled_from("abc"), st.builds(LoadShare, *[VALUES] * 3))
 
 
 @given(st.lists(st.dictionaries(st.sampled_from(["r1", "r2", "r3"]), LOADS)))
-def test_loads_kept_by_changes_are_those_added_up_anew(turns):
+def test_incremental_zone_loads_equal_a_full_sum(turns):
     """A router that leaves or changes leaves no remainder in the sum of the zone."""
-    zone = ZoneLoads()
+    zone_loads = ZoneLoads()
     for reports in turns:
-        heard = [
+        received = [
             ReceivedReport(
                 PeerReport(
                     host=host, boot=1, number=1, ip="", port=1, zone="z", loads=loads
@@ -194,5 +204,7 @@
             )
             for host, loads in reports.items()
         ]
-        anew = sum_loads(reports.values())
-        assert zone.update(heard) == {k: v for k, v in anew.items() if any(v)}
+        recomputed = sum_loads(reports.values())
+        assert zone_loads.update(received) == {
+            k: v for k, v in recomputed.items() if any(v)
+        }
