--- a/greengageflow/core/peer_report.py
+++ b/greengageflow/core/peer_report.py
@@ -114,7 +114,7 @@
         self.revision += 1
         return True
 
-    def add(self, notice: LoadNotice) -> bool:
+    def apply_notice(self, notice: LoadNotice) -> bool:
         """Apply a notice; False when it is outdated or its report is not the newest."""
         current = self._received.get(notice.host)
         if current is None:
--- a/greengageflow/daemon/fleet_exchange.py
+++ b/greengageflow/daemon/fleet_exchange.py
@@ -232,7 +232,7 @@
         match message:
             case PeerReport() if self._book.put(now, message):
                 self._on_hello(now, _hello(message))
-            case LoadNotice() if self._book.add(message):
+            case LoadNotice() if self._book.apply_notice(message):
                 self._changed = True
             case SumReport() | SumDelta():
                 self._on_sum(now, message)
--- a/tests/test_fleet_exchange.py
+++ b/tests/test_fleet_exchange.py
@@ -277,7 +277,7 @@
     ]
     notice = LoadNotice(host="r001", boot=2, number=1, sequence=9, loads={})
     later, astray = replace(notice, sequence=10), replace(notice, number=2, sequence=11)
-    assert [book.add(n) for n in (later, notice, later, astray)] == [
+    assert [book.apply_notice(n) for n in (later, notice, later, astray)] == [
         *(True, False),
         *(False, False),
     ]
