--- a/greengageflow/core/fleet_demand.py
+++ b/greengageflow/core/fleet_demand.py
@@ -24,7 +24,9 @@
     return replace(sum_work(now, listed, decay_s), loads=sum_report_loads(listed))
 
 
-def sum_work(now: float, reports: Iterable[ReceivedReport], decay_s: float) -> FleetTotals:
+def sum_work(
+    now: float, reports: Iterable[ReceivedReport], decay_s: float
+) -> FleetTotals:
     """Aggregate the reports without loads; arguments as for ``sum_reports``."""
     served: dict[tuple[str, str], float] = {}
     offered: dict[tuple[str, str], float] = {}
