--- a/greengageflow/core/sum_changes.py
+++ b/greengageflow/core/sum_changes.py
@@ -1,13 +1,13 @@
-"""Sums of which only what changed is told.
+"""Incremental updates of sums.
 
-A whole sum comes about each second; those between name what changed since the fifth
-message before, so that four that are lost in a row are made good by the next one. Keys
-go as numbers, their places in a table that grows in the order in which the relay first
-told them. A router that missed more asks for a whole sum.
+A relay sends a full sum about once a second and deltas in between. A delta holds the
+changes since the fifth message before it, so that the next one makes up for four lost
+in a row. Keys are sent as indexes into a table that grows in the order in which the
+relay first sent them. A router that missed more messages asks for a full sum.
 
-Work of accounts changes with each moment, and routers tell it four times a second; it
-goes in some of the messages, and with it which messages of routers it counts. So a
-router takes off its own part of the loads and of the work as they were counted.
+The work of accounts changes all the time, and routers report it four times a second.
+Only some messages carry it, with the report sequences that it includes. A router can
+therefore subtract its own part of the loads and of the work as they were counted.
 """
 
 from collections import deque
@@ -20,14 +20,28 @@
 from greengageflow.core.endpoint_load import LoadShare
 from greengageflow.core.fleet_sums import AccountKey, FleetTotals, SumReport
 
-WHOLE_S = 1.0
-WORK_S = 0.25
-ASKED_S = 0.1
-OVERLAP = 5
-SPARE = 64
-AGAIN_S = 0.15
-TOLD_PLACES_S = 1.0
-NOTHING = LoadShare(0, 0, 0)
+FULL_SUM_INTERVAL_S = 1.0
+"""Seconds between two full sums."""
+
+WORK_INTERVAL_S = 0.25
+"""Seconds between two messages that carry work."""
+
+MIN_FULL_SUM_INTERVAL_S = 0.1
+"""Least seconds between a full sum and one sent on request."""
+
+DELTA_OVERLAP_MESSAGES = 5
+"""Messages whose changes each delta covers."""
+
+SPARE_KEYS = 64
+"""Removed keys that a table may hold, besides as many as there are live ones."""
+
+PLACED_REPEAT_S = 0.15
+"""Seconds for which a new pair of prompt part and endpoint is sent."""
+
+PLACED_MEMORY_S = 1.0
+"""Seconds for which a pair that was sent is remembered."""
+
+NO_LOAD = LoadShare(0, 0, 0)
 
 Work = tuple[int, int]
 K = TypeVar("K", bound=Hashable)
@@ -35,190 +49,193 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Changes(Generic[K, V]):
-    """What changed in one table.
+class TableDelta(Generic[K, V]):
+    """Changes of one table.
 
     Args:
-        after: Number of the sum since which it did.
-        start: Place of the first new key.
-        new: Keys that came since then.
-        values: New values by place of their key.
+        since: Number of the sum since which the values changed.
+        first_index: Index of the first new key.
+        new_keys: Keys that were added since then.
+        values: Changed values by the index of their key.
     """
 
-    after: int
-    start: int = 0
-    new: tuple[K, ...] = ()
+    since: int
+    first_index: int = 0
+    new_keys: tuple[K, ...] = ()
     values: Mapping[int, V] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class SumChanges:
-    """What changed in a sum.
+class SumDelta:
+    """Delta of a sum.
 
     Args:
         host: The relay.
-        boot: Start of its process.
-        number: Count of its sums.
-        whole: It is of the sum of all zones.
-        base: Number of the sum with which the relay's tables began.
+        boot: Start time of its process.
+        number: Sequence number of the sum.
+        fleet_wide: It belongs to the sum of all zones, not to that of one.
+        base: Number of the sum at which the relay's tables were last reset.
         loads: Changed loads.
-        counted: Changed sequences of the messages that are counted.
-        work: Changed work (begun, asked for), when this message tells it.
-        hosts: Routers that are counted.
+        included: Changed report sequences that are included.
+        work: Changed work (served, offered); None in messages without work.
+        hosts: Routers that are included.
         version: As in the sum.
         list_mark: As in the sum.
-        heard_s: As in the sum.
-        list_heard_s: As in the sum.
-        placed: Prompt parts, and places of endpoints that got them lately.
+        config_age_s: As in the sum.
+        list_age_s: As in the sum.
+        placed: Prompt parts, and indexes of the endpoints that got them lately.
     """
 
     host: str
     boot: int
     number: int
-    whole: bool
+    fleet_wide: bool
     base: int
-    loads: Changes[str, LoadShare]
-    counted: Changes[str, int]
-    work: Changes[AccountKey, Work] | None = None
+    loads: TableDelta[str, LoadShare]
+    included: TableDelta[str, int]
+    work: TableDelta[AccountKey, Work] | None = None
     hosts: int = 0
     version: int = 0
     list_mark: int = 0
-    heard_s: float = inf
-    list_heard_s: float = inf
+    config_age_s: float = inf
+    list_age_s: float = inf
     placed: tuple[tuple[str, int], ...] = ()
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class SumWanted:
-    """A router asks a relay for a whole sum.
+class FullSumRequest:
+    """Request of a router for a full sum.
 
     Args:
-        whole: It is that of all zones.
+        fleet_wide: The sum of all zones is wanted, not that of one.
     """
 
-    whole: bool
+    fleet_wide: bool
 
 
-class _Told(Generic[K, V]):
-    """A table as it was told.
+class _DeltaTable(Generic[K, V]):
+    """A table as the receivers of its deltas hold it.
 
     Args:
-        gone: What keys hold that are in the sums no more.
+        removed_value: Value of keys that are no longer in the sums.
     """
 
-    def __init__(self, gone: V) -> None:
+    def __init__(self, removed_value: V) -> None:
         self.values: dict[K, V] = {}
-        self._gone = gone
-        self.places: dict[K, int] = {}
-        self._changed: dict[K, int] = {}
-        self._sizes = deque([(0, 0)], maxlen=OVERLAP)
-
-    def change(self, number: int, values: Mapping[K, V]) -> Changes[K, V]:
-        """Return what differs from what was told some messages ago."""
-        known = self.values
-        for key in known.keys() - values.keys():
-            if known[key] != self._gone:
-                known[key] = self._gone
-                self._changed[key] = number
-        # As sets, since most entries are as they were: no step for each of them.
-        for key, value in values.items() - known.items():
-            known[key] = value
-            self._changed[key] = number
-            self.places.setdefault(key, len(self.places))
-        after, start = self._sizes[0]
-        self._sizes.append((number, len(known)))
-        self._changed = {key: at for key, at in self._changed.items() if at > after}
-        places = self.places
-        return Changes(
-            after=after,
-            start=start,
-            new=tuple(islice(places, start, None)),
-            values={places[key]: known[key] for key in self._changed},
+        self._removed_value = removed_value
+        self.indexes: dict[K, int] = {}
+        self._changed_in: dict[K, int] = {}
+        self._sizes_sent = deque([(0, 0)], maxlen=DELTA_OVERLAP_MESSAGES)
+
+    def update(self, number: int, values: Mapping[K, V]) -> TableDelta[K, V]:
+        """Take the current values; return the changes that the next delta covers."""
+        current = self.values
+        for key in current.keys() - values.keys():
+            if current[key] != self._removed_value:
+                current[key] = self._removed_value
+                self._changed_in[key] = number
+        # Set operations skip the unchanged entries, which are most of them.
+        for key, value in values.items() - current.items():
+            current[key] = value
+            self._changed_in[key] = number
+            self.indexes.setdefault(key, len(self.indexes))
+        since, first_index = self._sizes_sent[0]
+        self._sizes_sent.append((number, len(current)))
+        self._changed_in = {
+            key: at for key, at in self._changed_in.items() if at > since
+        }
+        indexes = self.indexes
+        return TableDelta(
+            since=since,
+            first_index=first_index,
+            new_keys=tuple(islice(indexes, first_index, None)),
+            values={indexes[key]: current[key] for key in self._changed_in},
         )
 
-    def is_worn(self, live: int) -> bool:
-        """Return whether most keys are gone, when ``live`` are not."""
-        return len(self.values) > 2 * live + SPARE
+    def is_sparse(self, live_keys: int) -> bool:
+        """Return whether most keys are removed ones, with ``live_keys`` others."""
+        return len(self.values) > 2 * live_keys + SPARE_KEYS
 
 
-class SumTeller:
-    """Makes of a relay's sums, one after the other, what it sends."""
+class SumPublisher:
+    """Turns the successive sums of a relay into full sums and deltas."""
 
     def __init__(self) -> None:
-        self._whole_at = -inf
+        self._full_at = -inf
         self._work_at = -inf
-        self._placed: dict[tuple[str, str], float] = {}
-        self._begin(0)
+        self._first_sent_at: dict[tuple[str, str], float] = {}
+        self._reset_tables(0)
 
-    def _begin(self, number: int) -> None:
+    def _reset_tables(self, number: int) -> None:
         self._base = number
-        self._loads: _Told[str, LoadShare] = _Told(NOTHING)
-        self._counted: _Told[str, int] = _Told(0)
-        self._work: _Told[AccountKey, Work] = _Told((0, 0))
+        self._loads: _DeltaTable[str, LoadShare] = _DeltaTable(NO_LOAD)
+        self._included: _DeltaTable[str, int] = _DeltaTable(0)
+        self._work: _DeltaTable[AccountKey, Work] = _DeltaTable((0, 0))
 
-    def want_whole(self, now: float) -> bool:
-        """Make the next one whole, and return whether it is due at once.
+    def request_full_sum(self, now: float) -> bool:
+        """Make the next message a full sum; return whether to send it at once.
 
-        Many may have missed the same one, and ask for it one after the other.
+        Many routers may miss the same message and ask one after the other, so a
+        request within ``MIN_FULL_SUM_INTERVAL_S`` of the last full sum is ignored.
         """
-        if now - self._whole_at < ASKED_S:
+        if now - self._full_at < MIN_FULL_SUM_INTERVAL_S:
             return False
-        self._whole_at = -inf
+        self._full_at = -inf
         return True
 
-    def tells_work(self, now: float) -> bool:
-        """Return whether the next message tells work; else it may be left out."""
-        # A little early, or turns of 0.1 s would make 0.3 s of it.
-        is_due = now - self._work_at >= 0.8 * WORK_S
-        return is_due or now - self._whole_at >= WHOLE_S
+    def is_work_due(self, now: float) -> bool:
+        """Return whether the next message carries work; otherwise it may be omitted."""
+        # Slightly early: with turns of 0.1 s the interval would otherwise be 0.3 s.
+        is_due = now - self._work_at >= 0.8 * WORK_INTERVAL_S
+        return is_due or now - self._full_at >= FULL_SUM_INTERVAL_S
 
-    def tell(self, now: float, report: SumReport) -> SumReport | SumChanges:
-        """Return the sum, or what changed in it."""
+    def next_message(self, now: float, report: SumReport) -> SumReport | SumDelta:
+        """Return the full sum, or its delta."""
         totals, number = report.totals, report.number
-        loads = {name: _rounded(load) for name, load in totals.loads.items()}
-        placed = self._new_placed(now, report)
+        loads = {name: _as_integers(load) for name, load in totals.loads.items()}
+        placed = self._pairs_to_send(now, report)
         for _, endpoint in placed:
-            loads.setdefault(endpoint, NOTHING)
-        if self.tells_work(now) and self._is_worn(report):
-            self._begin(number)
-            self._whole_at = -inf
-        changed = self._loads.change(number, loads)
-        counted = self._counted.change(number, report.counted)
-        is_whole = now - self._whole_at >= WHOLE_S
+            loads.setdefault(endpoint, NO_LOAD)
+        if self.is_work_due(now) and self._is_sparse(report):
+            self._reset_tables(number)
+            self._full_at = -inf
+        changed = self._loads.update(number, loads)
+        included = self._included.update(number, report.included)
+        is_full = now - self._full_at >= FULL_SUM_INTERVAL_S
         work = None
-        if self.tells_work(now):
+        if self.is_work_due(now):
             self._work_at = now
-            work = self._work.change(number, work_of(totals))
-        if is_whole:
-            self._whole_at = now
-            return replace(self._whole(report), placed=placed)
-        return SumChanges(
+            work = self._work.update(number, work_by_account(totals))
+        if is_full:
+            self._full_at = now
+            return replace(self._full_sum(report), placed=placed)
+        return SumDelta(
             host=report.host,
             boot=report.boot,
             number=number,
-            whole=report.whole,
+            fleet_wide=report.fleet_wide,
             base=self._base,
             loads=changed,
-            counted=counted,
+            included=included,
             work=work,
             hosts=totals.hosts,
             version=report.version,
             list_mark=report.list_mark,
-            heard_s=report.heard_s,
-            list_heard_s=report.list_heard_s,
-            placed=tuple((part, self._loads.places[name]) for part, name in placed),
+            config_age_s=report.config_age_s,
+            list_age_s=report.list_age_s,
+            placed=tuple((part, self._loads.indexes[name]) for part, name in placed),
         )
 
-    def _is_worn(self, report: SumReport) -> bool:
+    def _is_sparse(self, report: SumReport) -> bool:
         totals = report.totals
         return (
-            self._loads.is_worn(len(totals.loads))
-            or self._counted.is_worn(len(report.counted))
-            or self._work.is_worn(len(totals.offered))
+            self._loads.is_sparse(len(totals.loads))
+            or self._included.is_sparse(len(report.included))
+            or self._work.is_sparse(len(totals.offered))
         )
 
-    def _whole(self, report: SumReport) -> SumReport:
-        """Return a sum with all keys in the order of their places."""
+    def _full_sum(self, report: SumReport) -> SumReport:
+        """Return the full sum with all keys in the order of their indexes."""
         work = self._work.values.items()
         totals = FleetTotals(
             {key: row[0] for key, row in work},
@@ -226,103 +243,110 @@
             dict(self._loads.values),
             report.totals.hosts,
         )
-        counted = dict(self._counted.values)
-        return replace(report, totals=totals, counted=counted, base=self._base)
+        included = dict(self._included.values)
+        return replace(report, totals=totals, included=included, base=self._base)
 
-    def _new_placed(self, now: float, report: SumReport) -> tuple[tuple[str, str], ...]:
-        """Return the pairs that were not told before, or just now.
+    def _pairs_to_send(
+        self, now: float, report: SumReport
+    ) -> tuple[tuple[str, str], ...]:
+        """Return the pairs that were first sent within ``PLACED_REPEAT_S``.
 
-        Reports hold a pair for 0.3 s, and so did each sum in that time; twice, where
-        sums are not far apart, is enough against a lost one.
+        Reports repeat a pair for 0.3 s, and each sum of that time used to repeat it
+        as well. Sending it twice is enough against one lost message, unless sums are
+        far apart.
         """
-        old = now - TOLD_PLACES_S
-        self._placed = {pair: at for pair, at in self._placed.items() if at > old}
+        oldest_kept = now - PLACED_MEMORY_S
+        self._first_sent_at = {
+            pair: at for pair, at in self._first_sent_at.items() if at > oldest_kept
+        }
         for pair in report.placed:
-            self._placed.setdefault(pair, now)
-        again = now - AGAIN_S
-        return tuple(pair for pair, at in self._placed.items() if at >= again)
+            self._first_sent_at.setdefault(pair, now)
+        repeat_since = now - PLACED_REPEAT_S
+        return tuple(
+            pair for pair, at in self._first_sent_at.items() if at >= repeat_since
+        )
 
 
-class SumHeard:
-    """One relay's sum, kept up to date.
+class ReceivedSum:
+    """The sum of one relay, kept up to date by deltas.
 
     Args:
-        now: Time at which the whole sum came.
-        report: The whole sum.
+        now: Time at which the full sum arrived.
+        report: The full sum.
     """
 
     def __init__(self, now: float, report: SumReport) -> None:
         self.at = now
-        self.report = replace(report, work_counted=report.counted)
+        self.report = replace(report, work_included=report.included)
         self._work_number = report.number
         self._endpoints = list(report.totals.loads)
-        self._hosts = list(report.counted)
+        self._hosts = list(report.included)
         self._accounts = list(report.totals.served)
 
-    def is_old(self, boot: int, number: int) -> bool:
-        """Return whether a message is no newer than what is known."""
+    def is_outdated(self, boot: int, number: int) -> bool:
+        """Return whether a message is not newer than the last one applied."""
         return (boot, number) <= (self.report.boot, self.report.number)
 
-    def lacks(self, changes: SumChanges) -> bool:
-        """Return whether changes before these were missed."""
-        if changes.boot != self.report.boot or changes.base != self.report.base:
+    def has_gap_before(self, delta: SumDelta) -> bool:
+        """Return whether a message that this delta builds on was missed."""
+        if delta.boot != self.report.boot or delta.base != self.report.base:
             return True
         number = self.report.number
-        work = changes.work
-        lost = work is not None and self._work_number < work.after
-        return lost or number < min(changes.loads.after, changes.counted.after)
+        work = delta.work
+        is_work_missing = work is not None and self._work_number < work.since
+        return is_work_missing or number < min(delta.loads.since, delta.included.since)
 
-    def apply(self, now: float, changes: SumChanges) -> None:
-        """Take changes of which none before were missed.
+    def apply(self, now: float, delta: SumDelta) -> None:
+        """Apply a delta without a gap before it.
 
         Raises:
-            LookupError: A place has no key.
+            LookupError: An index has no key.
         """
         before, totals = self.report, self.report.totals
         loads = dict(totals.loads)
-        loads.update(_named(self._endpoints, changes.loads))
-        counted = dict(before.counted)
-        counted.update(_named(self._hosts, changes.counted))
-        served, offered, work_counted = (
+        loads.update(_with_keys(self._endpoints, delta.loads))
+        included = dict(before.included)
+        included.update(_with_keys(self._hosts, delta.included))
+        served, offered, work_included = (
             totals.served,
             totals.offered,
-            before.work_counted,
+            before.work_included,
         )
-        if changes.work is not None:
-            work = dict(_named(self._accounts, changes.work))
+        if delta.work is not None:
+            work = dict(_with_keys(self._accounts, delta.work))
             served = {**served, **{key: row[0] for key, row in work.items()}}
             offered = {**offered, **{key: row[1] for key, row in work.items()}}
-            work_counted = counted
-            self._work_number = changes.number
+            work_included = included
+            self._work_number = delta.number
         self.at = now
         self.report = replace(
             before,
-            number=changes.number,
-            totals=FleetTotals(served, offered, loads, changes.hosts),
-            counted=counted,
-            work_counted=work_counted,
-            version=changes.version,
-            list_mark=changes.list_mark,
-            heard_s=changes.heard_s,
-            list_heard_s=changes.list_heard_s,
-            placed=tuple((part, self._endpoints[at]) for part, at in changes.placed),
+            number=delta.number,
+            totals=FleetTotals(served, offered, loads, delta.hosts),
+            included=included,
+            work_included=work_included,
+            version=delta.version,
+            list_mark=delta.list_mark,
+            config_age_s=delta.config_age_s,
+            list_age_s=delta.list_age_s,
+            placed=tuple((part, self._endpoints[at]) for part, at in delta.placed),
         )
 
 
-def _named(keys: list[K], changes: Changes[K, V]) -> Iterable[tuple[K, V]]:
-    """Take over new keys; return the values by their keys."""
-    if changes.new:
-        keys[changes.start :] = changes.new
-    return [(keys[place], value) for place, value in changes.values.items()]
+def _with_keys(keys: list[K], delta: TableDelta[K, V]) -> Iterable[tuple[K, V]]:
+    """Add the new keys; return the changed values with their keys."""
+    if delta.new_keys:
+        keys[delta.first_index :] = delta.new_keys
+    return [(keys[index], value) for index, value in delta.values.items()]
 
 
-def _rounded(load: LoadShare) -> LoadShare:
+def _as_integers(load: LoadShare) -> LoadShare:
     running, reading, memory = load
     return LoadShare(running, int(reading), int(memory))
 
 
-def work_of(totals: FleetTotals) -> dict[AccountKey, Work]:
-    """Return work begun and asked for, by service and account."""
+def work_by_account(totals: FleetTotals) -> dict[AccountKey, Work]:
+    """Return (served, offered) work by service and account."""
     served, offered = totals.served, totals.offered
     return {
         key: (int(served.get(key, 0)), int(offered.get(key, 0)))
--- a/greengageflow/net/place_codec.py
+++ b/greengageflow/net/place_codec.py
@@ -4,13 +4,13 @@
 from typing import Any
 
 from greengageflow.core.place_messages import (
-    Happened,
-    PlaceAnswer,
-    PlaceAsk,
-    PlacedRun,
-    PlaceMessage,
-    PlaceNote,
-    PlaceRoll,
+    PlacementAnswer,
+    PlacementEntry,
+    PlacementEvent,
+    PlacementEventKind,
+    PlacementMessage,
+    PlacementRequest,
+    PlacementSnapshot,
     Verdict,
 )
 from greengageflow.errors import ErrorKind
@@ -20,10 +20,10 @@
 _MOST = 2.0**53
 
 
-def place_values(message: PlaceMessage) -> tuple[Any, ...]:
+def place_values(message: PlacementMessage) -> tuple[Any, ...]:
     """Return the values of a message, its kind first."""
     match message:
-        case PlaceAsk():
+        case PlacementRequest():
             return (
                 ASK,
                 message.host,
@@ -33,8 +33,8 @@
                 message.account,
                 message.priority,
                 round(message.waited_s, 4),
-                round(message.left_s, 4),
-                round(message.patience_s, 4),
+                round(message.slack_s, 4),
+                round(message.timeout_s, 4),
                 message.target_s,
                 message.parts,
                 message.tokens_in,
@@ -42,7 +42,7 @@
                 message.avoid,
                 message.zone,
             )
-        case PlaceAnswer():
+        case PlacementAnswer():
             return (
                 ANSWER,
                 message.host,
@@ -57,23 +57,23 @@
                 message.message,
                 round(message.retry_after_s, 3),
             )
-        case PlaceNote():
-            what = int(message.happened)
+        case PlacementEvent():
+            what = int(message.kind)
             return (NOTE, message.host, message.boot, message.request, what)
-        case PlaceRoll():
+        case PlacementSnapshot():
             runs = tuple(
                 (run.request, run.endpoint, int(run.reading), int(run.memory))
-                for run in message.runs
+                for run in message.entries
             )
             return (ROLL, message.host, message.boot, runs)
 
 
-def ask_of(values: list[Any]) -> PlaceAsk:
+def ask_of(values: list[Any]) -> PlacementRequest:
     """Return an ask; raises ValueError, TypeError for what is none."""
     host, boot, request, service, account, priority, *rest = values
     waited_s, left_s, patience_s, target_s, *rest = rest
     parts, tokens_in, tokens_out, avoid, zone = rest
-    return PlaceAsk(
+    return PlacementRequest(
         host=str(host),
         boot=int(boot),
         request=str(request),
@@ -81,8 +81,8 @@
         account=str(account),
         priority=int(priority),
         waited_s=_amount(waited_s),
-        left_s=_finite(left_s),
-        patience_s=_amount(patience_s),
+        slack_s=_finite(left_s),
+        timeout_s=_amount(patience_s),
         target_s=_amount(target_s),
         parts=tuple((str(name), _count(tokens)) for name, tokens in parts),
         tokens_in=_count(tokens_in),
@@ -92,13 +92,13 @@
     )
 
 
-def answer_of(values: list[Any]) -> PlaceAnswer:
+def answer_of(values: list[Any]) -> PlacementAnswer:
     """Return an answer; raises ValueError, TypeError for what is none."""
     host, boot, request, verdict, endpoint, fetch_from, *rest = values
     reading, wait_s, kind, text, retry_after_s = rest
     if int(verdict) == Verdict.REFUSE:
         ErrorKind(kind)
-    return PlaceAnswer(
+    return PlacementAnswer(
         host=str(host),
         boot=int(boot),
         request=str(request),
@@ -113,25 +113,25 @@
     )
 
 
-def note_of(values: list[Any]) -> PlaceNote:
+def note_of(values: list[Any]) -> PlacementEvent:
     """Return a note; raises ValueError, TypeError for what is none."""
     host, boot, request, happened = values
-    return PlaceNote(
+    return PlacementEvent(
         host=str(host),
         boot=int(boot),
         request=str(request),
-        happened=Happened(happened),
+        kind=PlacementEventKind(happened),
     )
 
 
-def roll_of(values: list[Any]) -> PlaceRoll:
+def roll_of(values: list[Any]) -> PlacementSnapshot:
     """Return a roll; raises ValueError, TypeError for what is none."""
     host, boot, runs = values
     rows = (
-        PlacedRun(str(request), str(endpoint), _amount(reading), _amount(memory))
+        PlacementEntry(str(request), str(endpoint), _amount(reading), _amount(memory))
         for request, endpoint, reading, memory in runs
     )
-    return PlaceRoll(host=str(host), boot=int(boot), runs=tuple(rows))
+    return PlacementSnapshot(host=str(host), boot=int(boot), entries=tuple(rows))
 
 
 def _finite(value: Any) -> float:
--- a/greengageflow/net/report_codec.py
+++ b/greengageflow/net/report_codec.py
@@ -10,11 +10,11 @@
 from greengageflow.core.keyed_record import KeyedRecord
 from greengageflow.core.leaving_signs import LeavingReport
 from greengageflow.core.peer_report import LoadNotice, PeerReport
-from greengageflow.core.place_messages import PlaceMessage
+from greengageflow.core.place_messages import PlacementMessage
 from greengageflow.core.quarantine import CrashReport
 from greengageflow.core.router_table import Hello
 from greengageflow.core.store_updates import StoreTopic, StoreUpdate
-from greengageflow.core.sum_changes import Changes, SumChanges, SumWanted, Work
+from greengageflow.core.sum_changes import FullSumRequest, SumDelta, TableDelta, Work
 from greengageflow.net._columns import (
     change_columns,
     check_amounts,
@@ -54,12 +54,12 @@
     | LoadNotice
     | Hello
     | SumReport
-    | SumChanges
-    | SumWanted
+    | SumDelta
+    | FullSumRequest
     | StoreUpdate
     | CrashReport
     | LeavingReport
-    | PlaceMessage
+    | PlacementMessage
 )
 
 
@@ -78,10 +78,10 @@
             return packb((HELLO, *_hello_values(message)))
         case SumReport():
             return packb((SUM, *_sum_values(message)))
-        case SumChanges():
+        case SumDelta():
             return packb((CHANGES, *_changes_values(message)))
-        case SumWanted():
-            return packb((WANTED, message.whole))
+        case FullSumRequest():
+            return packb((WANTED, message.fleet_wide))
         case StoreUpdate():
             return packb((UPDATE, *_update_values(message)))
         case CrashReport():
@@ -118,8 +118,8 @@
         load_columns(report.loads),
         report.version,
         report.list_mark,
-        _age(report.heard_s),
-        _age(report.list_heard_s),
+        _age(report.config_age_s),
+        _age(report.list_age_s),
         pair_columns(report.placed),
         pack_addresses(report.peers),
     )
@@ -144,8 +144,8 @@
         loads=read_loads(loads),
         version=int(version),
         list_mark=int(mark),
-        heard_s=_seconds(heard_s),
-        list_heard_s=_seconds(list_heard_s),
+        config_age_s=_seconds(heard_s),
+        list_age_s=_seconds(list_heard_s),
         placed=read_pairs(placed),
         peers=read_addresses(peers),
     )
@@ -207,15 +207,15 @@
         report.number,
         report.base,
         report.zone,
-        report.whole,
+        report.fleet_wide,
         work_columns(totals.served, totals.offered),
         load_columns(totals.loads),
         totals.hosts,
-        dict(report.counted),
+        dict(report.included),
         report.version,
         report.list_mark,
-        _age(report.heard_s),
-        _age(report.list_heard_s),
+        _age(report.config_age_s),
+        _age(report.list_age_s),
         pair_columns(report.placed),
     )
 
@@ -231,30 +231,35 @@
         number=int(number),
         base=int(base),
         zone=str(zone),
-        whole=bool(whole),
+        fleet_wide=bool(whole),
         totals=FleetTotals(*read_work(work), read_loads(loads), int(hosts)),
-        counted=counted,
+        included=counted,
         version=int(version),
         list_mark=int(mark),
-        heard_s=_seconds(heard_s),
-        list_heard_s=_seconds(list_heard_s),
+        config_age_s=_seconds(heard_s),
+        list_age_s=_seconds(list_heard_s),
         placed=read_pairs(placed),
     )
 
 
-def _changes_values(changes: SumChanges) -> tuple[Any, ...]:
-    loads, counted, work = changes.loads, changes.counted, changes.work
+def _changes_values(changes: SumDelta) -> tuple[Any, ...]:
+    loads, counted, work = changes.loads, changes.included, changes.work
     return (
         changes.host,
         changes.boot,
         changes.number,
-        changes.whole,
+        changes.fleet_wide,
         changes.base,
-        (loads.after, loads.start, loads.new, *change_columns(loads.values, 3)),
         (
-            counted.after,
-            counted.start,
-            counted.new,
+            loads.since,
+            loads.first_index,
+            loads.new_keys,
+            *change_columns(loads.values, 3),
+        ),
+        (
+            counted.since,
+            counted.first_index,
+            counted.new_keys,
             list(counted.values),
             list(counted.values.values()),
         ),
@@ -262,8 +267,8 @@
         changes.hosts,
         changes.version,
         changes.list_mark,
-        _age(changes.heard_s),
-        _age(changes.list_heard_s),
+        _age(changes.config_age_s),
+        _age(changes.list_age_s),
         pair_columns(changes.placed),
     )
 
@@ -272,52 +277,58 @@
     return list(values), list(values.values())
 
 
-def _work_values(work: Changes[AccountKey, Work]) -> tuple[Any, ...]:
+def _work_values(work: TableDelta[AccountKey, Work]) -> tuple[Any, ...]:
     columns = change_columns(work.values, 2)
-    return (work.after, work.start, pair_columns(work.new), *columns)
+    return (work.since, work.first_index, pair_columns(work.new_keys), *columns)
 
 
-def _changes(values: list[Any]) -> SumChanges:
+def _changes(values: list[Any]) -> SumDelta:
     (host, boot, number, whole, base, loads, counted, work, hosts, *rest) = values
     (version, mark, heard_s, list_heard_s, placed) = rest
-    return SumChanges(
+    return SumDelta(
         host=str(host),
         boot=int(boot),
         number=int(number),
-        whole=bool(whole),
+        fleet_wide=bool(whole),
         base=int(base),
         loads=_load_changes(*loads),
-        counted=_counted_changes(*counted),
+        included=_counted_changes(*counted),
         work=None if work is None else _work_changes(*work),
         hosts=int(hosts),
         version=int(version),
         list_mark=int(mark),
-        heard_s=_seconds(heard_s),
-        list_heard_s=_seconds(list_heard_s),
+        config_age_s=_seconds(heard_s),
+        list_age_s=_seconds(list_heard_s),
         placed=read_places(placed),
     )
 
 
-def _load_changes(*values: Any) -> Changes[str, LoadShare]:
+def _load_changes(*values: Any) -> TableDelta[str, LoadShare]:
     after, start, new, *columns = values
     check_names(new)
     changed = read_changes(columns, 3)
     rows = dict(zip(changed, load_shares(changed.values()), strict=True))
-    return Changes(after=int(after), start=_place(start), new=tuple(new), values=rows)
+    return TableDelta(
+        since=int(after), first_index=_place(start), new_keys=tuple(new), values=rows
+    )
 
 
-def _counted_changes(*values: Any) -> Changes[str, int]:
+def _counted_changes(*values: Any) -> TableDelta[str, int]:
     after, start, new, *columns = values
     check_names(new)
     rows = {place: row[0] for place, row in read_changes(columns, 1).items()}
-    return Changes(after=int(after), start=_place(start), new=tuple(new), values=rows)
+    return TableDelta(
+        since=int(after), first_index=_place(start), new_keys=tuple(new), values=rows
+    )
 
 
-def _work_changes(*values: Any) -> Changes[AccountKey, Work]:
+def _work_changes(*values: Any) -> TableDelta[AccountKey, Work]:
     after, start, new, *columns = values
     rows = read_changes(columns, 2)
     new = read_pairs(new)
-    return Changes(after=int(after), start=_place(start), new=new, values=rows)
+    return TableDelta(
+        since=int(after), first_index=_place(start), new_keys=new, values=rows
+    )
 
 
 def _place(value: Any) -> int:
@@ -326,9 +337,9 @@
     return int(value)
 
 
-def _wanted(values: list[Any]) -> SumWanted:
+def _wanted(values: list[Any]) -> FullSumRequest:
     (whole,) = values
-    return SumWanted(whole=bool(whole))
+    return FullSumRequest(fleet_wide=bool(whole))
 
 
 def _update_values(update: StoreUpdate) -> tuple[Any, ...]:
--- a/tests/test_arrival_gate.py
+++ b/tests/test_arrival_gate.py
@@ -1,4 +1,4 @@
-"""A host that is sent more than it can read, in simulated time."""
+"""Admission control of an overloaded host, in simulated time."""
 
 from random import Random
 from types import SimpleNamespace
@@ -9,34 +9,39 @@
 from greengageflow.core.loop_load import LoopLoad
 from greengageflow.daemon.arrivals import Arrivals
 
-READ_S, TURN_AWAY_S, LEFT_S = 0.0035, 0.0007, 0.0003
-"""Processor time of a request that is read, turned away, or found to be abandoned, on
-half a core."""
+READ_S, REJECT_S, ABANDONED_S = 0.0035, 0.0007, 0.0003
+"""Seconds on half a core to read a request, reject it, or find it abandoned."""
 
-PATIENCE_S = 1.0
-SECONDS = 6
+CALLER_TIMEOUT_S = 1.0
+DURATION_S = 6
 OTHERS = [f"{number}" for number in range(10)]
 
 
-class Open:
-    """Reads everything."""
+class OpenGate:
+    """Admits every request."""
 
     def admits(self, *_args, **_fields):
         return True
 
 
-def arrivals(hot_a_second):
-    """Return (time, account) of requests, one account's beside those of ten others."""
+def make_requests(hot_per_s):
+    """Return (time, account) of the requests of a hot account and of ten others."""
     random = Random(3)
-    rows = [(random.uniform(0, SECONDS), "hot") for _ in range(hot_a_second * SECONDS)]
-    rows += [(random.uniform(0, SECONDS), one) for one in OTHERS for _ in range(18)]
+    rows = [
+        (random.uniform(0, DURATION_S), "hot") for _ in range(hot_per_s * DURATION_S)
+    ]
+    rows += [
+        (random.uniform(0, DURATION_S), account)
+        for account in OTHERS
+        for _ in range(18)
+    ]
     return sorted(rows)
 
 
-def play(gate, rows):
-    """Return for each account the waits of what was read, and counts of the rest."""
+def simulate(gate, rows):
+    """Return by account the waits of read requests, and counts of rejected and left."""
     load, now = LoopLoad(), 0.0
-    waits, turned, left = {}, {}, {}
+    waits, rejected, left = {}, {}, {}
     rows = list(rows)
     while rows:
         load.end(now)
@@ -45,91 +50,102 @@
         ready = [row for row in rows if row[0] <= now]
         rows = rows[len(ready) :]
         for at, account in ready:
-            if now - at > PATIENCE_S:
+            if now - at > CALLER_TIMEOUT_S:
                 left[account] = left.get(account, 0) + 1
-                now += LEFT_S
+                now += ABANDONED_S
                 continue
-            late = {"present_s": load.present_s(now), "average_s": load.average_s(now)}
-            if gate.admits(now, account, **late):
+            timing = {
+                "present_s": load.present_s(now),
+                "average_s": load.average_s(now),
+            }
+            if gate.admits(now, account, **timing):
                 waits.setdefault(account, []).append(now - at)
                 now += READ_S
             else:
-                turned[account] = turned.get(account, 0) + 1
-                now += TURN_AWAY_S
-    return waits, turned, left
+                rejected[account] = rejected.get(account, 0) + 1
+                now += REJECT_S
+    return waits, rejected, left
 
 
-def test_one_account_beyond_a_host_keeps_no_other_from_it():
-    """One account's callers gather at one host, at twice what it can read. Callers of
-    all accounts waited the longer the more came, and left before they were read.
+def test_hot_account_does_not_starve_others():
+    """One account sends a host twice as much as it can read.
 
-    The host must read what the others send, in time, and use what is left of it for the
-    account; whom it can't read it tells at once, so that nobody leaves unread.
+    Without admission control the waits of all accounts grow until callers leave before
+    they are read. The host must read the requests of the other accounts in time and
+    use the rest of its capacity for the hot one. It rejects the remainder at once, so
+    that no caller leaves unread.
     """
-    rows = arrivals(500)
-    waits, _, left = play(Open(), rows)
+    rows = make_requests(500)
+    waits, _, left = simulate(OpenGate(), rows)
     assert sum(left.values()) > 500
     assert any(account in left for account in OTHERS)
-    waits, turned, left = play(ArrivalGate(), rows)
+    waits, rejected, left = simulate(ArrivalGate(), rows)
     assert not left
     read = sum(map(len, waits.values()))
-    assert read > 0.8 * SECONDS / READ_S
+    assert read > 0.8 * DURATION_S / READ_S
     others = [wait for account in OTHERS for wait in waits[account]]
     assert len(others) >= 0.97 * 18 * len(OTHERS)
     assert sorted(others)[int(0.95 * len(others))] < 0.25
-    assert set(turned) <= {"hot", *OTHERS}
+    assert set(rejected) <= {"hot", *OTHERS}
 
 
-@pytest.mark.parametrize("hot_a_second", [50, 150, 200])
-def test_a_host_that_can_read_all_turns_nobody_away(hot_a_second):
-    _, turned, left = play(ArrivalGate(), arrivals(hot_a_second))
-    assert not turned and not left
+@pytest.mark.parametrize("hot_per_s", [50, 150, 200])
+def test_host_with_enough_capacity_rejects_nobody(hot_per_s):
+    _, rejected, left = simulate(ArrivalGate(), make_requests(hot_per_s))
+    assert not rejected and not left
 
 
 def test_a_short_burst_is_read_in_full():
-    """Seventy callers come back in the same moment after a loss of all hosts."""
+    """Seventy callers reconnect at the same moment after an outage of all hosts."""
     rows = [(1.0, f"{number % 12}") for number in range(70)]
-    waits, turned, _ = play(ArrivalGate(), rows)
-    assert not turned
+    waits, rejected, _ = simulate(ArrivalGate(), rows)
+    assert not rejected
     assert sum(map(len, waits.values())) == 70
 
 
-def test_one_long_round_turns_away_no_more_than_it_delayed():
-    """A host stands still for seconds in the middle of a round. What it reads after it
-    comes in short rounds again, and nobody is turned away any more."""
+def test_long_round_rejects_no_later_requests():
+    """A host freezes for seconds in the middle of a round.
+
+    The rounds after it are short again, so no further request may be rejected, even
+    though the average is still high.
+    """
     load, gate = LoopLoad(), ArrivalGate()
     load.end(10.0)
     load.begin(10.0)
     load.end(14.0)
     load.begin(14.0)
-    late = {"present_s": load.present_s(14.02), "average_s": load.average_s(14.02)}
-    assert late["average_s"] > 1
-    assert all(gate.admits(14.02, "hot", **late) for _ in range(50))
+    timing = {"present_s": load.present_s(14.02), "average_s": load.average_s(14.02)}
+    assert timing["average_s"] > 1
+    assert all(gate.admits(14.02, "hot", **timing) for _ in range(50))
+
 
+def test_account_without_recent_requests_is_admitted():
+    """A host is overloaded from the start, or after an idle second.
+
+    With nothing read lately, the fair share is 0, and all requests were rejected.
+    """
+    gate, timing = ArrivalGate(), {"present_s": 0.05, "average_s": 0.2}
+    assert [gate.admits(1.0, "one", **timing) for _ in range(3)] == [True, False, False]
+    assert gate.admits(1.0, "other", **timing)
+    assert gate.admits(9.0, "one", **timing)
 
-def test_an_account_that_was_not_read_lately_is_read():
-    """A host is late from the start, or after a quiet second: with nothing read, nobody
-    has had a part, and all were turned away."""
-    gate, late = ArrivalGate(), {"present_s": 0.05, "average_s": 0.2}
-    assert [gate.admits(1.0, "one", **late) for _ in range(3)] == [True, False, False]
-    assert gate.admits(1.0, "other", **late)
-    assert gate.admits(9.0, "one", **late)
 
+def test_unknown_keys_share_one_account():
+    """A caller floods the host, each request with a different unknown key.
 
-def test_keys_that_nobody_holds_are_one_account():
-    """Somebody sends as much as the host can read, each request with another key that
-    nobody holds. Each its own account, all would be read, and accounts with keys that
-    are held would be turned away in their place."""
+    With an account for each key, all of these would be read, and requests with valid
+    keys would be rejected in their place.
+    """
     counts = {}
     load = SimpleNamespace(present_s=lambda _now: 0.05, average_s=lambda _now: 0.2)
     timers = SimpleNamespace(now=0.0, after=lambda *_args: None)
-    held = {"held": "account"}
+    accounts_by_key = {"held": "account"}
     arrivals = Arrivals(
         load,
         timers,
         SimpleNamespace(write=lambda *_args, **_fields: None),
         SimpleNamespace(count=lambda *_args: None),
-        lambda data: held.get(data.decode(), ""),
+        lambda data: accounts_by_key.get(data.decode(), ""),
     )
     for number in range(15_000):
         timers.now += 0.002
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Placers decide for all hosts: on a network in memory and in simulated time."""
+"""Placement by placers, on an in-memory network and in simulated time."""
 
 from contextlib import suppress
 from heapq import heappop, heappush
@@ -14,15 +14,15 @@
 from greengageflow.core.endpoint_list import EndpointList, ListedEndpoint
 from greengageflow.core.fleet_sums import FleetTotals
 from greengageflow.core.forward_request import Prompt, PromptPart
-from greengageflow.core.place_desk import PlaceDesk, ask_for
 from greengageflow.core.place_messages import (
-    PlaceAnswer,
-    PlaceMessage,
-    PlaceNote,
-    PlaceRoll,
+    PlacementAnswer,
+    PlacementEvent,
+    PlacementMessage,
+    PlacementSnapshot,
     Verdict,
 )
 from greengageflow.core.placers import placer_of, placers_among
+from greengageflow.core.remote_placements import RemotePlacements, placement_request
 from greengageflow.core.router_table import Hello
 from greengageflow.core.routes import Routing, Service
 from greengageflow.core.send_budget import SendBudget
@@ -45,12 +45,12 @@
 
 
 class Fleet:
-    """Hosts with one engine before them; a host in ``deaf`` gets no message."""
+    """Hosts with one shared engine; a host in ``unreachable`` receives no messages."""
 
     def __init__(self, hosts=3):
-        self.now, self.deaf, self.dead = 0.0, set(), set()
-        self.drops = lambda message: False
-        self.known_at = 0.0
+        self.now, self.unreachable, self.crashed = 0.0, set(), set()
+        self.is_dropped = lambda message: False
+        self.members_known_at = 0.0
         self._heap, self._order = [], count()
         self.hosts = {f"h{i}": HostStub(self, f"h{i}", i) for i in range(hosts)}
         rows = [host.hello for host in self.hosts.values()]
@@ -69,7 +69,7 @@
         self.now = end
 
     def restart(self, host):
-        """Replace a host's process by a new one, which has nothing under way."""
+        """Replace a host's process by a new one without requests."""
         new = HostStub(self, host.name, host.hello.port - 9, host.hello.boot + 1)
         self.hosts[host.name] = new
         return new
@@ -80,7 +80,7 @@
 
 
 class HostStub:
-    """Timer service, sender and requests of one host."""
+    """One host: its placement, with this stub as timers, sender and log."""
 
     def __init__(self, fleet, name, index, boot=1):
         self.fleet, self.name = fleet, name
@@ -90,7 +90,7 @@
         self.book = ServiceBook(self.endpoints, "z", lambda: SendBudget(1, 9, 10.0))
         service = Service("model", slots=SLOTS, memory_tokens=100_000)
         self.book.on_routing(Routing(version=1, services={"model": service}))
-        self.lines, self.asked = [], set()
+        self.log_events, self.asked = [], set()
         self.started, self.refused, self.runs = {}, {}, count(1)
         address = {"ip": "127.0.0.1", "port": 9 + index}
         self.hello = Hello(host=name, boot=boot, zone="z", **address)
@@ -117,14 +117,14 @@
 
     @property
     def alive(self):
-        lives = self.fleet.hosts[self.name] is self
-        return lives and self.name not in self.fleet.dead
+        is_current = self.fleet.hosts[self.name] is self
+        return is_current and self.name not in self.fleet.crashed
 
     def every(self, interval_s, call):
         self.after(interval_s, lambda: (call(), self.every(interval_s, call)))
 
     def write(self, event, **_fields):
-        self.lines.append(event.name)
+        self.log_events.append(event.name)
 
     def round(self):
         self.placement.on_round()
@@ -132,14 +132,14 @@
 
     def routers(self):
         hosts = getattr(self.fleet, "hosts", {})
-        if self.now < self.fleet.known_at:
+        if self.now < self.fleet.members_known_at:
             hosts = {self.name: self}
-        return [h.hello for n, h in hosts.items() if n not in self.fleet.dead]
+        return [h.hello for n, h in hosts.items() if n not in self.fleet.crashed]
 
     def send_to(self, to, message):
         [target] = [h for h in self.fleet.hosts.values() if h.hello.address == to]
-        lost = self.fleet.deaf | self.fleet.dead
-        if target.name in lost or self.fleet.drops(message):
+        lost = self.fleet.unreachable | self.fleet.crashed
+        if target.name in lost or self.fleet.is_dropped(message):
             return
         data = encode(message)
         arrive = lambda: target.placement.receive(decode(data))  # noqa: E731
@@ -167,10 +167,12 @@
         self.carry_out(self.placement.ended(self.now, "model", name))
 
 
-def test_no_more_is_started_than_the_engine_runs_whoever_asks():
-    """Callers of all hosts ask at the same moment for an engine of four slots. Hosts
-    that each knew it idle would send it all; the placer has it run three or four, lets
-    the others wait, and starts one of them as soon as one has ended."""
+def test_requests_of_all_hosts_together_respect_engine_slots():
+    """Hosts that each see an engine of four slots idle would all send to it at once.
+
+    The placer starts three or four of the requests, queues the others, and starts one
+    of them when one has ended.
+    """
     fleet = Fleet()
     names = [(host, host.ask()) for host in fleet.hosts.values() for _ in range(5)]
     fleet.run(0.1)
@@ -185,30 +187,35 @@
     assert refused == len(names) - len(started) - 1
 
 
-def test_host_decides_alone_when_its_placer_is_silent():
-    """The placer's host hangs. A request waits no longer than the time for an answer,
-    later ones not at all, and the placer is asked again a second later."""
+def test_host_decides_itself_when_its_placer_does_not_answer():
+    """The placer's host hangs.
+
+    The first request waits for the answer timeout, later ones are decided at once, and
+    the placer is asked again after its backoff of a second.
+    """
     fleet = Fleet()
     host = fleet.others[0]
-    fleet.deaf.add(fleet.placer)
+    fleet.unreachable.add(fleet.placer)
     first = host.ask()
     fleet.run(ANSWER_S + 0.01)
     assert host.started[first] <= fleet.now
     second = host.ask()
     assert second in host.started
-    fleet.deaf.clear()
+    fleet.unreachable.clear()
     fleet.run(MUTE_S)
     third = host.ask()
     assert third not in host.started
     fleet.run(0.01)
     assert third in host.started and fleet.running(fleet.placer) == 1
-    assert host.lines == ["PLACER_SILENT", "PLACER_HEARD"]
+    assert host.log_events == ["PLACER_SILENT", "PLACER_HEARD"]
+
 
+def test_answers_to_an_earlier_process_start_no_request_of_the_restarted_one():
+    """A restarted process numbers its requests from 1 again.
 
-def test_answers_to_an_earlier_process_start_nothing_of_the_next_one():
-    """A host's process is killed and started again, and numbers its requests from 1 as
-    the one before it did. A place found for a request of the old process would start
-    the new one's of that number, at an engine that nobody counts it at."""
+    An answer for the earlier process would start the new request of the same number,
+    on an engine whose load does not include it.
+    """
     fleet = Fleet()
     host = fleet.others[0]
     for _ in range(SLOTS + 1):
@@ -224,10 +231,12 @@
     assert 0 < len(new.started) == fleet.running(fleet.placer)
 
 
-def test_a_placer_that_knows_no_engine_lets_hosts_decide():
-    """A placer's host is started again while it is cut off from the store, so that its
-    list of endpoints is empty. It would refuse the engine requests of the whole fleet
-    for want of an endpoint that all the other hosts know."""
+def test_placer_without_endpoints_lets_hosts_decide():
+    """A placer that restarts while cut off from the store has an empty endpoint list.
+
+    It would refuse the engine requests of the whole fleet, although all other hosts
+    know the endpoint.
+    """
     fleet = Fleet()
     host = fleet.others[0]
     list(fleet.hosts[fleet.placer].endpoints.drop("e0"))
@@ -236,7 +245,7 @@
     assert name in host.started and not host.refused
 
 
-def test_requests_that_wait_at_a_placer_are_decided_when_it_is_gone():
+def test_requests_queued_at_a_crashed_placer_are_decided():
     fleet = Fleet()
     host = fleet.others[0]
     for _ in range(SLOTS + 2):
@@ -244,31 +253,35 @@
     fleet.run(0.05)
     waiting = SLOTS + 2 - len(host.started)
     assert waiting
-    fleet.dead.add(fleet.placer)
+    fleet.crashed.add(fleet.placer)
     fleet.run(3.0)
     assert len(host.started) + len(host.refused) == SLOTS + 2
 
 
-def test_next_placer_counts_what_an_earlier_one_started():
-    """The placer's host is lost with requests under way on the engine. The next one
-    would take the engine for idle and send it as much again."""
+def test_next_placer_adopts_running_requests():
+    """The placer's host fails while its requests run on the engine.
+
+    The next placer would assume that the engine is idle and overload it.
+    """
     fleet = Fleet()
     host = fleet.others[0]
     names = [host.ask() for _ in range(2)]
     fleet.run(0.1)
     assert set(names) <= host.started.keys()
-    fleet.dead.add(fleet.placer)
+    fleet.crashed.add(fleet.placer)
     fleet.run(0.6)
     assert sum(fleet.running(h.name) for h in fleet.others) == 2
 
 
-@pytest.mark.parametrize("lost", [PlaceNote, PlaceAnswer])
-def test_lost_messages_take_up_no_slot_for_good(lost):
-    """The note that a request has ended is lost, or the answer that it may start. The
-    placer would count it for ever, and the engine have a slot less."""
+@pytest.mark.parametrize("lost", [PlacementEvent, PlacementAnswer])
+def test_lost_messages_leak_no_slot(lost):
+    """The event that a request ended, or the answer that starts it, is lost.
+
+    The placer would count the request for ever, and the engine would lose a slot.
+    """
     fleet = Fleet()
     host = fleet.others[0]
-    fleet.drops = lambda message: (
+    fleet.is_dropped = lambda message: (
         isinstance(message, lost) and getattr(message, "verdict", 1) != Verdict.QUEUED
     )
     name = host.ask()
@@ -280,40 +293,43 @@
     assert sum(fleet.running(h.name) for h in fleet.others) == 0
 
 
-def test_caller_that_left_takes_its_request_out_of_the_placers_queue():
+def test_request_of_a_disconnected_caller_leaves_the_placers_queue():
     fleet = Fleet()
     host = fleet.others[0]
     names = [host.ask() for _ in range(SLOTS + 1)]
     fleet.run(0.05)
-    waits = next(name for name in names if name not in host.started)
-    host.end(waits)
+    queued = next(name for name in names if name not in host.started)
+    host.end(queued)
     fleet.run(0.05)
     host.end(next(iter(host.started)))
     fleet.run(0.1)
-    assert waits not in host.started
+    assert queued not in host.started
 
 
-@pytest.mark.parametrize("known_after_s", [0.0, 0.2])
-def test_hosts_that_all_begin_at_once_send_an_engine_what_one_may(known_after_s):
-    """After the loss of all hosts callers come at once. Hosts that each decided for
-    themselves until they knew a placer that had settled sent it several times that."""
+@pytest.mark.parametrize("members_known_after_s", [0.0, 0.2])
+def test_hosts_that_start_together_do_not_overload_an_engine(members_known_after_s):
+    """All hosts restart together and callers reconnect at once.
+
+    Hosts that decided for themselves until a placer had settled sent the engine
+    several times what it can run.
+    """
     fleet = Fleet(6)
-    fleet.known_at = fleet.now + known_after_s
+    fleet.members_known_at = fleet.now + members_known_after_s
     for host in list(fleet.hosts.values()):
         fleet.restart(host)
-    known = fleet.hosts
-    names = [(host, host.ask()) for host in known.values() for _ in range(3)]
-    fleet.run(known_after_s + 0.1)
+    hosts = fleet.hosts
+    names = [(host, host.ask()) for host in hosts.values() for _ in range(3)]
+    fleet.run(members_known_after_s + 0.1)
     started = [(host, name) for host, name in names if name in host.started]
     assert 0 < len(started) <= SLOTS
-    assert not any(host.refused for host in known.values())
+    assert not any(host.refused for host in hosts.values())
     for host, name in started:
         host.end(name)
     fleet.run(0.1)
-    assert sum(len(host.started) for host in known.values()) > len(started)
+    assert sum(len(host.started) for host in hosts.values()) > len(started)
 
 
-def test_a_host_that_begins_alone_serves_its_callers_soon():
+def test_single_host_serves_callers_soon_after_its_start():
     fleet = Fleet(1)
     (host,) = fleet.hosts.values()
     host = fleet.restart(host)
@@ -322,7 +338,7 @@
     assert name in host.started
 
 
-def test_a_caller_that_leaves_while_its_request_is_held_back_is_forgotten():
+def test_held_back_request_of_a_disconnected_caller_is_dropped():
     fleet = Fleet(1)
     host = fleet.restart(next(iter(fleet.hosts.values())))
     host.end(host.ask())
@@ -330,8 +346,8 @@
     assert not host.started
 
 
-def test_a_request_waits_at_the_host_of_its_caller():
-    """A placer's log line said that less than none of its requests were running."""
+def test_waiting_requests_count_at_the_host_of_their_caller():
+    """A placer logged a negative number of running requests."""
     fleet = Fleet()
     host = fleet.others[0]
     for _ in range(SLOTS + 2):
@@ -345,31 +361,38 @@
     assert placer.placement.waiting == 1
 
 
-def test_a_roll_may_end_what_its_own_decisions_refuse():
-    """A host was cut off and has nothing any more. To end its first request lets the
-    queue be looked through, which refuses its second, long overdue; that was still on
-    the list of what to end, and the placer's handler failed there."""
+def test_snapshot_may_end_requests_that_its_own_decisions_refuse():
+    """A host that was cut off sends an empty snapshot.
+
+    Ending its first request runs the queue, which refuses its overdue second one. That
+    one was still to be ended as well, and the placer's handler failed.
+    """
     fleet = Fleet()
-    desk = PlaceDesk("p", fleet.hosts[fleet.placer].book)
+    placements = RemotePlacements("p", fleet.hosts[fleet.placer].book)
     for number in range(SLOTS + 2):
         waiter = Waiter(str(number), "a", 100.0, 0, 9.0, 10.0, 9.2)
         job = Job(waiter, 1.0, PROMPT)
-        for decision in desk.ask(9.0, ask_for("h", 1, 9.0, "model", job, "a", (), "z")):
-            desk.decided(9.0, decision)
-    roll = PlaceRoll(host="h", boot=1)
-    told = [desk.decided(10.0, decision) for decision in desk.roll(10.0, roll)]
-    assert {answer.verdict for _, answer in told} == {Verdict.REFUSE}
-    assert not len(desk)
-
-
-def test_a_host_that_does_not_place_says_so_at_once():
+        for decision in placements.on_request(
+            9.0, placement_request("h", 1, 9.0, "model", job, "a", (), "z")
+        ):
+            placements.on_decision(9.0, decision)
+    snapshot = PlacementSnapshot(host="h", boot=1)
+    answers = [
+        placements.on_decision(10.0, decision)
+        for decision in placements.on_snapshot(10.0, snapshot)
+    ]
+    assert {answer.verdict for _, answer in answers} == {Verdict.REFUSE}
+    assert not len(placements)
+
+
+def test_host_that_is_not_a_placer_passes_at_once():
     fleet = Fleet()
-    host, stranger = fleet.others
+    host, other = fleet.others
     job = Job(Waiter("7", "a", 1.0, 0, 0.0, 1.0, 0.5), 1.0, PROMPT)
-    ask = ask_for(host.name, 1, 0.0, "model", job, "a", (), "z")
+    ask = placement_request(host.name, 1, 0.0, "model", job, "a", (), "z")
     answers = []
     host.placement.receive = answers.append
-    stranger.placement.receive(decode(encode(ask)))
+    other.placement.receive(decode(encode(ask)))
     fleet.run(0.05)
     assert [answer.verdict for answer in answers] == [Verdict.PASS]
 
@@ -382,19 +405,21 @@
 
 
 @given(HOSTS, st.dictionaries(st.text(min_size=6, max_size=8), st.just(10), max_size=9))
-def test_hosts_that_join_or_start_anew_displace_no_placer(hosts, joining):
-    """Hosts are added while others serve. Chosen by name alone, a new one may become
-    the placer, which begins with nothing known of engines."""
+def test_hosts_that_join_or_restart_displace_no_placer(hosts, joining):
+    """With placers chosen by name alone, a host that joins may become a placer.
+
+    It would start without any knowledge of the engines.
+    """
     rows = [hello(host, boot) for host, boot in hosts.items()]
     before = placers_among(rows)
     after = placers_among([*rows, *(hello(h, boot) for h, boot in joining.items())])
     assert after[: len(before)] == before
-    anew = [hello(h, 11 if h == before[-1] else boot) for h, boot in hosts.items()]
-    assert len(hosts) == len(before) or before[-1] not in placers_among(anew)
+    restarted = [hello(h, 11 if h == before[-1] else boot) for h, boot in hosts.items()]
+    assert len(hosts) == len(before) or before[-1] not in placers_among(restarted)
 
 
 @given(HOSTS, st.text(max_size=5))
-def test_placers_that_come_or_go_move_only_their_own_endpoints(hosts, endpoint):
+def test_placers_that_join_or_leave_move_only_their_own_endpoints(hosts, endpoint):
     rows = [hello(host, boot) for host, boot in hosts.items()]
     placers = placers_among(rows)
     assert placers == placers_among(reversed(rows)) and set(placers) <= hosts.keys()
@@ -404,6 +429,6 @@
 
 
 @given(st.integers(15, 18), st.lists(st.integers(0, 9) | st.text() | st.floats()))
-def test_spoiled_place_messages_are_told_apart(kind, values):
+def test_malformed_placement_messages_are_rejected(kind, values):
     with suppress(ReportError):
-        assert isinstance(decode(packb((kind, *values))), PlaceMessage)
+        assert isinstance(decode(packb((kind, *values))), PlacementMessage)
--- a/tests/test_report_codec.py
+++ b/tests/test_report_codec.py
@@ -22,7 +22,7 @@
 )
 from greengageflow.core.router_table import Hello
 from greengageflow.core.store_updates import StoreTopic, StoreUpdate
-from greengageflow.core.sum_changes import Changes, SumChanges, SumWanted
+from greengageflow.core.sum_changes import FullSumRequest, SumDelta, TableDelta
 from greengageflow.net.report_codec import ReportError, decode, encode
 
 # Bytes of messages.
@@ -38,7 +38,12 @@
 SUMS = st.dictionaries(st.tuples(NAMES, NAMES), AMOUNTS, max_size=4)
 SHARES = st.builds(LoadShare, COUNTS, AMOUNTS, AMOUNTS)
 LOADS = st.dictionaries(NAMES, SHARES, max_size=3)
-MARKS = {"version": COUNTS, "list_mark": COUNTS, "heard_s": AGES, "list_heard_s": AGES}
+MARKS = {
+    "version": COUNTS,
+    "list_mark": COUNTS,
+    "config_age_s": AGES,
+    "list_age_s": AGES,
+}
 HEAD = {"host": NAMES, "boot": COUNTS, "number": COUNTS}
 WHERE = {"ip": IPS, "port": PORTS, "zone": NAMES, "stopping": st.booleans()}
 HELLOS = st.builds(Hello, host=NAMES, boot=COUNTS, peers=ADDRESSES, **WHERE)
@@ -58,15 +63,15 @@
 SUM_REPORTS = st.builds(
     SumReport,
     zone=NAMES,
-    whole=st.booleans(),
+    fleet_wide=st.booleans(),
     base=COUNTS,
     totals=st.builds(FleetTotals, SUMS, SUMS, LOADS, COUNTS),
-    counted=st.dictionaries(NAMES, COUNTS, max_size=3),
+    included=st.dictionaries(NAMES, COUNTS, max_size=3),
     placed=PAIRS,
     **HEAD,
     **MARKS,
 )
-WANTED = st.builds(SumWanted, whole=st.booleans())
+WANTED = st.builds(FullSumRequest, fleet_wide=st.booleans())
 WORK = st.tuples(COUNTS, COUNTS)
 INTS = st.builds(LoadShare, COUNTS, COUNTS, COUNTS)
 
@@ -74,15 +79,17 @@
 def changes_of(keys, values):
     places = st.dictionaries(st.integers(0, 300), values, max_size=4)
     new = st.lists(keys, max_size=2).map(tuple)
-    return st.builds(Changes, after=COUNTS, start=COUNTS, new=new, values=places)
+    return st.builds(
+        TableDelta, since=COUNTS, first_index=COUNTS, new_keys=new, values=places
+    )
 
 
 SUM_CHANGES = st.builds(
-    SumChanges,
-    whole=st.booleans(),
+    SumDelta,
+    fleet_wide=st.booleans(),
     base=COUNTS,
     loads=changes_of(NAMES, INTS),
-    counted=changes_of(NAMES, COUNTS),
+    included=changes_of(NAMES, COUNTS),
     work=st.none() | changes_of(st.tuples(NAMES, NAMES), WORK),
     hosts=COUNTS,
     placed=st.lists(st.tuples(NAMES, COUNTS), max_size=3).map(tuple),
@@ -157,7 +164,7 @@
     for ip, port in [*own, *getattr(found, "peers", ())]:
         assert inet_pton(AF_INET, ip) and 0 < port < 65536
     loads = getattr(found, "loads", {})
-    if isinstance(found, SumChanges):
+    if isinstance(found, SumDelta):
         loads = {f"{place}": load for place, load in found.loads.values.items()}
     if isinstance(found, SumReport):
         loads = found.totals.loads
--- a/tests/test_started_again.py
+++ b/tests/test_started_again.py
@@ -1,4 +1,4 @@
-"""An endpoint that starts again under its id: what is late from its earlier start."""
+"""An endpoint that restarts under its id: late messages about its earlier start."""
 
 from dataclasses import replace
 
@@ -11,8 +11,12 @@
     ListedEndpoint,
 )
 from greengageflow.core.forward_request import Prompt, PromptPart
-from greengageflow.core.place_desk import PlaceDesk
-from greengageflow.core.place_messages import Happened, PlaceAsk, PlaceNote
+from greengageflow.core.place_messages import (
+    PlacementEvent,
+    PlacementEventKind,
+    PlacementRequest,
+)
+from greengageflow.core.remote_placements import RemotePlacements
 from greengageflow.core.routes import Routing, Service
 from greengageflow.core.send_budget import SendBudget
 from greengageflow.core.service_book import ServiceBook
@@ -27,7 +31,7 @@
 
 
 class Fleet:
-    """One host and two engines, of which the first one starts again."""
+    """One host and two engines, of which the first one restarts."""
 
     def __init__(self):
         self.listed = EndpointList()
@@ -54,8 +58,8 @@
     return Fleet()
 
 
-def test_the_later_start_keeps_no_parts_of_the_earlier_one(fleet):
-    """Counted as kept, they would be read at once by an engine that is never first."""
+def test_restart_clears_the_prefix_cache_of_an_endpoint(fleet):
+    """A restarted engine has an empty prefix cache and has to prefill again."""
     choice = fleet.choice(0.0)
     fleet.book.sent(0.0, "r0.0", choice, PROMPT)
     fleet.book.first_event(0.5, "r0.0", choice.endpoint)
@@ -66,10 +70,10 @@
 
 
 @pytest.mark.parametrize("happened", ["silent", "failed"])
-def test_late_failures_of_the_earlier_start_do_not_make_the_later_one_rest(
+def test_late_failures_of_an_earlier_process_do_not_make_the_restarted_one_rest(
     fleet, happened
 ):
-    """Its connections break when it crashes, some after it is listed again."""
+    """Connections to a crashed engine may break only after it is listed again."""
     fleet.put(NEW)
     for _ in range(9):
         if happened == "silent":
@@ -79,13 +83,13 @@
     assert fleet.book.resting(1.0, "m") == ()
     assert fleet.book.failures(NEW) == 0
     fleet.book.sent(1.5, "r", Choice(OTHER), None)
-    assert fleet.choice(2.0, None).endpoint == NEW, "not behind the other one"
+    assert fleet.choice(2.0, None).endpoint == NEW, "not ranked behind the other one"
     fleet.book.silent(3.0, NEW)
     fleet.book.silent(3.0, NEW)
     assert fleet.book.resting(3.0, "m") == ("e",), "its own failures count"
 
 
-def test_what_the_earlier_start_says_that_it_keeps_is_not_the_later_ones(fleet):
+def test_cache_report_of_an_earlier_process_does_not_apply_to_the_restarted_one(fleet):
     fleet.put(NEW)
     fleet.book.keeps(1.0, OLD, PROMPT.parts[:1])
     assert fleet.choice(2.0).reading >= 4000
@@ -93,7 +97,9 @@
     assert fleet.choice(3.0).reading < 4000
 
 
-def test_the_earlier_starts_sign_of_leaving_is_not_the_later_ones(fleet):
+def test_leaving_notice_of_an_earlier_process_does_not_apply_to_the_restarted_one(
+    fleet,
+):
     fleet.put(NEW)
     assert not fleet.listed.note_left(OLD.id, OLD.born)
     assert fleet.listed.may_use("e")
@@ -104,27 +110,27 @@
 
 
 @pytest.mark.parametrize("born", [0, 5])
-def test_sign_of_leaving_outlasts_an_entry_that_lapses_and_comes_back(born):
-    """Entries of live endpoints lapse while the store is away."""
+def test_leaving_notice_survives_an_entry_that_expires_and_returns(born):
+    """Entries of live endpoints expire while the store is unreachable."""
     listed = EndpointList()
     entry = replace(OLD, born=born)
     list(listed.put(entry))
     assert listed.note_left(entry.id, entry.born)
     list(listed.drop(entry.id))
-    assert not listed.note_left(entry.id, entry.born), "no news"
+    assert not listed.note_left(entry.id, entry.born), "already recorded"
     list(listed.put(entry))
     assert not listed.usable(entry.service)
     assert not listed.may_use(entry.id)
 
 
-def test_sign_of_leaving_holds_for_an_entry_that_comes_later():
+def test_leaving_notice_applies_to_an_entry_listed_later():
     listed = EndpointList()
     assert listed.note_left(OLD.id, OLD.born)
     list(listed.put(OLD))
     assert not listed.may_use(OLD.id)
 
 
-def test_signs_of_leaving_are_bounded():
+def test_leaving_notices_are_bounded():
     listed = EndpointList()
     for number in range(MOST_LEFT + 9):
         listed.note_left(f"e{number}", 0)
@@ -132,12 +138,12 @@
     assert not listed.note_left(f"e{MOST_LEFT}", 0)
 
 
-def test_another_hosts_word_of_the_earlier_start_is_not_the_later_ones(fleet):
-    """A host tells its placer of requests that it sent before the engine crashed."""
-    desk = PlaceDesk("placer", fleet.book)
+def test_remote_failures_of_an_earlier_process_do_not_apply_to_the_restarted_one(fleet):
+    """A host reports failures of requests that it sent before the engine crashed."""
+    placements = RemotePlacements("placer", fleet.book)
     list(fleet.listed.drop("f"))
     for number in range(4):
-        ask = PlaceAsk(
+        ask = PlacementRequest(
             host="h",
             boot=1,
             request=f"q{number}",
@@ -145,8 +151,8 @@
             account="a",
             priority=0,
             waited_s=0.0,
-            left_s=1.0,
-            patience_s=1.0,
+            slack_s=1.0,
+            timeout_s=1.0,
             target_s=1.0,
             parts=(),
             tokens_in=10,
@@ -154,12 +160,12 @@
             avoid=(),
             zone="z",
         )
-        for decision in list(desk.ask(0.0, ask)):
-            desk.decided(0.0, decision)
+        for decision in list(placements.on_request(0.0, ask)):
+            placements.on_decision(0.0, decision)
     fleet.put(NEW)
     for number in range(4):
-        note = PlaceNote(
-            host="h", boot=1, request=f"q{number}", happened=Happened.SILENT
+        note = PlacementEvent(
+            host="h", boot=1, request=f"q{number}", kind=PlacementEventKind.SILENT
         )
-        list(desk.note(1.0, note))
+        list(placements.on_event(1.0, note))
     assert fleet.book.resting(1.0, "m") == ()
