--- a/greengageflow/core/_schema1.py
+++ b/greengageflow/core/_schema1.py
@@ -1,9 +1,9 @@
-"""Schema 1 of a configuration: three flat lists.
+"""Configuration schema 1: flat lists of accounts, pools and endpoints.
 
-It cannot say an account's queue limit, a pool's cost hint and deadline, a repeatable
-exception below a protected prefix, whether an endpoint checks fencing numbers or
-resumes streams, and the policy. Those values are kept from the present configuration
-for accounts, pools and endpoints of the same name.
+Schema 1 has no fields for an account's queue limit, a pool's cost hint and deadline,
+a repeatable route below a protected prefix, an endpoint's fencing checks and stream
+resumption, and the policy. Accounts, pools and endpoints of the same name keep these
+values from the current configuration, and so does the policy.
 """
 
 from collections.abc import Iterator
@@ -100,7 +100,7 @@
 
 
 def merge(present: FleetConfig, form: _Form) -> FleetConfig:
-    """Return ``present`` with all that schema 1 can say replaced by ``form``."""
+    """Return ``present`` with every value that schema 1 covers taken from ``form``."""
     return replace(
         present,
         accounts=by_name(_account(present, item) for item in form.accounts),
@@ -136,7 +136,7 @@
 
 
 def dump(config: FleetConfig) -> dict[str, Any]:
-    """Return what schema 1 can say of ``config``."""
+    """Return the part of ``config`` that schema 1 covers, in its JSON form."""
     return {
         "accounts": [
             {
--- a/greengageflow/core/_schema2.py
+++ b/greengageflow/core/_schema2.py
@@ -1,9 +1,11 @@
-"""Schema 2 of a configuration: endpoints stand in their pools, shares are objects.
+"""Configuration schema 2: endpoints are nested in their pools, shares are objects.
 
-Against schema 1: ``weight`` moved into ``share`` and must be given, ``host`` and
-``port`` became ``address`` with ``ip``, ``protected`` became ``routes`` (a route is
-protected unless it is said to be repeatable), and the default of ``slots`` rose from
-4 to 8.
+Changes from schema 1:
+
+- ``weight`` moved into ``share`` and is required.
+- ``host`` and ``port`` became ``address`` with ``ip`` and ``port``.
+- ``protected`` became ``routes``; a route is protected unless it is repeatable.
+- The default of ``slots`` rose from 4 to 8.
 """
 
 from collections.abc import Iterator
@@ -179,7 +181,7 @@
 
 
 def merge(present: FleetConfig, form: _Form) -> FleetConfig:
-    """Return the configuration in ``form``; schema 2 can say everything."""
+    """Return the configuration in ``form``, which covers all values of the catalog."""
     return FleetConfig(
         present.revision,
         present.offset,
@@ -220,7 +222,7 @@
 
 
 def dump(config: FleetConfig) -> dict[str, Any]:
-    """Return ``config`` in the form of schema 2."""
+    """Return the JSON form of ``config`` in schema 2."""
     return {
         "accounts": [_dump_account(account) for account in config.accounts.values()],
         "pools": [_dump_pool(config, pool) for pool in config.pools.values()],
--- a/greengageflow/core/_schema_common.py
+++ b/greengageflow/core/_schema_common.py
@@ -1,4 +1,4 @@
-"""Checks that several configuration schemas share."""
+"""Defaults and checks shared by the configuration schemas."""
 
 from collections.abc import Iterable, Iterator, Mapping
 from types import MappingProxyType
@@ -8,8 +8,9 @@
 from greengageflow.core.check import Check, Fault, WrongValue
 from greengageflow.core.value_checks import matching
 
-# Part of schemas 1 and 2, which never change: not taken from the defaults of the
-# catalog, or two releases would fold the same log into different configurations.
+# These defaults belong to schemas 1 and 2, which never change. They are kept apart
+# from the catalog's defaults: otherwise a release that changes those would fold the
+# same log into a different configuration.
 DEFAULT_QUEUE_LIMIT = 64
 DEFAULT_COST_HINT = 200.0
 DEFAULT_DEADLINE_S = 60.0
@@ -23,19 +24,22 @@
 
 
 def by_name(items: Iterable[Any]) -> Mapping[str, Any]:
-    """Return the items by name, in the order of their names."""
+    """Return a read-only mapping of the items by name, sorted by name."""
     found = {item.name: item for item in items}
     return MappingProxyType(dict(sorted(found.items())))
 
 
 def routes(protected: Iterable[str], repeatable: Iterable[str]) -> tuple[Route, ...]:
-    """Return routes in the order of their prefixes; ``protected`` goes first."""
+    """Return routes sorted by prefix.
+
+    A prefix that is in both ``protected`` and ``repeatable`` is protected.
+    """
     found = dict.fromkeys(repeatable, True) | dict.fromkeys(protected, False)
     return tuple(Route(prefix, found[prefix]) for prefix in sorted(found))
 
 
 def key_hash() -> Check:
-    """Check for the hash of a bearer key."""
+    """Check for the SHA-256 hash of a bearer key."""
     return matching("[0-9a-f]{64}", "a SHA-256 hash of 64 digits from 0-9a-f")
 
 
@@ -47,7 +51,7 @@
 def unknown_pools(
     pools: Iterable[Any], endpoints: Iterable[Any], path: str
 ) -> Iterator[Fault]:
-    """Yield a fault for each endpoint whose pool is not there."""
+    """Yield a fault for each endpoint whose pool is not in ``pools``."""
     names = {pool.name for pool in pools}
     for endpoint in endpoints:
         if endpoint.pool not in names:
@@ -59,7 +63,7 @@
 
 
 def unsuitable_pools(pools: Iterable[Any], path: str) -> Iterator[Fault]:
-    """Yield a fault for each service whose name cannot stand in a URL's path."""
+    """Yield a fault for each service whose name is not a single URL path segment."""
     for pool in pools:
         if pool.kind is PoolKind.SERVICE and "/" in pool.name:
             yield WrongValue(
@@ -70,7 +74,7 @@
 
 
 def shared_keys(accounts: Iterable[ClientAccount], path: str) -> Iterator[Fault]:
-    """Yield a fault for each key that would let a caller into two accounts."""
+    """Yield a fault for each key hash that belongs to more than one account."""
     owners: dict[str, str] = {}
     for account in accounts:
         for digest in account.key_hashes:
--- a/greengageflow/core/catalog.py
+++ b/greengageflow/core/catalog.py
@@ -1,7 +1,7 @@
-"""What operators configure: client accounts, pools and their endpoints.
+"""Configuration of the fleet: client accounts, pools and their endpoints.
 
-These are the data classes that every configuration schema is folded into; see
-``schema`` for the wire forms.
+Records of every configuration schema are folded into these classes; see ``schema``
+for the JSON formats.
 """
 
 from collections.abc import Iterator, Mapping
@@ -11,7 +11,7 @@
 
 
 class PoolKind(StrEnum):
-    """What the endpoints of a pool speak."""
+    """Protocol of the endpoints of a pool."""
 
     MODEL = "model"
     SERVICE = "service"
@@ -19,13 +19,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientAccount:
-    """One client account and its share.
+    """One client account and its share of the capacity.
 
     Args:
         name: Unique name.
-        weight: Relative share of capacity, above zero.
-        key_hashes: SHA-256 of each bearer key, in hexadecimal.
-        queue_limit: Most requests that wait at one router.
+        weight: Relative share of the capacity; above zero.
+        key_hashes: SHA-256 hash of each bearer key, in hexadecimal.
+        queue_limit: Maximum number of requests that wait at one router.
     """
 
     name: str
@@ -36,11 +36,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """How calls below a path prefix of a service behave.
+    """Retry rule for calls below a path prefix of a service.
 
     Args:
         prefix: Path prefix below ``/services/{service}/``.
-        repeatable: False when a call must run at most once.
+        repeatable: False if a call must run at most once, so it is never retried.
     """
 
     prefix: str
@@ -52,12 +52,12 @@
     """Endpoints that serve the same model or service.
 
     Args:
-        name: Name of the model or service that callers ask for.
-        kind: What the endpoints speak.
-        routes: For services, the longest matching prefix decides.
-        cost_hint: Expected cost of a request in tokens, when nothing better
-            is known.
-        deadline_s: Longest time a request may wait and run, in seconds.
+        name: Name of the model or service, as used by callers.
+        kind: Protocol of the endpoints.
+        routes: Routes of a service; the longest matching prefix applies.
+        cost_hint: Expected cost of a request in tokens, used when there is no
+            better estimate.
+        deadline_s: Maximum time for a request to wait and run, in seconds.
     """
 
     name: str
@@ -74,14 +74,14 @@
     Args:
         name: Unique name.
         pool: Name of the pool it belongs to.
-        host: IP number.
+        host: IP address.
         port: TCP port.
         zone: Availability zone.
-        slots: Most requests that may run at once.
-        generation: Raised when the replica is replaced under the same name.
-        leaving: True when it must get no new work.
-        checks_fencing: True when it refuses orders with an old fencing number.
-        resumes: True when a cut stream can be resumed from an offset.
+        slots: Maximum number of requests that run at the same time.
+        generation: Increased when the replica is replaced under the same name.
+        leaving: True while it is drained and gets no new requests.
+        checks_fencing: True if it rejects orders with an outdated fencing number.
+        resumes: True if an interrupted stream can be resumed from an offset.
     """
 
     name: str
@@ -98,15 +98,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Policy:
-    """Knobs of the fleet that operators may turn.
+    """Fleet-wide settings that operators can change at run time.
 
     Args:
-        owners_asked: Most owners that one account's demand at one router is
-            registered with at once.
-        share_interval_s: Seconds between service reports.
-        action_expiry_s: Seconds for which an idempotency key is remembered.
-        retry_ratio: Retries allowed per first attempt.
-        body_limit: Largest request body, in bytes.
+        owners_asked: Maximum number of owners at which one router registers the
+            demand of one account at the same time.
+        share_interval_s: Interval between service reports, in seconds.
+        action_expiry_s: Time for which an idempotency key is kept, in seconds.
+        retry_ratio: Retry budget, in retries per first attempt.
+        body_limit: Maximum size of a request body, in bytes.
     """
 
     owners_asked: int = 8
@@ -125,12 +125,12 @@
     """One accepted configuration.
 
     Args:
-        revision: Number of accepted records before and including this one.
-        offset: Log offset of the record that made it.
+        revision: Number of records accepted up to and including this one.
+        offset: Log offset of the record that set it.
         accounts: Client accounts by name.
         pools: Pools by name.
         endpoints: Endpoints by name.
-        policy: Fleet-wide knobs.
+        policy: Fleet-wide settings.
     """
 
     revision: int = 0
@@ -141,7 +141,7 @@
     policy: Policy = Policy()
 
     def pool_endpoints(self, pool: str) -> Iterator[Endpoint]:
-        """Yield the endpoints of one pool, leaving ones included."""
+        """Yield the endpoints of one pool, including those that are drained."""
         for endpoint in self.endpoints.values():
             if endpoint.pool == pool:
                 yield endpoint
--- a/greengageflow/core/check.py
+++ b/greengageflow/core/check.py
@@ -1,8 +1,8 @@
-"""A small checker of JSON values that names every fault at once.
+"""Validation of JSON values that reports all errors at once.
 
-A check is a generator function: it takes a value and its path, yields a ``Fault``
-for everything wrong, and returns the checked value, or ``INVALID``. Checks nest, so
-that ``record`` and ``sequence`` collect the faults of their parts.
+A check is a generator function. It takes a value and its path, yields a ``Fault`` for
+each error, and returns the checked value, or ``INVALID`` after an error. Checks nest:
+``record`` and ``sequence`` yield the faults of the values they contain.
 """
 
 import json
@@ -11,17 +11,17 @@
 from typing import Any
 
 INVALID: Any = object()
-"""What a check returns after it has yielded a fault."""
+"""Returned by a check that has yielded a fault."""
 
 _SHOWN_LENGTH = 60
 
 
 class Fault(ValueError):
-    """One thing wrong in a JSON document.
+    """One error in a JSON document.
 
     Args:
-        path: Where, like ``seeds[0].port``.
-        expected: What should have stood there.
+        path: Path of the value, such as ``seeds[0].port``.
+        expected: Description of a valid value.
     """
 
     def __init__(self, path: str, expected: str) -> None:
@@ -34,21 +34,21 @@
 
 
 class MissingField(Fault):
-    """A field that must be given is not there."""
+    """A required field is missing."""
 
     def _text(self) -> str:
         return f"missing, expected {self.expected}"
 
 
 class UnknownField(Fault):
-    """A field that is not known; ``expected`` lists the known ones."""
+    """A field has an unknown name; ``expected`` lists the valid names."""
 
     def _text(self) -> str:
         return f"unknown field, expected one of: {self.expected}"
 
 
 class WrongValue(Fault):
-    """A field has a value of another type or outside its range."""
+    """A value has the wrong type or is out of range."""
 
     def __init__(self, path: str, expected: str, found: Any) -> None:
         self.found = found
@@ -67,10 +67,10 @@
     """One field of a record.
 
     Args:
-        check: Check of its value.
-        expected: What stands there, for the message when it is missing.
-        required: True when it must be given; else ``default`` takes its place.
-        default: Value when it is not given.
+        check: Check for its value.
+        expected: Description of a valid value, for the error when it is missing.
+        required: Whether the field must be present.
+        default: Value of an optional field that is not present.
     """
 
     check: Check
@@ -80,12 +80,12 @@
 
 
 def required(check: Check) -> Field:
-    """Return a field that must be given."""
+    """Return a required field."""
     return Field(check, _describe(check))
 
 
 def optional(check: Check, default: Any = None) -> Field:
-    """Return a field that has a default."""
+    """Return an optional field with a default."""
     return Field(check, _describe(check), False, default)
 
 
@@ -103,12 +103,12 @@
 
 
 def simple(expected: str, good: Callable[[Any], bool], make: Any = None) -> Check:
-    """Return a check of a value without parts.
+    """Return a check for a scalar value.
 
     Args:
-        expected: What stands there.
-        good: Tells whether a value is right.
-        make: Turns a right value into what the check returns.
+        expected: Description of a valid value.
+        good: Returns whether a value is valid.
+        make: Converts a valid value into the result of the check.
     """
 
     def quick(value: Any) -> Any:
@@ -123,17 +123,18 @@
         return result
 
     check.expected = expected
-    # A generator for each field of a right record would take half of its time.
+    # Running a generator for each field would take half the time of checking a valid
+    # record.
     check.quick = quick
     return check
 
 
 def sequence(item: Check, *, unique: str = "") -> Check:
-    """Check for a list; returns a tuple.
+    """Return a check for a list, whose result is a tuple.
 
     Args:
-        item: Check of each item.
-        unique: Attribute of the checked items that may not occur twice.
+        item: Check for each item.
+        unique: Attribute that must differ between the checked items.
     """
 
     def check(value: Any, path: str) -> Checked:
@@ -158,10 +159,10 @@
 
 
 def record(make: Callable[..., Any], **fields: Field) -> Check:
-    """Check for an object with these fields and no others.
+    """Return a check for an object with these fields and no others.
 
     Args:
-        make: Called with the checked fields when all of them are right.
+        make: Called with the checked fields if all of them are valid.
         **fields: The fields by name.
     """
     quick = {key: getattr(field.check, "quick", None) for key, field in fields.items()}
@@ -189,7 +190,10 @@
 
 
 def _given(field: Field, value: dict[str, Any], key: str, quick: Any) -> Any:
-    """Return the value of a field that is right at first sight."""
+    """Return the value of a field without a generator, or ``INVALID``.
+
+    ``INVALID`` means that ``_checked`` must look for faults.
+    """
     if key not in value:
         return INVALID if field.required else field.default
     if value[key] is None and field.default is None and not field.required:
@@ -205,7 +209,10 @@
 
 
 def refine(check: Check, more: Callable[[Any, str], Iterable[Fault]]) -> Check:
-    """Check also what concerns several fields, once each of them is right."""
+    """Return ``check`` extended by a check across fields.
+
+    ``more`` is called only with a value that ``check`` found valid.
+    """
 
     def refined(value: Any, path: str) -> Checked:
         result = yield from check(value, path)
@@ -223,7 +230,7 @@
     """Return the checked value.
 
     Raises:
-        ExceptionGroup: Holds one ``Fault`` for everything wrong.
+        ExceptionGroup: Holds one ``Fault`` for each error.
     """
     faults = []
     steps = check(value, "")
--- a/greengageflow/core/config_roles.py
+++ b/greengageflow/core/config_roles.py
@@ -1,4 +1,4 @@
-"""Which routers poll the configuration stream, and which one appends snapshots."""
+"""Election of the routers that poll the configuration log and write its snapshots."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
@@ -10,22 +10,22 @@
 
 
 class MemberView(Protocol):
-    """The part of the membership view that roles follow from."""
+    """The part of the membership view that role election needs."""
 
     own: PeerId
     live: Mapping[str, Any]
 
     def ranked(self, key: str) -> Iterable[str]:
-        """Return the hosts of the roster, best first."""
+        """Return the hosts of the roster by rendezvous rank for ``key``, best first."""
 
 
 @dataclass(frozen=True, slots=True)
 class Roles:
-    """What one router does for the others.
+    """Roles of one router for the configuration log.
 
     Args:
-        reader: It polls the log without pause.
-        writer: It appends snapshots.
+        reader: Polls the log continuously.
+        writer: Appends snapshots to the log.
     """
 
     reader: bool = True
@@ -33,11 +33,12 @@
 
 
 def config_roles(view: MemberView) -> Roles:
-    """Return the roles of this router, by rendezvous among the live members.
+    """Return the roles of this router, by rendezvous hashing over the live members.
 
-    Were all routers to poll the log, hundreds of long polls would stand at a service
-    that others share. Where views differ there are a few readers or writers more or
-    less, and the fallback poll and the fold bear that.
+    Only some routers poll, because hundreds of long polls would load a log service
+    that others share. While membership views differ there may be a few readers or
+    writers too many or too few. This is harmless: the other routers still poll at a
+    longer interval, and the fold ignores redundant snapshots.
     """
     own = view.own.host
     writer = _first(view, "config writer", 1, None) == [own]
--- a/greengageflow/core/decisions.py
+++ b/greengageflow/core/decisions.py
@@ -1,4 +1,4 @@
-"""What became of a configuration record."""
+"""Decisions on configuration records."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -21,14 +21,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """The record is in force; so say all routers."""
+    """The record took effect. Every router decides this alike."""
 
     revision: int
 
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """The record changes nothing; so say all routers."""
+    """The record changes nothing. Every router decides this alike."""
 
     reason: Reason
     text: str
@@ -36,14 +36,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Adopted:
-    """The state was taken from a snapshot, since earlier records are lost."""
+    """The state came from a snapshot because earlier records were lost."""
 
     revision: int
 
 
 @dataclass(frozen=True, slots=True)
 class Skipped:
-    """This router passed over a record, which changed nothing here."""
+    """This router ignored the record. Other routers may decide differently."""
 
     reason: Reason
     text: str
@@ -54,13 +54,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Decision:
-    """What became of one record.
+    """Decision on one record, kept for operators.
 
     Args:
         offset: Log offset of the record.
-        author: Who published it, as far as it says.
-        nonce: Unique text by which its publisher knows it again, or empty.
-        outcome: What became of it.
+        author: Publisher as named in the record, or empty.
+        nonce: Unique text by which the publisher recognizes its record, or empty.
+        outcome: What was decided.
     """
 
     offset: int
--- a/greengageflow/core/fold.py
+++ b/greengageflow/core/fold.py
@@ -1,8 +1,9 @@
-"""The deterministic fold of the configuration stream.
+"""Deterministic fold of the configuration log into the configuration in force.
 
-Routers that fold the same prefix of the log hold the same state, without talking
-to each other. So nothing local enters: no clock, no host, no software version. What
-this software cannot read stops the fold instead of being guessed.
+Routers that have folded the same prefix of the log hold the same state without any
+coordination. The result therefore depends on nothing local: not on the clock, the
+host or the software version. A record that this release cannot interpret halts the
+fold; its meaning is never guessed.
 """
 
 from collections import deque
@@ -40,11 +41,11 @@
 
 @dataclass(frozen=True, slots=True)
 class State:
-    """All that a prefix of the log folds into.
+    """Result of folding a prefix of the log.
 
     Args:
         config: Configuration in force.
-        highest: Highest schema that may be published.
+        highest: Highest schema version that may be published.
         offset: Offset of the last record folded; -1 before the first.
     """
 
@@ -62,8 +63,9 @@
     """Folds records into the configuration in force.
 
     Args:
-        understood: Schemas that this software reads; fewer in tests only.
-        history_length: Decisions kept for operators.
+        understood: Schema versions that this release supports. Only tests pass
+            fewer than all.
+        history_length: Number of latest decisions kept for operators.
     """
 
     def __init__(
@@ -81,7 +83,7 @@
 
     @property
     def state(self) -> State:
-        """All that the log was folded into."""
+        """State after the last record folded."""
         return self._state
 
     @property
@@ -96,40 +98,43 @@
 
     @property
     def complete(self) -> bool:
-        """False while lost records keep this router from judging new ones."""
+        """Whether all earlier records are folded, so that new ones can be decided.
+
+        False after records were trimmed from the log before they were read here.
+        """
         return self._lost_before <= self.offset + 1
 
     @property
     def next_offset(self) -> int:
-        """Offset from which to read on."""
+        """Offset of the next record to read."""
         return self.offset + 1 if self.complete else self._scanned + 1
 
     @property
     def history(self) -> tuple[Decision, ...]:
-        """The last decisions, oldest first."""
+        """The latest decisions, oldest first."""
         return tuple(self._history)
 
     def skip_to(self, first_offset: int) -> None:
-        """Note that records before ``first_offset`` can no longer be read."""
+        """Record that the log was trimmed and now begins at ``first_offset``."""
         if first_offset > self.next_offset:
             self._lost_before = first_offset
             self._scanned = first_offset - 1
 
     def apply(self, offset: int, value: Any) -> Outcome:
-        """Judge the record at ``offset``, which must be ``next_offset``.
+        """Decide on the record at ``offset`` and fold it if it is accepted.
 
         Args:
-            offset: Log offset of the record; one before ``next_offset`` is a
-                copy and changes nothing.
+            offset: Log offset of the record. Below ``next_offset`` it is a
+                duplicate, which changes nothing.
             value: The record's JSON value.
 
         Raises:
-            ValueError: ``offset`` is past ``next_offset``.
+            ValueError: ``offset`` is above ``next_offset``.
         """
         if offset > self.next_offset:
-            raise ValueError(f"record {offset} follows {self.next_offset - 1}")
+            raise ValueError(f"expected record {self.next_offset}, got record {offset}")
         if offset < self.next_offset:
-            return Skipped(Reason.REPEATED, "folded before")
+            return Skipped(Reason.REPEATED, "already folded")
         outcome = self._judge(offset, value)
         if self.halted:
             return outcome
@@ -144,13 +149,13 @@
         return outcome
 
     def restore(self, value: Any) -> bool:
-        """Take over a peer's newer state; return whether it was newer.
+        """Adopt a peer's snapshot if it is newer; return whether it was adopted.
 
         Args:
-            value: JSON value as ``snapshot`` gives it.
+            value: JSON value as returned by ``snapshot``.
 
         Raises:
-            ExceptionGroup: The value is broken.
+            ExceptionGroup: The value is not a valid snapshot.
         """
         head = parse_head(value)
         if head.schema not in self.understood or head.kind is not RecordKind.SNAPSHOT:
@@ -158,7 +163,7 @@
         return self._adopt(parse_record(value, head))
 
     def snapshot(self, author: str) -> dict[str, Any]:
-        """Return the state as a record for the log or for a peer."""
+        """Return the state as a snapshot record for the log or for a peer."""
         record = SnapshotRecord(
             revision=self._state.revision,
             through_offset=self.offset,
@@ -172,7 +177,7 @@
 
     @property
     def _snapshot_schema(self) -> int:
-        """Highest allowed schema that is known here; it can say all there is."""
+        """Highest allowed schema that is supported here; it expresses all state."""
         return max(n for n in self.understood if n <= self._state.highest)
 
     def _judge(self, offset: int, value: Any) -> Outcome:
@@ -203,8 +208,8 @@
         return Rejected(reason, text) if self.complete else Skipped(reason, text)
 
     def _halt(self, offset: int, head: Head) -> Outcome:
-        # Guessing what an allowed but unknown schema means would leave this
-        # router with a configuration of its own; it keeps the present one.
+        # Guessing what an allowed but unsupported schema means would make this
+        # router's configuration diverge, so it keeps the current one.
         self.halted = (
             f"record {offset} has schema {head.schema}, which this release does not"
             " understand"
@@ -248,14 +253,14 @@
         if self.complete:
             return self._compare(record)
         if record.through_offset + 1 < self._lost_before:
-            text = f"reaches {record.through_offset}, lost before {self._lost_before}"
+            text = f"ends at {record.through_offset}, lost before {self._lost_before}"
             return Skipped(Reason.SNAPSHOT_STALE, text)
         if record.through_offset < offset and self._adopt(record):
             return Adopted(self._state.revision)
-        return Skipped(Reason.SNAPSHOT_WRONG, "contradicts what is known here")
+        return Skipped(Reason.SNAPSHOT_WRONG, "does not extend the state folded here")
 
     def _compare(self, record: SnapshotRecord) -> Outcome:
-        """Tell whether a snapshot agrees; the folded state stands anyway."""
+        """Compare a snapshot with the folded state, which is kept in any case."""
         if record.revision < self._state.revision:
             return Skipped(Reason.SNAPSHOT_STALE, f"revision {record.revision}")
         known = replace(self._state, offset=record.through_offset)
--- a/greengageflow/core/json_text.py
+++ b/greengageflow/core/json_text.py
@@ -1,4 +1,4 @@
-"""JSON texts that people write, read with faults that they can act on."""
+"""Parsing of hand-written JSON, with errors that tell the author what to fix."""
 
 import json
 from typing import Any
@@ -10,8 +10,8 @@
     """Return the value of a JSON text.
 
     Raises:
-        ExceptionGroup: Holds one ``Fault`` that says where the text is broken or
-            which name occurs twice in one object.
+        ExceptionGroup: Holds one ``Fault`` with the position of a syntax error or
+            the name that occurs twice in an object.
     """
     try:
         return json.loads(text, object_pairs_hook=_without_duplicates)
--- a/greengageflow/core/schema.py
+++ b/greengageflow/core/schema.py
@@ -1,11 +1,12 @@
-"""Wire forms of configuration records, by schema version.
+"""JSON formats of configuration records, by schema version.
 
-Every record is a JSON object with ``schema`` and, unless it holds a configuration,
-``kind``; these two mean the same in every schema, present and future. The rest is
-the schema's own. Once released, the checks of a schema never change: routers of
-different versions must judge a record alike. A tighter check is a new schema.
+Every record is a JSON object with a ``schema`` field and, unless it holds a
+configuration, a ``kind`` field. These two mean the same in all schema versions,
+including future ones; each version defines the rest. The checks of a released
+version never change, because routers of different releases must reach the same
+decision on a record. A stricter check needs a new schema version.
 
-``docs/design/configuration.md`` describes the forms.
+``docs/design/configuration.md`` describes the formats.
 """
 
 from collections.abc import Callable, Mapping
@@ -20,14 +21,14 @@
 from greengageflow.core.value_checks import choice, integer, string
 
 BASE_SCHEMA = 1
-"""Schema that is allowed from the first record on."""
+"""Schema version that is allowed from the first record on."""
 
 HIGHEST_NUMBER = 2**53
-"""Largest whole number that every JSON library keeps exactly."""
+"""Largest integer that every JSON library represents exactly."""
 
 
 class RecordKind(StrEnum):
-    """What a record does."""
+    """Kind of a record in the configuration log."""
 
     CONFIG = "config"
     ALLOW_SCHEMA = "allow_schema"
@@ -39,11 +40,11 @@
     """One schema version.
 
     Args:
-        number: The version.
-        check: Check of a configuration; returns what ``merge`` takes.
-        merge: Makes the catalog from the present one and the checked form.
-        dump: Returns the JSON form of a catalog; the revision and the offset
-            are not in it.
+        number: The version number.
+        check: Check for a configuration; returns the form that ``merge`` takes.
+        merge: Builds the new configuration from the current one and a checked form.
+        dump: Returns the JSON form of a configuration, without its revision and
+            offset.
     """
 
     number: int
@@ -62,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Head:
-    """The part of a record that means the same in every schema."""
+    """Fields of a record that all schema versions share."""
 
     schema: int
     kind: RecordKind
@@ -70,14 +71,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigRecord:
-    """A whole configuration.
+    """A complete new configuration.
 
     Args:
-        schema: Schema of ``form``.
-        replaces: Revision that it takes the place of.
-        form: The configuration as checked by its schema.
-        author: Who published it.
-        nonce: Unique text by which its publisher knows it again, or empty.
+        schema: Schema version of ``form``.
+        replaces: Revision that this record replaces.
+        form: The configuration as returned by the check of its schema.
+        author: Publisher.
+        nonce: Unique text by which the publisher recognizes its record, or empty.
     """
 
     schema: int
@@ -89,13 +90,13 @@
 
 @dataclass(frozen=True, slots=True)
 class AllowSchemaRecord:
-    """Raises the highest schema that may be published.
+    """Raises the highest schema version that may be published.
 
     Args:
-        replaces: Revision that it takes the place of.
-        highest: The highest schema from now on.
-        author: Who published it.
-        nonce: Unique text by which its publisher knows it again, or empty.
+        replaces: Revision that this record replaces.
+        highest: The highest allowed schema version from now on.
+        author: Publisher.
+        nonce: Unique text by which the publisher recognizes its record, or empty.
     """
 
     replaces: int
@@ -106,16 +107,16 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotRecord:
-    """The whole state after one offset, for routers that come later.
+    """The complete state after one offset, for routers that start later.
 
     Args:
         revision: Revision of the state.
         through_offset: Offset of the last record folded into it, -1 for none.
-        config_offset: Offset of the record that made the configuration, or -1.
-        highest: Highest schema that may be published.
-        schema: Schema of ``form``.
-        form: The configuration as checked by its schema.
-        author: Host of the router that wrote it.
+        config_offset: Offset of the record that set the configuration, or -1.
+        highest: Highest schema version that may be published.
+        schema: Schema version of ``form``.
+        form: The configuration as returned by the check of its schema.
+        author: Host of the router that wrote the snapshot.
     """
 
     revision: int
@@ -146,10 +147,10 @@
 
 
 def parse_head(value: Any) -> Head:
-    """Return what is the same in every schema.
+    """Return the fields of a record that all schema versions share.
 
     Raises:
-        ExceptionGroup: Holds one ``Fault`` for everything wrong.
+        ExceptionGroup: Holds one ``Fault`` for each error.
     """
     fields = {"schema": required(_whole(1))}
     fields["kind"] = optional(choice(RecordKind), RecordKind.CONFIG.value)
@@ -160,21 +161,21 @@
 
 
 def parse_record(value: Any, head: Head) -> Record:
-    """Return the record, checked by its schema.
+    """Return a record after checking it against its schema.
 
     Raises:
-        KeyError: The schema is not one of ``SCHEMAS``.
-        ExceptionGroup: Holds one ``Fault`` for everything wrong.
+        KeyError: The schema version is not in ``SCHEMAS``.
+        ExceptionGroup: Holds one ``Fault`` for each error.
     """
     return run(_record_check(SCHEMAS[head.schema], head.kind), value, _TITLE)
 
 
 def parse_config(value: Any, schema: int) -> Any:
-    """Return a configuration as checked by its schema, without a record round it.
+    """Return the checked form of a configuration that is not part of a record.
 
     Raises:
-        KeyError: The schema is not one of ``SCHEMAS``.
-        ExceptionGroup: Holds one ``Fault`` for everything wrong.
+        KeyError: The schema version is not in ``SCHEMAS``.
+        ExceptionGroup: Holds one ``Fault`` for each error.
     """
     return run(SCHEMAS[schema].check, value, "configuration")
 
@@ -219,7 +220,7 @@
 
 
 def snapshot_document(snapshot: SnapshotRecord, config: FleetConfig) -> dict[str, Any]:
-    """Return the JSON form of a snapshot of ``config``; ``form`` is not used."""
+    """Return the JSON form of a snapshot of ``config``; its ``form`` is ignored."""
     return {
         "schema": snapshot.schema,
         "kind": RecordKind.SNAPSHOT.value,
--- a/greengageflow/core/value_checks.py
+++ b/greengageflow/core/value_checks.py
@@ -1,4 +1,4 @@
-"""Checks of JSON values without parts; see ``check``."""
+"""Checks for scalar JSON values; see ``check``."""
 
 import re
 from collections.abc import Iterable
@@ -7,14 +7,15 @@
 
 from greengageflow.core.check import Check, simple
 
-# Python releases differ on leading zeros; routers of all of them must agree.
+# Python releases differ in whether ``ip_address`` accepts leading zeros, and routers
+# on different releases must reach the same decision.
 _OCTET = r"(25[0-5]|2[0-4][0-9]|1[0-9][0-9]|[1-9]?[0-9])"
 _IPV4 = re.compile(rf"{_OCTET}(\.{_OCTET}){{3}}")
 _NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._:/-]{0,127}")
 
 
 def integer(low: int, high: int) -> Check:
-    """Check for a whole number from ``low`` to ``high``."""
+    """Check for an integer from ``low`` to ``high``."""
     return simple(
         f"a whole number from {low} to {high}",
         lambda value: type(value) is int and low <= value <= high,
@@ -22,7 +23,7 @@
 
 
 def number(low: float, high: float) -> Check:
-    """Check for a number from ``low`` to ``high``; NaN is outside any range."""
+    """Check for a number from ``low`` to ``high``; NaN is out of every range."""
     return simple(
         f"a number from {low:g} to {high:g}",
         lambda value: type(value) in (int, float) and low <= value <= high,
@@ -36,7 +37,7 @@
 
 
 def string(limit: int = 256) -> Check:
-    """Check for a text of 1 to ``limit`` characters."""
+    """Check for a string of 1 to ``limit`` characters."""
     return simple(
         f"a text of 1 to {limit} characters",
         lambda value: type(value) is str and 1 <= len(value) <= limit,
@@ -44,7 +45,7 @@
 
 
 def matching(pattern: str, expected: str) -> Check:
-    """Check for a text that matches ``pattern`` wholly."""
+    """Check for a string that fully matches ``pattern``."""
     compiled = re.compile(pattern)
     return simple(
         expected,
@@ -53,7 +54,7 @@
 
 
 def name() -> Check:
-    """Check for a name."""
+    """Check for the name of an account, pool, endpoint or zone."""
     return simple(
         "a name of 1 to 128 letters, digits and ._:/- that starts with a letter or"
         " digit",
@@ -84,5 +85,5 @@
 
 
 def ip_number() -> Check:
-    """Check for an IP number; names of hosts are not resolved."""
+    """Check for an IP address; host names are not resolved."""
     return simple("an IP number (not a host name)", _is_ip)
