--- a/greengageflow/core/hello_cache.py
+++ b/greengageflow/core/hello_cache.py
@@ -1,4 +1,4 @@
-"""Hellos that come again and again as the same bytes."""
+"""Cache of decoded hellos, which arrive repeatedly as the same bytes."""
 
 from greengageflow.core.router_table import Hello
 
@@ -6,24 +6,24 @@
 
 
 class HelloCache:
-    """Hellos by the datagram that they came in, so that it is decoded once.
+    """Maps datagrams to decoded hellos, so that each distinct one is decoded once.
 
-    In a fleet of hundreds they are most of what a router receives.
+    In a fleet of hundreds of routers, hellos are most of the received datagrams.
     """
 
     def __init__(self) -> None:
         self._known: dict[bytes, Hello] = {}
 
     def __len__(self) -> int:
-        """Return how many are remembered."""
+        """Return the number of cached hellos."""
         return len(self._known)
 
     def get(self, data: bytes) -> Hello | None:
-        """Return the hello in a datagram that came before, or None."""
+        """Return the cached hello of a datagram, or None."""
         return self._known.get(data)
 
     def put(self, data: bytes, hello: Hello) -> None:
-        """Remember the hello in a datagram."""
+        """Cache the hello of a datagram; a full cache is cleared first."""
         if len(self._known) >= KEPT:
             self._known.clear()
         self._known[data] = hello
--- a/greengageflow/core/hello_ring.py
+++ b/greengageflow/core/hello_ring.py
@@ -1,4 +1,4 @@
-"""Whom to tell next that this router lives."""
+"""Rotation of the routers that get the next heartbeat from this one."""
 
 from collections import deque
 from collections.abc import Iterable
@@ -9,13 +9,13 @@
 
 
 class HelloRing:
-    """Goes round all known addresses, so that each one's turn comes.
+    """Round-robin rotation over all addresses.
 
-    Drawn by lot each time, some would go unheard for so long that others take them
-    for dead.
+    With a random choice in each round, some routers would get no heartbeat from this
+    one for so long that they declare it dead.
 
     Args:
-        random: Draws where in the ring a new address comes.
+        random: Chooses the position of a new address in the ring.
     """
 
     def __init__(self, random: Random) -> None:
@@ -24,19 +24,20 @@
         self._known: set[Address] = set()
 
     def next(self, addresses: Iterable[Address], count: int) -> list[Address]:
-        """Return the ``count`` addresses whose turn it is.
+        """Return the next ``count`` addresses and advance the rotation.
 
         Args:
-            addresses: All that are known now.
-            count: How many to tell.
+            addresses: All current addresses; new ones join the ring, others leave it.
+            count: Number of addresses to return.
         """
         now = set(addresses)
         gone = self._known - now
         if gone:
             self._ring = deque(one for one in self._ring if one not in gone)
-        # Sorted, since the order of a set would differ from run to run.
+        # Sorted, because the iteration order of a set differs between runs.
         for address in sorted(now - self._known):
-            # Anywhere, lest all routers tell a new one in the same round.
+            # At a random position, so that not all routers contact a new one in the
+            # same round.
             self._ring.insert(self._random.randint(0, len(self._ring)), address)
         self._known = now
         found = list(islice(self._ring, count))
--- a/greengageflow/core/keyed_record.py
+++ b/greengageflow/core/keyed_record.py
@@ -1,16 +1,16 @@
-"""A record of a keyed topic of the platform's store."""
+"""Record of a keyed topic in the platform's store."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class KeyedRecord:
-    """The value of a key, as one record of a keyed topic.
+    """New value of a key, as one record of a keyed topic.
 
     Args:
         key: The key.
-        value: Its value, or None when the key was dropped.
-        offset: Its place in the log.
+        value: Its value, or None for a tombstone, which deletes the key.
+        offset: Offset of the record in the log.
     """
 
     key: str
--- a/greengageflow/core/outage_hold.py
+++ b/greengageflow/core/outage_hold.py
@@ -1,19 +1,22 @@
-"""How long a removal from the list may be no more than a lapsed entry."""
+"""Delay of endpoint removals after an outage of the platform's store."""
 
 HELD_S = 2.2
-"""Seconds after the store's return; live endpoints are listed again within two."""
+"""Time for which removals are held after the store is back, in seconds.
+
+Live endpoints register again within two seconds.
+"""
 
 OUTAGE_S = 1.0
-"""Seconds for which the store must be away before entries are held."""
+"""Minimum length of a store outage after which removals are held, in seconds."""
 
 
 class OutageHold:
-    """Holds removals for a while after the platform's store has returned.
+    """Decides for how long removals are held after the platform's store is back.
 
-    Entries lapse while the store is away. Taken at once, their removal would leave the
-    fleet without endpoints until they are listed again. The time counts from the
-    store's return, as far as anybody saw it, and not from this host's next read of the
-    list: that may come much later, because of a removal that is none of the outage.
+    The entries of live endpoints expire during an outage. Applying these removals
+    immediately would leave the fleet without endpoints until they register again. The
+    time counts from when any host first saw the store back, not from this host's next
+    read of the list: that may come much later, for a removal unrelated to the outage.
     """
 
     def __init__(self) -> None:
@@ -22,24 +25,24 @@
 
     @property
     def waits(self) -> bool:
-        """Whether the store's return has not been seen yet."""
+        """Whether the store failed and no host is known to have reached it since."""
         return self._lost_at is not None
 
     def on_restore(self, now: float) -> None:
-        """Note that the store came back without what was written last.
+        """Record that the store was restored without its latest writes.
 
-        Entries that it lacks may be those of endpoints that were listed a moment ago.
+        The missing entries may belong to endpoints that registered shortly before.
         """
         self._until = now + HELD_S
         self._lost_at = None
 
     def lost(self, now: float) -> None:
-        """Note that the store did not answer this host."""
+        """Record that the store did not answer this host."""
         if self._lost_at is None:
             self._lost_at = now
 
     def answered(self, now: float, at: float) -> None:
-        """Note that the store answered this host or another one at time ``at``."""
+        """Record that the store answered this host or another one at time ``at``."""
         if self._lost_at is None or at <= self._lost_at:
             return
         if now - self._lost_at > OUTAGE_S:
@@ -47,5 +50,5 @@
         self._lost_at = None
 
     def left_s(self, now: float) -> float:
-        """Return the seconds for which a removal that is read now is held."""
+        """Return how long a removal that is read now is held, in seconds."""
         return max(0.0, self._until - now)
--- a/greengageflow/core/quarantine.py
+++ b/greengageflow/core/quarantine.py
@@ -1,10 +1,10 @@
-"""Requests that crash the endpoints that run them, and are held back for it.
+"""Quarantine of poison requests, which crash the endpoints that run them.
 
-A poison request comes again under a new id, at any host; without this each repeat takes
-one more endpoint down, with all that runs there. Requests are told apart by a
-fingerprint of what the endpoint gets. At a crash many sound requests are in flight as
-well, so that a single one proves nothing: a request is quarantined after several
-endpoints have crashed under it with no good answer in between.
+Callers retry a poison request under a new id and at any host. Each retry that runs
+takes down another endpoint with all its other requests. Requests are identified by a
+fingerprint of what the endpoint receives. Many harmless requests are in flight at a
+crash as well, so a single crash proves nothing: a request is quarantined after several
+endpoints have crashed while running it, with no successful answer in between.
 """
 
 from collections import OrderedDict
@@ -15,24 +15,24 @@
 CRASHES = 2
 HOLD_S = 600.0
 GOOD_S = 10.0
-"""Seconds for which a good answer clears a request of crashes that follow.
+"""Time for which a successful answer clears a request of later crashes, in seconds.
 
-Callers of one account may send the same short request all the time: some are in flight
-at most crashes.
+A caller may send the same short request continuously, so that copies of it are in
+flight at most crashes.
 """
 UNDECIDED_S = 1.0
-"""Seconds within which it is known whether an endpoint that cut requests crashed."""
+"""Time until it is known whether an endpoint that cut requests crashed, in seconds."""
 MOST_GOOD = 4096
 MOST_RECORDS = 1024
 MOST_ENDPOINTS = 8
-"""Crashes that a record keeps; more prove nothing further."""
+"""Maximum number of crashes in a record; more would not change the decision."""
 FINGERPRINT_BYTES = 12
 
 Fingerprint = bytes
 
 
 def fingerprint_of(*parts: bytes) -> Fingerprint:
-    """Return what tells a request from others, whatever its id."""
+    """Return the hash that identifies a request regardless of its id."""
     digest = blake2b(digest_size=FINGERPRINT_BYTES)
     for part in parts:
         digest.update(len(part).to_bytes(8, "big"))
@@ -41,19 +41,20 @@
 
 
 def short_digest(fingerprint: Fingerprint) -> str:
-    """Return a fingerprint as log lines show it."""
+    """Return the abbreviated fingerprint used in log lines."""
     return fingerprint[:4].hex()
 
 
 @dataclass(frozen=True, slots=True)
 class CrashRecord:
-    """What hosts send each other about one request.
+    """Crashes attributed to one request, as exchanged between hosts.
 
     Args:
-        fingerprint: The request.
-        crashed: Starts of endpoints that crashed while it ran there.
-        cleared: Those of them that a good answer has cleared it of.
-        age_s: Seconds since the last crash of which it is not cleared.
+        fingerprint: Fingerprint of the request.
+        crashed: Starts (process incarnations) of endpoints that crashed while
+            running it.
+        cleared: Those of ``crashed`` that a later successful answer ruled out.
+        age_s: Time since the last crash that is not ruled out, in seconds.
     """
 
     fingerprint: Fingerprint
@@ -64,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CrashReport:
-    """A message between hosts."""
+    """Message with crash records for other hosts."""
 
     records: tuple[CrashRecord, ...]
 
@@ -78,11 +79,11 @@
 
     @property
     def against(self) -> int:
-        """Crashes that speak against the request."""
+        """Number of crashes that were not ruled out by a successful answer."""
         return len(self.crashed.keys() - self.cleared)
 
     def to_record(self, now: float, fingerprint: Fingerprint) -> CrashRecord:
-        """Return what is sent to other hosts."""
+        """Return the record in the form sent to other hosts."""
         return CrashRecord(
             fingerprint,
             tuple(self.crashed),
@@ -91,7 +92,7 @@
         )
 
     def take(self, at: float, crashed: Iterable[str], cleared: Iterable[str]) -> bool:
-        """Add crashes; True when one was not known."""
+        """Merge crashes; return whether any crash or clearance was new."""
         before = len(self.crashed), len(self.cleared)
         for endpoint in crashed:
             if endpoint not in self.crashed and len(self.crashed) < MOST_ENDPOINTS:
@@ -102,11 +103,11 @@
 
 
 class Quarantine:
-    """Which requests are held back, by what this host and others saw.
+    """Decides which requests are quarantined from the crashes that all hosts saw.
 
     Args:
-        crashes: Endpoints that must have crashed under a request.
-        hold_s: Seconds from the last crash for which it is held back.
+        crashes: Number of endpoint crashes after which a request is quarantined.
+        hold_s: Duration of the quarantine from the last crash, in seconds.
     """
 
     def __init__(self, *, crashes: int = CRASHES, hold_s: float = HOLD_S) -> None:
@@ -117,15 +118,16 @@
         self._good: OrderedDict[Fingerprint, float] = OrderedDict()
 
     def __bool__(self) -> bool:
-        """Return whether anything is known of any request."""
+        """Return whether there is any crash record or suspect."""
         return bool(self._records or self._suspects)
 
     def left_s(self, now: float, fingerprint: Fingerprint) -> float:
-        """Return for how long a request is held back, in seconds; 0 for not at all.
+        """Return how long a request stays quarantined, in seconds; 0 if it is not.
 
-        Beside a crash that is known a cut counts as one until it is known what became
-        of the endpoint: the request would run again meanwhile. Cuts alone do not, as
-        connections are reset for many reasons.
+        After a confirmed crash, a cut connection counts as another crash until it is
+        known whether that endpoint crashed; otherwise the request would run again in
+        the meantime. Cut connections alone do not count, as connections are reset for
+        many reasons.
         """
         record = self._records.get(fingerprint)
         against = record.against if record else 0
@@ -137,7 +139,7 @@
         return UNDECIDED_S if against >= self._crashes else 0.0
 
     def held(self, now: float) -> list[Fingerprint]:
-        """Return the requests that are held back."""
+        """Return the fingerprints of the quarantined requests."""
         return [one for one in self._records if self._is_held(now, one)]
 
     def _is_held(self, now: float, fingerprint: Fingerprint) -> bool:
@@ -146,27 +148,27 @@
             return False
         return now - record.at < self._hold_s
 
-    # Observations of this host.
+    # Observations on this host.
 
     def suspect(self, now: float, endpoint: str, fingerprint: Fingerprint) -> None:
-        """Note a request that was cut while it ran at a start of an endpoint."""
+        """Record that a request was cut off while it ran at a start of an endpoint."""
         good_at = self._good.get(fingerprint)
         if good_at is None or now - good_at > GOOD_S:
             self._suspects.setdefault(endpoint, set()).add(fingerprint)
 
     def alive(self, endpoint: str) -> None:
-        """Note that an endpoint that cut requests did not crash."""
+        """Record that an endpoint that cut off requests did not crash."""
         self._suspects.pop(endpoint, None)
 
     def crashed(self, now: float, endpoint: str) -> frozenset[Fingerprint]:
-        """Note that an endpoint that cut requests crashed; return these requests."""
+        """Record that an endpoint crashed; return the requests that it cut off."""
         found = frozenset(self._suspects.pop(endpoint, ()))
         for fingerprint in found:
             self._take(now, fingerprint, now, (endpoint,), ())
         return found
 
     def answered(self, now: float, fingerprint: Fingerprint) -> bool:
-        """Note a good answer to a request; True when it clears it of crashes."""
+        """Record a successful answer; return whether it ruled out earlier crashes."""
         self._good[fingerprint] = now
         self._good.move_to_end(fingerprint)
         if len(self._good) > MOST_GOOD:
@@ -178,12 +180,12 @@
         record.changed_at = now
         return True
 
-    # Reports of other hosts.
+    # Exchange with other hosts.
 
     def receive(
         self, now: float, records: Iterable[CrashRecord]
     ) -> tuple[Fingerprint, ...]:
-        """Merge records of another host; return the newly quarantined requests."""
+        """Merge another host's records; return the newly quarantined requests."""
         return tuple(one.fingerprint for one in records if self._merge(now, one))
 
     def _merge(self, now: float, one: CrashRecord) -> bool:
@@ -195,13 +197,13 @@
         return not was_held and self._is_held(now, one.fingerprint)
 
     def records(self, now: float, changed_s: float, most: int) -> Iterator[CrashRecord]:
-        """Yield the records for other hosts, the newest first.
+        """Yield the records to send to other hosts, most recently changed first.
 
         Args:
-            now: The time.
-            changed_s: Requests that are not held back count if what is known of them
-                changed in that many seconds.
-            most: Most records.
+            now: Current time.
+            changed_s: Records of requests that are not quarantined are included only
+                if they changed within this time, in seconds.
+            most: Maximum number of records.
         """
         self._drop_old(now)
         rows = [
@@ -214,7 +216,7 @@
             yield record.to_record(now, fingerprint)
 
     def record(self, now: float, fingerprint: Fingerprint) -> CrashRecord | None:
-        """Return what is known of a request that is held back, else None."""
+        """Return the record of a quarantined request, or None."""
         if not self._is_held(now, fingerprint):
             return None
         return self._records[fingerprint].to_record(now, fingerprint)
--- a/greengageflow/core/router_table.py
+++ b/greengageflow/core/router_table.py
@@ -1,4 +1,4 @@
-"""The routers that this one knows of, and the relays among them."""
+"""Membership table of routers by their heartbeats, and the relays of each zone."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -11,16 +11,16 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Hello:
-    """A router says that it lives.
+    """Heartbeat of a router.
 
     Args:
         host: Host name.
-        boot: Start of the process; later ones are greater.
-        ip: IP number for reports.
+        boot: Incarnation of the process; increases with each start.
+        ip: IP address for reports.
         port: UDP port for reports.
         zone: Availability zone.
-        stopping: It takes no more requests.
-        peers: Addresses of some routers that it knows.
+        stopping: True if the router accepts no more requests.
+        peers: Addresses of some other routers that it knows.
     """
 
     host: str
@@ -33,19 +33,19 @@
 
     @property
     def address(self) -> Address:
-        """IP number and UDP port."""
+        """IP address and UDP port."""
         return self.ip, self.port
 
 
 @dataclass(frozen=True, slots=True)
 class _Living:
-    """The routers that live, until a row changes or goes quiet.
+    """Cached view of the live routers, valid until a row changes or times out.
 
     Args:
-        until: Time at which the first of them goes quiet.
-        quiet_s: Seconds of silence after which one does.
-        rows: Them, this router with them, by name.
-        relays: The relays of each zone, the first one first.
+        until: Time at which the first router times out.
+        quiet_s: Heartbeat timeout, in seconds.
+        rows: Live routers by host name, including this one, in order of the names.
+        relays: Relays of each zone, in order of precedence.
     """
 
     until: float
@@ -55,10 +55,10 @@
 
 
 class RouterTable:
-    """Who was heard, and when.
+    """Table of the other routers and the time of their last message.
 
     Args:
-        own: This router.
+        own: Hello of this router.
     """
 
     def __init__(self, own: Hello) -> None:
@@ -67,7 +67,7 @@
         self._living: _Living | None = None
 
     def put(self, now: float, hello: Hello) -> bool:
-        """Note that a router was heard; True when this process of it was not before."""
+        """Record a hello; return whether it is the first of this router's process."""
         known = self._rows.get(hello.host)
         if hello.host == self._own.host:
             return False
@@ -76,7 +76,7 @@
         return known is None or hello.boot > known[0].boot
 
     def touch(self, now: float, host: str, boot: int) -> None:
-        """Note that a router that is known was heard, by another message of it."""
+        """Refresh a router that is in the table, after another message from it."""
         known = self._rows.get(host)
         if known is not None and known[0].boot == boot:
             self._note(now, known[0])
@@ -91,9 +91,9 @@
                 self._living = None
 
     def drop_silent(self, now: float, rows: Iterable[Hello], silent_s: float) -> None:
-        """Forget routers none of which was heard for a while.
+        """Remove ``rows`` if all of them have been silent for ``silent_s`` seconds.
 
-        Whoever lives all the same is known again by its next hello.
+        A router that is alive after all is added again by its next hello.
         """
         known = [row.host for row in rows if row.host in self._rows]
         if all(now - self._rows[host][1] > silent_s for host in known):
@@ -102,26 +102,26 @@
                 self._living = None
 
     def addresses(self, host: str) -> list[Address]:
-        """Return the address of a router, if it was heard."""
+        """Return the address of a router as a list, which is empty if it is unknown."""
         known = self._rows.get(host)
         return [] if known is None else [known[0].address]
 
     def live(self, now: float, quiet_s: float) -> list[Hello]:
-        """Return the other routers that were heard in the last ``quiet_s`` seconds."""
+        """Return the other routers that were heard from in the last ``quiet_s`` s."""
         rows = self._alive(now, quiet_s).rows
         return [row for row in rows.values() if row is not self._own]
 
     def count(self, now: float, quiet_s: float) -> int:
-        """Return how many other routers were heard in the last ``quiet_s`` seconds."""
+        """Return the number of live routers other than this one."""
         return len(self._alive(now, quiet_s).rows) - 1
 
     def members(self, now: float, quiet_s: float) -> list[Hello]:
-        """Return the live routers of this one's zone, itself with them, by name."""
+        """Return the live routers of the own zone with this one, sorted by host."""
         rows = self._alive(now, quiet_s).rows.values()
         return [row for row in rows if row.zone == self._own.zone]
 
     def relays(self, now: float, quiet_s: float) -> dict[str, list[Hello]]:
-        """Return the relays of each zone, the first one first."""
+        """Return the relays of each zone, in order of precedence."""
         return self._alive(now, quiet_s).relays
 
     def _alive(self, now: float, quiet_s: float) -> _Living:
--- a/greengageflow/core/store_duty.py
+++ b/greengageflow/core/store_duty.py
@@ -1,46 +1,48 @@
-"""Which hosts read the platform's store, and when the others do."""
+"""Roles of hosts that read the platform's store, and the timing of their reads."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
 from enum import Enum, auto
 
 READING_ZONES = 2
-"""Zones whose first router reads; with one alone, its loss would be felt by all."""
+"""Number of zones whose first relay reads; a single reader would be a single point
+of failure."""
 
 STALE_PACES = 1.67
-"""Times the pace after which what is known of the store counts as stale."""
+"""Age in paces after which the cached state of the store counts as stale."""
 
 STANDBY_PACES = 1.2
-"""The same for routers that read in place of a lost one before all others do."""
+"""The same for standby routers, which replace a lost reader before all others read."""
 
 MEMBER_RETRY_S = 3.0
-"""Least seconds between two reads of a router that leaves reading to others."""
+"""Minimum interval between two reads of a router that is no reader, in seconds."""
 
 NEWS_S = 0.25
-"""Seconds that a host waits for a peer to pass on a change that it heard of."""
+"""Time that a host waits for a peer to forward a change it knows of, in seconds."""
 
 LONGEST_PACE_S = 0.9
 SHORTEST_PACE_S = 0.2
 
 
 class StoreRole(Enum):
-    """What a router does about the store."""
+    """Role of a router in reading the store."""
 
     READER = auto()
-    """It reads all the time."""
+    """Reads continuously."""
 
     STANDBY = auto()
-    """It reads as soon as it seems that no reader does."""
+    """Reads as soon as the readers seem to have failed."""
 
     MEMBER = auto()
-    """It reads when nobody else seems to."""
+    """Reads only if no other router seems to."""
 
 
 def pace_s(*bounds_s: float) -> float:
-    """Return the seconds between two reads of the store, by the operators' bounds.
+    """Return the interval between two reads of the store, in seconds.
 
-    A change is known at the latest when the word of a reader that was lost has become
-    stale and the host has read for itself; that must leave time within each bound.
+    The worst case is a reader that fails: a host learns of a change only after the
+    reader's last report has become stale and the host has read the store itself. This
+    must fit within each of the operators' bounds.
 
     Args:
         bounds_s: Times within which changes must be known, in seconds.
@@ -50,14 +52,15 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreWord:
-    """What another router knows of the store, or the best of several.
+    """Store state reported by another router, or merged from several reports.
 
     Args:
-        at: Time at which that was told.
-        version: Configuration in force there.
-        list_mark: Offset of the last change of the list of endpoints.
-        heard_s: Seconds, then, since the configuration was known to be the newest.
-        list_heard_s: The same of the list.
+        at: Time of the report.
+        version: Version of the configuration in force there.
+        list_mark: Mark of the last change of the endpoint list there.
+        heard_s: Time since the configuration was confirmed to be the newest, as of
+            the report, in seconds.
+        list_heard_s: The same for the endpoint list.
     """
 
     at: float
@@ -68,7 +71,7 @@
 
 
 class CatchUp:
-    """Says when a host that is behind its peers reads for itself."""
+    """Decides when a host that is behind its peers reads the store itself."""
 
     def __init__(self) -> None:
         self._behind_at: float | None = None
@@ -77,9 +80,10 @@
         """Return whether to read now.
 
         Args:
-            now: The time.
-            is_behind: A peer knows of a change that is not known here.
-            alone: Nobody passes on anything to this host that it can take over.
+            now: Current time.
+            is_behind: Whether a peer knows of a change that this host lacks.
+            alone: Whether this host can't use updates from peers, so that there is
+                no point in waiting for one.
         """
         if not is_behind:
             self._behind_at = None
@@ -91,12 +95,13 @@
 
 @dataclass(frozen=True, slots=True)
 class PeersKnow:
-    """What the other routers know of one part of the store.
+    """Summary of the peers' reports on one part of the store.
 
     Args:
-        mark: The newest mark that one of them knows.
-        heard_s: Seconds since the one that heard last knew it to be the newest, of
-            those whose mark is not newer than ours.
+        mark: The newest mark that any peer has.
+        heard_s: Time since the latest confirmation by a peer that its state is the
+            newest, in seconds. Only peers whose mark is not newer than the own one
+            count.
     """
 
     mark: int
@@ -104,12 +109,12 @@
 
 
 def peers_know_config(now: float, own: int, words: Iterable[StoreWord]) -> PeersKnow:
-    """Return what peers know of the configuration, whose version here is ``own``."""
+    """Summarize the peers' configurations; ``own`` is the version on this host."""
     return _know(now, own, ((w.at, w.version, w.heard_s) for w in words))
 
 
 def peers_know_list(now: float, own: int, words: Iterable[StoreWord]) -> PeersKnow:
-    """Return what peers know of the list, which was read here up to ``own``."""
+    """Summarize the peers' endpoint lists; ``own`` is the mark on this host."""
     return _know(now, own, ((w.at, w.list_mark, w.list_heard_s) for w in words))
 
 
@@ -124,7 +129,7 @@
 
 
 def best_word(now: float, words: Iterable[StoreWord]) -> StoreWord:
-    """Return one word for several: the newest marks, and who heard them last."""
+    """Merge reports into one with the newest marks and their latest confirmations."""
     known = list(words)
     version = max((w.version for w in known), default=0)
     mark = max((w.list_mark for w in known), default=0)
--- a/greengageflow/core/store_marks.py
+++ b/greengageflow/core/store_marks.py
@@ -1,8 +1,9 @@
-"""Places in the platform's store that stay in order when it comes back older.
+"""Positions in the platform's store that stay ordered when it is restored.
 
-After a restore the store gives out offsets again, with other records. Its era, which
-rises with each restore, comes first in a mark, so that marks of two eras are never
-taken for each other, wherever they are kept, compared or passed on.
+A store restored from a backup assigns the same offsets again to other records. A mark
+combines the offset with the store's era, which increases with each restore and is the
+more significant part. So positions of two eras never compare as equal, wherever they
+are stored, compared or sent.
 """
 
 MOST_ERA = 2**20
--- a/greengageflow/core/store_updates.py
+++ b/greengageflow/core/store_updates.py
@@ -1,8 +1,8 @@
-"""What a router that reads the platform's store passes on to its zone.
+"""Incremental updates that a reader of the platform's store sends to its zone.
 
-Each router could read for itself once it hears of a change, but those calls grow with
-routers times changes, and the store limits and charges calls. So the reader sends the
-records themselves; only a router that missed some of them reads.
+If each router read the store after every change, the calls would grow with routers
+times changes, and the store limits and bills calls. The reader therefore sends the
+changed records themselves; only a router that missed some of them reads the store.
 """
 
 from collections import deque
@@ -13,17 +13,20 @@
 from greengageflow.core.keyed_record import KeyedRecord
 
 REPEAT_S = 1.0
-"""Seconds for which a record is retransmitted with later ones, as messages get lost."""
+"""Time for which a record is retransmitted with later ones, in seconds.
+
+Messages can get lost.
+"""
 
 REPEAT_BYTES = 8_000
-"""Bytes of records retransmitted at most; a router that lacks others reads them."""
+"""Maximum size of retransmitted records; a router that lacks others reads the store."""
 
 RECORD_BYTES = 64
-"""Bytes that a record takes up in a message beside its key and value."""
+"""Overhead of a record in a message beyond its key and value, in bytes."""
 
 
 class StoreTopic(IntEnum):
-    """What the records are about."""
+    """Topic of the records in an update."""
 
     CONFIG = 1
     ENDPOINTS = 2
@@ -31,13 +34,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StoreUpdate:
-    """All records of a topic that changed something between two offsets.
+    """All effective records of a topic in a range of offsets.
 
     Args:
-        topic: What they are about.
-        since: A router that has read up to here, or further, misses nothing.
-        end: What it has read up to with this message.
-        records: In the order of the log.
+        topic: Topic of the records.
+        since: Start of the range. The update is complete for a router that has read
+            up to this offset or further.
+        end: Offset up to which a router has read after applying the update.
+        records: The records in log order.
     """
 
     topic: StoreTopic
@@ -54,11 +58,12 @@
 
 
 class UpdatePublisher:
-    """Makes messages of the records that one router read.
+    """Builds update messages from the records that a reader has read.
 
     Args:
-        topic: What the records are about.
-        most: Bytes of records in one message, where it holds several.
+        topic: Topic of the records.
+        most: Maximum size of the records in a message, in bytes. A single larger
+            record still gets a message of its own.
     """
 
     def __init__(self, topic: StoreTopic, most: int) -> None:
@@ -68,25 +73,25 @@
         self._sent: deque[_SentRecord] = deque()
 
     def begin(self, end: int) -> None:
-        """Note that all is known up to ``end``, without the records before it."""
+        """Start at ``end``, without the records before it."""
         self._sent.clear()
         self._mark = end
 
     def publish(
         self, now: float, records: Iterable[KeyedRecord], end: int
     ) -> Iterator[StoreUpdate]:
-        """Yield messages with records that were just read, and those sent lately.
+        """Yield messages with new records and those due for retransmission.
 
         Args:
-            now: The time.
-            records: Those that changed something.
-            end: The offset up to which all is known now.
+            now: Current time.
+            records: New records that changed something, in log order.
+            end: Offset up to which the topic has been read.
         """
         self._drop_old(now)
         mark = self._mark
         for record in records:
-            # From the last change on: what was read since then changed nothing, and
-            # routers that read less of it miss nothing.
+            # The range starts at the last change. Records since then changed nothing,
+            # so a router that has not read all of them still misses nothing.
             self._sent.append(_SentRecord(now, self._mark, record))
             self._mark = record.offset + 1
         if self._mark != mark:
