--- a/greengageflow/core/announcer.py
+++ b/greengageflow/core/announcer.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 from itertools import islice
 
-ANSWERED_IN_S = 0.2
+HELLO_ANSWER_TIMEOUT_S = 0.2
 """Time within which a hello counts as the answer to one sent to that address."""
 
 Address = tuple[str, int]
@@ -33,7 +33,7 @@
         The process may have started after the last hello to its address was sent.
         """
         sent_at = self._sent_at.get(address)
-        if sent_at is None or now - sent_at > ANSWERED_IN_S:
+        if sent_at is None or now - sent_at > HELLO_ANSWER_TIMEOUT_S:
             self._due[address] = None
 
     def forget(self, address: Address) -> None:
--- a/greengageflow/core/hello_cache.py
+++ b/greengageflow/core/hello_cache.py
@@ -2,7 +2,7 @@
 
 from greengageflow.core.router_table import Hello
 
-KEPT = 2_000
+MAX_HELLOS = 2_000
 
 
 class HelloCache:
@@ -24,6 +24,6 @@
 
     def put(self, data: bytes, hello: Hello) -> None:
         """Cache the hello of a datagram; a full cache is cleared first."""
-        if len(self._known) >= KEPT:
+        if len(self._known) >= MAX_HELLOS:
             self._known.clear()
         self._known[data] = hello
--- a/greengageflow/core/outage_hold.py
+++ b/greengageflow/core/outage_hold.py
@@ -1,12 +1,12 @@
 """Delay of endpoint removals after an outage of the platform's store."""
 
-HELD_S = 2.2
+REMOVAL_HOLD_S = 2.2
 """Time for which removals are held after the store is back, in seconds.
 
 Live endpoints register again within two seconds.
 """
 
-OUTAGE_S = 1.0
+MIN_OUTAGE_S = 1.0
 """Minimum length of a store outage after which removals are held, in seconds."""
 
 
@@ -33,7 +33,7 @@
 
         The missing entries may belong to endpoints that registered shortly before.
         """
-        self._until = now + HELD_S
+        self._until = now + REMOVAL_HOLD_S
         self._lost_at = None
 
     def lost(self, now: float) -> None:
@@ -45,8 +45,8 @@
         """Record that the store answered this host or another one at time ``at``."""
         if self._lost_at is None or at <= self._lost_at:
             return
-        if now - self._lost_at > OUTAGE_S:
-            self._until = now + HELD_S
+        if now - self._lost_at > MIN_OUTAGE_S:
+            self._until = now + REMOVAL_HOLD_S
         self._lost_at = None
 
     def left_s(self, now: float) -> float:
--- a/greengageflow/core/quarantine.py
+++ b/greengageflow/core/quarantine.py
@@ -12,19 +12,19 @@
 from dataclasses import dataclass, field
 from hashlib import blake2b
 
-CRASHES = 2
-HOLD_S = 600.0
-GOOD_S = 10.0
+QUARANTINE_CRASHES = 2
+QUARANTINE_S = 600.0
+CLEARANCE_S = 10.0
 """Time for which a successful answer clears a request of later crashes, in seconds.
 
 A caller may send the same short request continuously, so that copies of it are in
 flight at most crashes.
 """
-UNDECIDED_S = 1.0
+CRASH_CHECK_TIMEOUT_S = 1.0
 """Time until it is known whether an endpoint that cut requests crashed, in seconds."""
-MOST_GOOD = 4096
-MOST_RECORDS = 1024
-MOST_ENDPOINTS = 8
+MAX_ANSWERED_REQUESTS = 4096
+MAX_RECORDS = 1024
+MAX_CRASHES_PER_RECORD = 8
 """Maximum number of crashes in a record; more would not change the decision."""
 FINGERPRINT_BYTES = 12
 
@@ -95,7 +95,10 @@
         """Merge crashes; return whether any crash or clearance was new."""
         before = len(self.crashed), len(self.cleared)
         for endpoint in crashed:
-            if endpoint not in self.crashed and len(self.crashed) < MOST_ENDPOINTS:
+            if (
+                endpoint not in self.crashed
+                and len(self.crashed) < MAX_CRASHES_PER_RECORD
+            ):
                 self.crashed[endpoint] = None
                 self.at = max(self.at, at)
         self.cleared.update(one for one in cleared if one in self.crashed)
@@ -110,7 +113,9 @@
         hold_s: Duration of the quarantine from the last crash, in seconds.
     """
 
-    def __init__(self, *, crashes: int = CRASHES, hold_s: float = HOLD_S) -> None:
+    def __init__(
+        self, *, crashes: int = QUARANTINE_CRASHES, hold_s: float = QUARANTINE_S
+    ) -> None:
         self._crashes = crashes
         self._hold_s = hold_s
         self._records: dict[Fingerprint, _Record] = {}
@@ -136,7 +141,7 @@
         if not against:
             return 0.0
         against += sum(fingerprint in found for found in self._suspects.values())
-        return UNDECIDED_S if against >= self._crashes else 0.0
+        return CRASH_CHECK_TIMEOUT_S if against >= self._crashes else 0.0
 
     def held(self, now: float) -> list[Fingerprint]:
         """Return the fingerprints of the quarantined requests."""
@@ -153,7 +158,7 @@
     def suspect(self, now: float, endpoint: str, fingerprint: Fingerprint) -> None:
         """Record that a request was cut off while it ran at a start of an endpoint."""
         good_at = self._good.get(fingerprint)
-        if good_at is None or now - good_at > GOOD_S:
+        if good_at is None or now - good_at > CLEARANCE_S:
             self._suspects.setdefault(endpoint, set()).add(fingerprint)
 
     def alive(self, endpoint: str) -> None:
@@ -171,7 +176,7 @@
         """Record a successful answer; return whether it ruled out earlier crashes."""
         self._good[fingerprint] = now
         self._good.move_to_end(fingerprint)
-        if len(self._good) > MOST_GOOD:
+        if len(self._good) > MAX_ANSWERED_REQUESTS:
             self._good.popitem(last=False)
         record = self._records.get(fingerprint)
         if record is None or not record.against:
@@ -240,7 +245,7 @@
         for fingerprint, record in list(self._records.items()):
             if now - record.at >= self._hold_s:
                 del self._records[fingerprint]
-        while len(self._records) >= MOST_RECORDS:
+        while len(self._records) >= MAX_RECORDS:
             least = min(
                 self._records,
                 key=lambda one: (self._is_held(now, one), self._records[one].at),
--- a/greengageflow/core/relay_sums.py
+++ b/greengageflow/core/relay_sums.py
@@ -16,7 +16,7 @@
 )
 from greengageflow.core.peer_report import HeardReport, PeerBook, PeerReport
 from greengageflow.core.router_table import Hello, RouterTable
-from greengageflow.core.store_duty import StoreWord, best_word
+from greengageflow.core.store_duty import StoreReport, merge_store_reports
 from greengageflow.core.sum_book import SumBook
 from greengageflow.core.sum_changes import SumChanges, SumTeller
 from greengageflow.core.zone_loads import ZoneLoads
@@ -157,7 +157,9 @@
             totals = replace(self._members_work(now), loads=loads)
             mine = FleetTotals(own.served, own.offered, own.loads, 1)
         totals = merge([totals, mine])
-        word = best_word(now, (word_of(one.report, one.at) for one in members))
+        word = merge_store_reports(
+            now, (word_of(one.report, one.at) for one in members)
+        )
         placed = tuple({pair for one in members for pair in one.report.placed})
         zone = self._sum(number, totals, word, placed)
         zones = self.sums.zones(now, self._own.zone)
@@ -169,13 +171,13 @@
         whole = self._sum(
             number,
             merge([totals, *parts]),
-            best_word(now, words),
+            merge_store_reports(now, words),
             (*placed, *pairs),
         )
         counted = {one.report.host: one.report.sequence for one in members}
         return zone, replace(whole, whole=True, counted=counted)
 
-    def words(self, now: float) -> Iterator[StoreWord]:
+    def words(self, now: float) -> Iterator[StoreReport]:
         """Yield what sums say of the store."""
         sums = self.sums.zones(now, self._own.zone)
         whole = self.sums.whole(now)
@@ -201,7 +203,7 @@
         self,
         number: int,
         totals: FleetTotals,
-        word: StoreWord,
+        word: StoreReport,
         placed: tuple[tuple[str, str], ...],
     ) -> SumReport:
         return SumReport(
@@ -219,8 +221,8 @@
         )
 
 
-def word_of(report: PeerReport | SumReport, at: float) -> StoreWord:
+def word_of(report: PeerReport | SumReport, at: float) -> StoreReport:
     """Return what a router or a zone said of the store at a time."""
-    return StoreWord(
+    return StoreReport(
         at, report.version, report.list_mark, report.heard_s, report.list_heard_s
     )
--- a/greengageflow/core/router_table.py
+++ b/greengageflow/core/router_table.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from math import inf
 
-RELAYS_A_ZONE = 2
+RELAYS_PER_ZONE = 2
 
 Address = tuple[str, int]
 
@@ -144,7 +144,7 @@
         for row in rows.values():
             if not row.stopping:
                 zone = relays.setdefault(row.zone, [])
-                if len(zone) < RELAYS_A_ZONE:
+                if len(zone) < RELAYS_PER_ZONE:
                     zone.append(row)
         return _Living(until, quiet_s, rows, relays)
 
--- a/greengageflow/core/schema.py
+++ b/greengageflow/core/schema.py
@@ -23,7 +23,7 @@
 BASE_SCHEMA = 1
 """Schema version that is allowed from the first record on."""
 
-HIGHEST_NUMBER = 2**53
+MAX_INTEGER = 2**53
 """Largest integer that every JSON library represents exactly."""
 
 
@@ -134,7 +134,7 @@
 
 
 def _whole(low: int) -> Check:
-    return integer(low, HIGHEST_NUMBER)
+    return integer(low, MAX_INTEGER)
 
 
 def _any_value(value: Any, path: str) -> Any:
--- a/greengageflow/core/store_duty.py
+++ b/greengageflow/core/store_duty.py
@@ -4,24 +4,24 @@
 from dataclasses import dataclass
 from enum import Enum, auto
 
-READING_ZONES = 2
+READER_ZONES = 2
 """Number of zones whose first relay reads; a single reader would be a single point
 of failure."""
 
-STALE_PACES = 1.67
+STALE_INTERVALS = 1.67
 """Age in paces after which the cached state of the store counts as stale."""
 
-STANDBY_PACES = 1.2
+STANDBY_STALE_INTERVALS = 1.2
 """The same for standby routers, which replace a lost reader before all others read."""
 
-MEMBER_RETRY_S = 3.0
+MEMBER_READ_INTERVAL_S = 3.0
 """Minimum interval between two reads of a router that is no reader, in seconds."""
 
-NEWS_S = 0.25
+UPDATE_TIMEOUT_S = 0.25
 """Time that a host waits for a peer to forward a change it knows of, in seconds."""
 
-LONGEST_PACE_S = 0.9
-SHORTEST_PACE_S = 0.2
+MAX_READ_INTERVAL_S = 0.9
+MIN_READ_INTERVAL_S = 0.2
 
 
 class StoreRole(Enum):
@@ -37,7 +37,7 @@
     """Reads only if no other router seems to."""
 
 
-def pace_s(*bounds_s: float) -> float:
+def read_interval_s(*bounds_s: float) -> float:
     """Return the interval between two reads of the store, in seconds.
 
     The worst case is a reader that fails: a host learns of a change only after the
@@ -47,11 +47,11 @@
     Args:
         bounds_s: Times within which changes must be known, in seconds.
     """
-    return min(LONGEST_PACE_S, max(SHORTEST_PACE_S, 0.45 * min(bounds_s)))
+    return min(MAX_READ_INTERVAL_S, max(MIN_READ_INTERVAL_S, 0.45 * min(bounds_s)))
 
 
 @dataclass(frozen=True, slots=True)
-class StoreWord:
+class StoreReport:
     """Store state reported by another router, or merged from several reports.
 
     Args:
@@ -70,7 +70,7 @@
     list_heard_s: float
 
 
-class CatchUp:
+class CatchUpTimer:
     """Decides when a host that is behind its peers reads the store itself."""
 
     def __init__(self) -> None:
@@ -90,11 +90,11 @@
             return False
         if self._behind_at is None:
             self._behind_at = now
-        return alone or now - self._behind_at >= NEWS_S
+        return alone or now - self._behind_at >= UPDATE_TIMEOUT_S
 
 
 @dataclass(frozen=True, slots=True)
-class PeersKnow:
+class PeerStoreState:
     """Summary of the peers' reports on one part of the store.
 
     Args:
@@ -108,27 +108,33 @@
     heard_s: float
 
 
-def peers_know_config(now: float, own: int, words: Iterable[StoreWord]) -> PeersKnow:
+def peer_config_state(
+    now: float, own: int, words: Iterable[StoreReport]
+) -> PeerStoreState:
     """Summarize the peers' configurations; ``own`` is the version on this host."""
     return _know(now, own, ((w.at, w.version, w.heard_s) for w in words))
 
 
-def peers_know_list(now: float, own: int, words: Iterable[StoreWord]) -> PeersKnow:
+def peer_list_state(
+    now: float, own: int, words: Iterable[StoreReport]
+) -> PeerStoreState:
     """Summarize the peers' endpoint lists; ``own`` is the mark on this host."""
     return _know(now, own, ((w.at, w.list_mark, w.list_heard_s) for w in words))
 
 
-def _know(now: float, own: int, rows: Iterable[tuple[float, int, float]]) -> PeersKnow:
+def _know(
+    now: float, own: int, rows: Iterable[tuple[float, int, float]]
+) -> PeerStoreState:
     mark = 0
     youngest_s = float("inf")
     for at, theirs, heard_s in rows:
         mark = max(mark, theirs)
         if theirs <= own:
             youngest_s = min(youngest_s, heard_s + now - at)
-    return PeersKnow(mark, youngest_s)
+    return PeerStoreState(mark, youngest_s)
 
 
-def best_word(now: float, words: Iterable[StoreWord]) -> StoreWord:
+def merge_store_reports(now: float, words: Iterable[StoreReport]) -> StoreReport:
     """Merge reports into one with the newest marks and their latest confirmations."""
     known = list(words)
     version = max((w.version for w in known), default=0)
@@ -136,6 +142,6 @@
     heard = (w.heard_s + now - w.at for w in known if w.version == version)
     list_heard = (w.list_heard_s + now - w.at for w in known if w.list_mark == mark)
     never = float("inf")
-    return StoreWord(
+    return StoreReport(
         now, version, mark, min(heard, default=never), min(list_heard, default=never)
     )
--- a/greengageflow/core/store_marks.py
+++ b/greengageflow/core/store_marks.py
@@ -6,7 +6,7 @@
 are stored, compared or sent.
 """
 
-MOST_ERA = 2**20
+MAX_ERA = 2**20
 _OFFSETS = 2**40
 
 
--- a/greengageflow/core/store_updates.py
+++ b/greengageflow/core/store_updates.py
@@ -12,16 +12,16 @@
 
 from greengageflow.core.keyed_record import KeyedRecord
 
-REPEAT_S = 1.0
+RETRANSMIT_S = 1.0
 """Time for which a record is retransmitted with later ones, in seconds.
 
 Messages can get lost.
 """
 
-REPEAT_BYTES = 8_000
+MAX_RETRANSMIT_BYTES = 8_000
 """Maximum size of retransmitted records; a router that lacks others reads the store."""
 
-RECORD_BYTES = 64
+RECORD_OVERHEAD_BYTES = 64
 """Overhead of a record in a message beyond its key and value, in bytes."""
 
 
@@ -99,7 +99,9 @@
 
     def _drop_old(self, now: float) -> None:
         size = sum(_size(one.record) for one in self._sent)
-        while self._sent and (size > REPEAT_BYTES or now - self._sent[0].at > REPEAT_S):
+        while self._sent and (
+            size > MAX_RETRANSMIT_BYTES or now - self._sent[0].at > RETRANSMIT_S
+        ):
             size -= _size(self._sent.popleft().record)
 
     def _messages(self, end: int) -> Iterator[StoreUpdate]:
@@ -121,4 +123,4 @@
 
 
 def _size(record: KeyedRecord) -> int:
-    return RECORD_BYTES + len(record.key) + len(record.value or b"")
+    return RECORD_OVERHEAD_BYTES + len(record.key) + len(record.value or b"")
--- a/greengageflow/daemon/fleet_exchange.py
+++ b/greengageflow/daemon/fleet_exchange.py
@@ -25,9 +25,9 @@
 )
 from greengageflow.core.quarantine import CrashRecord, CrashReport
 from greengageflow.core.relay_sums import RelaySums, word_of
-from greengageflow.core.router_table import RELAYS_A_ZONE, Hello, RouterTable
+from greengageflow.core.router_table import RELAYS_PER_ZONE, Hello, RouterTable
 from greengageflow.core.service_book import FADE_S
-from greengageflow.core.store_duty import READING_ZONES, StoreRole, StoreWord
+from greengageflow.core.store_duty import READER_ZONES, StoreReport, StoreRole
 from greengageflow.core.store_updates import StoreUpdate
 from greengageflow.core.sum_book import Taken
 from greengageflow.core.sum_changes import SumChanges, SumWanted
@@ -85,7 +85,7 @@
         self._book = PeerBook(own.host)
         self._relayed = RelaySums(own, self._table, self._book, FADE_S)
         self._mesh_loads = ZoneLoads()
-        self._words: tuple[float, list[StoreWord]] = (float("-inf"), [])
+        self._words: tuple[float, list[StoreReport]] = (float("-inf"), [])
         self._addresses: dict[Address, float] = {}
         self._began = float("inf")
         self._number = 0
@@ -186,12 +186,12 @@
         """What this router does about the platform's store.
 
         Routers that see it differently for a while read once too often, or notice
-        that nobody does (``store_duty.STALE_PACES``): nothing hangs on agreement.
+        that nobody does (``store_duty.STALE_INTERVALS``): nothing hangs on agreement.
         """
         if self._now - self._began < SETTLE_S:
             return StoreRole.MEMBER
         relays = self._table.relays(self._now, self._quiet_s)
-        reading = sorted(relays)[:READING_ZONES]
+        reading = sorted(relays)[:READER_ZONES]
         zone = relays.get(self._own.zone, ())
         if not zone or (self._leads_zone and self._own.zone in reading):
             return StoreRole.READER
@@ -199,7 +199,7 @@
             return StoreRole.STANDBY
         return StoreRole.MEMBER
 
-    def words(self) -> list[StoreWord]:
+    def words(self) -> list[StoreReport]:
         """Return what other routers know of the store."""
         now = self._now
         at, words = self._words
@@ -305,7 +305,7 @@
             self._on_changed()
             # The second relay needs notices only while it stands in for the first.
             is_missed = self._relayed.is_missed(self._now)
-            self._notice(self._own_relays(RELAYS_A_ZONE if is_missed else 1))
+            self._notice(self._own_relays(RELAYS_PER_ZONE if is_missed else 1))
         elif self._wanted:
             self._wanted = False
             self._relay()
@@ -370,7 +370,7 @@
     def _everybody(self) -> set[Address]:
         return self._seeds | self._addresses.keys()
 
-    def _own_relays(self, most: int = RELAYS_A_ZONE) -> set[Address]:
+    def _own_relays(self, most: int = RELAYS_PER_ZONE) -> set[Address]:
         relays = self._table.relays(self._now, self._quiet_s)
         found = relays.get(self._own.zone, ())
         return {row.address for row in found[:most]} - {self._own.address}
--- a/greengageflow/daemon/gateway.py
+++ b/greengageflow/daemon/gateway.py
@@ -18,7 +18,7 @@
 from greengageflow.core.routes import Routing
 from greengageflow.core.send_budget import SendBudget
 from greengageflow.core.service_book import ServiceBook
-from greengageflow.core.store_duty import StoreRole, pace_s
+from greengageflow.core.store_duty import StoreRole, read_interval_s
 from greengageflow.core.store_updates import StoreUpdate
 from greengageflow.core.trust import KeyTrust
 from greengageflow.daemon.arrivals import Arrivals
@@ -185,7 +185,7 @@
             on_update=self._exchange.report_soon,
             on_read=self._exchange.pass_on,
             on_era=self._on_era,
-            pace_s=pace_s(*settings.bounds.known_within_s),
+            pace_s=read_interval_s(*settings.bounds.known_within_s),
             clock=clock,
         )
         self._keys = KeyWatch(self._trust, self._store, self._log, clock())
--- a/greengageflow/daemon/key_watch.py
+++ b/greengageflow/daemon/key_watch.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable
 
-from greengageflow.core.store_duty import StoreWord, peers_know_config
+from greengageflow.core.store_duty import StoreReport, peer_config_state
 from greengageflow.core.trust import KeyTrust
 from greengageflow.daemon.store_view import StoreView
 from greengageflow.net.decision_events import DecisionEvent
@@ -40,7 +40,7 @@
             self._doubt_until = now + ASLEEP_S
         self._awake_at = now
 
-    def confirm(self, now: float, told: float, words: Iterable[StoreWord]) -> None:
+    def confirm(self, now: float, told: float, words: Iterable[StoreReport]) -> None:
         """Take what is known of the store now.
 
         Args:
@@ -51,7 +51,7 @@
         self._trust.confirm(self._store.confirmed)
         words = list(words)
         if words and now >= self._doubt_until:
-            known = peers_know_config(told, self._store.version, words)
+            known = peer_config_state(told, self._store.version, words)
             self._trust.confirm(now - known.heard_s - PEER_MARGIN_S)
         trusted = self._trust.holds(now)
         if trusted != self._trusted:
--- a/greengageflow/daemon/store_view.py
+++ b/greengageflow/daemon/store_view.py
@@ -8,14 +8,14 @@
 from greengageflow.core.outage_hold import OutageHold
 from greengageflow.core.routes import Routing
 from greengageflow.core.store_duty import (
-    MEMBER_RETRY_S,
-    STALE_PACES,
-    STANDBY_PACES,
-    CatchUp,
+    MEMBER_READ_INTERVAL_S,
+    STALE_INTERVALS,
+    STANDBY_STALE_INTERVALS,
+    CatchUpTimer,
+    StoreReport,
     StoreRole,
-    StoreWord,
-    peers_know_config,
-    peers_know_list,
+    peer_config_state,
+    peer_list_state,
 )
 from greengageflow.core.store_marks import era_of
 from greengageflow.core.store_updates import StoreTopic, StoreUpdate, UpdatePublisher
@@ -98,7 +98,7 @@
         self._list_lost_at: float | None = None
         self._held: dict[str, float] = {}
         self._hold = OutageHold()
-        self._config_wait, self._list_wait = CatchUp(), CatchUp()
+        self._config_wait, self._list_wait = CatchUpTimer(), CatchUpTimer()
         self._publishers = {
             topic: UpdatePublisher(topic, UPDATE_BYTES) for topic in StoreTopic
         }
@@ -121,10 +121,14 @@
 
     @property
     def _stale_s(self) -> float:
-        paces = STANDBY_PACES if self._role is StoreRole.STANDBY else STALE_PACES
+        paces = (
+            STANDBY_STALE_INTERVALS
+            if self._role is StoreRole.STANDBY
+            else STALE_INTERVALS
+        )
         return paces * self._pace_s
 
-    def _may_read(self, follower: TopicFollower, words: list[StoreWord]) -> bool:
+    def _may_read(self, follower: TopicFollower, words: list[StoreReport]) -> bool:
         """Return whether a read for want of other hosts' word may begin.
 
         While the store is away each host would else ask it again and again, although
@@ -132,9 +136,9 @@
         """
         if self._role is not StoreRole.MEMBER or not words:
             return True
-        return self._age_s(follower.asked_at) >= MEMBER_RETRY_S
+        return self._age_s(follower.asked_at) >= MEMBER_READ_INTERVAL_S
 
-    def on_tick(self, role: StoreRole, words: list[StoreWord]) -> None:
+    def on_tick(self, role: StoreRole, words: list[StoreReport]) -> None:
         """Read what is due.
 
         Args:
@@ -146,7 +150,7 @@
         reads = role is StoreRole.READER
         self._config.check()
         self._list.check()
-        known = peers_know_config(now, self.version, words)
+        known = peer_config_state(now, self.version, words)
         self._peers_version = known.mark
         is_behind = known.mark > self.version
         if is_behind:
@@ -162,7 +166,7 @@
                 self._config.read(self._pace_s / 2)
             elif behind or stale:
                 self._config.read()
-        known = peers_know_list(now, self._list.offset, words)
+        known = peer_list_state(now, self._list.offset, words)
         is_behind = known.mark > self._list.offset
         if is_behind:
             self._list.hasten()
@@ -207,7 +211,7 @@
         self._log.write(DecisionEvent.STORE_ERA, era=era, before=before)
         self._on_era(era)
 
-    def _note_answers(self, now: float, words: Iterable[StoreWord]) -> None:
+    def _note_answers(self, now: float, words: Iterable[StoreReport]) -> None:
         # A host that does not read for its zone may not read for long after the
         # store's return; its peers' word is all it has of it.
         for word in words:
--- a/greengageflow/lab/_gateway_world.py
+++ b/greengageflow/lab/_gateway_world.py
@@ -20,7 +20,7 @@
 from greengageflow.core.quarantine import CrashReport
 from greengageflow.core.router_table import Hello
 from greengageflow.core.service_book import FADE_S
-from greengageflow.core.store_duty import pace_s
+from greengageflow.core.store_duty import read_interval_s
 from greengageflow.core.store_updates import StoreUpdate
 from greengageflow.daemon.exchange_listener import Placed
 from greengageflow.daemon.fleet_exchange import FleetExchange
@@ -30,7 +30,7 @@
 from greengageflow.net.report_codec import CHANGES, SUM, WANTED, encode
 
 TICK_S = 0.05
-PACE_S = pace_s(2.0)
+PACE_S = read_interval_s(2.0)
 TELL_PLACED_S = 0.3
 WAY_S = 0.002
 STORE_S = 0.003
--- a/greengageflow/platform/store.py
+++ b/greengageflow/platform/store.py
@@ -7,7 +7,7 @@
 from urllib.parse import quote, urlencode
 
 from greengageflow.core.keyed_record import KeyedRecord
-from greengageflow.core.store_marks import MOST_ERA
+from greengageflow.core.store_marks import MAX_ERA
 from greengageflow.net.http_messages import HttpRequest, Response
 from greengageflow.platform.names import LOG_APPEND, LOG_NEWEST, LOG_READ, STORE_ERA
 
@@ -78,7 +78,7 @@
     text = response.header(STORE_ERA).strip()
     if not (text.isascii() and text.isdigit()):
         return 0
-    return min(int(text[:9]), MOST_ERA)
+    return min(int(text[:9]), MAX_ERA)
 
 
 def is_forgotten(response: Response) -> bool:
--- a/greengageflow/settings_file.py
+++ b/greengageflow/settings_file.py
@@ -6,7 +6,11 @@
 
 from greengageflow.core.check import Check, optional, record
 from greengageflow.core.json_text import parse_json
-from greengageflow.core.quarantine import CRASHES, HOLD_S, MOST_ENDPOINTS
+from greengageflow.core.quarantine import (
+    MAX_CRASHES_PER_RECORD,
+    QUARANTINE_CRASHES,
+    QUARANTINE_S,
+)
 from greengageflow.core.value_checks import integer, number
 
 
@@ -33,8 +37,8 @@
         hold_s: Time from the last crash for which it is held back, in seconds.
     """
 
-    crashes: int = CRASHES
-    hold_s: float = HOLD_S
+    crashes: int = QUARANTINE_CRASHES
+    hold_s: float = QUARANTINE_S
 
 
 def quarantine_settings() -> Check:
@@ -42,7 +46,7 @@
     defaults = QuarantineSettings()
     return record(
         QuarantineSettings,
-        crashes=optional(integer(1, MOST_ENDPOINTS), defaults.crashes),
+        crashes=optional(integer(1, MAX_CRASHES_PER_RECORD), defaults.crashes),
         hold_s=optional(number(0.0, 86_400.0), defaults.hold_s),
     )
 
--- a/tests/test_announcer.py
+++ b/tests/test_announcer.py
@@ -1,6 +1,6 @@
 """Tests of the immediate announcement to new routers."""
 
-from greengageflow.core.announcer import ANSWERED_IN_S, Announcer
+from greengageflow.core.announcer import HELLO_ANSWER_TIMEOUT_S, Announcer
 
 A, B, C = (("127.0.0.1", port) for port in (1, 2, 3))
 
@@ -19,7 +19,7 @@
     announcer = Announcer()
     announcer.add([A])
     announcer.next_batch(0.0, 9)
-    announcer.on_start(0.9 * ANSWERED_IN_S, A)
+    announcer.on_start(0.9 * HELLO_ANSWER_TIMEOUT_S, A)
     assert announcer.next_batch(1.0, 9) == []
 
 
--- a/tests/test_fleet_exchange.py
+++ b/tests/test_fleet_exchange.py
@@ -18,7 +18,7 @@
 from greengageflow.core.keyed_record import KeyedRecord
 from greengageflow.core.peer_report import LoadNotice, PeerBook, PeerReport
 from greengageflow.core.router_table import Hello
-from greengageflow.core.store_duty import READING_ZONES, StoreRole
+from greengageflow.core.store_duty import READER_ZONES, StoreRole
 from greengageflow.core.store_updates import StoreTopic, StoreUpdate
 from greengageflow.core.sum_book import SumBook, Taken
 from greengageflow.daemon import fleet_exchange
@@ -321,8 +321,8 @@
     assert roles(routers)[StoreRole.READER] == 0
     network.run(8.0)
     found = roles(routers)
-    assert found[StoreRole.READER] == READING_ZONES
-    assert found[StoreRole.STANDBY] == 2 * zones - READING_ZONES
+    assert found[StoreRole.READER] == READER_ZONES
+    assert found[StoreRole.STANDBY] == 2 * zones - READER_ZONES
 
 
 def test_routers_that_hear_nobody_read_for_themselves(monkeypatch):
--- a/tests/test_held_removal.py
+++ b/tests/test_held_removal.py
@@ -5,7 +5,7 @@
 
 from greengageflow.core.endpoint_list import EndpointList
 from greengageflow.core.keyed_record import KeyedRecord
-from greengageflow.core.outage_hold import OUTAGE_S
+from greengageflow.core.outage_hold import MIN_OUTAGE_S
 from greengageflow.daemon.store_view import StoreView
 
 ENTRY = {
@@ -41,7 +41,7 @@
     )
     view.take_list([KeyedRecord("app-0", json.dumps(ENTRY).encode(), 4)])
     view.list_lost("timeout")
-    now[0] += 2 * OUTAGE_S
+    now[0] += 2 * MIN_OUTAGE_S
     view.take_list([KeyedRecord("app-0", None, 7)])
     assert endpoints.ids() == {"app-0"}
     assert news == [5, 8] and view.list_mark == 8
--- a/tests/test_hello_cache.py
+++ b/tests/test_hello_cache.py
@@ -2,7 +2,7 @@
 
 from dataclasses import replace
 
-from greengageflow.core.hello_cache import KEPT, HelloCache
+from greengageflow.core.hello_cache import MAX_HELLOS, HelloCache
 from greengageflow.core.router_table import Hello
 from greengageflow.net.report_codec import encode
 
@@ -20,6 +20,6 @@
 
 def test_no_more_are_remembered_however_many_starts_there_are():
     same = HelloCache()
-    for boot in range(2 * KEPT + 5):
+    for boot in range(2 * MAX_HELLOS + 5):
         same.put(encode(replace(HELLO, boot=boot)), HELLO)
-    assert len(same) <= KEPT
+    assert len(same) <= MAX_HELLOS
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -9,10 +9,10 @@
 
 from greengageflow.core.forward_request import ForwardRequest, request_fingerprint
 from greengageflow.core.quarantine import (
+    CLEARANCE_S,
     FINGERPRINT_BYTES,
-    GOOD_S,
-    HOLD_S,
-    MOST_RECORDS,
+    MAX_RECORDS,
+    QUARANTINE_S,
     CrashRecord,
     Quarantine,
 )
@@ -49,10 +49,10 @@
     crash(quarantine, 1, "e1", b"poison", b"sound")
     assert not quarantine.left_s(1, b"poison")
     crash(quarantine, 2, "e2", b"poison", b"other")
-    assert quarantine.left_s(3, b"poison") == HOLD_S - 1
+    assert quarantine.left_s(3, b"poison") == QUARANTINE_S - 1
     assert quarantine.held(3) == [b"poison"]
     assert not quarantine.left_s(3, b"sound")
-    assert not quarantine.left_s(2 + HOLD_S, b"poison")
+    assert not quarantine.left_s(2 + QUARANTINE_S, b"poison")
 
 
 def test_one_crash_counts_once_however_many_copies_ran_there():
@@ -66,7 +66,7 @@
     quarantine = Quarantine()
     crash(quarantine, 1, "e1", b"sound")
     assert quarantine.answered(2, b"sound")
-    later = 2 + GOOD_S + 1
+    later = 2 + CLEARANCE_S + 1
     crash(quarantine, later, "e2", b"sound")
     assert not quarantine.left_s(later, b"sound")
     crash(quarantine, later, "e3", b"sound")
@@ -110,17 +110,17 @@
         now = 2.0 * step
         for source, target in ((first, second), (second, first)):
             target.receive(now + 0.5, source.records(now, 10, 9))
-    assert not first.held(HOLD_S + 2)
-    assert not second.held(HOLD_S + 2)
+    assert not first.held(QUARANTINE_S + 2)
+    assert not second.held(QUARANTINE_S + 2)
 
 
 def test_records_are_bounded_and_those_held_back_go_last():
     quarantine = Quarantine()
     for start in ("e1", "e2"):
         crash(quarantine, 1, start, b"poison")
-    for number in range(2 * MOST_RECORDS):
+    for number in range(2 * MAX_RECORDS):
         crash(quarantine, 2 + number / 1000, f"s{number}", b"%d" % number)
-    assert len(list(quarantine.records(5, 100, 10**6))) <= MOST_RECORDS
+    assert len(list(quarantine.records(5, 100, 10**6))) <= MAX_RECORDS
     assert quarantine.left_s(5, b"poison")
 
 
@@ -164,7 +164,7 @@
 
     @rule()
     def wait(self):
-        self.now += GOOD_S + 1
+        self.now += CLEARANCE_S + 1
 
     @invariant()
     def holds_only_what_crashed_twice(self):
@@ -316,6 +316,6 @@
 
 def test_report_of_an_old_crash_changes_nothing():
     quarantine = Quarantine()
-    old = CrashRecord(b"poison", ("e1", "e2"), (), HOLD_S)
+    old = CrashRecord(b"poison", ("e1", "e2"), (), QUARANTINE_S)
     assert not quarantine.receive(5, [old])
     assert not quarantine
--- a/tests/test_quarantine_store.py
+++ b/tests/test_quarantine_store.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from greengageflow.core.quarantine import FINGERPRINT_BYTES, HOLD_S, Quarantine
+from greengageflow.core.quarantine import FINGERPRINT_BYTES, QUARANTINE_S, Quarantine
 from greengageflow.daemon.quarantine_store import QuarantineStore
 from greengageflow.net.http_messages import Failure, FailureKind, Response
 from tests.test_quarantine import FINGERPRINT, crash
@@ -118,7 +118,7 @@
     world.run(3)
     assert not world.quarantine.held(world.now)
     assert world.written == [(key, b"")]
-    assert world.read[0].age_s > HOLD_S
+    assert world.read[0].age_s > QUARANTINE_S
 
 
 def key_of(number):
--- a/tests/test_router_table.py
+++ b/tests/test_router_table.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from greengageflow.core.hello_ring import HelloRing
-from greengageflow.core.router_table import RELAYS_A_ZONE, Hello, RouterTable
+from greengageflow.core.router_table import RELAYS_PER_ZONE, Hello, RouterTable
 from greengageflow.daemon.fleet_exchange import HELLOS_A_ROUND
 
 
@@ -63,7 +63,7 @@
         for zone in ("z0", "z1"):
             ready = [o for o in alive if o.zone == zone and not o.stopping]
             found = table.relays(now, quiet_s).get(zone, [])
-            assert found == ready[:RELAYS_A_ZONE]
+            assert found == ready[:RELAYS_PER_ZONE]
 
 
 def test_each_of_360_routers_hears_each_other_one_in_time():
--- a/tests/test_store_eras.py
+++ b/tests/test_store_eras.py
@@ -6,8 +6,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from greengageflow.core.outage_hold import HELD_S
-from greengageflow.core.store_marks import MOST_ERA, era_of, mark_of, offset_of
+from greengageflow.core.outage_hold import REMOVAL_HOLD_S
+from greengageflow.core.store_marks import MAX_ERA, era_of, mark_of, offset_of
 from greengageflow.daemon.store_view import ERA_SPREAD_S
 from greengageflow.net.http_messages import Response
 from greengageflow.platform.store import era_of_answer
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "era"), [("", 0), ("7", 7), ("-1", 0), ("x", 0), ("9" * 40, MOST_ERA)]
+    ("text", "era"), [("", 0), ("7", 7), ("-1", 0), ("x", 0), ("9" * 40, MAX_ERA)]
 )
 def test_era_of_an_answer_is_a_number_or_none(text, era):
     headers = (("store-era", text),) if text else ()
@@ -83,7 +83,7 @@
     run(store, hosts, KNOWN_S)
     store.restore(copy)
     store.endpoint("e3")
-    run(store, hosts, KNOWN_S + HELD_S)
+    run(store, hosts, KNOWN_S + REMOVAL_HOLD_S)
     assert known(hosts) == [{"e1", "e2", "e3"}] * 3
 
 
@@ -96,7 +96,7 @@
         run(store, hosts, 0.1)
         assert known(hosts) == [{"e1", "e2", "e3"}] * 3
     store.endpoint("e3")
-    run(store, hosts, KNOWN_S + HELD_S)
+    run(store, hosts, KNOWN_S + REMOVAL_HOLD_S)
     assert known(hosts) == [{"e1", "e2", "e3"}] * 3
 
 
@@ -259,7 +259,7 @@
         self.version += 1
         self.store.config(self.version)
         self.store.endpoint("e9")
-        self._run(KNOWN_S + HELD_S + 5.0)
+        self._run(KNOWN_S + REMOVAL_HOLD_S + 5.0)
         listed = {}
         for key, value in self.store.logs["keyed.servers"]:
             listed[key] = bool(value) and json.loads(value)["state"] == "ready"
--- a/tests/test_store_updates.py
+++ b/tests/test_store_updates.py
@@ -2,8 +2,8 @@
 
 from greengageflow.core.keyed_record import KeyedRecord
 from greengageflow.core.store_updates import (
-    REPEAT_BYTES,
-    REPEAT_S,
+    MAX_RETRANSMIT_BYTES,
+    RETRANSMIT_S,
     StoreTopic,
     UpdatePublisher,
 )
@@ -23,10 +23,10 @@
     """A router that lost a message gets its records from the next one."""
     publisher = UpdatePublisher(StoreTopic.ENDPOINTS, MOST)
     list(publisher.publish(0.0, records(0, 1), 1))
-    (news,) = publisher.publish(0.5 * REPEAT_S, records(1, 1), 2)
+    (news,) = publisher.publish(0.5 * RETRANSMIT_S, records(1, 1), 2)
     assert [one.offset for one in news.records] == [0, 1]
     assert news.since == 0
-    (news,) = publisher.publish(1.2 * REPEAT_S, records(2, 1), 3)
+    (news,) = publisher.publish(1.2 * RETRANSMIT_S, records(2, 1), 3)
     assert [one.offset for one in news.records] == [1, 2]
     assert news.since == 1
 
@@ -43,7 +43,7 @@
         new = records(150 * turn, 150)
         told += publisher.publish(0.1 * turn, new, 150 * (turn + 1))
     once = 20 * 150 * 150
-    assert once <= size(told) <= once + 20 * REPEAT_BYTES
+    assert once <= size(told) <= once + 20 * MAX_RETRANSMIT_BYTES
     known = 0
     for news in told:
         assert news.since <= known, "updates must not have gaps when no message is lost"
--- a/tests/test_store_view.py
+++ b/tests/test_store_view.py
@@ -10,8 +10,13 @@
 import pytest
 
 from greengageflow.core.endpoint_list import EndpointList
-from greengageflow.core.outage_hold import HELD_S
-from greengageflow.core.store_duty import MEMBER_RETRY_S, NEWS_S, StoreRole, StoreWord
+from greengageflow.core.outage_hold import REMOVAL_HOLD_S
+from greengageflow.core.store_duty import (
+    MEMBER_READ_INTERVAL_S,
+    UPDATE_TIMEOUT_S,
+    StoreReport,
+    StoreRole,
+)
 from greengageflow.daemon.store_view import StoreView
 from greengageflow.daemon.topic_follower import LOST_S
 from greengageflow.net.http_messages import Failure, FailureKind, Response
@@ -145,7 +150,7 @@
     def word(self):
         view, now = self.view, self.now
         ages = now - view.confirmed, now - view.list_confirmed
-        return StoreWord(now, view.version, view.list_mark, *ages)
+        return StoreReport(now, view.version, view.list_mark, *ages)
 
     def pass_on(self, news, _is_own):
         if self.reads and not self.news_lost:
@@ -240,7 +245,7 @@
     reader, *_ = zone
     reader.news_lost = True
     store.endpoint("e1", listed=False)
-    run(store, zone, PACE_S + 0.2 + NEWS_S)
+    run(store, zone, PACE_S + 0.2 + UPDATE_TIMEOUT_S)
     assert [host.endpoints.ids() for host in zone] == [{"e2"}] * 3
     reader.news_lost = False
     before = [len(host.paths) for host in zone]
@@ -271,7 +276,7 @@
     store.endpoint("e2")
     run(store, [reader], 2)
     store.endpoint("e3")
-    run(store, zone, PACE_S + 0.4 + NEWS_S)
+    run(store, zone, PACE_S + 0.4 + UPDATE_TIMEOUT_S)
     assert reader.endpoints.ids() == {"e2", "e3"}
     assert other.endpoints.ids() == {"e2", "e3"}
 
@@ -323,7 +328,7 @@
     before = len(member.paths)
     store.down = True
     run(store, hosts, 12)
-    assert len(member.paths) - before <= 2 * 12 / MEMBER_RETRY_S
+    assert len(member.paths) - before <= 2 * 12 / MEMBER_READ_INTERVAL_S
     store.down = False
     store.endpoint("e3")
     run(store, hosts, 1.5)
@@ -362,7 +367,7 @@
     run(store, [host], 1.5)
     assert host.endpoints.ids() == {"e1", "e2"}
     store.endpoint("e1")
-    run(store, [host], HELD_S + 1)
+    run(store, [host], REMOVAL_HOLD_S + 1)
     assert host.endpoints.ids() == {"e1"}
     assert host.changes == [("gone", "e2")]
     store.endpoint("e1", listed=False)
@@ -421,7 +426,7 @@
     store.down = False
     run(store, hosts, 1)
     store.endpoint("e1")
-    run(store, hosts, HELD_S)
+    run(store, hosts, REMOVAL_HOLD_S)
     assert [host.endpoints.ids() for host in hosts] == [{"e1", "e2"}] * 3
     assert not any(("gone", "e1") in host.changes for host in hosts)
 
@@ -449,7 +454,7 @@
     run(store, [host], 3)
     store.endpoint("e1", listed=False)
     store.down = False
-    run(store, [host], HELD_S + 1.5)
+    run(store, [host], REMOVAL_HOLD_S + 1.5)
     lines = [line for line in host.lines if not line[0].startswith("STORE_")]
     assert lines == [("LIST_LOST", ""), ("ENDPOINT_HELD", "e1"), ("LIST_REGAINED", "")]
 
