--- a/greengageflow/core/announcer.py
+++ b/greengageflow/core/announcer.py
@@ -19,13 +19,13 @@
 
     def __init__(self) -> None:
         self._sent_at: dict[Address, float] = {}
-        self._due: dict[Address, None] = {}
+        self._pending: dict[Address, None] = {}
 
     def add(self, addresses: Iterable[Address]) -> None:
         """Queue addresses of possible routers that have had no hello yet."""
         for address in addresses:
             if address not in self._sent_at:
-                self._due[address] = None
+                self._pending[address] = None
 
     def on_start(self, now: float, address: Address) -> None:
         """Queue the address of a newly discovered process.
@@ -34,17 +34,17 @@
         """
         sent_at = self._sent_at.get(address)
         if sent_at is None or now - sent_at > HELLO_ANSWER_TIMEOUT_S:
-            self._due[address] = None
+            self._pending[address] = None
 
-    def forget(self, address: Address) -> None:
+    def remove(self, address: Address) -> None:
         """Remove an address that has been silent for long."""
         self._sent_at.pop(address, None)
-        self._due.pop(address, None)
+        self._pending.pop(address, None)
 
-    def next_batch(self, now: float, most: int) -> list[Address]:
-        """Dequeue up to ``most`` addresses that are to get a hello now."""
-        found = list(islice(self._due, most))
-        for address in found:
-            del self._due[address]
+    def next_batch(self, now: float, limit: int) -> list[Address]:
+        """Dequeue up to ``limit`` addresses that are to get a hello now."""
+        batch = list(islice(self._pending, limit))
+        for address in batch:
+            del self._pending[address]
             self._sent_at[address] = now
-        return found
+        return batch
--- a/greengageflow/core/hello_cache.py
+++ b/greengageflow/core/hello_cache.py
@@ -12,18 +12,18 @@
     """
 
     def __init__(self) -> None:
-        self._known: dict[bytes, Hello] = {}
+        self._hellos: dict[bytes, Hello] = {}
 
     def __len__(self) -> int:
         """Return the number of cached hellos."""
-        return len(self._known)
+        return len(self._hellos)
 
     def get(self, data: bytes) -> Hello | None:
         """Return the cached hello of a datagram, or None."""
-        return self._known.get(data)
+        return self._hellos.get(data)
 
     def put(self, data: bytes, hello: Hello) -> None:
         """Cache the hello of a datagram; a full cache is cleared first."""
-        if len(self._known) >= MAX_HELLOS:
-            self._known.clear()
-        self._known[data] = hello
+        if len(self._hellos) >= MAX_HELLOS:
+            self._hellos.clear()
+        self._hellos[data] = hello
--- a/greengageflow/core/hello_ring.py
+++ b/greengageflow/core/hello_ring.py
@@ -21,7 +21,7 @@
     def __init__(self, random: Random) -> None:
         self._random = random
         self._ring: deque[Address] = deque()
-        self._known: set[Address] = set()
+        self._addresses: set[Address] = set()
 
     def next(self, addresses: Iterable[Address], count: int) -> list[Address]:
         """Return the next ``count`` addresses and advance the rotation.
@@ -30,16 +30,18 @@
             addresses: All current addresses; new ones join the ring, others leave it.
             count: Number of addresses to return.
         """
-        now = set(addresses)
-        gone = self._known - now
-        if gone:
-            self._ring = deque(one for one in self._ring if one not in gone)
+        current = set(addresses)
+        removed = self._addresses - current
+        if removed:
+            self._ring = deque(
+                address for address in self._ring if address not in removed
+            )
         # Sorted, because the iteration order of a set differs between runs.
-        for address in sorted(now - self._known):
+        for address in sorted(current - self._addresses):
             # At a random position, so that not all routers contact a new one in the
             # same round.
             self._ring.insert(self._random.randint(0, len(self._ring)), address)
-        self._known = now
-        found = list(islice(self._ring, count))
-        self._ring.rotate(-len(found))
-        return found
+        self._addresses = current
+        batch = list(islice(self._ring, count))
+        self._ring.rotate(-len(batch))
+        return batch
--- a/greengageflow/core/outage_hold.py
+++ b/greengageflow/core/outage_hold.py
@@ -20,35 +20,35 @@
     """
 
     def __init__(self) -> None:
-        self._lost_at: float | None = None
-        self._until = float("-inf")
+        self._failed_at: float | None = None
+        self._hold_until = float("-inf")
 
     @property
-    def waits(self) -> bool:
+    def is_pending(self) -> bool:
         """Whether the store failed and no host is known to have reached it since."""
-        return self._lost_at is not None
+        return self._failed_at is not None
 
     def on_restore(self, now: float) -> None:
         """Record that the store was restored without its latest writes.
 
         The missing entries may belong to endpoints that registered shortly before.
         """
-        self._until = now + REMOVAL_HOLD_S
-        self._lost_at = None
+        self._hold_until = now + REMOVAL_HOLD_S
+        self._failed_at = None
 
-    def lost(self, now: float) -> None:
+    def on_failure(self, now: float) -> None:
         """Record that the store did not answer this host."""
-        if self._lost_at is None:
-            self._lost_at = now
+        if self._failed_at is None:
+            self._failed_at = now
 
-    def answered(self, now: float, at: float) -> None:
+    def on_answer(self, now: float, at: float) -> None:
         """Record that the store answered this host or another one at time ``at``."""
-        if self._lost_at is None or at <= self._lost_at:
+        if self._failed_at is None or at <= self._failed_at:
             return
-        if now - self._lost_at > MIN_OUTAGE_S:
-            self._until = now + REMOVAL_HOLD_S
-        self._lost_at = None
+        if now - self._failed_at > MIN_OUTAGE_S:
+            self._hold_until = now + REMOVAL_HOLD_S
+        self._failed_at = None
 
-    def left_s(self, now: float) -> float:
+    def remaining_s(self, now: float) -> float:
         """Return how long a removal that is read now is held, in seconds."""
-        return max(0.0, self._until - now)
+        return max(0.0, self._hold_until - now)
--- a/greengageflow/core/quarantine.py
+++ b/greengageflow/core/quarantine.py
@@ -71,14 +71,14 @@
 
 
 @dataclass(slots=True)
-class _Record:
-    at: float
+class _CrashState:
+    last_crash_at: float
     crashed: dict[str, None] = field(default_factory=dict)
     cleared: set[str] = field(default_factory=set)
     changed_at: float = 0.0
 
     @property
-    def against(self) -> int:
+    def uncleared(self) -> int:
         """Number of crashes that were not ruled out by a successful answer."""
         return len(self.crashed.keys() - self.cleared)
 
@@ -88,10 +88,12 @@
             fingerprint,
             tuple(self.crashed),
             tuple(sorted(self.cleared)),
-            max(0.0, now - self.at),
+            max(0.0, now - self.last_crash_at),
         )
 
-    def take(self, at: float, crashed: Iterable[str], cleared: Iterable[str]) -> bool:
+    def merge(
+        self, crashed_at: float, crashed: Iterable[str], cleared: Iterable[str]
+    ) -> bool:
         """Merge crashes; return whether any crash or clearance was new."""
         before = len(self.crashed), len(self.cleared)
         for endpoint in crashed:
@@ -100,8 +102,10 @@
                 and len(self.crashed) < MAX_CRASHES_PER_RECORD
             ):
                 self.crashed[endpoint] = None
-                self.at = max(self.at, at)
-        self.cleared.update(one for one in cleared if one in self.crashed)
+                self.last_crash_at = max(self.last_crash_at, crashed_at)
+        self.cleared.update(
+            endpoint for endpoint in cleared if endpoint in self.crashed
+        )
         return (len(self.crashed), len(self.cleared)) != before
 
 
@@ -118,15 +122,15 @@
     ) -> None:
         self._crashes = crashes
         self._hold_s = hold_s
-        self._records: dict[Fingerprint, _Record] = {}
+        self._records: dict[Fingerprint, _CrashState] = {}
         self._suspects: dict[str, set[Fingerprint]] = {}
-        self._good: OrderedDict[Fingerprint, float] = OrderedDict()
+        self._answered_at: OrderedDict[Fingerprint, float] = OrderedDict()
 
     def __bool__(self) -> bool:
         """Return whether there is any crash record or suspect."""
         return bool(self._records or self._suspects)
 
-    def left_s(self, now: float, fingerprint: Fingerprint) -> float:
+    def remaining_s(self, now: float, fingerprint: Fingerprint) -> float:
         """Return how long a request stays quarantined, in seconds; 0 if it is not.
 
         After a confirmed crash, a cut connection counts as another crash until it is
@@ -135,51 +139,53 @@
         many reasons.
         """
         record = self._records.get(fingerprint)
-        against = record.against if record else 0
-        if against >= self._crashes:
-            return max(0.0, record.at + self._hold_s - now)
-        if not against:
+        uncleared = record.uncleared if record else 0
+        if uncleared >= self._crashes:
+            return max(0.0, record.last_crash_at + self._hold_s - now)
+        if not uncleared:
             return 0.0
-        against += sum(fingerprint in found for found in self._suspects.values())
-        return CRASH_CHECK_TIMEOUT_S if against >= self._crashes else 0.0
+        uncleared += sum(
+            fingerprint in requests for requests in self._suspects.values()
+        )
+        return CRASH_CHECK_TIMEOUT_S if uncleared >= self._crashes else 0.0
 
-    def held(self, now: float) -> list[Fingerprint]:
+    def quarantined(self, now: float) -> list[Fingerprint]:
         """Return the fingerprints of the quarantined requests."""
-        return [one for one in self._records if self._is_held(now, one)]
+        return [key for key in self._records if self._is_quarantined(now, key)]
 
-    def _is_held(self, now: float, fingerprint: Fingerprint) -> bool:
+    def _is_quarantined(self, now: float, fingerprint: Fingerprint) -> bool:
         record = self._records.get(fingerprint)
-        if record is None or record.against < self._crashes:
+        if record is None or record.uncleared < self._crashes:
             return False
-        return now - record.at < self._hold_s
+        return now - record.last_crash_at < self._hold_s
 
     # Observations on this host.
 
-    def suspect(self, now: float, endpoint: str, fingerprint: Fingerprint) -> None:
+    def add_suspect(self, now: float, endpoint: str, fingerprint: Fingerprint) -> None:
         """Record that a request was cut off while it ran at a start of an endpoint."""
-        good_at = self._good.get(fingerprint)
-        if good_at is None or now - good_at > CLEARANCE_S:
+        answered_at = self._answered_at.get(fingerprint)
+        if answered_at is None or now - answered_at > CLEARANCE_S:
             self._suspects.setdefault(endpoint, set()).add(fingerprint)
 
-    def alive(self, endpoint: str) -> None:
+    def on_alive(self, endpoint: str) -> None:
         """Record that an endpoint that cut off requests did not crash."""
         self._suspects.pop(endpoint, None)
 
-    def crashed(self, now: float, endpoint: str) -> frozenset[Fingerprint]:
+    def on_crash(self, now: float, endpoint: str) -> frozenset[Fingerprint]:
         """Record that an endpoint crashed; return the requests that it cut off."""
-        found = frozenset(self._suspects.pop(endpoint, ()))
-        for fingerprint in found:
-            self._take(now, fingerprint, now, (endpoint,), ())
-        return found
+        requests = frozenset(self._suspects.pop(endpoint, ()))
+        for fingerprint in requests:
+            self._add_crashes(now, fingerprint, now, (endpoint,), ())
+        return requests
 
-    def answered(self, now: float, fingerprint: Fingerprint) -> bool:
+    def on_success(self, now: float, fingerprint: Fingerprint) -> bool:
         """Record a successful answer; return whether it ruled out earlier crashes."""
-        self._good[fingerprint] = now
-        self._good.move_to_end(fingerprint)
-        if len(self._good) > MAX_ANSWERED_REQUESTS:
-            self._good.popitem(last=False)
+        self._answered_at[fingerprint] = now
+        self._answered_at.move_to_end(fingerprint)
+        if len(self._answered_at) > MAX_ANSWERED_REQUESTS:
+            self._answered_at.popitem(last=False)
         record = self._records.get(fingerprint)
-        if record is None or not record.against:
+        if record is None or not record.uncleared:
             return False
         record.cleared.update(record.crashed)
         record.changed_at = now
@@ -191,63 +197,73 @@
         self, now: float, records: Iterable[CrashRecord]
     ) -> tuple[Fingerprint, ...]:
         """Merge another host's records; return the newly quarantined requests."""
-        return tuple(one.fingerprint for one in records if self._merge(now, one))
+        return tuple(
+            record.fingerprint for record in records if self._merge(now, record)
+        )
 
-    def _merge(self, now: float, one: CrashRecord) -> bool:
-        if one.age_s >= self._hold_s:
+    def _merge(self, now: float, record: CrashRecord) -> bool:
+        if record.age_s >= self._hold_s:
             return False
-        was_held = self._is_held(now, one.fingerprint)
-        at = now - one.age_s
-        self._take(now, one.fingerprint, at, one.crashed, one.cleared)
-        return not was_held and self._is_held(now, one.fingerprint)
+        was_quarantined = self._is_quarantined(now, record.fingerprint)
+        crashed_at = now - record.age_s
+        self._add_crashes(
+            now, record.fingerprint, crashed_at, record.crashed, record.cleared
+        )
+        return not was_quarantined and self._is_quarantined(now, record.fingerprint)
 
-    def records(self, now: float, changed_s: float, most: int) -> Iterator[CrashRecord]:
+    def records(
+        self, now: float, changed_s: float, limit: int
+    ) -> Iterator[CrashRecord]:
         """Yield the records to send to other hosts, most recently changed first.
 
         Args:
             now: Current time.
             changed_s: Records of requests that are not quarantined are included only
                 if they changed within this time, in seconds.
-            most: Maximum number of records.
+            limit: Maximum number of records.
         """
-        self._drop_old(now)
+        self._drop_expired(now)
         rows = [
             (record.changed_at, fingerprint, record)
             for fingerprint, record in self._records.items()
-            if now - record.changed_at <= changed_s or self._is_held(now, fingerprint)
+            if now - record.changed_at <= changed_s
+            or self._is_quarantined(now, fingerprint)
         ]
         rows.sort(key=lambda row: -row[0])
-        for _, fingerprint, record in rows[:most]:
+        for _, fingerprint, record in rows[:limit]:
             yield record.to_record(now, fingerprint)
 
     def record(self, now: float, fingerprint: Fingerprint) -> CrashRecord | None:
         """Return the record of a quarantined request, or None."""
-        if not self._is_held(now, fingerprint):
+        if not self._is_quarantined(now, fingerprint):
             return None
         return self._records[fingerprint].to_record(now, fingerprint)
 
-    def _take(
+    def _add_crashes(
         self,
         now: float,
         fingerprint: Fingerprint,
-        at: float,
+        crashed_at: float,
         crashed: Iterable[str],
         cleared: Iterable[str],
     ) -> None:
         record = self._records.get(fingerprint)
         if record is None:
-            self._drop_old(now)
-            record = self._records[fingerprint] = _Record(at)
-        if record.take(at, crashed, cleared):
+            self._drop_expired(now)
+            record = self._records[fingerprint] = _CrashState(crashed_at)
+        if record.merge(crashed_at, crashed, cleared):
             record.changed_at = now
 
-    def _drop_old(self, now: float) -> None:
+    def _drop_expired(self, now: float) -> None:
         for fingerprint, record in list(self._records.items()):
-            if now - record.at >= self._hold_s:
+            if now - record.last_crash_at >= self._hold_s:
                 del self._records[fingerprint]
         while len(self._records) >= MAX_RECORDS:
-            least = min(
+            evicted = min(
                 self._records,
-                key=lambda one: (self._is_held(now, one), self._records[one].at),
+                key=lambda key: (
+                    self._is_quarantined(now, key),
+                    self._records[key].last_crash_at,
+                ),
             )
-            del self._records[least]
+            del self._records[evicted]
--- a/greengageflow/core/relay_sums.py
+++ b/greengageflow/core/relay_sums.py
@@ -215,8 +215,8 @@
             totals=totals,
             version=word.version,
             list_mark=word.list_mark,
-            heard_s=word.heard_s,
-            list_heard_s=word.list_heard_s,
+            heard_s=word.config_age_s,
+            list_heard_s=word.list_age_s,
             placed=placed,
         )
 
--- a/greengageflow/core/router_table.py
+++ b/greengageflow/core/router_table.py
@@ -38,18 +38,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Living:
+class _LiveView:
     """Cached view of the live routers, valid until a row changes or times out.
 
     Args:
-        until: Time at which the first router times out.
-        quiet_s: Heartbeat timeout, in seconds.
+        valid_until: Time at which the first router times out.
+        timeout_s: Heartbeat timeout, in seconds.
         rows: Live routers by host name, including this one, in order of the names.
         relays: Relays of each zone, in order of precedence.
     """
 
-    until: float
-    quiet_s: float
+    valid_until: float
+    timeout_s: float
     rows: dict[str, Hello]
     relays: dict[str, list[Hello]]
 
@@ -64,7 +64,7 @@
     def __init__(self, own: Hello) -> None:
         self._own = own
         self._rows: dict[str, tuple[Hello, float]] = {}
-        self._living: _Living | None = None
+        self._view: _LiveView | None = None
 
     def put(self, now: float, hello: Hello) -> bool:
         """Record a hello; return whether it is the first of this router's process."""
@@ -72,82 +72,82 @@
         if hello.host == self._own.host:
             return False
         if known is None or hello.boot >= known[0].boot:
-            self._note(now, hello)
+            self._store(now, hello)
         return known is None or hello.boot > known[0].boot
 
     def touch(self, now: float, host: str, boot: int) -> None:
         """Refresh a router that is in the table, after another message from it."""
         known = self._rows.get(host)
         if known is not None and known[0].boot == boot:
-            self._note(now, known[0])
+            self._store(now, known[0])
 
-    def _note(self, now: float, hello: Hello) -> None:
+    def _store(self, now: float, hello: Hello) -> None:
         self._rows[hello.host] = (hello, now)
-        if self._living is not None:
-            known = self._living.rows.get(hello.host)
+        if self._view is not None:
+            known = self._view.rows.get(hello.host)
             if known is hello:
                 return
-            if known is None or _place(known) != _place(hello):
-                self._living = None
+            if known is None or _identity(known) != _identity(hello):
+                self._view = None
 
     def drop_silent(self, now: float, rows: Iterable[Hello], silent_s: float) -> None:
         """Remove ``rows`` if all of them have been silent for ``silent_s`` seconds.
 
         A router that is alive after all is added again by its next hello.
         """
-        known = [row.host for row in rows if row.host in self._rows]
-        if all(now - self._rows[host][1] > silent_s for host in known):
-            for host in known:
+        hosts = [row.host for row in rows if row.host in self._rows]
+        if all(now - self._rows[host][1] > silent_s for host in hosts):
+            for host in hosts:
                 del self._rows[host]
-                self._living = None
+                self._view = None
 
     def addresses(self, host: str) -> list[Address]:
         """Return the address of a router as a list, which is empty if it is unknown."""
         known = self._rows.get(host)
         return [] if known is None else [known[0].address]
 
-    def live(self, now: float, quiet_s: float) -> list[Hello]:
-        """Return the other routers that were heard from in the last ``quiet_s`` s."""
-        rows = self._alive(now, quiet_s).rows
+    def live(self, now: float, timeout_s: float) -> list[Hello]:
+        """Return the other routers that were heard from in the last ``timeout_s`` s."""
+        rows = self._live_view(now, timeout_s).rows
         return [row for row in rows.values() if row is not self._own]
 
-    def count(self, now: float, quiet_s: float) -> int:
+    def count(self, now: float, timeout_s: float) -> int:
         """Return the number of live routers other than this one."""
-        return len(self._alive(now, quiet_s).rows) - 1
+        return len(self._live_view(now, timeout_s).rows) - 1
 
-    def members(self, now: float, quiet_s: float) -> list[Hello]:
+    def members(self, now: float, timeout_s: float) -> list[Hello]:
         """Return the live routers of the own zone with this one, sorted by host."""
-        rows = self._alive(now, quiet_s).rows.values()
+        rows = self._live_view(now, timeout_s).rows.values()
         return [row for row in rows if row.zone == self._own.zone]
 
-    def relays(self, now: float, quiet_s: float) -> dict[str, list[Hello]]:
+    def relays(self, now: float, timeout_s: float) -> dict[str, list[Hello]]:
         """Return the relays of each zone, in order of precedence."""
-        return self._alive(now, quiet_s).relays
-
-    def _alive(self, now: float, quiet_s: float) -> _Living:
-        living = self._living
-        if living is None or now > living.until or quiet_s != living.quiet_s:
-            living = self._living = self._look(now, quiet_s)
-        return living
-
-    def _look(self, now: float, quiet_s: float) -> _Living:
-        until = inf
-        found = {self._own.host: self._own}
-        for host, (hello, at) in list(self._rows.items()):
-            if now - at <= quiet_s:
-                found[host] = hello
-                until = min(until, at + quiet_s)
-            elif now - at > 4 * quiet_s:
+        return self._live_view(now, timeout_s).relays
+
+    def _live_view(self, now: float, timeout_s: float) -> _LiveView:
+        view = self._view
+        if view is None or now > view.valid_until or timeout_s != view.timeout_s:
+            view = self._view = self._build_view(now, timeout_s)
+        return view
+
+    def _build_view(self, now: float, timeout_s: float) -> _LiveView:
+        valid_until = inf
+        live = {self._own.host: self._own}
+        for host, (hello, seen_at) in list(self._rows.items()):
+            if now - seen_at <= timeout_s:
+                live[host] = hello
+                valid_until = min(valid_until, seen_at + timeout_s)
+            elif now - seen_at > 4 * timeout_s:
                 del self._rows[host]
-        rows = {host: found[host] for host in sorted(found)}
+        rows = {host: live[host] for host in sorted(live)}
         relays: dict[str, list[Hello]] = {}
         for row in rows.values():
             if not row.stopping:
                 zone = relays.setdefault(row.zone, [])
                 if len(zone) < RELAYS_PER_ZONE:
                     zone.append(row)
-        return _Living(until, quiet_s, rows, relays)
+        return _LiveView(valid_until, timeout_s, rows, relays)
 
 
-def _place(hello: Hello) -> tuple[int, Address, str, bool]:
+def _identity(hello: Hello) -> tuple[int, Address, str, bool]:
     return hello.boot, hello.address, hello.zone, hello.stopping
--- a/greengageflow/core/store_duty.py
+++ b/greengageflow/core/store_duty.py
@@ -55,42 +55,42 @@
     """Store state reported by another router, or merged from several reports.
 
     Args:
-        at: Time of the report.
+        reported_at: Time of the report.
         version: Version of the configuration in force there.
         list_mark: Mark of the last change of the endpoint list there.
-        heard_s: Time since the configuration was confirmed to be the newest, as of
+        config_age_s: Time since the configuration was confirmed to be the newest, as of
             the report, in seconds.
-        list_heard_s: The same for the endpoint list.
+        list_age_s: The same for the endpoint list.
     """
 
-    at: float
+    reported_at: float
     version: int
     list_mark: int
-    heard_s: float
-    list_heard_s: float
+    config_age_s: float
+    list_age_s: float
 
 
 class CatchUpTimer:
     """Decides when a host that is behind its peers reads the store itself."""
 
     def __init__(self) -> None:
-        self._behind_at: float | None = None
+        self._behind_since: float | None = None
 
-    def is_due(self, now: float, is_behind: bool, alone: bool) -> bool:
+    def is_due(self, now: float, is_behind: bool, without_updates: bool) -> bool:
         """Return whether to read now.
 
         Args:
             now: Current time.
             is_behind: Whether a peer knows of a change that this host lacks.
-            alone: Whether this host can't use updates from peers, so that there is
-                no point in waiting for one.
+            without_updates: Whether this host can't use updates from peers, so that
+                there is no point in waiting for one.
         """
         if not is_behind:
-            self._behind_at = None
+            self._behind_since = None
             return False
-        if self._behind_at is None:
-            self._behind_at = now
-        return alone or now - self._behind_at >= UPDATE_TIMEOUT_S
+        if self._behind_since is None:
+            self._behind_since = now
+        return without_updates or now - self._behind_since >= UPDATE_TIMEOUT_S
 
 
 @dataclass(frozen=True, slots=True)
@@ -99,49 +99,61 @@
 
     Args:
         mark: The newest mark that any peer has.
-        heard_s: Time since the latest confirmation by a peer that its state is the
+        age_s: Time since the latest confirmation by a peer that its state is the
             newest, in seconds. Only peers whose mark is not newer than the own one
             count.
     """
 
     mark: int
-    heard_s: float
+    age_s: float
 
 
 def peer_config_state(
-    now: float, own: int, words: Iterable[StoreReport]
+    now: float, own: int, reports: Iterable[StoreReport]
 ) -> PeerStoreState:
     """Summarize the peers' configurations; ``own`` is the version on this host."""
-    return _know(now, own, ((w.at, w.version, w.heard_s) for w in words))
+    return _summarize(
+        now, own, ((r.reported_at, r.version, r.config_age_s) for r in reports)
+    )
 
 
 def peer_list_state(
-    now: float, own: int, words: Iterable[StoreReport]
+    now: float, own: int, reports: Iterable[StoreReport]
 ) -> PeerStoreState:
     """Summarize the peers' endpoint lists; ``own`` is the mark on this host."""
-    return _know(now, own, ((w.at, w.list_mark, w.list_heard_s) for w in words))
+    return _summarize(
+        now, own, ((r.reported_at, r.list_mark, r.list_age_s) for r in reports)
+    )
 
 
-def _know(
+def _summarize(
     now: float, own: int, rows: Iterable[tuple[float, int, float]]
 ) -> PeerStoreState:
     mark = 0
-    youngest_s = float("inf")
-    for at, theirs, heard_s in rows:
-        mark = max(mark, theirs)
-        if theirs <= own:
-            youngest_s = min(youngest_s, heard_s + now - at)
-    return PeerStoreState(mark, youngest_s)
+    min_age_s = float("inf")
+    for reported_at, peer_mark, age_s in rows:
+        mark = max(mark, peer_mark)
+        if peer_mark <= own:
+            min_age_s = min(min_age_s, age_s + now - reported_at)
+    return PeerStoreState(mark, min_age_s)
 
 
-def merge_store_reports(now: float, words: Iterable[StoreReport]) -> StoreReport:
+def merge_store_reports(now: float, reports: Iterable[StoreReport]) -> StoreReport:
     """Merge reports into one with the newest marks and their latest confirmations."""
-    known = list(words)
-    version = max((w.version for w in known), default=0)
-    mark = max((w.list_mark for w in known), default=0)
-    heard = (w.heard_s + now - w.at for w in known if w.version == version)
-    list_heard = (w.list_heard_s + now - w.at for w in known if w.list_mark == mark)
-    never = float("inf")
+    received = list(reports)
+    version = max((r.version for r in received), default=0)
+    mark = max((r.list_mark for r in received), default=0)
+    config_ages_s = (
+        r.config_age_s + now - r.reported_at for r in received if r.version == version
+    )
+    list_ages_s = (
+        r.list_age_s + now - r.reported_at for r in received if r.list_mark == mark
+    )
+    unknown_s = float("inf")
     return StoreReport(
-        now, version, mark, min(heard, default=never), min(list_heard, default=never)
+        now,
+        version,
+        mark,
+        min(config_ages_s, default=unknown_s),
+        min(list_ages_s, default=unknown_s),
     )
--- a/greengageflow/core/store_updates.py
+++ b/greengageflow/core/store_updates.py
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _SentRecord:
-    at: float
+    sent_at: float
     since: int
     record: KeyedRecord
 
@@ -62,20 +62,20 @@
 
     Args:
         topic: Topic of the records.
-        most: Maximum size of the records in a message, in bytes. A single larger
+        limit: Maximum size of the records in a message, in bytes. A single larger
             record still gets a message of its own.
     """
 
-    def __init__(self, topic: StoreTopic, most: int) -> None:
+    def __init__(self, topic: StoreTopic, limit: int) -> None:
         self._topic = topic
-        self._most = most
-        self._mark = 0
+        self._limit = limit
+        self._end = 0
         self._sent: deque[_SentRecord] = deque()
 
-    def begin(self, end: int) -> None:
+    def reset(self, end: int) -> None:
         """Start at ``end``, without the records before it."""
         self._sent.clear()
-        self._mark = end
+        self._end = end
 
     def publish(
         self, now: float, records: Iterable[KeyedRecord], end: int
@@ -87,38 +87,38 @@
             records: New records that changed something, in log order.
             end: Offset up to which the topic has been read.
         """
-        self._drop_old(now)
-        mark = self._mark
+        self._drop_expired(now)
+        previous_end = self._end
         for record in records:
             # The range starts at the last change. Records since then changed nothing,
             # so a router that has not read all of them still misses nothing.
-            self._sent.append(_SentRecord(now, self._mark, record))
-            self._mark = record.offset + 1
-        if self._mark != mark:
-            yield from self._messages(max(end, self._mark))
+            self._sent.append(_SentRecord(now, self._end, record))
+            self._end = record.offset + 1
+        if self._end != previous_end:
+            yield from self._messages(max(end, self._end))
 
-    def _drop_old(self, now: float) -> None:
-        size = sum(_size(one.record) for one in self._sent)
+    def _drop_expired(self, now: float) -> None:
+        size = sum(_size(sent.record) for sent in self._sent)
         while self._sent and (
-            size > MAX_RETRANSMIT_BYTES or now - self._sent[0].at > RETRANSMIT_S
+            size > MAX_RETRANSMIT_BYTES or now - self._sent[0].sent_at > RETRANSMIT_S
         ):
             size -= _size(self._sent.popleft().record)
 
     def _messages(self, end: int) -> Iterator[StoreUpdate]:
-        part: list[_SentRecord] = []
+        batch: list[_SentRecord] = []
         size = 0
-        for one in self._sent:
-            size += _size(one.record)
-            if part and size > self._most:
-                yield self._message(part, one.since)
-                part, size = [], _size(one.record)
-            part.append(one)
-        yield self._message(part, end)
-
-    def _message(self, part: list[_SentRecord], end: int) -> StoreUpdate:
-        records = tuple(one.record for one in part)
+        for sent in self._sent:
+            size += _size(sent.record)
+            if batch and size > self._limit:
+                yield self._message(batch, sent.since)
+                batch, size = [], _size(sent.record)
+            batch.append(sent)
+        yield self._message(batch, end)
+
+    def _message(self, batch: list[_SentRecord], end: int) -> StoreUpdate:
+        records = tuple(sent.record for sent in batch)
         return StoreUpdate(
-            topic=self._topic, since=part[0].since, end=end, records=records
+            topic=self._topic, since=batch[0].since, end=end, records=records
         )
 
 
--- a/greengageflow/daemon/crash_watch.py
+++ b/greengageflow/daemon/crash_watch.py
@@ -112,7 +112,7 @@
     def on_cut(self, endpoint: EndpointStart, fingerprint: Fingerprint) -> None:
         """Note that an endpoint cut a request that it may have begun to run."""
         start = endpoint.start
-        self._quarantine.suspect(self._timers.now, start, fingerprint)
+        self._quarantine.add_suspect(self._timers.now, start, fingerprint)
         if start not in self._checking:
             self._checking.add(start)
             self._check_after(CHECKS_S, endpoint)
@@ -132,13 +132,13 @@
     def _settle(self, endpoint: EndpointStart, reach: Reach) -> None:
         self._checking.discard(endpoint.start)
         if reach not in (Reach.REFUSED, Reach.CLOSED):
-            self._quarantine.alive(endpoint.start)
+            self._quarantine.on_alive(endpoint.start)
             return
         now = self._timers.now
-        before = set(self._quarantine.held(now))
-        suspects = self._quarantine.crashed(now, endpoint.start)
+        before = set(self._quarantine.quarantined(now))
+        suspects = self._quarantine.on_crash(now, endpoint.start)
         self._notes.crashed(endpoint, suspects)
-        held = set(self._quarantine.held(now)) - before
+        held = set(self._quarantine.quarantined(now)) - before
         self._log_quarantined(held, "crash")
         self._send_all()
         for fingerprint in held:
@@ -148,7 +148,7 @@
         """Note a good answer to a request."""
         now = self._timers.now
         was_held = self._quarantine.record(now, fingerprint) is not None
-        if self._quarantine.answered(now, fingerprint):
+        if self._quarantine.on_success(now, fingerprint):
             self._notes.cleared(fingerprint)
             self._send_all()
             if was_held:
@@ -162,7 +162,7 @@
     def _log_quarantined(self, held: Iterable[Fingerprint], source: str) -> None:
         found = frozenset(held)
         for fingerprint in found:
-            left_s = self._quarantine.left_s(self._timers.now, fingerprint)
+            left_s = self._quarantine.remaining_s(self._timers.now, fingerprint)
             self._notes.held(fingerprint, source, left_s)
         if found:
             self._on_quarantined(found)
--- a/greengageflow/daemon/dispatch.py
+++ b/greengageflow/daemon/dispatch.py
@@ -139,7 +139,7 @@
         """Return why a request must not be sent to any endpoint, or None."""
         if not self._quarantine:
             return None
-        left_s = self._quarantine.left_s(monotonic(), flight.fingerprint)
+        left_s = self._quarantine.remaining_s(monotonic(), flight.fingerprint)
         if not left_s:
             return None
         text = "endpoints crashed while they ran this request"
--- a/greengageflow/daemon/fleet_exchange.py
+++ b/greengageflow/daemon/fleet_exchange.py
@@ -402,7 +402,7 @@
         for address, at in list(self._addresses.items()):
             if now - at > forget_s:
                 del self._addresses[address]
-                self._announcer.forget(address)
+                self._announcer.remove(address)
         self._tell()
         if self._is_large:
             # Announcer and reports tell addresses; these stay the same for their
--- a/greengageflow/daemon/forwarder.py
+++ b/greengageflow/daemon/forwarder.py
@@ -134,7 +134,7 @@
 
     def _quarantine_error(self, flight: ForwardFlight) -> RouterError | None:
         """Return why a request must not be sent to any endpoint, or None."""
-        left_s = self._quarantine.left_s(self._timers.now, flight.fingerprint)
+        left_s = self._quarantine.remaining_s(self._timers.now, flight.fingerprint)
         if not left_s:
             return None
         text = "endpoints crashed while they ran this request"
--- a/greengageflow/daemon/gateway.py
+++ b/greengageflow/daemon/gateway.py
@@ -249,7 +249,7 @@
             ),
             dropped=lambda: self._log.dropped,
             era=lambda: self._store.era,
-            quarantined=lambda: len(self._quarantine.held(self._timers.now)),
+            quarantined=lambda: len(self._quarantine.quarantined(self._timers.now)),
             stale_retries=lambda: self._pool.stale_retries,
         )
         self._serve_pages(settings.ready, pages, "ready")
--- a/greengageflow/daemon/key_watch.py
+++ b/greengageflow/daemon/key_watch.py
@@ -52,7 +52,7 @@
         words = list(words)
         if words and now >= self._doubt_until:
             known = peer_config_state(told, self._store.version, words)
-            self._trust.confirm(now - known.heard_s - PEER_MARGIN_S)
+            self._trust.confirm(now - known.age_s - PEER_MARGIN_S)
         trusted = self._trust.holds(now)
         if trusted != self._trusted:
             self._trusted = trusted
--- a/greengageflow/daemon/quarantine_store.py
+++ b/greengageflow/daemon/quarantine_store.py
@@ -79,7 +79,7 @@
     def put_again(self) -> None:
         """Write all that is held back once more, if this host writes for others."""
         if self._is_reader():
-            held = self._quarantine.held(self._timers.now)
+            held = self._quarantine.quarantined(self._timers.now)
             self._unwritten.update(dict.fromkeys(held))
 
     def _look(self) -> None:
@@ -115,7 +115,7 @@
         self._pages = []
         self._on_read(records)
         now = self._timers.now
-        held = set(self._quarantine.held(now))
+        held = set(self._quarantine.quarantined(now))
         over = [one.fingerprint for one in records if one.fingerprint not in held]
         for fingerprint in over[:MOST_DROPPED]:
             self.update(fingerprint)
--- a/greengageflow/daemon/router.py
+++ b/greengageflow/daemon/router.py
@@ -131,7 +131,7 @@
             self._log_client,
             self._metrics,
             host_list=lambda: self._host_list,
-            quarantined=lambda: len(self._quarantine.held(self._timers.now)),
+            quarantined=lambda: len(self._quarantine.quarantined(self._timers.now)),
         )
         self._stop_began = 0.0
 
--- a/greengageflow/daemon/store_view.py
+++ b/greengageflow/daemon/store_view.py
@@ -158,7 +158,7 @@
         if self._config.idle:
             alone = reads or not self._config.is_known
             behind = self._config_wait.is_due(now, is_behind, alone)
-            heard_s = min(known.heard_s, self._age_s(self.confirmed))
+            heard_s = min(known.age_s, self._age_s(self.confirmed))
             stale = heard_s > self._stale_s and self._may_read(self._config, words)
             if reads and not behind:
                 # A wait for the whole pace would be known of only when the next one
@@ -173,12 +173,12 @@
         if self._list.idle and not self._waits_for_era(now, era_of(known.mark)):
             alone = reads or not self._list.is_known
             behind = self._list_wait.is_due(now, is_behind, alone)
-            heard_s = min(known.heard_s, self._age_s(self.list_confirmed))
+            heard_s = min(known.age_s, self._age_s(self.list_confirmed))
             stale = heard_s > self._stale_s and self._may_read(self._list, words)
             due = reads and self._age_s(self._list.asked_at) >= self._pace_s
             if due or behind or stale:
                 self._list.read()
-        if self._hold.waits:
+        if self._hold.is_pending:
             self._note_answers(now, words)
         self._drop_held(now)
 
@@ -215,8 +215,8 @@
         # A host that does not read for its zone may not read for long after the
         # store's return; its peers' word is all it has of it.
         for word in words:
-            age_s = min(word.heard_s, word.list_heard_s) + now - word.at
-            self._hold.answered(self._clock(), self._clock() - age_s)
+            age_s = min(word.config_age_s, word.list_age_s) + now - word.reported_at
+            self._hold.on_answer(self._clock(), self._clock() - age_s)
 
     def _tell_in_place(self, before: float) -> None:
         # Members wait only a little longer before they all read.
@@ -225,7 +225,7 @@
 
     def _store_answered(self) -> None:
         now = self._clock()
-        self._hold.answered(now, now)
+        self._hold.on_answer(now, now)
 
     def _age_s(self, at: float) -> float:
         return self._clock() - at
@@ -329,7 +329,7 @@
 
     def list_lost(self, text: str) -> None:
         """Note that the list could not be read."""
-        self._hold.lost(self._clock())
+        self._hold.on_failure(self._clock())
         if self._list_lost_at is None:
             self._list_lost_at = self._clock()
             age_s = min(self._age_s(self.list_confirmed), 1e6)
@@ -383,7 +383,7 @@
         self._take_records(sorted(records, key=lambda record: record.offset))
         # A snapshot does not tell which removals came before its end, so that nobody
         # may be told that it misses none.
-        self._publishers[StoreTopic.ENDPOINTS].begin(self._list.offset)
+        self._publishers[StoreTopic.ENDPOINTS].reset(self._list.offset)
 
     def _was_dropped(self, record: KeyedRecord) -> bool:
         """Whether a restored entry is one whose removal the store has lost."""
@@ -396,7 +396,7 @@
         self._is_restored = True
 
     def _drop(self, endpoint: str) -> Iterable[ListChange]:
-        left_s = self._hold.left_s(self._clock())
+        left_s = self._hold.remaining_s(self._clock())
         if left_s <= 0:
             return list(self._endpoints.drop(endpoint))
         if endpoint not in self._held:
--- a/tests/test_announcer.py
+++ b/tests/test_announcer.py
@@ -35,7 +35,7 @@
     announcer = Announcer()
     announcer.add([A, B])
     announcer.next_batch(0.0, 1)
-    announcer.forget(A)
-    announcer.forget(B)
+    announcer.remove(A)
+    announcer.remove(B)
     announcer.add([A])
     assert announcer.next_batch(0.0, 9) == [A]
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -26,8 +26,8 @@
 
 def crash(quarantine, now, start, *fingerprints):
     for fingerprint in fingerprints:
-        quarantine.suspect(now, start, fingerprint)
-    quarantine.crashed(now, start)
+        quarantine.add_suspect(now, start, fingerprint)
+    quarantine.on_crash(now, start)
 
 
 def test_fingerprint_depends_on_all_that_an_endpoint_gets_but_the_id():
@@ -47,38 +47,38 @@
 def test_request_is_held_back_after_the_second_crash_until_its_time_is_over():
     quarantine = Quarantine()
     crash(quarantine, 1, "e1", b"poison", b"sound")
-    assert not quarantine.left_s(1, b"poison")
+    assert not quarantine.remaining_s(1, b"poison")
     crash(quarantine, 2, "e2", b"poison", b"other")
-    assert quarantine.left_s(3, b"poison") == QUARANTINE_S - 1
-    assert quarantine.held(3) == [b"poison"]
-    assert not quarantine.left_s(3, b"sound")
-    assert not quarantine.left_s(2 + QUARANTINE_S, b"poison")
+    assert quarantine.remaining_s(3, b"poison") == QUARANTINE_S - 1
+    assert quarantine.quarantined(3) == [b"poison"]
+    assert not quarantine.remaining_s(3, b"sound")
+    assert not quarantine.remaining_s(2 + QUARANTINE_S, b"poison")
 
 
 def test_one_crash_counts_once_however_many_copies_ran_there():
     quarantine = Quarantine()
     crash(quarantine, 1, "e1", b"poison", b"poison")
     crash(quarantine, 2, "e1", b"poison")
-    assert not quarantine.left_s(2, b"poison")
+    assert not quarantine.remaining_s(2, b"poison")
 
 
 def test_good_answer_clears_a_request_that_was_only_in_flight():
     quarantine = Quarantine()
     crash(quarantine, 1, "e1", b"sound")
-    assert quarantine.answered(2, b"sound")
+    assert quarantine.on_success(2, b"sound")
     later = 2 + CLEARANCE_S + 1
     crash(quarantine, later, "e2", b"sound")
-    assert not quarantine.left_s(later, b"sound")
+    assert not quarantine.remaining_s(later, b"sound")
     crash(quarantine, later, "e3", b"sound")
-    assert quarantine.left_s(later, b"sound")
+    assert quarantine.remaining_s(later, b"sound")
 
 
 def test_request_that_is_answered_all_the_time_is_no_suspect():
     quarantine = Quarantine()
-    quarantine.answered(1, b"sound")
+    quarantine.on_success(1, b"sound")
     crash(quarantine, 2, "e1", b"sound")
     crash(quarantine, 2, "e2", b"sound")
-    assert not quarantine.left_s(2, b"sound")
+    assert not quarantine.remaining_s(2, b"sound")
 
 
 def test_cuts_alone_hold_nothing_back():
@@ -89,17 +89,17 @@
     """
     quarantine = Quarantine()
     for start in ("e1", "e2", "e3"):
-        quarantine.suspect(1, start, b"sound")
-    assert not quarantine.left_s(1, b"sound")
+        quarantine.add_suspect(1, start, b"sound")
+    assert not quarantine.remaining_s(1, b"sound")
 
 
 def test_request_does_not_run_again_before_the_second_crash_is_known():
     quarantine = Quarantine()
     crash(quarantine, 1, "e1", b"poison")
-    quarantine.suspect(2, "e2", b"poison")
-    assert 0 < quarantine.left_s(2, b"poison") < 2
-    quarantine.alive("e2")
-    assert not quarantine.left_s(2, b"poison")
+    quarantine.add_suspect(2, "e2", b"poison")
+    assert 0 < quarantine.remaining_s(2, b"poison") < 2
+    quarantine.on_alive("e2")
+    assert not quarantine.remaining_s(2, b"poison")
 
 
 def test_what_is_repeated_between_hosts_does_not_hold_a_request_for_longer():
@@ -110,8 +110,8 @@
         now = 2.0 * step
         for source, target in ((first, second), (second, first)):
             target.receive(now + 0.5, source.records(now, 10, 9))
-    assert not first.held(QUARANTINE_S + 2)
-    assert not second.held(QUARANTINE_S + 2)
+    assert not first.quarantined(QUARANTINE_S + 2)
+    assert not second.quarantined(QUARANTINE_S + 2)
 
 
 def test_records_are_bounded_and_those_held_back_go_last():
@@ -121,7 +121,7 @@
     for number in range(2 * MAX_RECORDS):
         crash(quarantine, 2 + number / 1000, f"s{number}", b"%d" % number)
     assert len(list(quarantine.records(5, 100, 10**6))) <= MAX_RECORDS
-    assert quarantine.left_s(5, b"poison")
+    assert quarantine.remaining_s(5, b"poison")
 
 
 class Fleet(RuleBasedStateMachine):
@@ -148,7 +148,7 @@
 
     @rule(host=st.integers(0, 2), fingerprint=st.sampled_from([b"q", b"r"]))
     def answer(self, host, fingerprint):
-        self.hosts[host].answered(self.now, fingerprint)
+        self.hosts[host].on_success(self.now, fingerprint)
         self._tell(host)
 
     @rule(host=st.integers(0, 2), data=st.data())
@@ -169,7 +169,7 @@
     @invariant()
     def holds_only_what_crashed_twice(self):
         for host in self.hosts:
-            for fingerprint in host.held(self.now):
+            for fingerprint in host.quarantined(self.now):
                 starts = {s for s, found in self.crashes if found == fingerprint}
                 assert len(starts) >= 2
 
@@ -179,9 +179,9 @@
         for end, order in zip(ends, (1, -1), strict=True):
             for message in self.messages[::order] * 2:
                 end.receive(self.now, message)
-        assert set(ends[0].held(self.now)) == set(ends[1].held(self.now))
+        assert set(ends[0].quarantined(self.now)) == set(ends[1].quarantined(self.now))
         if sum(found == b"p" for _, found in self.crashes) >= 2:
-            assert b"p" in ends[0].held(self.now)
+            assert b"p" in ends[0].quarantined(self.now)
 
 
 TestFleet = Fleet.TestCase
@@ -291,7 +291,7 @@
 
     @property
     def knows(self):
-        return self.quarantine.held(self.router.now) == [FINGERPRINT]
+        return self.quarantine.quarantined(self.router.now) == [FINGERPRINT]
 
 
 @pytest.mark.parametrize(("size", "zones"), [(9, 3), (60, 4)])
--- a/tests/test_quarantine_store.py
+++ b/tests/test_quarantine_store.py
@@ -89,7 +89,7 @@
     first.hold()
     late = World(reader=True, items=[item(*first.written[0])])
     late.run(3)
-    assert late.quarantine.held(late.now) == [FINGERPRINT]
+    assert late.quarantine.quarantined(late.now) == [FINGERPRINT]
     assert not late.written
 
 
@@ -106,7 +106,7 @@
 def test_a_cleared_request_is_dropped_from_the_store():
     world = World()
     world.hold()
-    world.quarantine.answered(1, FINGERPRINT)
+    world.quarantine.on_success(1, FINGERPRINT)
     world.store.update(FINGERPRINT)
     assert world.written[-1] == (FINGERPRINT.hex(), b"")
 
@@ -116,7 +116,7 @@
     key = FINGERPRINT.hex()
     world = World(reader=True, items=[item(key, json.dumps(old).encode())])
     world.run(3)
-    assert not world.quarantine.held(world.now)
+    assert not world.quarantine.quarantined(world.now)
     assert world.written == [(key, b"")]
     assert world.read[0].age_s > QUARANTINE_S
 
@@ -147,7 +147,7 @@
     )
     world.page = 3
     world.run(3)
-    assert len(world.quarantine.held(world.now)) == 7
+    assert len(world.quarantine.quarantined(world.now)) == 7
     assert world.reads == 3
 
 
@@ -161,7 +161,7 @@
     good.hold()
     world = World(reader=True, items=[item(key, value), item(*good.written[0])])
     world.run(3)
-    assert world.quarantine.held(world.now) == [FINGERPRINT]
+    assert world.quarantine.quarantined(world.now) == [FINGERPRINT]
 
 
 JSON = st.recursive(
