--- a/greengageflow/core/_schema1.py
+++ b/greengageflow/core/_schema1.py
@@ -15,12 +15,12 @@
     DEFAULT_DEADLINE_S,
     DEFAULT_QUEUE_LIMIT,
     by_name,
+    duplicate_keys,
+    invalid_service_names,
     key_hash,
     path_prefix,
     routes,
-    shared_keys,
     unknown_pools,
-    unsuitable_pools,
 )
 from greengageflow.core.catalog import (
     ClientAccount,
@@ -82,9 +82,9 @@
 )
 
 
-def _consistent(form: _Form, path: str) -> Iterator[Any]:
-    yield from shared_keys(form.accounts, path)
-    yield from unsuitable_pools(form.pools, path)
+def _check_consistency(form: _Form, path: str) -> Iterator[Any]:
+    yield from duplicate_keys(form.accounts, path)
+    yield from invalid_service_names(form.pools, path)
     yield from unknown_pools(form.pools, form.endpoints, path)
 
 
@@ -95,28 +95,28 @@
         pools=optional(sequence(_POOL, unique="name"), ()),
         endpoints=optional(sequence(_ENDPOINT, unique="name"), ()),
     ),
-    _consistent,
+    _check_consistency,
 )
 
 
-def merge(present: FleetConfig, form: _Form) -> FleetConfig:
-    """Return ``present`` with every value that schema 1 covers taken from ``form``."""
+def merge(current: FleetConfig, form: _Form) -> FleetConfig:
+    """Return ``current`` with every value that schema 1 covers taken from ``form``."""
     return replace(
-        present,
-        accounts=by_name(_account(present, item) for item in form.accounts),
-        pools=by_name(_pool(present, item) for item in form.pools),
-        endpoints=by_name(_endpoint(present, item) for item in form.endpoints),
+        current,
+        accounts=by_name(_account(current, item) for item in form.accounts),
+        pools=by_name(_pool(current, item) for item in form.pools),
+        endpoints=by_name(_endpoint(current, item) for item in form.endpoints),
     )
 
 
-def _account(present: FleetConfig, item: ClientAccount) -> ClientAccount:
-    old = present.accounts.get(item.name)
+def _account(current: FleetConfig, item: ClientAccount) -> ClientAccount:
+    old = current.accounts.get(item.name)
     queue_limit = DEFAULT_QUEUE_LIMIT if old is None else old.queue_limit
     return replace(item, queue_limit=queue_limit)
 
 
-def _pool(present: FleetConfig, item: _Pool) -> Pool:
-    old = present.pools.get(item.name)
+def _pool(current: FleetConfig, item: _Pool) -> Pool:
+    old = current.pools.get(item.name)
     if old is None or old.kind is not item.kind:
         old = Pool(
             item.name,
@@ -128,8 +128,8 @@
     return replace(old, routes=routes(item.protected, repeatable))
 
 
-def _endpoint(present: FleetConfig, item: Endpoint) -> Endpoint:
-    old = present.endpoints.get(item.name)
+def _endpoint(current: FleetConfig, item: Endpoint) -> Endpoint:
+    old = current.endpoints.get(item.name)
     if old is None or old.pool != item.pool:
         return replace(item, checks_fencing=False, resumes=False)
     return replace(item, checks_fencing=old.checks_fencing, resumes=old.resumes)
--- a/greengageflow/core/_schema2.py
+++ b/greengageflow/core/_schema2.py
@@ -18,11 +18,11 @@
     DEFAULT_POLICY,
     DEFAULT_QUEUE_LIMIT,
     by_name,
+    duplicate_keys,
+    invalid_service_names,
     key_hash,
     path_prefix,
     routes,
-    shared_keys,
-    unsuitable_pools,
 )
 from greengageflow.core.catalog import (
     ClientAccount,
@@ -147,26 +147,26 @@
 _POLICY = record(
     Policy,
     **{
-        knob: optional(check, getattr(DEFAULT_POLICY, knob))
-        for knob, check in _POLICY_FIELDS.items()
+        field_name: optional(check, getattr(DEFAULT_POLICY, field_name))
+        for field_name, check in _POLICY_FIELDS.items()
     },
 )
 
 
-def _endpoints_used_twice(form: _Form, path: str) -> Iterator[Fault]:
+def _duplicate_endpoints(form: _Form, path: str) -> Iterator[Fault]:
     seen = set()
     for pool in form.pools:
         for endpoint in pool.endpoints:
             if endpoint.name in seen:
-                at = f"{path}.pools[{pool.name}].endpoints.name".lstrip(".")
-                yield WrongValue(at, "a name not used before", endpoint.name)
+                endpoint_path = f"{path}.pools[{pool.name}].endpoints.name".lstrip(".")
+                yield WrongValue(endpoint_path, "a name not used before", endpoint.name)
             seen.add(endpoint.name)
 
 
-def _consistent(form: _Form, path: str) -> Iterator[Fault]:
-    yield from shared_keys(form.accounts, path)
-    yield from unsuitable_pools(form.pools, path)
-    yield from _endpoints_used_twice(form, path)
+def _check_consistency(form: _Form, path: str) -> Iterator[Fault]:
+    yield from duplicate_keys(form.accounts, path)
+    yield from invalid_service_names(form.pools, path)
+    yield from _duplicate_endpoints(form, path)
 
 
 CHECK = refine(
@@ -176,15 +176,15 @@
         pools=optional(sequence(_POOL, unique="name"), ()),
         policy=optional(_POLICY, DEFAULT_POLICY),
     ),
-    _consistent,
+    _check_consistency,
 )
 
 
-def merge(present: FleetConfig, form: _Form) -> FleetConfig:
+def merge(current: FleetConfig, form: _Form) -> FleetConfig:
     """Return the configuration in ``form``, which covers all values of the catalog."""
     return FleetConfig(
-        present.revision,
-        present.offset,
+        current.revision,
+        current.offset,
         by_name(form.accounts),
         by_name(_pool(item) for item in form.pools),
         by_name(_all_endpoints(form)),
@@ -226,7 +226,10 @@
     return {
         "accounts": [_dump_account(account) for account in config.accounts.values()],
         "pools": [_dump_pool(config, pool) for pool in config.pools.values()],
-        "policy": {knob: getattr(config.policy, knob) for knob in _POLICY_FIELDS},
+        "policy": {
+            field_name: getattr(config.policy, field_name)
+            for field_name in _POLICY_FIELDS
+        },
     }
 
 
--- a/greengageflow/core/_schema_common.py
+++ b/greengageflow/core/_schema_common.py
@@ -25,8 +25,8 @@
 
 def by_name(items: Iterable[Any]) -> Mapping[str, Any]:
     """Return a read-only mapping of the items by name, sorted by name."""
-    found = {item.name: item for item in items}
-    return MappingProxyType(dict(sorted(found.items())))
+    named = {item.name: item for item in items}
+    return MappingProxyType(dict(sorted(named.items())))
 
 
 def routes(protected: Iterable[str], repeatable: Iterable[str]) -> tuple[Route, ...]:
@@ -34,8 +34,13 @@
 
     A prefix that is in both ``protected`` and ``repeatable`` is protected.
     """
-    found = dict.fromkeys(repeatable, True) | dict.fromkeys(protected, False)
-    return tuple(Route(prefix, found[prefix]) for prefix in sorted(found))
+    repeatable_by_prefix = dict.fromkeys(repeatable, True) | dict.fromkeys(
+        protected, False
+    )
+    return tuple(
+        Route(prefix, repeatable_by_prefix[prefix])
+        for prefix in sorted(repeatable_by_prefix)
+    )
 
 
 def key_hash() -> Check:
@@ -62,7 +67,7 @@
             )
 
 
-def unsuitable_pools(pools: Iterable[Any], path: str) -> Iterator[Fault]:
+def invalid_service_names(pools: Iterable[Any], path: str) -> Iterator[Fault]:
     """Yield a fault for each service whose name is not a single URL path segment."""
     for pool in pools:
         if pool.kind is PoolKind.SERVICE and "/" in pool.name:
@@ -73,7 +78,7 @@
             )
 
 
-def shared_keys(accounts: Iterable[ClientAccount], path: str) -> Iterator[Fault]:
+def duplicate_keys(accounts: Iterable[ClientAccount], path: str) -> Iterator[Fault]:
     """Yield a fault for each key hash that belongs to more than one account."""
     owners: dict[str, str] = {}
     for account in accounts:
--- a/greengageflow/core/check.py
+++ b/greengageflow/core/check.py
@@ -13,7 +13,7 @@
 INVALID: Any = object()
 """Returned by a check that has yielded a fault."""
 
-_SHOWN_LENGTH = 60
+_MAX_VALUE_LENGTH = 60
 
 
 class Fault(ValueError):
@@ -55,7 +55,7 @@
         super().__init__(path, expected)
 
     def _text(self) -> str:
-        return f"expected {self.expected}, found {_shown(self.found)}"
+        return f"expected {self.expected}, found {_format_value(self.found)}"
 
 
 Checked = Generator[Fault, None, Any]
@@ -97,24 +97,26 @@
     return getattr(check, "expected", "a value")
 
 
-def _shown(value: Any) -> str:
+def _format_value(value: Any) -> str:
     text = json.dumps(value, default=repr)
-    return text if len(text) <= _SHOWN_LENGTH else text[:_SHOWN_LENGTH] + "…"
+    return text if len(text) <= _MAX_VALUE_LENGTH else text[:_MAX_VALUE_LENGTH] + "…"
 
 
-def simple(expected: str, good: Callable[[Any], bool], make: Any = None) -> Check:
+def scalar(
+    expected: str, is_valid: Callable[[Any], bool], convert: Any = None
+) -> Check:
     """Return a check for a scalar value.
 
     Args:
         expected: Description of a valid value.
-        good: Returns whether a value is valid.
-        make: Converts a valid value into the result of the check.
+        is_valid: Returns whether a value is valid.
+        convert: Converts a valid value into the result of the check.
     """
 
     def quick(value: Any) -> Any:
-        if not good(value):
+        if not is_valid(value):
             return INVALID
-        return value if make is None else make(value)
+        return value if convert is None else convert(value)
 
     def check(value: Any, path: str) -> Checked:
         result = quick(value)
@@ -144,11 +146,13 @@
         found = []
         seen = set()
         for index, part in enumerate(value):
-            at = f"{path}[{index}]"
-            result = yield from item(part, at)
+            item_path = f"{path}[{index}]"
+            result = yield from item(part, item_path)
             key = getattr(result, unique, INVALID) if unique else INVALID
             if key is not INVALID and key in seen:
-                yield WrongValue(f"{at}.{unique}", "a value not used before", key)
+                yield WrongValue(
+                    f"{item_path}.{unique}", "a value not used before", key
+                )
                 result = INVALID
             seen.add(key)
             found.append(result)
@@ -178,9 +182,9 @@
             yield UnknownField(f"{prefix}{key}", ", ".join(fields))
             faults += 1
         for key, field in fields.items():
-            result = _given(field, value, key, quick[key])
+            result = _quick_value(field, value, key, quick[key])
             if result is INVALID:
-                result = yield from _checked(field, value, key, prefix)
+                result = yield from _run_check(field, value, key, prefix)
                 faults += result is INVALID
             found[key] = result
         return INVALID if faults else make(**found)
@@ -189,10 +193,10 @@
     return check
 
 
-def _given(field: Field, value: dict[str, Any], key: str, quick: Any) -> Any:
+def _quick_value(field: Field, value: dict[str, Any], key: str, quick: Any) -> Any:
     """Return the value of a field without a generator, or ``INVALID``.
 
-    ``INVALID`` means that ``_checked`` must look for faults.
+    ``INVALID`` means that ``_run_check`` must look for faults.
     """
     if key not in value:
         return INVALID if field.required else field.default
@@ -201,24 +205,24 @@
     return INVALID if quick is None else quick(value[key])
 
 
-def _checked(field: Field, value: dict[str, Any], key: str, prefix: str) -> Checked:
+def _run_check(field: Field, value: dict[str, Any], key: str, prefix: str) -> Checked:
     if key in value:
         return (yield from field.check(value[key], f"{prefix}{key}"))
     yield MissingField(f"{prefix}{key}", field.expected)
     return INVALID
 
 
-def refine(check: Check, more: Callable[[Any, str], Iterable[Fault]]) -> Check:
+def refine(check: Check, cross_check: Callable[[Any, str], Iterable[Fault]]) -> Check:
     """Return ``check`` extended by a check across fields.
 
-    ``more`` is called only with a value that ``check`` found valid.
+    ``cross_check`` is called only with a value that ``check`` found valid.
     """
 
     def refined(value: Any, path: str) -> Checked:
         result = yield from check(value, path)
         if result is INVALID:
             return INVALID
-        faults = list(more(result, path))
+        faults = list(cross_check(result, path))
         yield from faults
         return INVALID if faults else result
 
@@ -233,10 +237,10 @@
         ExceptionGroup: Holds one ``Fault`` for each error.
     """
     faults = []
-    steps = check(value, "")
+    generator = check(value, "")
     while True:
         try:
-            faults.append(next(steps))
+            faults.append(next(generator))
         except StopIteration as stop:
             if faults:
                 raise ExceptionGroup(title, faults) from None
--- a/greengageflow/core/config_roles.py
+++ b/greengageflow/core/config_roles.py
@@ -41,19 +41,19 @@
     longer interval, and the fold ignores redundant snapshots.
     """
     own = view.own.host
-    writer = _first(view, "config writer", 1, None) == [own]
+    writer = _top_ranked(view, "config writer", 1, None) == [own]
     zone = getattr(view.live.get(own), "zone", "")
-    readers = _first(view, f"config reader\0{zone}", READERS_PER_ZONE, zone)
+    readers = _top_ranked(view, f"config reader\0{zone}", READERS_PER_ZONE, zone)
     return Roles(writer or own in readers or own not in view.live, writer)
 
 
-def _first(view: MemberView, key: str, count: int, zone: str | None) -> list[str]:
-    found: list[str] = []
+def _top_ranked(view: MemberView, key: str, count: int, zone: str | None) -> list[str]:
+    hosts: list[str] = []
     for host in view.ranked(key):
         member = view.live.get(host)
         if member is None or member.stopping or zone not in (None, member.zone):
             continue
-        found.append(host)
-        if len(found) == count:
+        hosts.append(host)
+        if len(hosts) == count:
             break
-    return found
+    return hosts
--- a/greengageflow/core/fold.py
+++ b/greengageflow/core/fold.py
@@ -36,7 +36,7 @@
 
 CONFIG_STREAM = "config"
 HISTORY_LENGTH = 100
-_FAULTS_SHOWN = 5
+_MAX_FAULTS_SHOWN = 5
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,7 +63,7 @@
     """Folds records into the configuration in force.
 
     Args:
-        understood: Schema versions that this release supports. Only tests pass
+        supported_schemas: Schema versions that this release supports. Only tests pass
             fewer than all.
         history_length: Number of latest decisions kept for operators.
     """
@@ -71,14 +71,14 @@
     def __init__(
         self,
         *,
-        understood: frozenset[int] = frozenset(SCHEMAS),
+        supported_schemas: frozenset[int] = frozenset(SCHEMAS),
         history_length: int = HISTORY_LENGTH,
     ) -> None:
-        self.understood = understood
+        self.supported_schemas = supported_schemas
         self._state = State()
         self._history: deque[Decision] = deque(maxlen=history_length)
-        self._lost_before = 0
-        self._scanned = -1
+        self._trimmed_before = 0
+        self._scanned_offset = -1
         self.halted = ""
 
     @property
@@ -102,12 +102,12 @@
 
         False after records were trimmed from the log before they were read here.
         """
-        return self._lost_before <= self.offset + 1
+        return self._trimmed_before <= self.offset + 1
 
     @property
     def next_offset(self) -> int:
         """Offset of the next record to read."""
-        return self.offset + 1 if self.complete else self._scanned + 1
+        return self.offset + 1 if self.complete else self._scanned_offset + 1
 
     @property
     def history(self) -> tuple[Decision, ...]:
@@ -117,8 +117,8 @@
     def skip_to(self, first_offset: int) -> None:
         """Record that the log was trimmed and now begins at ``first_offset``."""
         if first_offset > self.next_offset:
-            self._lost_before = first_offset
-            self._scanned = first_offset - 1
+            self._trimmed_before = first_offset
+            self._scanned_offset = first_offset - 1
 
     def apply(self, offset: int, value: Any) -> Outcome:
         """Decide on the record at ``offset`` and fold it if it is accepted.
@@ -135,7 +135,7 @@
             raise ValueError(f"expected record {self.next_offset}, got record {offset}")
         if offset < self.next_offset:
             return Skipped(Reason.REPEATED, "already folded")
-        outcome = self._judge(offset, value)
+        outcome = self._decide(offset, value)
         if self.halted:
             return outcome
         self._history.append(_decision(offset, value, outcome))
@@ -145,7 +145,7 @@
             case _ if self.complete:
                 self._state = replace(self._state, offset=offset)
             case _:
-                self._scanned = offset
+                self._scanned_offset = offset
         return outcome
 
     def restore(self, value: Any) -> bool:
@@ -158,7 +158,10 @@
             ExceptionGroup: The value is not a valid snapshot.
         """
         head = parse_head(value)
-        if head.schema not in self.understood or head.kind is not RecordKind.SNAPSHOT:
+        if (
+            head.schema not in self.supported_schemas
+            or head.kind is not RecordKind.SNAPSHOT
+        ):
             return False
         return self._adopt(parse_record(value, head))
 
@@ -178,17 +181,17 @@
     @property
     def _snapshot_schema(self) -> int:
         """Highest allowed schema that is supported here; it expresses all state."""
-        return max(n for n in self.understood if n <= self._state.highest)
+        return max(n for n in self.supported_schemas if n <= self._state.highest)
 
-    def _judge(self, offset: int, value: Any) -> Outcome:
+    def _decide(self, offset: int, value: Any) -> Outcome:
         try:
             head = parse_head(value)
         except ExceptionGroup as exc:
-            return self._refusal(Reason.MALFORMED, _texts(exc))
+            return self._reject_or_skip(Reason.MALFORMED, _join_faults(exc))
         if head.kind is RecordKind.SNAPSHOT:
-            return self._judge_snapshot(offset, value, head)
+            return self._decide_snapshot(offset, value, head)
         if not self.complete:
-            text = f"records before {self._lost_before} are lost"
+            text = f"records before {self._trimmed_before} are lost"
             return Skipped(Reason.INCOMPLETE, text)
         if head.schema > self._state.highest:
             return Rejected(
@@ -196,15 +199,15 @@
                 f"schema {head.schema}, but {self._state.highest} is the highest"
                 " allowed",
             )
-        if head.schema not in self.understood:
+        if head.schema not in self.supported_schemas:
             return self._halt(offset, head)
         try:
             record = parse_record(value, head)
         except ExceptionGroup as exc:
-            return Rejected(Reason.INVALID, _texts(exc))
-        return self._judge_change(offset, record)
+            return Rejected(Reason.INVALID, _join_faults(exc))
+        return self._decide_change(offset, record)
 
-    def _refusal(self, reason: Reason, text: str) -> Outcome:
+    def _reject_or_skip(self, reason: Reason, text: str) -> Outcome:
         return Rejected(reason, text) if self.complete else Skipped(reason, text)
 
     def _halt(self, offset: int, head: Head) -> Outcome:
@@ -216,7 +219,7 @@
         )
         return Skipped(Reason.NOT_UNDERSTOOD, self.halted)
 
-    def _judge_change(
+    def _decide_change(
         self, offset: int, record: ConfigRecord | AllowSchemaRecord
     ) -> Outcome:
         state = self._state
@@ -243,28 +246,30 @@
                 self._state = replace(state, config=config, highest=record.highest)
         return Accepted(revision)
 
-    def _judge_snapshot(self, offset: int, value: Any, head: Head) -> Outcome:
-        if head.schema not in self.understood:
+    def _decide_snapshot(self, offset: int, value: Any, head: Head) -> Outcome:
+        if head.schema not in self.supported_schemas:
             return Skipped(Reason.NOT_UNDERSTOOD, f"snapshot of schema {head.schema}")
         try:
             record = parse_record(value, head)
         except ExceptionGroup as exc:
-            return self._refusal(Reason.INVALID, _texts(exc))
+            return self._reject_or_skip(Reason.INVALID, _join_faults(exc))
         if self.complete:
-            return self._compare(record)
-        if record.through_offset + 1 < self._lost_before:
-            text = f"ends at {record.through_offset}, lost before {self._lost_before}"
+            return self._compare_snapshot(record)
+        if record.through_offset + 1 < self._trimmed_before:
+            text = (
+                f"ends at {record.through_offset}, lost before {self._trimmed_before}"
+            )
             return Skipped(Reason.SNAPSHOT_STALE, text)
         if record.through_offset < offset and self._adopt(record):
             return Adopted(self._state.revision)
         return Skipped(Reason.SNAPSHOT_WRONG, "does not extend the state folded here")
 
-    def _compare(self, record: SnapshotRecord) -> Outcome:
+    def _compare_snapshot(self, record: SnapshotRecord) -> Outcome:
         """Compare a snapshot with the folded state, which is kept in any case."""
         if record.revision < self._state.revision:
             return Skipped(Reason.SNAPSHOT_STALE, f"revision {record.revision}")
-        known = replace(self._state, offset=record.through_offset)
-        if _state_of(record) != known:
+        expected = replace(self._state, offset=record.through_offset)
+        if _state_from_snapshot(record) != expected:
             text = f"revision {record.revision} differs from the folded one"
             return Skipped(Reason.SNAPSHOT_WRONG, text)
         return Skipped(Reason.SNAPSHOT_KNOWN, f"revision {record.revision}")
@@ -273,29 +278,29 @@
         newer = record.through_offset > self.offset
         if not newer or record.revision < self._state.revision:
             return False
-        self._state = _state_of(record)
+        self._state = _state_from_snapshot(record)
         self.halted = ""
         return True
 
 
-def _state_of(record: SnapshotRecord) -> State:
+def _state_from_snapshot(record: SnapshotRecord) -> State:
     merged = SCHEMAS[record.schema].merge(State().config, record.form)
     config = replace(merged, revision=record.revision, offset=record.config_offset)
     return State(config, record.highest, record.through_offset)
 
 
 def _decision(offset: int, value: Any, outcome: Outcome) -> Decision:
-    author, nonce = (_text_field(value, name) for name in ("author", "nonce"))
+    author, nonce = (_string_field(value, name) for name in ("author", "nonce"))
     return Decision(offset, author, nonce, outcome)
 
 
-def _text_field(value: Any, name: str) -> str:
-    found = value.get(name, "") if type(value) is dict else ""
-    return found[:256] if type(found) is str else ""
+def _string_field(value: Any, name: str) -> str:
+    text = value.get(name, "") if type(value) is dict else ""
+    return text[:256] if type(text) is str else ""
 
 
-def _texts(group: ExceptionGroup) -> str:
-    shown = [str(exc) for exc in group.exceptions[:_FAULTS_SHOWN]]
+def _join_faults(group: ExceptionGroup) -> str:
+    shown = [str(exc) for exc in group.exceptions[:_MAX_FAULTS_SHOWN]]
     more = len(group.exceptions) - len(shown)
     if more:
         shown.append(f"and {more} more")
--- a/greengageflow/core/json_text.py
+++ b/greengageflow/core/json_text.py
@@ -14,17 +14,17 @@
             the name that occurs twice in an object.
     """
     try:
-        return json.loads(text, object_pairs_hook=_without_duplicates)
+        return json.loads(text, object_pairs_hook=_reject_duplicates)
     except Fault as exc:
         raise ExceptionGroup(title, [exc]) from None
     except (ValueError, RecursionError) as exc:
         raise ExceptionGroup(title, [Fault("", f"JSON ({exc})")]) from None
 
 
-def _without_duplicates(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
-    found = dict(pairs)
-    if len(found) < len(pairs):
+def _reject_duplicates(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+    result = dict(pairs)
+    if len(result) < len(pairs):
         names = [key for key, _ in pairs]
-        twice = sorted({key for key in names if names.count(key) > 1})
-        raise Fault(", ".join(twice), "each name once in an object")
-    return found
+        duplicates = sorted({key for key in names if names.count(key) > 1})
+        raise Fault(", ".join(duplicates), "each name once in an object")
+    return result
--- a/greengageflow/core/schema.py
+++ b/greengageflow/core/schema.py
@@ -133,7 +133,7 @@
 _TITLE = "configuration record"
 
 
-def _whole(low: int) -> Check:
+def _integer_from(low: int) -> Check:
     return integer(low, MAX_INTEGER)
 
 
@@ -152,11 +152,11 @@
     Raises:
         ExceptionGroup: Holds one ``Fault`` for each error.
     """
-    fields = {"schema": required(_whole(1))}
+    fields = {"schema": required(_integer_from(1))}
     fields["kind"] = optional(choice(RecordKind), RecordKind.CONFIG.value)
     if type(value) is dict:
-        others = {key: optional(_any_value) for key in value if key not in fields}
-        fields.update(others)
+        unknown = {key: optional(_any_value) for key in value if key not in fields}
+        fields.update(unknown)
     return run(record(_head, **fields), value, _TITLE)
 
 
@@ -181,30 +181,30 @@
 
 
 def _record_check(schema: Schema, kind: RecordKind) -> Check:
-    head = {"schema": required(_whole(1)), "kind": optional(choice(RecordKind))}
+    head = {"schema": required(_integer_from(1)), "kind": optional(choice(RecordKind))}
     published = {
-        "replaces": required(_whole(0)),
+        "replaces": required(_integer_from(0)),
         "author": optional(string(), ""),
         "nonce": optional(string(), ""),
     }
     match kind:
         case RecordKind.CONFIG:
-            own = {**published, "config": required(schema.check)}
+            fields = {**published, "config": required(schema.check)}
             make = _config_record
         case RecordKind.ALLOW_SCHEMA:
-            own = {**published, "highest": required(_whole(1))}
+            fields = {**published, "highest": required(_integer_from(1))}
             make = _allow_schema_record
         case RecordKind.SNAPSHOT:
-            own = {
-                "revision": required(_whole(0)),
-                "through_offset": required(_whole(-1)),
-                "config_offset": required(_whole(-1)),
-                "highest": required(_whole(1)),
+            fields = {
+                "revision": required(_integer_from(0)),
+                "through_offset": required(_integer_from(-1)),
+                "config_offset": required(_integer_from(-1)),
+                "highest": required(_integer_from(1)),
                 "author": optional(string(), ""),
                 "config": required(schema.check),
             }
             make = _snapshot_record
-    return record(make, **head, **own)
+    return record(make, **head, **fields)
 
 
 def _config_record(kind: Any, config: Any, **rest: Any) -> ConfigRecord:
--- a/greengageflow/core/value_checks.py
+++ b/greengageflow/core/value_checks.py
@@ -5,7 +5,7 @@
 from ipaddress import ip_address
 from typing import Any
 
-from greengageflow.core.check import Check, simple
+from greengageflow.core.check import Check, scalar
 
 # Python releases differ in whether ``ip_address`` accepts leading zeros, and routers
 # on different releases must reach the same decision.
@@ -16,7 +16,7 @@
 
 def integer(low: int, high: int) -> Check:
     """Check for an integer from ``low`` to ``high``."""
-    return simple(
+    return scalar(
         f"a whole number from {low} to {high}",
         lambda value: type(value) is int and low <= value <= high,
     )
@@ -24,7 +24,7 @@
 
 def number(low: float, high: float) -> Check:
     """Check for a number from ``low`` to ``high``; NaN is out of every range."""
-    return simple(
+    return scalar(
         f"a number from {low:g} to {high:g}",
         lambda value: type(value) in (int, float) and low <= value <= high,
         float,
@@ -33,12 +33,12 @@
 
 def boolean() -> Check:
     """Check for true or false."""
-    return simple("true or false", lambda value: type(value) is bool)
+    return scalar("true or false", lambda value: type(value) is bool)
 
 
 def string(limit: int = 256) -> Check:
     """Check for a string of 1 to ``limit`` characters."""
-    return simple(
+    return scalar(
         f"a text of 1 to {limit} characters",
         lambda value: type(value) is str and 1 <= len(value) <= limit,
     )
@@ -47,7 +47,7 @@
 def matching(pattern: str, expected: str) -> Check:
     """Check for a string that fully matches ``pattern``."""
     compiled = re.compile(pattern)
-    return simple(
+    return scalar(
         expected,
         lambda value: type(value) is str and bool(compiled.fullmatch(value)),
     )
@@ -55,7 +55,7 @@
 
 def name() -> Check:
     """Check for the name of an account, pool, endpoint or zone."""
-    return simple(
+    return scalar(
         "a name of 1 to 128 letters, digits and ._:/- that starts with a letter or"
         " digit",
         lambda value: type(value) is str and bool(_NAME.fullmatch(value)),
@@ -65,7 +65,7 @@
 def choice(options: Iterable[str], make: Any = None) -> Check:
     """Check for one of ``options``."""
     options = tuple(options)
-    return simple(
+    return scalar(
         "one of " + ", ".join(options),
         lambda value: type(value) is str and value in options,
         make,
@@ -86,4 +86,4 @@
 
 def ip_number() -> Check:
     """Check for an IP address; host names are not resolved."""
-    return simple("an IP number (not a host name)", _is_ip)
+    return scalar("an IP number (not a host name)", _is_ip)
--- a/greengageflow/daemon/config_follower.py
+++ b/greengageflow/daemon/config_follower.py
@@ -120,7 +120,7 @@
         return {
             "revision": self.revision,
             "offset": self.fold.offset,
-            "schemas": sorted(self.fold.understood),
+            "schemas": sorted(self.fold.supported_schemas),
             "highest_schema": self.fold.state.highest,
             "complete": self.fold.complete,
             "halted": self.fold.halted,
--- a/greengageflow/daemon/gateway_settings.py
+++ b/greengageflow/daemon/gateway_settings.py
@@ -13,8 +13,8 @@
     record,
     required,
     run,
+    scalar,
     sequence,
-    simple,
 )
 from greengageflow.core.file_budget import FileBudget
 from greengageflow.core.value_checks import integer, ip_number, name, number
@@ -108,7 +108,7 @@
     def good(value: Any) -> bool:
         return type(value) is str and _split(value) is not None
 
-    return simple("an address like 10.1.0.3:8080", good, _split)
+    return scalar("an address like 10.1.0.3:8080", good, _split)
 
 
 def _split(text: str) -> Address | None:
--- a/tests/test_config_follower.py
+++ b/tests/test_config_follower.py
@@ -277,7 +277,9 @@
     read.
     """
     fleet = Fleet(3)
-    fleet.followers["r2"] = fleet.follower("r2", fold=Fold(understood=frozenset({1})))
+    fleet.followers["r2"] = fleet.follower(
+        "r2", fold=Fold(supported_schemas=frozenset({1}))
+    )
     fleet.start()
     fleet.log.put({"schema": 1, "kind": "allow_schema", "replaces": 0, "highest": 2})
     assert fleet.clock.run(IN_FORCE_S, lambda: fleet.all_at(1))
--- a/tests/test_fold.py
+++ b/tests/test_fold.py
@@ -123,7 +123,7 @@
     records either, because its revision would differ from the rest of the fleet.
     """
     records = [record(1, 0, config1()), allow(1), record(2, 2, config2())]
-    old, outcomes = folded(*records, understood=frozenset({1}))
+    old, outcomes = folded(*records, supported_schemas=frozenset({1}))
     assert reasons(outcomes) == [None, None, Reason.NOT_UNDERSTOOD]
     assert "schema 2" in old.halted
     assert (old.config.revision, old.next_offset) == (2, 2)
