--- a/tests/test_announcer.py
+++ b/tests/test_announcer.py
@@ -5,7 +5,7 @@
 A, B, C = (("127.0.0.1", port) for port in (1, 2, 3))
 
 
-def test_each_address_is_told_once_and_so_many_at_a_time():
+def test_each_address_is_announced_once_in_limited_batches():
     announcer = Announcer()
     announcer.add([A, B, C])
     assert announcer.next_batch(0.0, 2) == [A, B]
@@ -14,7 +14,7 @@
     assert announcer.next_batch(0.2, 2) == []
 
 
-def test_the_answer_to_a_greeting_is_not_greeted_again():
+def test_answering_hello_is_not_announced_again():
     """Otherwise two routers that start together would greet each other forever."""
     announcer = Announcer()
     announcer.add([A])
@@ -23,7 +23,7 @@
     assert announcer.next_batch(1.0, 9) == []
 
 
-def test_a_process_that_began_after_its_address_was_told_is_told():
+def test_process_started_after_the_hello_is_announced():
     announcer = Announcer()
     announcer.add([A])
     announcer.next_batch(0.0, 9)
@@ -31,7 +31,7 @@
     assert announcer.next_batch(5.0, 9) == [A]
 
 
-def test_an_address_that_was_forgotten_and_comes_back_is_told():
+def test_removed_address_that_returns_is_announced():
     announcer = Announcer()
     announcer.add([A, B])
     announcer.next_batch(0.0, 1)
--- a/tests/test_fold.py
+++ b/tests/test_fold.py
@@ -60,7 +60,7 @@
     return [getattr(outcome, "reason", None) for outcome in outcomes]
 
 
-def test_operators_race_under_two_schemas_and_one_wins():
+def test_concurrent_records_of_two_schemas_accept_only_the_first():
     """Two operators replace revision 2 concurrently, one with schema 1, one with 2.
 
     Only the record that is first in the log may be accepted. If both were, the second
@@ -78,7 +78,7 @@
         assert list(fold.config.accounts) == [winner]
 
 
-def test_an_old_tool_keeps_what_schema_1_cannot_say():
+def test_schema_1_record_keeps_values_only_schema_2_covers():
     """A schema 1 record replaces a schema 2 configuration.
 
     Values that only schema 2 covers must be kept, or an operator with an old tool
@@ -102,7 +102,7 @@
     assert config.policy.owners_asked == 3
 
 
-def test_the_schemas_say_the_same_in_their_own_forms():
+def test_dump_and_merge_round_trip_in_every_schema():
     fold, _ = folded(allow(0), record(2, 1, config2()))
     for schema in SCHEMAS.values():
         again, outcomes = folded(
@@ -116,7 +116,7 @@
         assert again.config.endpoints == fold.config.endpoints
 
 
-def test_an_old_release_stops_at_what_it_cannot_read():
+def test_unsupported_schema_halts_the_fold():
     """Schema 2 gets allowed while one router's release supports only schema 1.
 
     That router must keep its configuration, report why, and not decide on later
@@ -132,7 +132,7 @@
     assert old.config.revision == 2
 
 
-def test_bad_records_change_nothing_and_say_why():
+def test_invalid_records_are_rejected_with_a_reason():
     good = record(1, 0, config1())
     shared = config1(key_hashes=[KEY])
     shared["accounts"].append({"name": "fig", "key_hashes": [KEY]})
@@ -167,15 +167,15 @@
         self.log = []
         self.states = {-1: State()}
         self.first = 0
-        self.model = Fold()
+        self.reference = Fold()
         self.routers = [Fold() for _ in range(3)]
         self.seen = [0] * 3
 
     def append(self, value):
         offset = len(self.log)
         self.log.append(value)
-        self.model.apply(offset, value)
-        self.states[offset] = self.model.state
+        self.reference.apply(offset, value)
+        self.states[offset] = self.reference.state
 
     @rule(
         schema=st.sampled_from([1, 1, 2, 2, 3]),
@@ -184,13 +184,13 @@
         limit=st.integers(1, 3),
     )
     def publish(self, schema, behind, name, limit):
-        replaces = max(0, self.model.config.revision - behind)
+        replaces = max(0, self.reference.config.revision - behind)
         config = config1(name) if schema == 1 else config2(name, limit)
         self.append(record(schema, replaces, config))
 
     @rule(highest=st.integers(1, 2))
     def allow_schema(self, highest):
-        self.append(allow(self.model.config.revision, highest))
+        self.append(allow(self.reference.config.revision, highest))
 
     @rule(router=st.integers(0, 2))
     def write_snapshot(self, router):
@@ -202,7 +202,7 @@
     def write_wrong_snapshot(self, revision, back):
         if not self.log:
             return
-        wrong = self.model.snapshot("r")
+        wrong = self.reference.snapshot("r")
         wrong["revision"] = revision
         wrong["through_offset"] = max(0, len(self.log) - back)
         wrong["config"]["accounts"] = []
@@ -225,7 +225,7 @@
                 )
 
     @rule(count=st.integers(1, 4))
-    def forget(self, count):
+    def trim_log(self, count):
         first = min(self.first + count, len(self.log))
         if first >= self.wrong_until:
             self.first = first
@@ -241,12 +241,12 @@
         self.routers[asker].restore(json.loads(document))
 
     @invariant()
-    def every_router_holds_the_state_of_its_prefix(self):
+    def state_matches_the_folded_prefix(self):
         for fold in self.routers:
             assert fold.state == self.states[fold.offset]
 
     @invariant()
-    def no_router_goes_back(self):
+    def revision_never_decreases(self):
         for index, fold in enumerate(self.routers):
             assert fold.config.revision >= self.seen[index]
             self.seen[index] = fold.config.revision
@@ -256,22 +256,26 @@
 TestFleet = FleetMachine.TestCase
 
 
-def test_a_router_that_starts_late_takes_the_first_snapshot_that_reaches_far_enough():
+def test_late_router_adopts_the_first_sufficient_snapshot():
     """The log is already trimmed when a router starts.
 
     The router must skip new records and a snapshot that ends before the trimmed part
     does, adopt the next snapshot, and then decide on the skipped records like others.
     """
-    model, _ = folded(record(1, 0, config1("a")))
-    stale = model.snapshot("r1")
-    model.apply(1, record(1, 1, config1("b")))
-    model.apply(2, stale)
-    fresh = model.snapshot("r1")
+    reference, _ = folded(record(1, 0, config1("a")))
+    stale = reference.snapshot("r1")
+    reference.apply(1, record(1, 1, config1("b")))
+    reference.apply(2, stale)
+    fresh = reference.snapshot("r1")
     late = record(1, 2, config1("c"))
     wrong = {**fresh, "revision": 9}
-    outcomes = [model.apply(3, late), model.apply(4, fresh), model.apply(5, wrong)]
+    outcomes = [
+        reference.apply(3, late),
+        reference.apply(4, fresh),
+        reference.apply(5, wrong),
+    ]
     assert reasons(outcomes) == [None, Reason.SNAPSHOT_STALE, Reason.SNAPSHOT_WRONG]
-    known = model.apply(6, model.snapshot("r1"))
+    known = reference.apply(6, reference.snapshot("r1"))
     assert reasons([known]) == [Reason.SNAPSHOT_KNOWN]
 
     fold = Fold()
@@ -282,10 +286,10 @@
     assert fold.apply(4, fresh) == Adopted(2)
     assert fold.next_offset == 3
     assert fold.apply(3, late) == Accepted(3)
-    assert fold.config == model.config
+    assert fold.config == reference.config
 
 
-def test_a_peer_with_an_older_state_turns_nothing_back():
+def test_restore_ignores_an_older_peer_state():
     """A router that was partitioned answers with outdated state.
 
     The asking router must keep its newer state: accepted configurations never revert.
--- a/tests/test_hello_cache.py
+++ b/tests/test_hello_cache.py
@@ -9,17 +9,17 @@
 HELLO = Hello(host="r", boot=1, ip="127.0.0.1", port=9, zone="z")
 
 
-def test_the_same_bytes_are_the_same_hello_and_others_are_not():
+def test_only_identical_datagrams_hit_the_cache():
     """The hello of a router that stops or restarts must not hit the cache."""
-    same = HelloCache()
-    same.put(encode(HELLO), HELLO)
-    assert same.get(encode(HELLO)) == HELLO
-    assert same.get(encode(replace(HELLO, stopping=True))) is None
-    assert same.get(encode(replace(HELLO, boot=2))) is None
+    cache = HelloCache()
+    cache.put(encode(HELLO), HELLO)
+    assert cache.get(encode(HELLO)) == HELLO
+    assert cache.get(encode(replace(HELLO, stopping=True))) is None
+    assert cache.get(encode(replace(HELLO, boot=2))) is None
 
 
-def test_no_more_are_remembered_however_many_starts_there_are():
-    same = HelloCache()
+def test_cache_size_is_bounded():
+    cache = HelloCache()
     for boot in range(2 * MAX_HELLOS + 5):
-        same.put(encode(replace(HELLO, boot=boot)), HELLO)
-    assert len(same) <= MAX_HELLOS
+        cache.put(encode(replace(HELLO, boot=boot)), HELLO)
+    assert len(cache) <= MAX_HELLOS
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -30,7 +30,7 @@
     quarantine.on_crash(now, start)
 
 
-def test_fingerprint_depends_on_all_that_an_endpoint_gets_but_the_id():
+def test_fingerprint_covers_the_request_except_its_id():
     others = [
         replace(REQUEST, method="PUT"),
         replace(REQUEST, host="other"),
@@ -44,7 +44,7 @@
     assert request_fingerprint(again, "a") in found
 
 
-def test_request_is_held_back_after_the_second_crash_until_its_time_is_over():
+def test_second_crash_quarantines_until_expiry():
     quarantine = Quarantine()
     crash(quarantine, 1, "e1", b"poison", b"sound")
     assert not quarantine.remaining_s(1, b"poison")
@@ -55,14 +55,14 @@
     assert not quarantine.remaining_s(2 + QUARANTINE_S, b"poison")
 
 
-def test_one_crash_counts_once_however_many_copies_ran_there():
+def test_crash_counts_once_for_several_copies_of_a_request():
     quarantine = Quarantine()
     crash(quarantine, 1, "e1", b"poison", b"poison")
     crash(quarantine, 2, "e1", b"poison")
     assert not quarantine.remaining_s(2, b"poison")
 
 
-def test_good_answer_clears_a_request_that_was_only_in_flight():
+def test_successful_answer_clears_earlier_crashes():
     quarantine = Quarantine()
     crash(quarantine, 1, "e1", b"sound")
     assert quarantine.on_success(2, b"sound")
@@ -73,7 +73,7 @@
     assert quarantine.remaining_s(later, b"sound")
 
 
-def test_request_that_is_answered_all_the_time_is_no_suspect():
+def test_recent_answer_keeps_a_request_from_suspicion():
     quarantine = Quarantine()
     quarantine.on_success(1, b"sound")
     crash(quarantine, 2, "e1", b"sound")
@@ -81,7 +81,7 @@
     assert not quarantine.remaining_s(2, b"sound")
 
 
-def test_cuts_alone_hold_nothing_back():
+def test_cut_connections_alone_do_not_quarantine():
     """Connection resets without a crash must not quarantine a request.
 
     Replicas that reset connections but kept running counted as crashed for half a
@@ -93,7 +93,7 @@
     assert not quarantine.remaining_s(1, b"sound")
 
 
-def test_request_does_not_run_again_before_the_second_crash_is_known():
+def test_request_is_held_while_a_second_crash_is_undecided():
     quarantine = Quarantine()
     crash(quarantine, 1, "e1", b"poison")
     quarantine.add_suspect(2, "e2", b"poison")
@@ -102,7 +102,7 @@
     assert not quarantine.remaining_s(2, b"poison")
 
 
-def test_what_is_repeated_between_hosts_does_not_hold_a_request_for_longer():
+def test_repeated_exchange_does_not_extend_the_quarantine():
     first, second = Quarantine(), Quarantine()
     for number, start in enumerate(("e1", "e2")):
         crash(first, number, start, b"poison")
@@ -114,7 +114,7 @@
     assert not second.quarantined(QUARANTINE_S + 2)
 
 
-def test_records_are_bounded_and_those_held_back_go_last():
+def test_records_are_bounded_and_quarantined_ones_evicted_last():
     quarantine = Quarantine()
     for start in ("e1", "e2"):
         crash(quarantine, 1, start, b"poison")
@@ -135,7 +135,7 @@
         self.crashes, self.answers = set(), 0
         self.starts = 0
 
-    def _tell(self, host):
+    def _send_records(self, host):
         records = self.hosts[host].records(self.now, 1e9, 99)
         self.messages.append(tuple(records))
 
@@ -144,22 +144,22 @@
         self.starts += 1
         crash(self.hosts[host], self.now, f"e{self.starts}", fingerprint)
         self.crashes.add((f"e{self.starts}", fingerprint))
-        self._tell(host)
+        self._send_records(host)
 
     @rule(host=st.integers(0, 2), fingerprint=st.sampled_from([b"q", b"r"]))
-    def answer(self, host, fingerprint):
+    def succeed(self, host, fingerprint):
         self.hosts[host].on_success(self.now, fingerprint)
-        self._tell(host)
+        self._send_records(host)
 
     @rule(host=st.integers(0, 2), data=st.data())
-    def hear(self, host, data):
+    def receive_records(self, host, data):
         if self.messages:
             self.hosts[host].receive(
                 self.now, data.draw(st.sampled_from(self.messages))
             )
 
     @rule(host=st.integers(0, 2))
-    def start_again(self, host):
+    def restart(self, host):
         self.hosts[host] = Quarantine()
 
     @rule()
@@ -167,14 +167,14 @@
         self.now += CLEARANCE_S + 1
 
     @invariant()
-    def holds_only_what_crashed_twice(self):
+    def quarantines_only_after_two_crashes(self):
         for host in self.hosts:
             for fingerprint in host.quarantined(self.now):
                 starts = {s for s, found in self.crashes if found == fingerprint}
                 assert len(starts) >= 2
 
     @invariant()
-    def agrees_once_all_has_arrived(self):
+    def hosts_agree_after_receiving_all_messages(self):
         ends = [Quarantine() for _ in range(2)]
         for end, order in zip(ends, (1, -1), strict=True):
             for message in self.messages[::order] * 2:
@@ -187,7 +187,7 @@
 TestFleet = Fleet.TestCase
 
 
-class Watched:
+class WatchHarness:
     """Fakes for the timers, reachability checks, sender and log of one watch."""
 
     now = 5.0
@@ -221,45 +221,45 @@
         self.lines.append(("cleared", fingerprint))
 
 
-def test_crash_is_seen_where_the_listener_closes_after_the_connections():
+def test_crash_is_detected_if_the_listener_closes_late():
     """The listener of a crashed process may stay open for a while.
 
     On a busy machine the first check came too early, the crash went unnoticed, and the
     request took down further endpoints.
     """
-    seen = Watched(Reach.LISTENS, Reach.LISTENS, Reach.REFUSED)
-    seen.watch.on_cut(endpoint("e1"), b"poison")
-    assert seen.lines == [("crashed", "e1", 1)]
+    harness = WatchHarness(Reach.LISTENS, Reach.LISTENS, Reach.REFUSED)
+    harness.watch.on_cut(endpoint("e1"), b"poison")
+    assert harness.lines == [("crashed", "e1", 1)]
 
 
-def test_crash_is_seen_through_a_proxy_that_goes_on_to_take_connections():
+def test_crash_is_detected_behind_a_listening_proxy():
     closed = [Reach.CLOSED] * len(CHECKS_S)
-    seen = Watched(*closed, Reach.CLOSED, Reach.LISTENS, Reach.LISTENS)
-    seen.watch.on_cut(endpoint("e1"), b"poison")
-    assert seen.lines == [("crashed", "e1", 1)]
-    seen.watch.on_cut(endpoint("e2"), b"poison")
-    assert len(seen.lines) == 1, "a momentary overload of connections is no crash"
+    harness = WatchHarness(*closed, Reach.CLOSED, Reach.LISTENS, Reach.LISTENS)
+    harness.watch.on_cut(endpoint("e1"), b"poison")
+    assert harness.lines == [("crashed", "e1", 1)]
+    harness.watch.on_cut(endpoint("e2"), b"poison")
+    assert len(harness.lines) == 1, "a momentary overload of connections is no crash"
 
 
-def test_cut_counts_as_a_crash_only_where_connections_are_refused():
+def test_cut_counts_as_a_crash_only_if_connections_are_refused():
     """Running endpoints and broken links reset connections as well."""
     alive = [Reach.LISTENS] * len(CHECKS_S)
     unknown = [Reach.UNKNOWN] * len(CHECKS_S)
-    seen = Watched(*alive, *unknown, Reach.REFUSED, Reach.REFUSED)
+    harness = WatchHarness(*alive, *unknown, Reach.REFUSED, Reach.REFUSED)
     for name in ("e1", "e2", "e3", "e4"):
-        assert not seen.held_back
-        seen.watch.on_cut(endpoint(name), b"poison")
-    assert seen.lines == [
+        assert not harness.held_back
+        harness.watch.on_cut(endpoint(name), b"poison")
+    assert harness.lines == [
         ("crashed", "e3", 1),
         ("crashed", "e4", 1),
         ("held", b"poison", "crash"),
     ]
-    assert seen.held_back == [frozenset([b"poison"])]
-    assert [most for _, most in seen.sent] == [None] * 4
+    assert harness.held_back == [frozenset([b"poison"])]
+    assert [most for _, most in harness.sent] == [None] * 4
 
 
-def test_crashes_at_two_hosts_hold_a_request_back_at_both():
-    first, second = Watched(Reach.REFUSED), Watched(Reach.REFUSED)
+def test_crashes_on_two_hosts_quarantine_on_both():
+    first, second = WatchHarness(Reach.REFUSED), WatchHarness(Reach.REFUSED)
     first.watch.on_cut(endpoint("e1"), b"poison")
     second.watch.receive(first.sent[-1][0])
     second.watch.on_cut(endpoint("e2"), b"poison")
@@ -290,14 +290,12 @@
         pass
 
     @property
-    def knows(self):
+    def has_quarantined(self):
         return self.quarantine.quarantined(self.router.now) == [FINGERPRINT]
 
 
 @pytest.mark.parametrize(("size", "zones"), [(9, 3), (60, 4)])
-def test_crashes_are_known_to_all_and_to_those_that_start_later(
-    monkeypatch, size, zones
-):
+def test_crashes_reach_all_routers_and_late_starters(monkeypatch, size, zones):
     """Crash records must reach all routers at a datagram loss of 20 %."""
     network, routers = fleet(monkeypatch, size, zones, loss=0.2)
     watching = [WatchingRouter(router) for router in routers]
@@ -305,16 +303,16 @@
     for number in range(2):
         watching[number].watch.on_cut(endpoint(f"e{number}"), FINGERPRINT)
     network.run(3)
-    assert all(one.knows for one in watching)
+    assert all(one.has_quarantined for one in watching)
     routers[1].stop()
     late = RouterStub(network, 1, "z1", [routers[0].address], boot=2)
     watching[1] = WatchingRouter(late)
     late.exchange.start()
     network.run(5)
-    assert watching[1].knows
+    assert watching[1].has_quarantined
 
 
-def test_report_of_an_old_crash_changes_nothing():
+def test_expired_crash_record_is_ignored():
     quarantine = Quarantine()
     old = CrashRecord(b"poison", ("e1", "e2"), (), QUARANTINE_S)
     assert not quarantine.receive(5, [old])
--- a/tests/test_router_table.py
+++ b/tests/test_router_table.py
@@ -31,7 +31,7 @@
 
 
 @given(st.lists(STEPS, max_size=40), st.sampled_from([1.5, 4.0]))
-def test_kept_relays_are_those_that_a_look_at_all_rows_gives(steps, quiet_s):
+def test_cached_view_matches_a_full_scan(steps, timeout_s):
     """The relays are cached until a row changes or times out.
 
     If they were cached for too long, a router would report to a relay that has left,
@@ -42,7 +42,7 @@
     for pause_s, touches, row, stopping in steps:
         now += pause_s
         known = rows.get(row.host)
-        if known and now - known[1] > 4 * quiet_s:
+        if known and now - known[1] > 4 * timeout_s:
             # The table may or may not have removed it by now.
             touches, row = False, replace(row, boot=known[0].boot)
         if touches:
@@ -55,18 +55,18 @@
             table.put(now, row)
         else:
             table.put(now, row)
-        alive = [one for one, at in rows.values() if now - at <= quiet_s]
+        alive = [one for one, at in rows.values() if now - at <= timeout_s]
         alive = sorted([*alive, own], key=lambda one: one.host)
-        assert table.count(now, quiet_s) == len(alive) - 1
-        assert table.live(now, quiet_s) == [one for one in alive if one is not own]
-        assert table.members(now, quiet_s) == [o for o in alive if o.zone == "z0"]
+        assert table.count(now, timeout_s) == len(alive) - 1
+        assert table.live(now, timeout_s) == [one for one in alive if one is not own]
+        assert table.members(now, timeout_s) == [o for o in alive if o.zone == "z0"]
         for zone in ("z0", "z1"):
             ready = [o for o in alive if o.zone == zone and not o.stopping]
-            found = table.relays(now, quiet_s).get(zone, [])
+            found = table.relays(now, timeout_s).get(zone, [])
             assert found == ready[:RELAYS_PER_ZONE]
 
 
-def test_each_of_360_routers_hears_each_other_one_in_time():
+def test_rotation_reaches_all_of_360_routers_in_time():
     """Live routers were declared dead after 24 s without a heartbeat.
 
     With random targets in each round, 7 % of the pairs were timed out at any moment.
@@ -80,7 +80,7 @@
     assert 200 - min(last.values()) <= 36
 
 
-def test_who_comes_and_goes_is_told_no_more_than_its_turn():
+def test_rejoining_address_gets_no_extra_turns():
     ring, address = HelloRing(Random(1)), ("127.0.0.1", 7000)
     others = [("127.0.0.2", port) for port in range(1, 30)]
     for _ in range(20):
--- a/tests/test_store_updates.py
+++ b/tests/test_store_updates.py
@@ -8,7 +8,7 @@
     UpdatePublisher,
 )
 
-MOST = 24_000
+MAX_UPDATE_BYTES = 24_000
 
 
 def records(first, count):
@@ -16,36 +16,38 @@
 
 
 def size(messages):
-    return sum(len(one.value) for news in messages for one in news.records)
+    return sum(len(row.value) for update in messages for row in update.records)
 
 
-def test_few_records_are_told_again_with_later_ones():
+def test_recent_records_are_retransmitted():
     """A router that lost a message gets its records from the next one."""
-    publisher = UpdatePublisher(StoreTopic.ENDPOINTS, MOST)
+    publisher = UpdatePublisher(StoreTopic.ENDPOINTS, MAX_UPDATE_BYTES)
     list(publisher.publish(0.0, records(0, 1), 1))
-    (news,) = publisher.publish(0.5 * RETRANSMIT_S, records(1, 1), 2)
-    assert [one.offset for one in news.records] == [0, 1]
-    assert news.since == 0
-    (news,) = publisher.publish(1.2 * RETRANSMIT_S, records(2, 1), 3)
-    assert [one.offset for one in news.records] == [1, 2]
-    assert news.since == 1
+    (update,) = publisher.publish(0.5 * RETRANSMIT_S, records(1, 1), 2)
+    assert [row.offset for row in update.records] == [0, 1]
+    assert update.since == 0
+    (update,) = publisher.publish(1.2 * RETRANSMIT_S, records(2, 1), 3)
+    assert [row.offset for row in update.records] == [1, 2]
+    assert update.since == 1
 
 
-def test_what_many_endpoints_that_come_at_once_cost_is_bounded():
+def test_retransmission_is_bounded_when_many_endpoints_register():
     """A thousand endpoints of a fleet register within a second or two.
 
     The retransmitted part of each message grew with their number, so that relays sent
     megabytes per second.
     """
-    publisher = UpdatePublisher(StoreTopic.ENDPOINTS, MOST)
-    told = []
+    publisher = UpdatePublisher(StoreTopic.ENDPOINTS, MAX_UPDATE_BYTES)
+    updates = []
     for turn in range(20):
         new = records(150 * turn, 150)
-        told += publisher.publish(0.1 * turn, new, 150 * (turn + 1))
+        updates += publisher.publish(0.1 * turn, new, 150 * (turn + 1))
     once = 20 * 150 * 150
-    assert once <= size(told) <= once + 20 * MAX_RETRANSMIT_BYTES
-    known = 0
-    for news in told:
-        assert news.since <= known, "updates must not have gaps when no message is lost"
-        known = news.end
-    assert known == 3000
+    assert once <= size(updates) <= once + 20 * MAX_RETRANSMIT_BYTES
+    read_end = 0
+    for update in updates:
+        assert update.since <= read_end, (
+            "updates must not have gaps when no message is lost"
+        )
+        read_end = update.end
+    assert read_end == 3000
