--- a/greengageflow/core/store_duty.py
+++ b/greengageflow/core/store_duty.py
@@ -5,11 +5,13 @@
 from enum import Enum, auto
 
 READER_ZONES = 2
-"""Number of zones whose first relay reads; a single reader would be a single point
-of failure."""
+"""Number of zones whose first relay reads the store.
+
+The loss of a single reader would affect all routers.
+"""
 
 STALE_INTERVALS = 1.67
-"""Age in paces after which the cached state of the store counts as stale."""
+"""Age of the known state of the store at which it is stale, in read intervals."""
 
 STANDBY_STALE_INTERVALS = 1.2
 """The same for standby routers, which replace a lost reader before all others read."""
--- a/greengageflow/core/store_updates.py
+++ b/greengageflow/core/store_updates.py
@@ -19,7 +19,10 @@
 """
 
 MAX_RETRANSMIT_BYTES = 8_000
-"""Maximum size of retransmitted records; a router that lacks others reads the store."""
+"""Maximum total size of the records that are retransmitted.
+
+A router that missed other records reads the store.
+"""
 
 RECORD_OVERHEAD_BYTES = 64
 """Overhead of a record in a message beyond its key and value, in bytes."""
