--- a/greengageflow/core/catalog.py
+++ b/greengageflow/core/catalog.py
@@ -141,7 +141,7 @@
     policy: Policy = Policy()
 
     def pool_endpoints(self, pool: str) -> Iterator[Endpoint]:
-        """Yield the endpoints of one pool, including those that are drained."""
+        """Yield the endpoints of one pool, including those being drained."""
         for endpoint in self.endpoints.values():
             if endpoint.pool == pool:
                 yield endpoint
--- a/greengageflow/core/outage_hold.py
+++ b/greengageflow/core/outage_hold.py
@@ -41,9 +41,12 @@
         if self._failed_at is None:
             self._failed_at = now
 
-    def on_answer(self, now: float, at: float) -> None:
-        """Record that the store answered this host or another one at time ``at``."""
-        if self._failed_at is None or at <= self._failed_at:
+    def on_answer(self, now: float, answered_at: float) -> None:
+        """Record that the store answered a host at the time ``answered_at``.
+
+        This may be any host, not only the own one.
+        """
+        if self._failed_at is None or answered_at <= self._failed_at:
             return
         if now - self._failed_at > MIN_OUTAGE_S:
             self._hold_until = now + REMOVAL_HOLD_S
