--- a/greengageflow/core/fold.py
+++ b/greengageflow/core/fold.py
@@ -132,7 +132,9 @@
             ValueError: ``offset`` is above ``next_offset``.
         """
         if offset > self.next_offset:
-            raise ValueError(f"expected record {self.next_offset}, got record {offset}")
+            raise ValueError(
+                f"record {offset} is out of order after {self.next_offset - 1}"
+            )
         if offset < self.next_offset:
             return Skipped(Reason.REPEATED, "already folded")
         outcome = self._decide(offset, value)
