--- a/greengageflow/core/router_table.py
+++ b/greengageflow/core/router_table.py
@@ -68,26 +68,26 @@
 
     def put(self, now: float, hello: Hello) -> bool:
         """Record a hello; return whether it is the first of this router's process."""
-        known = self._rows.get(hello.host)
+        entry = self._rows.get(hello.host)
         if hello.host == self._own.host:
             return False
-        if known is None or hello.boot >= known[0].boot:
+        if entry is None or hello.boot >= entry[0].boot:
             self._store(now, hello)
-        return known is None or hello.boot > known[0].boot
+        return entry is None or hello.boot > entry[0].boot
 
     def touch(self, now: float, host: str, boot: int) -> None:
         """Refresh a router that is in the table, after another message from it."""
-        known = self._rows.get(host)
-        if known is not None and known[0].boot == boot:
-            self._store(now, known[0])
+        entry = self._rows.get(host)
+        if entry is not None and entry[0].boot == boot:
+            self._store(now, entry[0])
 
     def _store(self, now: float, hello: Hello) -> None:
         self._rows[hello.host] = (hello, now)
         if self._view is not None:
-            known = self._view.rows.get(hello.host)
-            if known is hello:
+            cached = self._view.rows.get(hello.host)
+            if cached is hello:
                 return
-            if known is None or _identity(known) != _identity(hello):
+            if cached is None or _identity(cached) != _identity(hello):
                 self._view = None
 
     def drop_silent(self, now: float, rows: Iterable[Hello], silent_s: float) -> None:
@@ -103,8 +103,8 @@
 
     def addresses(self, host: str) -> list[Address]:
         """Return the address of a router as a list, which is empty if it is unknown."""
-        known = self._rows.get(host)
-        return [] if known is None else [known[0].address]
+        entry = self._rows.get(host)
+        return [] if entry is None else [entry[0].address]
 
     def live(self, now: float, timeout_s: float) -> list[Hello]:
         """Return the other routers that were heard from in the last ``timeout_s`` s."""
--- a/greengageflow/core/store_marks.py
+++ b/greengageflow/core/store_marks.py
@@ -7,19 +7,19 @@
 """
 
 MAX_ERA = 2**20
-_OFFSETS = 2**40
+_OFFSETS_PER_ERA = 2**40
 
 
 def mark_of(era: int, offset: int) -> int:
     """Return the mark of an offset in an era."""
-    return era * _OFFSETS + offset
+    return era * _OFFSETS_PER_ERA + offset
 
 
 def era_of(mark: int) -> int:
     """Return the era of a mark."""
-    return mark // _OFFSETS
+    return mark // _OFFSETS_PER_ERA
 
 
 def offset_of(mark: int) -> int:
     """Return the offset of a mark within its era."""
-    return mark % _OFFSETS
+    return mark % _OFFSETS_PER_ERA
