--- a/greengageflow/core/check.py
+++ b/greengageflow/core/check.py
@@ -1,8 +1,8 @@
-"""A small checker of JSON values that names every fault at once.
+"""Validation of JSON values that reports all errors at once.
 
-A check is a generator function: it takes a value and its path, yields a ``Fault``
-for everything wrong, and returns the checked value, or ``INVALID``. Checks nest, so
-that ``record`` and ``sequence`` collect the faults of their parts.
+A check is a generator function. It takes a value and its path, yields a ``Fault`` for
+each error, and returns the checked value, or ``INVALID`` after an error. Checks nest:
+``record`` and ``sequence`` yield the faults of the values they contain.
 """
 
 import json
@@ -11,17 +11,17 @@
 from typing import Any
 
 INVALID: Any = object()
-"""What a check returns after it has yielded a fault."""
+"""Returned by a check that has yielded a fault."""
 
-_SHOWN_LENGTH = 60
+_MAX_VALUE_LENGTH = 60
 
 
 class Fault(ValueError):
-    """One thing wrong in a JSON document.
+    """One error in a JSON document.
 
     Args:
-        path: Where, like ``seeds[0].port``.
-        expected: What should have stood there.
+        path: Path of the value, such as ``seeds[0].port``.
+        expected: Description of a valid value.
     """
 
     def __init__(self, path: str, expected: str) -> None:
@@ -34,28 +34,28 @@
 
 
 class MissingField(Fault):
-    """A field that must be given is not there."""
+    """A required field is missing."""
 
     def _text(self) -> str:
         return f"missing, expected {self.expected}"
 
 
 class UnknownField(Fault):
-    """A field that is not known; ``expected`` lists the known ones."""
+    """A field has an unknown name; ``expected`` lists the valid names."""
 
     def _text(self) -> str:
         return f"unknown field, expected one of: {self.expected}"
 
 
 class WrongValue(Fault):
-    """A field has a value of another type or outside its range."""
+    """A value has the wrong type or is out of range."""
 
     def __init__(self, path: str, expected: str, found: Any) -> None:
         self.found = found
         super().__init__(path, expected)
 
     def _text(self) -> str:
-        return f"expected {self.expected}, found {_shown(self.found)}"
+        return f"expected {self.expected}, found {_format_value(self.found)}"
 
 
 Checked = Generator[Fault, None, Any]
@@ -67,10 +67,10 @@
     """One field of a record.
 
     Args:
-        check: Check of its value.
-        expected: What stands there, for the message when it is missing.
-        required: True when it must be given; else ``default`` takes its place.
-        default: Value when it is not given.
+        check: Check for its value.
+        expected: Description of a valid value, for the error when it is missing.
+        required: Whether the field must be present.
+        default: Value of an optional field that is not present.
     """
 
     check: Check
@@ -80,12 +80,12 @@
 
 
 def required(check: Check) -> Field:
-    """Return a field that must be given."""
+    """Return a required field."""
     return Field(check, _describe(check))
 
 
 def optional(check: Check, default: Any = None) -> Field:
-    """Return a field that has a default."""
+    """Return an optional field with a default."""
     return Field(check, _describe(check), False, default)
 
 
@@ -97,24 +97,26 @@
     return getattr(check, "expected", "a value")
 
 
-def _shown(value: Any) -> str:
+def _format_value(value: Any) -> str:
     text = json.dumps(value, default=repr)
-    return text if len(text) <= _SHOWN_LENGTH else text[:_SHOWN_LENGTH] + "…"
+    return text if len(text) <= _MAX_VALUE_LENGTH else text[:_MAX_VALUE_LENGTH] + "…"
 
 
-def simple(expected: str, good: Callable[[Any], bool], make: Any = None) -> Check:
-    """Return a check of a value without parts.
+def scalar(
+    expected: str, is_valid: Callable[[Any], bool], convert: Any = None
+) -> Check:
+    """Return a check for a scalar value.
 
     Args:
-        expected: What stands there.
-        good: Tells whether a value is right.
-        make: Turns a right value into what the check returns.
+        expected: Description of a valid value.
+        is_valid: Returns whether a value is valid.
+        convert: Converts a valid value into the result of the check.
     """
 
     def quick(value: Any) -> Any:
-        if not good(value):
+        if not is_valid(value):
             return INVALID
-        return value if make is None else make(value)
+        return value if convert is None else convert(value)
 
     def check(value: Any, path: str) -> Checked:
         result = quick(value)
@@ -123,17 +125,18 @@
         return result
 
     check.expected = expected
-    # A generator for each field of a right record would take half of its time.
+    # Running a generator for each field would take half the time of checking a valid
+    # record.
     check.quick = quick
     return check
 
 
 def sequence(item: Check, *, unique: str = "") -> Check:
-    """Check for a list; returns a tuple.
+    """Return a check for a list, whose result is a tuple.
 
     Args:
-        item: Check of each item.
-        unique: Attribute of the checked items that may not occur twice.
+        item: Check for each item.
+        unique: Attribute that must differ between the checked items.
     """
 
     def check(value: Any, path: str) -> Checked:
@@ -143,11 +146,13 @@
         found = []
         seen = set()
         for index, part in enumerate(value):
-            at = f"{path}[{index}]"
-            result = yield from item(part, at)
+            item_path = f"{path}[{index}]"
+            result = yield from item(part, item_path)
             key = getattr(result, unique, INVALID) if unique else INVALID
             if key is not INVALID and key in seen:
-                yield WrongValue(f"{at}.{unique}", "a value not used before", key)
+                yield WrongValue(
+                    f"{item_path}.{unique}", "a value not used before", key
+                )
                 result = INVALID
             seen.add(key)
             found.append(result)
@@ -158,10 +163,10 @@
 
 
 def record(make: Callable[..., Any], **fields: Field) -> Check:
-    """Check for an object with these fields and no others.
+    """Return a check for an object with these fields and no others.
 
     Args:
-        make: Called with the checked fields when all of them are right.
+        make: Called with the checked fields if all of them are valid.
         **fields: The fields by name.
     """
     quick = {key: getattr(field.check, "quick", None) for key, field in fields.items()}
@@ -177,9 +182,9 @@
             yield UnknownField(f"{prefix}{key}", ", ".join(fields))
             faults += 1
         for key, field in fields.items():
-            result = _given(field, value, key, quick[key])
+            result = _quick_value(field, value, key, quick[key])
             if result is INVALID:
-                result = yield from _checked(field, value, key, prefix)
+                result = yield from _run_check(field, value, key, prefix)
                 faults += result is INVALID
             found[key] = result
         return INVALID if faults else make(**found)
@@ -188,8 +193,11 @@
     return check
 
 
-def _given(field: Field, value: dict[str, Any], key: str, quick: Any) -> Any:
-    """Return the value of a field that is right at first sight."""
+def _quick_value(field: Field, value: dict[str, Any], key: str, quick: Any) -> Any:
+    """Return the value of a field without a generator, or ``INVALID``.
+
+    ``INVALID`` means that ``_run_check`` must look for faults.
+    """
     if key not in value:
         return INVALID if field.required else field.default
     if value[key] is None and field.default is None and not field.required:
@@ -197,21 +205,24 @@
     return INVALID if quick is None else quick(value[key])
 
 
-def _checked(field: Field, value: dict[str, Any], key: str, prefix: str) -> Checked:
+def _run_check(field: Field, value: dict[str, Any], key: str, prefix: str) -> Checked:
     if key in value:
         return (yield from field.check(value[key], f"{prefix}{key}"))
     yield MissingField(f"{prefix}{key}", field.expected)
     return INVALID
 
 
-def refine(check: Check, more: Callable[[Any, str], Iterable[Fault]]) -> Check:
-    """Check also what concerns several fields, once each of them is right."""
+def refine(check: Check, cross_check: Callable[[Any, str], Iterable[Fault]]) -> Check:
+    """Return ``check`` extended by a check across fields.
+
+    ``cross_check`` is called only with a value that ``check`` found valid.
+    """
 
     def refined(value: Any, path: str) -> Checked:
         result = yield from check(value, path)
         if result is INVALID:
             return INVALID
-        faults = list(more(result, path))
+        faults = list(cross_check(result, path))
         yield from faults
         return INVALID if faults else result
 
@@ -223,13 +234,13 @@
     """Return the checked value.
 
     Raises:
-        ExceptionGroup: Holds one ``Fault`` for everything wrong.
+        ExceptionGroup: Holds one ``Fault`` for each error.
     """
     faults = []
-    steps = check(value, "")
+    generator = check(value, "")
     while True:
         try:
-            faults.append(next(steps))
+            faults.append(next(generator))
         except StopIteration as stop:
             if faults:
                 raise ExceptionGroup(title, faults) from None
--- a/greengageflow/core/fold.py
+++ b/greengageflow/core/fold.py
@@ -1,8 +1,9 @@
-"""The deterministic fold of the configuration stream.
+"""Deterministic fold of the configuration log into the configuration in force.
 
-Routers that fold the same prefix of the log hold the same state, without talking
-to each other. So nothing local enters: no clock, no host, no software version. What
-this software cannot read stops the fold instead of being guessed.
+Routers that have folded the same prefix of the log hold the same state without any
+coordination. The result therefore depends on nothing local: not on the clock, the
+host or the software version. A record that this release cannot interpret halts the
+fold; its meaning is never guessed.
 """
 
 from collections import deque
@@ -35,16 +36,16 @@
 
 CONFIG_STREAM = "config"
 HISTORY_LENGTH = 100
-_FAULTS_SHOWN = 5
+_MAX_FAULTS_SHOWN = 5
 
 
 @dataclass(frozen=True, slots=True)
 class State:
-    """All that a prefix of the log folds into.
+    """Result of folding a prefix of the log.
 
     Args:
         config: Configuration in force.
-        highest: Highest schema that may be published.
+        highest: Highest schema version that may be published.
         offset: Offset of the last record folded; -1 before the first.
     """
 
@@ -62,26 +63,27 @@
     """Folds records into the configuration in force.
 
     Args:
-        understood: Schemas that this software reads; fewer in tests only.
-        history_length: Decisions kept for operators.
+        supported_schemas: Schema versions that this release supports. Only tests pass
+            fewer than all.
+        history_length: Number of latest decisions kept for operators.
     """
 
     def __init__(
         self,
         *,
-        understood: frozenset[int] = frozenset(SCHEMAS),
+        supported_schemas: frozenset[int] = frozenset(SCHEMAS),
         history_length: int = HISTORY_LENGTH,
     ) -> None:
-        self.understood = understood
+        self.supported_schemas = supported_schemas
         self._state = State()
         self._history: deque[Decision] = deque(maxlen=history_length)
-        self._lost_before = 0
-        self._scanned = -1
+        self._trimmed_before = 0
+        self._scanned_offset = -1
         self.halted = ""
 
     @property
     def state(self) -> State:
-        """All that the log was folded into."""
+        """State after the last record folded."""
         return self._state
 
     @property
@@ -96,41 +98,46 @@
 
     @property
     def complete(self) -> bool:
-        """False while lost records keep this router from judging new ones."""
-        return self._lost_before <= self.offset + 1
+        """Whether all earlier records are folded, so that new ones can be decided.
+
+        False after records were trimmed from the log before they were read here.
+        """
+        return self._trimmed_before <= self.offset + 1
 
     @property
     def next_offset(self) -> int:
-        """Offset from which to read on."""
-        return self.offset + 1 if self.complete else self._scanned + 1
+        """Offset of the next record to read."""
+        return self.offset + 1 if self.complete else self._scanned_offset + 1
 
     @property
     def history(self) -> tuple[Decision, ...]:
-        """The last decisions, oldest first."""
+        """The latest decisions, oldest first."""
         return tuple(self._history)
 
     def skip_to(self, first_offset: int) -> None:
-        """Note that records before ``first_offset`` can no longer be read."""
+        """Record that the log was trimmed and now begins at ``first_offset``."""
         if first_offset > self.next_offset:
-            self._lost_before = first_offset
-            self._scanned = first_offset - 1
+            self._trimmed_before = first_offset
+            self._scanned_offset = first_offset - 1
 
     def apply(self, offset: int, value: Any) -> Outcome:
-        """Judge the record at ``offset``, which must be ``next_offset``.
+        """Decide on the record at ``offset`` and fold it if it is accepted.
 
         Args:
-            offset: Log offset of the record; one before ``next_offset`` is a
-                copy and changes nothing.
+            offset: Log offset of the record. Below ``next_offset`` it is a
+                duplicate, which changes nothing.
             value: The record's JSON value.
 
         Raises:
-            ValueError: ``offset`` is past ``next_offset``.
+            ValueError: ``offset`` is above ``next_offset``.
         """
         if offset > self.next_offset:
-            raise ValueError(f"record {offset} follows {self.next_offset - 1}")
+            raise ValueError(
+                f"record {offset} is out of order after {self.next_offset - 1}"
+            )
         if offset < self.next_offset:
-            return Skipped(Reason.REPEATED, "folded before")
-        outcome = self._judge(offset, value)
+            return Skipped(Reason.REPEATED, "already folded")
+        outcome = self._decide(offset, value)
         if self.halted:
             return outcome
         self._history.append(_decision(offset, value, outcome))
@@ -140,25 +147,28 @@
             case _ if self.complete:
                 self._state = replace(self._state, offset=offset)
             case _:
-                self._scanned = offset
+                self._scanned_offset = offset
         return outcome
 
     def restore(self, value: Any) -> bool:
-        """Take over a peer's newer state; return whether it was newer.
+        """Adopt a peer's snapshot if it is newer; return whether it was adopted.
 
         Args:
-            value: JSON value as ``snapshot`` gives it.
+            value: JSON value as returned by ``snapshot``.
 
         Raises:
-            ExceptionGroup: The value is broken.
+            ExceptionGroup: The value is not a valid snapshot.
         """
         head = parse_head(value)
-        if head.schema not in self.understood or head.kind is not RecordKind.SNAPSHOT:
+        if (
+            head.schema not in self.supported_schemas
+            or head.kind is not RecordKind.SNAPSHOT
+        ):
             return False
         return self._adopt(parse_record(value, head))
 
     def snapshot(self, author: str) -> dict[str, Any]:
-        """Return the state as a record for the log or for a peer."""
+        """Return the state as a snapshot record for the log or for a peer."""
         record = SnapshotRecord(
             revision=self._state.revision,
             through_offset=self.offset,
@@ -172,18 +182,18 @@
 
     @property
     def _snapshot_schema(self) -> int:
-        """Highest allowed schema that is known here; it can say all there is."""
-        return max(n for n in self.understood if n <= self._state.highest)
+        """Highest allowed schema that is supported here; it expresses all state."""
+        return max(n for n in self.supported_schemas if n <= self._state.highest)
 
-    def _judge(self, offset: int, value: Any) -> Outcome:
+    def _decide(self, offset: int, value: Any) -> Outcome:
         try:
             head = parse_head(value)
         except ExceptionGroup as exc:
-            return self._refusal(Reason.MALFORMED, _texts(exc))
+            return self._reject_or_skip(Reason.MALFORMED, _join_faults(exc))
         if head.kind is RecordKind.SNAPSHOT:
-            return self._judge_snapshot(offset, value, head)
+            return self._decide_snapshot(offset, value, head)
         if not self.complete:
-            text = f"records before {self._lost_before} are lost"
+            text = f"records before {self._trimmed_before} are lost"
             return Skipped(Reason.INCOMPLETE, text)
         if head.schema > self._state.highest:
             return Rejected(
@@ -191,27 +201,27 @@
                 f"schema {head.schema}, but {self._state.highest} is the highest"
                 " allowed",
             )
-        if head.schema not in self.understood:
+        if head.schema not in self.supported_schemas:
             return self._halt(offset, head)
         try:
             record = parse_record(value, head)
         except ExceptionGroup as exc:
-            return Rejected(Reason.INVALID, _texts(exc))
-        return self._judge_change(offset, record)
+            return Rejected(Reason.INVALID, _join_faults(exc))
+        return self._decide_change(offset, record)
 
-    def _refusal(self, reason: Reason, text: str) -> Outcome:
+    def _reject_or_skip(self, reason: Reason, text: str) -> Outcome:
         return Rejected(reason, text) if self.complete else Skipped(reason, text)
 
     def _halt(self, offset: int, head: Head) -> Outcome:
-        # Guessing what an allowed but unknown schema means would leave this
-        # router with a configuration of its own; it keeps the present one.
+        # Guessing what an allowed but unsupported schema means would make this
+        # router's configuration diverge, so it keeps the current one.
         self.halted = (
             f"record {offset} has schema {head.schema}, which this release does not"
             " understand"
         )
         return Skipped(Reason.NOT_UNDERSTOOD, self.halted)
 
-    def _judge_change(
+    def _decide_change(
         self, offset: int, record: ConfigRecord | AllowSchemaRecord
     ) -> Outcome:
         state = self._state
@@ -238,28 +248,30 @@
                 self._state = replace(state, config=config, highest=record.highest)
         return Accepted(revision)
 
-    def _judge_snapshot(self, offset: int, value: Any, head: Head) -> Outcome:
-        if head.schema not in self.understood:
+    def _decide_snapshot(self, offset: int, value: Any, head: Head) -> Outcome:
+        if head.schema not in self.supported_schemas:
             return Skipped(Reason.NOT_UNDERSTOOD, f"snapshot of schema {head.schema}")
         try:
             record = parse_record(value, head)
         except ExceptionGroup as exc:
-            return self._refusal(Reason.INVALID, _texts(exc))
+            return self._reject_or_skip(Reason.INVALID, _join_faults(exc))
         if self.complete:
-            return self._compare(record)
-        if record.through_offset + 1 < self._lost_before:
-            text = f"reaches {record.through_offset}, lost before {self._lost_before}"
+            return self._compare_snapshot(record)
+        if record.through_offset + 1 < self._trimmed_before:
+            text = (
+                f"ends at {record.through_offset}, lost before {self._trimmed_before}"
+            )
             return Skipped(Reason.SNAPSHOT_STALE, text)
         if record.through_offset < offset and self._adopt(record):
             return Adopted(self._state.revision)
-        return Skipped(Reason.SNAPSHOT_WRONG, "contradicts what is known here")
+        return Skipped(Reason.SNAPSHOT_WRONG, "does not extend the state folded here")
 
-    def _compare(self, record: SnapshotRecord) -> Outcome:
-        """Tell whether a snapshot agrees; the folded state stands anyway."""
+    def _compare_snapshot(self, record: SnapshotRecord) -> Outcome:
+        """Compare a snapshot with the folded state, which is kept in any case."""
         if record.revision < self._state.revision:
             return Skipped(Reason.SNAPSHOT_STALE, f"revision {record.revision}")
-        known = replace(self._state, offset=record.through_offset)
-        if _state_of(record) != known:
+        expected = replace(self._state, offset=record.through_offset)
+        if _state_from_snapshot(record) != expected:
             text = f"revision {record.revision} differs from the folded one"
             return Skipped(Reason.SNAPSHOT_WRONG, text)
         return Skipped(Reason.SNAPSHOT_KNOWN, f"revision {record.revision}")
@@ -268,29 +280,29 @@
         newer = record.through_offset > self.offset
         if not newer or record.revision < self._state.revision:
             return False
-        self._state = _state_of(record)
+        self._state = _state_from_snapshot(record)
         self.halted = ""
         return True
 
 
-def _state_of(record: SnapshotRecord) -> State:
+def _state_from_snapshot(record: SnapshotRecord) -> State:
     merged = SCHEMAS[record.schema].merge(State().config, record.form)
     config = replace(merged, revision=record.revision, offset=record.config_offset)
     return State(config, record.highest, record.through_offset)
 
 
 def _decision(offset: int, value: Any, outcome: Outcome) -> Decision:
-    author, nonce = (_text_field(value, name) for name in ("author", "nonce"))
+    author, nonce = (_string_field(value, name) for name in ("author", "nonce"))
     return Decision(offset, author, nonce, outcome)
 
 
-def _text_field(value: Any, name: str) -> str:
-    found = value.get(name, "") if type(value) is dict else ""
-    return found[:256] if type(found) is str else ""
+def _string_field(value: Any, name: str) -> str:
+    text = value.get(name, "") if type(value) is dict else ""
+    return text[:256] if type(text) is str else ""
 
 
-def _texts(group: ExceptionGroup) -> str:
-    shown = [str(exc) for exc in group.exceptions[:_FAULTS_SHOWN]]
+def _join_faults(group: ExceptionGroup) -> str:
+    shown = [str(exc) for exc in group.exceptions[:_MAX_FAULTS_SHOWN]]
     more = len(group.exceptions) - len(shown)
     if more:
         shown.append(f"and {more} more")
--- a/greengageflow/core/hello_cache.py
+++ b/greengageflow/core/hello_cache.py
@@ -1,29 +1,29 @@
-"""Hellos that come again and again as the same bytes."""
+"""Cache of decoded hellos, which arrive repeatedly as the same bytes."""
 
 from greengageflow.core.router_table import Hello
 
-KEPT = 2_000
+MAX_HELLOS = 2_000
 
 
 class HelloCache:
-    """Hellos by the datagram that they came in, so that it is decoded once.
+    """Maps datagrams to decoded hellos, so that each distinct one is decoded once.
 
-    In a fleet of hundreds they are most of what a router receives.
+    In a fleet of hundreds of routers, hellos are most of the received datagrams.
     """
 
     def __init__(self) -> None:
-        self._known: dict[bytes, Hello] = {}
+        self._hellos: dict[bytes, Hello] = {}
 
     def __len__(self) -> int:
-        """Return how many are remembered."""
-        return len(self._known)
+        """Return the number of cached hellos."""
+        return len(self._hellos)
 
     def get(self, data: bytes) -> Hello | None:
-        """Return the hello in a datagram that came before, or None."""
-        return self._known.get(data)
+        """Return the cached hello of a datagram, or None."""
+        return self._hellos.get(data)
 
     def put(self, data: bytes, hello: Hello) -> None:
-        """Remember the hello in a datagram."""
-        if len(self._known) >= KEPT:
-            self._known.clear()
-        self._known[data] = hello
+        """Cache the hello of a datagram; a full cache is cleared first."""
+        if len(self._hellos) >= MAX_HELLOS:
+            self._hellos.clear()
+        self._hellos[data] = hello
--- a/greengageflow/core/outage_hold.py
+++ b/greengageflow/core/outage_hold.py
@@ -1,51 +1,57 @@
-"""How long a removal from the list may be no more than a lapsed entry."""
+"""Delay of endpoint removals after an outage of the platform's store."""
 
-HELD_S = 2.2
-"""Seconds after the store's return; live endpoints are listed again within two."""
+REMOVAL_HOLD_S = 2.2
+"""Time for which removals are held after the store is back, in seconds.
 
-OUTAGE_S = 1.0
-"""Seconds for which the store must be away before entries are held."""
+Live endpoints register again within two seconds.
+"""
+
+MIN_OUTAGE_S = 1.0
+"""Minimum length of a store outage after which removals are held, in seconds."""
 
 
 class OutageHold:
-    """Holds removals for a while after the platform's store has returned.
+    """Decides for how long removals are held after the platform's store is back.
 
-    Entries lapse while the store is away. Taken at once, their removal would leave the
-    fleet without endpoints until they are listed again. The time counts from the
-    store's return, as far as anybody saw it, and not from this host's next read of the
-    list: that may come much later, because of a removal that is none of the outage.
+    The entries of live endpoints expire during an outage. Applying these removals
+    immediately would leave the fleet without endpoints until they register again. The
+    time counts from when any host first saw the store back, not from this host's next
+    read of the list: that may come much later, for a removal unrelated to the outage.
     """
 
     def __init__(self) -> None:
-        self._lost_at: float | None = None
-        self._until = float("-inf")
+        self._failed_at: float | None = None
+        self._hold_until = float("-inf")
 
     @property
-    def waits(self) -> bool:
-        """Whether the store's return has not been seen yet."""
-        return self._lost_at is not None
+    def is_pending(self) -> bool:
+        """Whether the store failed and no host is known to have reached it since."""
+        return self._failed_at is not None
 
     def on_restore(self, now: float) -> None:
-        """Note that the store came back without what was written last.
+        """Record that the store was restored without its latest writes.
 
-        Entries that it lacks may be those of endpoints that were listed a moment ago.
+        The missing entries may belong to endpoints that registered shortly before.
         """
-        self._until = now + HELD_S
-        self._lost_at = None
+        self._hold_until = now + REMOVAL_HOLD_S
+        self._failed_at = None
+
+    def on_failure(self, now: float) -> None:
+        """Record that the store did not answer this host."""
+        if self._failed_at is None:
+            self._failed_at = now
 
-    def lost(self, now: float) -> None:
-        """Note that the store did not answer this host."""
-        if self._lost_at is None:
-            self._lost_at = now
+    def on_answer(self, now: float, answered_at: float) -> None:
+        """Record that the store answered a host at the time ``answered_at``.
 
-    def answered(self, now: float, at: float) -> None:
-        """Note that the store answered this host or another one at time ``at``."""
-        if self._lost_at is None or at <= self._lost_at:
+        This may be any host, not only the own one.
+        """
+        if self._failed_at is None or answered_at <= self._failed_at:
             return
-        if now - self._lost_at > OUTAGE_S:
-            self._until = now + HELD_S
-        self._lost_at = None
+        if now - self._failed_at > MIN_OUTAGE_S:
+            self._hold_until = now + REMOVAL_HOLD_S
+        self._failed_at = None
 
-    def left_s(self, now: float) -> float:
-        """Return the seconds for which a removal that is read now is held."""
-        return max(0.0, self._until - now)
+    def remaining_s(self, now: float) -> float:
+        """Return how long a removal that is read now is held, in seconds."""
+        return max(0.0, self._hold_until - now)
--- a/greengageflow/core/relay_sums.py
+++ b/greengageflow/core/relay_sums.py
@@ -16,7 +16,7 @@
 )
 from greengageflow.core.peer_report import PeerReport, PeerTable, ReceivedReport
 from greengageflow.core.router_table import Hello, RouterTable
-from greengageflow.core.store_duty import StoreWord, best_word
+from greengageflow.core.store_duty import StoreReport, merge_store_reports
 from greengageflow.core.sum_changes import SumDelta, SumPublisher
 from greengageflow.core.sum_table import SumTable
 from greengageflow.core.zone_loads import ZoneLoads
@@ -168,7 +168,7 @@
             totals = replace(self._member_work(now), loads=loads)
             own_totals = FleetTotals(own.served, own.offered, own.loads, 1)
         totals = merge([totals, own_totals])
-        state = best_word(
+        state = merge_store_reports(
             now, (store_state_of(received.report, received.at) for received in members)
         )
         placed = tuple(
@@ -184,7 +184,7 @@
         fleet = self._sum_report(
             number,
             merge([totals, *parts]),
-            best_word(now, states),
+            merge_store_reports(now, states),
             (*placed, *pairs),
         )
         included = {
@@ -192,7 +192,7 @@
         }
         return zone, replace(fleet, fleet_wide=True, included=included)
 
-    def store_states(self, now: float) -> Iterator[StoreWord]:
+    def store_states(self, now: float) -> Iterator[StoreReport]:
         """Yield what the sums report about the store."""
         sums = self.sums.zone_sums(now, self._own.zone)
         fleet = self.sums.fleet_sum(now)
@@ -220,7 +220,7 @@
         self,
         number: int,
         totals: FleetTotals,
-        state: StoreWord,
+        state: StoreReport,
         placed: tuple[tuple[str, str], ...],
     ) -> SumReport:
         return SumReport(
@@ -232,14 +232,14 @@
             totals=totals,
             version=state.version,
             list_mark=state.list_mark,
-            config_age_s=state.heard_s,
-            list_age_s=state.list_heard_s,
+            config_age_s=state.config_age_s,
+            list_age_s=state.list_age_s,
             placed=placed,
         )
 
 
-def store_state_of(report: PeerReport | SumReport, at: float) -> StoreWord:
+def store_state_of(report: PeerReport | SumReport, at: float) -> StoreReport:
     """Return what a report received at ``at`` says about the store."""
-    return StoreWord(
+    return StoreReport(
         at, report.version, report.list_mark, report.config_age_s, report.list_age_s
     )
--- a/greengageflow/core/store_duty.py
+++ b/greengageflow/core/store_duty.py
@@ -1,136 +1,161 @@
-"""Which hosts read the platform's store, and when the others do."""
+"""Roles of hosts that read the platform's store, and the timing of their reads."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
 from enum import Enum, auto
 
-READING_ZONES = 2
-"""Zones whose first router reads; with one alone, its loss would be felt by all."""
+READER_ZONES = 2
+"""Number of zones whose first relay reads the store.
 
-STALE_PACES = 1.67
-"""Times the pace after which what is known of the store counts as stale."""
+The loss of a single reader would affect all routers.
+"""
 
-STANDBY_PACES = 1.2
-"""The same for routers that read in place of a lost one before all others do."""
+STALE_INTERVALS = 1.67
+"""Age of the known state of the store at which it is stale, in read intervals."""
 
-MEMBER_RETRY_S = 3.0
-"""Least seconds between two reads of a router that leaves reading to others."""
+STANDBY_STALE_INTERVALS = 1.2
+"""The same for standby routers, which replace a lost reader before all others read."""
 
-NEWS_S = 0.25
-"""Seconds that a host waits for a peer to pass on a change that it heard of."""
+MEMBER_READ_INTERVAL_S = 3.0
+"""Minimum interval between two reads of a router that is no reader, in seconds."""
 
-LONGEST_PACE_S = 0.9
-SHORTEST_PACE_S = 0.2
+UPDATE_TIMEOUT_S = 0.25
+"""Time that a host waits for a peer to forward a change it knows of, in seconds."""
+
+MAX_READ_INTERVAL_S = 0.9
+MIN_READ_INTERVAL_S = 0.2
 
 
 class StoreRole(Enum):
-    """What a router does about the store."""
+    """Role of a router in reading the store."""
 
     READER = auto()
-    """It reads all the time."""
+    """Reads continuously."""
 
     STANDBY = auto()
-    """It reads as soon as it seems that no reader does."""
+    """Reads as soon as the readers seem to have failed."""
 
     MEMBER = auto()
-    """It reads when nobody else seems to."""
+    """Reads only if no other router seems to."""
 
 
-def pace_s(*bounds_s: float) -> float:
-    """Return the seconds between two reads of the store, by the operators' bounds.
+def read_interval_s(*bounds_s: float) -> float:
+    """Return the interval between two reads of the store, in seconds.
 
-    A change is known at the latest when the word of a reader that was lost has become
-    stale and the host has read for itself; that must leave time within each bound.
+    The worst case is a reader that fails: a host learns of a change only after the
+    reader's last report has become stale and the host has read the store itself. This
+    must fit within each of the operators' bounds.
 
     Args:
         bounds_s: Times within which changes must be known, in seconds.
     """
-    return min(LONGEST_PACE_S, max(SHORTEST_PACE_S, 0.45 * min(bounds_s)))
+    return min(MAX_READ_INTERVAL_S, max(MIN_READ_INTERVAL_S, 0.45 * min(bounds_s)))
 
 
 @dataclass(frozen=True, slots=True)
-class StoreWord:
-    """What another router knows of the store, or the best of several.
+class StoreReport:
+    """Store state reported by another router, or merged from several reports.
 
     Args:
-        at: Time at which that was told.
-        version: Configuration in force there.
-        list_mark: Offset of the last change of the list of endpoints.
-        heard_s: Seconds, then, since the configuration was known to be the newest.
-        list_heard_s: The same of the list.
+        reported_at: Time of the report.
+        version: Version of the configuration in force there.
+        list_mark: Mark of the last change of the endpoint list there.
+        config_age_s: Time since the configuration was confirmed to be the newest, as of
+            the report, in seconds.
+        list_age_s: The same for the endpoint list.
     """
 
-    at: float
+    reported_at: float
     version: int
     list_mark: int
-    heard_s: float
-    list_heard_s: float
+    config_age_s: float
+    list_age_s: float
 
 
-class CatchUp:
-    """Says when a host that is behind its peers reads for itself."""
+class CatchUpTimer:
+    """Decides when a host that is behind its peers reads the store itself."""
 
     def __init__(self) -> None:
-        self._behind_at: float | None = None
+        self._behind_since: float | None = None
 
-    def is_due(self, now: float, is_behind: bool, alone: bool) -> bool:
+    def is_due(self, now: float, is_behind: bool, without_updates: bool) -> bool:
         """Return whether to read now.
 
         Args:
-            now: The time.
-            is_behind: A peer knows of a change that is not known here.
-            alone: Nobody passes on anything to this host that it can take over.
+            now: Current time.
+            is_behind: Whether a peer knows of a change that this host lacks.
+            without_updates: Whether this host can't use updates from peers, so that
+                there is no point in waiting for one.
         """
         if not is_behind:
-            self._behind_at = None
+            self._behind_since = None
             return False
-        if self._behind_at is None:
-            self._behind_at = now
-        return alone or now - self._behind_at >= NEWS_S
+        if self._behind_since is None:
+            self._behind_since = now
+        return without_updates or now - self._behind_since >= UPDATE_TIMEOUT_S
 
 
 @dataclass(frozen=True, slots=True)
-class PeersKnow:
-    """What the other routers know of one part of the store.
+class PeerStoreState:
+    """Summary of the peers' reports on one part of the store.
 
     Args:
-        mark: The newest mark that one of them knows.
-        heard_s: Seconds since the one that heard last knew it to be the newest, of
-            those whose mark is not newer than ours.
+        mark: The newest mark that any peer has.
+        age_s: Time since the latest confirmation by a peer that its state is the
+            newest, in seconds. Only peers whose mark is not newer than the own one
+            count.
     """
 
     mark: int
-    heard_s: float
+    age_s: float
 
 
-def peers_know_config(now: float, own: int, words: Iterable[StoreWord]) -> PeersKnow:
-    """Return what peers know of the configuration, whose version here is ``own``."""
-    return _know(now, own, ((w.at, w.version, w.heard_s) for w in words))
+def peer_config_state(
+    now: float, own: int, reports: Iterable[StoreReport]
+) -> PeerStoreState:
+    """Summarize the peers' configurations; ``own`` is the version on this host."""
+    return _summarize(
+        now, own, ((r.reported_at, r.version, r.config_age_s) for r in reports)
+    )
 
 
-def peers_know_list(now: float, own: int, words: Iterable[StoreWord]) -> PeersKnow:
-    """Return what peers know of the list, which was read here up to ``own``."""
-    return _know(now, own, ((w.at, w.list_mark, w.list_heard_s) for w in words))
+def peer_list_state(
+    now: float, own: int, reports: Iterable[StoreReport]
+) -> PeerStoreState:
+    """Summarize the peers' endpoint lists; ``own`` is the mark on this host."""
+    return _summarize(
+        now, own, ((r.reported_at, r.list_mark, r.list_age_s) for r in reports)
+    )
 
 
-def _know(now: float, own: int, rows: Iterable[tuple[float, int, float]]) -> PeersKnow:
+def _summarize(
+    now: float, own: int, rows: Iterable[tuple[float, int, float]]
+) -> PeerStoreState:
     mark = 0
-    youngest_s = float("inf")
-    for at, theirs, heard_s in rows:
-        mark = max(mark, theirs)
-        if theirs <= own:
-            youngest_s = min(youngest_s, heard_s + now - at)
-    return PeersKnow(mark, youngest_s)
-
-
-def best_word(now: float, words: Iterable[StoreWord]) -> StoreWord:
-    """Return one word for several: the newest marks, and who heard them last."""
-    known = list(words)
-    version = max((w.version for w in known), default=0)
-    mark = max((w.list_mark for w in known), default=0)
-    heard = (w.heard_s + now - w.at for w in known if w.version == version)
-    list_heard = (w.list_heard_s + now - w.at for w in known if w.list_mark == mark)
-    never = float("inf")
-    return StoreWord(
-        now, version, mark, min(heard, default=never), min(list_heard, default=never)
+    min_age_s = float("inf")
+    for reported_at, peer_mark, age_s in rows:
+        mark = max(mark, peer_mark)
+        if peer_mark <= own:
+            min_age_s = min(min_age_s, age_s + now - reported_at)
+    return PeerStoreState(mark, min_age_s)
+
+
+def merge_store_reports(now: float, reports: Iterable[StoreReport]) -> StoreReport:
+    """Merge reports into one with the newest marks and their latest confirmations."""
+    received = list(reports)
+    version = max((r.version for r in received), default=0)
+    mark = max((r.list_mark for r in received), default=0)
+    config_ages_s = (
+        r.config_age_s + now - r.reported_at for r in received if r.version == version
+    )
+    list_ages_s = (
+        r.list_age_s + now - r.reported_at for r in received if r.list_mark == mark
+    )
+    unknown_s = float("inf")
+    return StoreReport(
+        now,
+        version,
+        mark,
+        min(config_ages_s, default=unknown_s),
+        min(list_ages_s, default=unknown_s),
     )
--- a/greengageflow/core/store_marks.py
+++ b/greengageflow/core/store_marks.py
@@ -1,24 +1,25 @@
-"""Places in the platform's store that stay in order when it comes back older.
+"""Positions in the platform's store that stay ordered when it is restored.
 
-After a restore the store gives out offsets again, with other records. Its era, which
-rises with each restore, comes first in a mark, so that marks of two eras are never
-taken for each other, wherever they are kept, compared or passed on.
+A store restored from a backup assigns the same offsets again to other records. A mark
+combines the offset with the store's era, which increases with each restore and is the
+more significant part. So positions of two eras never compare as equal, wherever they
+are stored, compared or sent.
 """
 
-MOST_ERA = 2**20
-_OFFSETS = 2**40
+MAX_ERA = 2**20
+_OFFSETS_PER_ERA = 2**40
 
 
 def mark_of(era: int, offset: int) -> int:
     """Return the mark of an offset in an era."""
-    return era * _OFFSETS + offset
+    return era * _OFFSETS_PER_ERA + offset
 
 
 def era_of(mark: int) -> int:
     """Return the era of a mark."""
-    return mark // _OFFSETS
+    return mark // _OFFSETS_PER_ERA
 
 
 def offset_of(mark: int) -> int:
     """Return the offset of a mark within its era."""
-    return mark % _OFFSETS
+    return mark % _OFFSETS_PER_ERA
--- a/greengageflow/daemon/store_view.py
+++ b/greengageflow/daemon/store_view.py
@@ -8,14 +8,14 @@
 from greengageflow.core.outage_hold import OutageHold
 from greengageflow.core.routes import Routing
 from greengageflow.core.store_duty import (
-    MEMBER_RETRY_S,
-    STALE_PACES,
-    STANDBY_PACES,
-    CatchUp,
+    MEMBER_READ_INTERVAL_S,
+    STALE_INTERVALS,
+    STANDBY_STALE_INTERVALS,
+    CatchUpTimer,
+    StoreReport,
     StoreRole,
-    StoreWord,
-    peers_know_config,
-    peers_know_list,
+    peer_config_state,
+    peer_list_state,
 )
 from greengageflow.core.store_marks import era_of
 from greengageflow.core.store_updates import StoreTopic, StoreUpdate, UpdatePublisher
@@ -98,7 +98,7 @@
         self._list_lost_at: float | None = None
         self._held: dict[str, float] = {}
         self._hold = OutageHold()
-        self._config_wait, self._list_wait = CatchUp(), CatchUp()
+        self._config_wait, self._list_wait = CatchUpTimer(), CatchUpTimer()
         self._publishers = {
             topic: UpdatePublisher(topic, UPDATE_BYTES) for topic in StoreTopic
         }
@@ -121,10 +121,14 @@
 
     @property
     def _stale_s(self) -> float:
-        paces = STANDBY_PACES if self._role is StoreRole.STANDBY else STALE_PACES
+        paces = (
+            STANDBY_STALE_INTERVALS
+            if self._role is StoreRole.STANDBY
+            else STALE_INTERVALS
+        )
         return paces * self._pace_s
 
-    def _may_read(self, follower: TopicFollower, words: list[StoreWord]) -> bool:
+    def _may_read(self, follower: TopicFollower, words: list[StoreReport]) -> bool:
         """Return whether a read for want of other hosts' word may begin.
 
         While the store is away each host would else ask it again and again, although
@@ -132,9 +136,9 @@
         """
         if self._role is not StoreRole.MEMBER or not words:
             return True
-        return self._age_s(follower.asked_at) >= MEMBER_RETRY_S
+        return self._age_s(follower.asked_at) >= MEMBER_READ_INTERVAL_S
 
-    def on_tick(self, role: StoreRole, words: list[StoreWord]) -> None:
+    def on_tick(self, role: StoreRole, words: list[StoreReport]) -> None:
         """Read what is due.
 
         Args:
@@ -146,7 +150,7 @@
         reads = role is StoreRole.READER
         self._config.check()
         self._list.check()
-        known = peers_know_config(now, self.version, words)
+        known = peer_config_state(now, self.version, words)
         self._peers_version = known.mark
         is_behind = known.mark > self.version
         if is_behind:
@@ -154,7 +158,7 @@
         if self._config.idle:
             alone = reads or not self._config.is_known
             behind = self._config_wait.is_due(now, is_behind, alone)
-            heard_s = min(known.heard_s, self._age_s(self.confirmed))
+            heard_s = min(known.age_s, self._age_s(self.confirmed))
             stale = heard_s > self._stale_s and self._may_read(self._config, words)
             if reads and not behind:
                 # A wait for the whole pace would be known of only when the next one
@@ -162,19 +166,19 @@
                 self._config.read(self._pace_s / 2)
             elif behind or stale:
                 self._config.read()
-        known = peers_know_list(now, self._list.offset, words)
+        known = peer_list_state(now, self._list.offset, words)
         is_behind = known.mark > self._list.offset
         if is_behind:
             self._list.hasten()
         if self._list.idle and not self._waits_for_era(now, era_of(known.mark)):
             alone = reads or not self._list.is_known
             behind = self._list_wait.is_due(now, is_behind, alone)
-            heard_s = min(known.heard_s, self._age_s(self.list_confirmed))
+            heard_s = min(known.age_s, self._age_s(self.list_confirmed))
             stale = heard_s > self._stale_s and self._may_read(self._list, words)
             due = reads and self._age_s(self._list.asked_at) >= self._pace_s
             if due or behind or stale:
                 self._list.read()
-        if self._hold.waits:
+        if self._hold.is_pending:
             self._note_answers(now, words)
         self._drop_held(now)
 
@@ -207,12 +211,12 @@
         self._log.write(DecisionEvent.STORE_ERA, era=era, before=before)
         self._on_era(era)
 
-    def _note_answers(self, now: float, words: Iterable[StoreWord]) -> None:
+    def _note_answers(self, now: float, words: Iterable[StoreReport]) -> None:
         # A host that does not read for its zone may not read for long after the
         # store's return; its peers' word is all it has of it.
         for word in words:
-            age_s = min(word.heard_s, word.list_heard_s) + now - word.at
-            self._hold.answered(self._clock(), self._clock() - age_s)
+            age_s = min(word.config_age_s, word.list_age_s) + now - word.reported_at
+            self._hold.on_answer(self._clock(), self._clock() - age_s)
 
     def _tell_in_place(self, before: float) -> None:
         # Members wait only a little longer before they all read.
@@ -221,7 +225,7 @@
 
     def _store_answered(self) -> None:
         now = self._clock()
-        self._hold.answered(now, now)
+        self._hold.on_answer(now, now)
 
     def _age_s(self, at: float) -> float:
         return self._clock() - at
@@ -325,7 +329,7 @@
 
     def list_lost(self, text: str) -> None:
         """Note that the list could not be read."""
-        self._hold.lost(self._clock())
+        self._hold.on_failure(self._clock())
         if self._list_lost_at is None:
             self._list_lost_at = self._clock()
             age_s = min(self._age_s(self.list_confirmed), 1e6)
@@ -379,7 +383,7 @@
         self._take_records(sorted(records, key=lambda record: record.offset))
         # A snapshot does not tell which removals came before its end, so that nobody
         # may be told that it misses none.
-        self._publishers[StoreTopic.ENDPOINTS].begin(self._list.offset)
+        self._publishers[StoreTopic.ENDPOINTS].reset(self._list.offset)
 
     def _was_dropped(self, record: KeyedRecord) -> bool:
         """Whether a restored entry is one whose removal the store has lost."""
@@ -392,7 +396,7 @@
         self._is_restored = True
 
     def _drop(self, endpoint: str) -> Iterable[ListChange]:
-        left_s = self._hold.left_s(self._clock())
+        left_s = self._hold.remaining_s(self._clock())
         if left_s <= 0:
             return list(self._endpoints.drop(endpoint))
         if endpoint not in self._held:
