--- a/greengageflow/core/decayed.py
+++ b/greengageflow/core/decayed.py
@@ -1,4 +1,4 @@
-"""Sums that fade with time, so that what counts is what was lately."""
+"""Exponentially decaying sums."""
 
 from collections.abc import Hashable, Iterator
 from math import exp
@@ -8,7 +8,7 @@
 
 
 class DecayedSums(Generic[K]):
-    """Sums by key that shrink to 1/e in ``fade_s`` seconds.
+    """Sums by key that decay to 1/e in ``fade_s`` seconds.
 
     Args:
         fade_s: Time constant, in seconds.
@@ -19,18 +19,18 @@
         self._sums: dict[K, tuple[float, float]] = {}
 
     def add(self, now: float, key: K, amount: float) -> None:
-        """Add to the sum of a key; it never falls below 0."""
+        """Add to the sum of a key, which is kept at 0 or above."""
         self._sums[key] = (max(0.0, self.get(now, key) + amount), now)
 
     def get(self, now: float, key: K) -> float:
-        """Return the present sum of a key."""
+        """Return the sum of a key at ``now``."""
         found = self._sums.get(key)
         if found is None:
             return 0.0
         return found[0] * exp(min(0.0, (found[1] - now) / self._fade_s))
 
     def items(self, now: float, least: float = 0.0) -> Iterator[tuple[K, float]]:
-        """Yield keys with sums above ``least``, and forget the others."""
+        """Yield keys with sums above ``least``, and delete the others."""
         for key in list(self._sums):
             value = self.get(now, key)
             if value > least:
--- a/greengageflow/core/endpoint_choice.py
+++ b/greengageflow/core/endpoint_choice.py
@@ -1,4 +1,4 @@
-"""Which endpoint a request is sent to."""
+"""Endpoint selection by load, prefix cache, health and zone."""
 
 from collections.abc import Callable, Container, Sequence
 from dataclasses import dataclass, field
@@ -12,40 +12,48 @@
 
 FAILING_PENALTY_S = 1.0
 AWAY_PENALTY_S = 0.04
-"""Seconds of wait that a request in another zone is worth: its bytes cross twice."""
+"""Extra wait, in seconds, that is accepted to stay within the zone.
+
+The bytes of a request in another zone cross zones twice.
+"""
 FETCH_PART = 0.3
-"""Engine's time for a token that is fetched, in parts of one that is read."""
+"""Engine time for a fetched token, relative to a token that is read."""
 COPY_PART = 0.3
-"""What a copied token takes from others, memory and link, in the same measure.
+"""Cost of a copied token to other requests, relative to a token that is read.
 
-Copies that seem cheap push each other out of memory.
+It accounts for memory and link use. If copies are too cheap they evict each other from
+memory.
 """
 PLAIN_QUEUE = 3.0
 PLAIN_AWAY = 0.3
 PLAIN_FAILING = 8.0
 HOME_BONUS_S = 0.05
-"""Seconds by which hosts that decide for themselves prefer a part's home, to agree."""
+"""Preference for a part's home endpoint, in seconds of wait.
+
+It makes hosts that choose independently agree on an endpoint.
+"""
 FILL = 0.92
 LEAST_AHEAD_S = 0.05
-"""Seconds of wait that count as none: a step or two of an engine."""
+"""Seconds of wait that count as zero: one or two steps of an engine."""
 SURE_READING = 1.5
-"""Tokens to read, in a prompt's own ones, up to which its time teaches a rate.
+"""Maximum tokens to read, relative to a prompt's own tokens, for a rate sample.
 
-Whether shared parts that nobody sent there lately are kept is not known: after a
-restart of all hosts they are, and engines would seem faster than they are.
+It is not known whether an engine keeps shared parts that were not sent to it recently.
+After a restart of all hosts it does, and such samples would make engines seem faster
+than they are.
 """
 
 
 @dataclass(frozen=True, slots=True)
 class Choice:
-    """Where a request goes.
+    """The endpoint selected for a request.
 
     Args:
         endpoint: The endpoint.
-        reading: Prompt tokens that it has to read, by all that is known.
-        wait_s: Predicted seconds to the first event.
-        fetch_from: Engine that keeps shared parts which this one lacks, or None.
-        sure: Whether the endpoint keeps the shared parts is known.
+        reading: Expected number of prompt tokens that it has to read.
+        wait_s: Predicted time to the first event, in seconds.
+        fetch_from: Engine from which missing shared parts are fetched, or None.
+        sure: The number of tokens to read is reliable.
     """
 
     endpoint: ListedEndpoint
@@ -56,12 +64,12 @@
 
 
 class EndpointChooser:
-    """Chooses by predicted wait, with a preference for kept prompt parts.
+    """Chooses endpoints by predicted wait, with a preference for cached prompt parts.
 
     Args:
         loads: Returns the load of an endpoint.
-        health: What was seen of the endpoints lately.
-        places: Where prompt parts are kept.
+        health: Recent failures of the endpoints.
+        places: Locations of cached prompt parts.
         zone: Availability zone of this host.
     """
 
@@ -78,10 +86,10 @@
         self._zone = zone
 
     def look(self, now: float, endpoints: Sequence[ListedEndpoint]) -> "Look":
-        """Return what all waiting requests have in common to choose from.
+        """Return the candidates that all queued requests can choose from.
 
-        A queue is looked through at each event; while engines are full, to look at all
-        of them for each account's first request would take most of a placer's time.
+        The queue is scanned at each event. Checking all engines again for the first
+        request of each account would take most of a placer's time while they are full.
         """
         room = [e for e in endpoints if self._loads(e).has_slot(PLAIN_QUEUE)]
         awake = [e for e in room if not self._health.rests(now, e.id)]
@@ -105,20 +113,22 @@
         avoid: Container[str] = (),
         zone: str = "",
     ) -> Choice | None:
-        """Return the best endpoint, or None when none has room in time.
+        """Return the best endpoint, or None if none has capacity in time.
 
         Args:
             now: The time.
-            look: What there is to choose from, as of ``now``.
-            prompt: Its work, for a model engine.
-            patience_s: Longest wait for the endpoint to begin, in seconds.
+            look: Candidates as of ``now``.
+            prompt: Prompt, for a model engine.
+            patience_s: Maximum wait until the endpoint begins, in seconds.
             first_by_s: Seconds from now by which the first event should come. An
-                endpoint that begins in ``LEAST_AHEAD_S`` is taken all the same: none
-                is sooner.
-            transfers: Engines fetch prompt parts from each other.
-            fill: Part of an engine's slots that may be taken.
-            avoid: Endpoints that it may not be sent to; they may keep parts.
-            zone: Availability zone of the host that sends it; empty: this host's.
+                endpoint that begins within ``LEAST_AHEAD_S`` is accepted anyway, since
+                no other could begin sooner.
+            transfers: Engines can fetch prompt parts from each other.
+            fill: Fraction of an engine's slots that may be used.
+            avoid: Ids of endpoints that must not be chosen; parts may still be fetched
+                from them.
+            zone: Availability zone of the host that sends the request; empty for this
+                host's.
         """
         zone = zone or self._zone
         if prompt is None:
@@ -145,8 +155,8 @@
             latest_s = max(LEAST_AHEAD_S, first_by_s - plan.first_s)
             if one.ahead_s > latest_s:
                 continue
-            # To read or move once more what is kept elsewhere takes engines as much
-            # as waiting does those who come next.
+            # Reading or copying parts that another engine keeps delays later requests
+            # as much as waiting does, so it counts towards the maximum wait.
             if one.ahead_s + plan.again_s > max(LEAST_AHEAD_S, patience_s):
                 continue
             wait_s = one.ahead_s + plan.first_s
@@ -187,8 +197,8 @@
         best_cost = float("inf")
         for endpoint in endpoints:
             load = self._loads(endpoint)
-            # Beyond this a replica's own queue is long, and it turns requests away:
-            # each of those is an arrival that the budget of repeats has to bear.
+            # Beyond this an endpoint's own queue is full, and it rejects requests;
+            # retries of these would use up the retry budget.
             if load.running >= PLAIN_QUEUE * fill * load.slots:
                 continue
             away = PLAIN_AWAY if endpoint.zone != zone else 0.0
@@ -214,12 +224,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Look:
-    """What requests may choose from at one moment.
+    """Candidate endpoints at one moment.
 
     Args:
-        endpoints: All endpoints of the service; they may keep parts.
-        room: Those that may take one more request.
-        engines: Those of them that do not rest, with their waits.
+        endpoints: All endpoints of the service; any may keep prompt parts.
+        room: Endpoints with a free slot.
+        engines: Endpoints with a free slot that are not suspended, with their waits.
     """
 
     endpoints: Sequence[ListedEndpoint]
@@ -229,14 +239,14 @@
 
 @dataclass(frozen=True, slots=True)
 class _Plan:
-    """What a request would be for one engine.
+    """Predicted cost of a request at one engine.
 
     Args:
         reading: Tokens to read.
-        first_s: Seconds to the first event once it begins to read.
-        again_s: Seconds in which it does what another engine has done.
-        source: Engine that shared parts are fetched from, or None.
-        sure: What is to be read is known.
+        first_s: Seconds from the begin of reading to the first event.
+        again_s: Seconds spent on parts that another engine already keeps.
+        source: Engine from which shared parts are fetched, or None.
+        sure: The number of tokens to read is reliable.
     """
 
     reading: float
@@ -248,16 +258,17 @@
 
 @dataclass(slots=True)
 class _Kept:
-    """What engines keep of a prompt's shared parts.
+    """Cached shared parts of a prompt, by engine.
 
-    An engine that was sent parts just now has them as soon as its turn comes, but
-    nobody can fetch them from it yet.
+    An engine that was sent parts just now will keep them when a new request gets its
+    turn, but other engines can't fetch them until they have been read.
 
     Args:
-        tokens: Tokens from the prompt's begin that an engine keeps, by its id.
-        most: The most that one keeps.
-        source: The engine that has read most of them, the last one used, or None.
-        source_tokens: How many it has read.
+        tokens: Length of the cached prefix, in tokens, by engine id.
+        most: Longest cached prefix.
+        source: Engine that has read the longest prefix, the most recently used one of
+            several, or None.
+        source_tokens: Length of the prefix that ``source`` has read.
     """
 
     tokens: dict[str, int] = field(default_factory=dict)
--- a/greengageflow/core/endpoint_health.py
+++ b/greengageflow/core/endpoint_health.py
@@ -1,4 +1,4 @@
-"""Endpoints that fail get less, and for a while no, new work."""
+"""Outlier detection: failing endpoints get less work or none for a while."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -18,12 +18,12 @@
 
 
 class EndpointHealth:
-    """What this host saw of each endpoint lately.
+    """Recent failures of each endpoint, as seen by this host.
 
-    An endpoint that does not answer at all rests, longer each time; when the rest is
-    over one request tries it. An endpoint that answers part of its requests with
-    failures is ranked behind others by that part. One that turns a request away may ask
-    for backoff: it gets nothing at all until that is over.
+    An endpoint that repeatedly does not answer is suspended, for twice as long each
+    time; after that one request probes it. An endpoint that answers a fraction of its
+    requests with failures is ranked lower by that fraction. An endpoint that rejects a
+    request may ask for backoff: it gets no work until the backoff ends.
     """
 
     def __init__(self) -> None:
@@ -31,48 +31,52 @@
         self._backoffs: dict[str, float] = {}
 
     def forget(self, endpoint: str) -> None:
-        """Forget an endpoint that is gone."""
+        """Remove an endpoint that is no longer listed."""
         self._records.pop(endpoint, None)
         self._backoffs.pop(endpoint, None)
 
     def rests(self, now: float, endpoint: str) -> bool:
-        """Whether an endpoint gets no work now."""
+        """Whether an endpoint is suspended."""
         found = self._records.get(endpoint)
         return found is not None and now < found.rest_until
 
     def ask_backoff(self, now: float, endpoint: str, seconds: float) -> bool:
-        """Note that an endpoint wants nothing for so long; True when it is news."""
+        """Start or extend a backoff that an endpoint asked for.
+
+        Returns:
+            True if the endpoint was not in backoff before.
+        """
         until = self._backoffs.get(endpoint, now)
         self._backoffs[endpoint] = max(until, now + seconds)
         return until <= now
 
     def backoffs(self, now: float) -> Mapping[str, float]:
-        """Return the seconds for which endpoints want nothing, by endpoint."""
+        """Return the remaining backoffs in seconds, by endpoint."""
         if not self._backoffs:
             return self._backoffs
         self._backoffs = {e: at for e, at in self._backoffs.items() if at > now}
         return {endpoint: until - now for endpoint, until in self._backoffs.items()}
 
     def resting(self, now: float) -> frozenset[str]:
-        """Return the endpoints that get no work now."""
+        """Return the endpoints that are suspended or in backoff."""
         rests = (name for name, one in self._records.items() if now < one.rest_until)
         return frozenset(rests).union(self.backoffs(now))
 
     def failing(self, endpoint: str) -> float:
-        """Return the part of an endpoint's answers that were failures, 0 to 1."""
+        """Return the smoothed failure rate of an endpoint, 0 to 1."""
         found = self._records.get(endpoint)
         return found.failing if found else 0.0
 
     def in_row(self, endpoint: str) -> int:
-        """Return how often in a row an endpoint did not answer."""
+        """Return an endpoint's number of consecutive missing answers."""
         found = self._records.get(endpoint)
         return found.in_row if found else 0
 
     def on_answer(self, endpoint: str, good: bool) -> bool:
-        """Note that an endpoint answered, with a success or a failure of its own.
+        """Record that an endpoint answered, with a success or a failure.
 
         Returns:
-            True when it had rested.
+            True if it had been suspended.
         """
         record = self._records.setdefault(endpoint, _Record())
         rested = record.rest_until > 0.0
@@ -83,10 +87,13 @@
         return rested
 
     def on_silence(self, now: float, endpoint: str) -> bool:
-        """Note that an endpoint did not answer; True when it begins to rest.
+        """Record that an endpoint did not answer.
 
-        A single request that is cut happens to sound endpoints, too; several in a
-        row without an answer between them do not.
+        A single lost connection also happens with healthy endpoints; several in a row
+        without an answer in between do not.
+
+        Returns:
+            True if the endpoint becomes suspended.
         """
         record = self._records.setdefault(endpoint, _Record())
         record.in_row += 1
--- a/greengageflow/core/endpoint_list.py
+++ b/greengageflow/core/endpoint_list.py
@@ -1,25 +1,25 @@
-"""Which endpoints there are, and which of them get new work."""
+"""The listed endpoints, and which of them accept new work."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
 
 MOST_LEFT = 4096
-"""Endpoints of which it is remembered that they said that they leave."""
+"""Maximum number of entries in each record of leaving or dropped endpoints."""
 
 
 @dataclass(frozen=True, slots=True)
 class ListedEndpoint:
-    """One endpoint as the platform lists it.
+    """An endpoint as listed by the platform.
 
     Args:
-        id: Names it; with ``born`` it names one start of it.
+        id: Endpoint id; with ``born`` it identifies one start of the endpoint.
         service: Service that it belongs to.
-        ip: IP number.
+        ip: IP address.
         port: TCP port.
         zone: Availability zone.
-        slots: Requests that it runs at once; 0 when not said.
-        leaving: It gets no new work.
-        born: Unix time of its start, in milliseconds; 0 when not said.
+        slots: Requests that it runs at once; 0 if not given.
+        leaving: It is draining and gets no new work.
+        born: Unix time of its start, in milliseconds; 0 if not given.
     """
 
     id: str
@@ -33,21 +33,21 @@
 
     @property
     def start(self) -> str:
-        """Names this start of the endpoint, among all that have its id."""
+        """Identifies this start of the endpoint."""
         return f"{self.id} {self.born}" if self.born else self.id
 
     @property
     def address(self) -> tuple[str, int]:
-        """IP number and port."""
+        """IP address and port."""
         return self.ip, self.port
 
 
 @dataclass(frozen=True, slots=True)
 class ListChange:
-    """What became of one endpoint.
+    """A change of one endpoint in the list.
 
     Args:
-        id: The endpoint.
+        id: Endpoint id.
         what: ``new``, ``leaving`` or ``gone``.
     """
 
@@ -56,29 +56,30 @@
 
 
 class EndpointList:
-    """The endpoints that are listed, by id."""
+    """The listed endpoints, by id."""
 
     def __init__(self) -> None:
-        # By id and start: an entry may lapse and come back while an endpoint leaves.
+        # Start times of leaving endpoints by id. They are kept apart from the entries,
+        # since an entry may expire and come back while its endpoint drains.
         self._left: dict[str, int] = {}
         self._dropped: dict[str, int] = {}
         self._listed: dict[str, ListedEndpoint] = {}
         self._usable: dict[str, tuple[ListedEndpoint, ...]] = {}
 
     def __len__(self) -> int:
-        """Return how many are listed."""
+        """Return the number of listed endpoints."""
         return len(self._listed)
 
     def ids(self) -> set[str]:
-        """Return the ids of all that are listed."""
+        """Return the ids of all listed endpoints."""
         return set(self._listed)
 
     def get(self, endpoint: str) -> ListedEndpoint | None:
-        """Return an endpoint by id, or None when it is not listed."""
+        """Return an endpoint by id, or None if it is not listed."""
         return self._listed.get(endpoint)
 
     def usable(self, service: str) -> tuple[ListedEndpoint, ...]:
-        """Return the endpoints of a service that may get new work."""
+        """Return the endpoints of a service that accept new work."""
         found = self._usable.get(service)
         if found is None:
             found = self._usable[service] = tuple(
@@ -89,7 +90,7 @@
         return found
 
     def may_use(self, endpoint: str) -> bool:
-        """Whether an endpoint may get new work."""
+        """Whether an endpoint accepts new work."""
         found = self._listed.get(endpoint)
         return found is not None and not found.leaving and not self._has_left(found)
 
@@ -97,19 +98,23 @@
         return self._left.get(endpoint.id, -1) >= endpoint.born
 
     def is_current(self, endpoint: ListedEndpoint) -> bool:
-        """Whether an endpoint is listed, and no later start of it."""
+        """Whether an endpoint is listed, without a later start."""
         listed = self._listed.get(endpoint.id)
         return listed is not None and listed.born <= endpoint.born
 
     def note_left(self, endpoint: str, born: int) -> bool:
-        """Take the endpoint's own sign of leaving; True when it is news.
+        """Record that an endpoint announced that it is leaving.
 
-        The list learns of a stop late or never, and not at all while the store is
-        away. The sign holds for good, for this start of the endpoint and those before.
+        The platform's list reflects a stop late or never, and not at all while the
+        store is unavailable. The announcement is permanent for this start of the
+        endpoint and all earlier ones.
 
         Args:
-            endpoint: Its id.
-            born: Its start; 0 when not said.
+            endpoint: Endpoint id.
+            born: Its start time; 0 if not given.
+
+        Returns:
+            True if it was not known before.
         """
         if self._left.get(endpoint, -1) >= born:
             return False
@@ -124,20 +129,20 @@
         return True
 
     def was_dropped(self, endpoint: ListedEndpoint) -> bool:
-        """Whether this start of an endpoint was listed, and is no more."""
+        """Whether this start of an endpoint was listed and has been dropped."""
         return self._dropped.get(endpoint.id, -1) >= endpoint.born
 
     def put(self, endpoint: ListedEndpoint) -> Iterator[ListChange]:
-        """Take over one entry of the list."""
+        """Add or update an entry, and yield the changes."""
         before = self._listed.get(endpoint.id)
         if before is not None and endpoint.born < before.born:
             return
         if before is not None and endpoint.born > before.born > 0:
-            # It started again: it runs and keeps nothing of before. Told as gone and
-            # new, all that was known of the earlier start goes at once.
+            # The endpoint restarted and lost its requests and cache. Reporting it as
+            # gone and new clears all state of the earlier start.
             yield from self.drop(endpoint.id)
             before = None
-        # Leaving is for good, whatever order entries come in.
+        # Leaving is permanent, since entries may arrive in any order.
         if before is not None and before.leaving:
             return
         self._dropped.pop(endpoint.id, None)
@@ -150,7 +155,7 @@
             yield ListChange(endpoint.id, "leaving")
 
     def drop(self, endpoint: str) -> Iterator[ListChange]:
-        """Take over that an endpoint is no longer listed."""
+        """Remove an endpoint, and yield the change."""
         found = self._listed.pop(endpoint, None)
         if found is not None:
             self._dropped[endpoint] = found.born
--- a/greengageflow/core/endpoint_load.py
+++ b/greengageflow/core/endpoint_load.py
@@ -1,8 +1,8 @@
-"""How busy an endpoint is, learned from what is seen of it.
+"""Load of an endpoint, estimated from its requests and first events.
 
-A model engine has two bounds: it reads prompts one after the other, and it runs a
-fixed number of requests at once. How long a prompt waits follows from the prompts sent
-before it and from a ``ReadingModel``. Nothing here is known of an engine beforehand.
+A model engine has two limits: it reads (prefills) prompts one after the other, and it
+runs a fixed number of requests at once. The wait of a prompt is predicted from the
+prompts sent before it and a ``ReadingModel``. No engine property is known in advance.
 """
 
 from collections.abc import Iterable, Iterator, Mapping
@@ -13,21 +13,21 @@
 from greengageflow.core.reading_model import TRUSTED_SAMPLES, ReadingModel
 
 LATE_SLACK_S = 0.1
-"""Seconds by which a first event may be late before the engine counts as behind.
+"""Delay of a first event, in seconds, above which the engine counts as behind.
 
-More than a step of an engine that reads, far less than a target.
+It is longer than one prefill step of an engine and much shorter than a target.
 """
 
 
 class LoadShare(NamedTuple):
-    """What one host has under way at one endpoint.
+    """Load of one endpoint by the requests of one host.
 
-    A named tuple, since relays of a large fleet make thousands of them a second.
+    A named tuple, since relays of a large fleet create thousands of them a second.
 
     Args:
-        running: Requests without their last byte.
-        reading: Prompt tokens of those without a first event.
-        memory: Tokens that they take up in the end.
+        running: Unfinished requests.
+        reading: Prompt tokens of the requests without a first event.
+        memory: Memory that the requests need at their end, in tokens.
     """
 
     running: int = 0
@@ -36,22 +36,22 @@
 
 
 def load_shares(rows: Iterable[tuple[int, float, float]]) -> Iterator[LoadShare]:
-    """Return a share for each row, with no Python call for each."""
+    """Return a share for each row, without a Python call per row."""
     return map(partial(tuple.__new__, LoadShare), rows)
 
 
 @dataclass(slots=True)
 class _Run:
-    """A request that an endpoint has.
+    """An unfinished request at an endpoint.
 
     Args:
-        reading: Prompt tokens to read, 0 from the first event on.
-        memory: Tokens that it takes up in the end.
-        sent_at: Time of the sending.
-        ahead: Tokens that were to be read then, its own with them.
-        mark: Prompt tokens sent there so far, its own with them.
-        alone: No other prompt was to be read then, as far as is known.
-        sure: What is to be read of its prompt was known.
+        reading: Prompt tokens to read; 0 from the first event on.
+        memory: Memory that it needs at its end, in tokens.
+        sent_at: Time at which it was sent.
+        ahead: Unread tokens at that time, including its own.
+        mark: Total prompt tokens sent to the endpoint until then, including its own.
+        alone: No other prompt was known to be unread at that time.
+        sure: The number of tokens to read is reliable.
     """
 
     reading: float
@@ -64,13 +64,13 @@
 
 
 class EndpointLoad:
-    """The load of one endpoint as this host knows it.
+    """The load of one endpoint as estimated by this host.
 
     Args:
         slots: Requests that it runs at once.
         memory_tokens: Tokens that fit into its memory; 0 for a plain service.
-        common: What is known of all endpoints of the service, used until this one
-            is known.
+        common: Model shared by all endpoints of the service, used until this endpoint
+            has enough samples of its own.
     """
 
     def __init__(
@@ -95,31 +95,31 @@
 
     @property
     def own(self) -> LoadShare:
-        """What this host has under way there."""
+        """Load by the requests of this host."""
         return LoadShare(len(self._runs), self._reading, self._memory)
 
     @property
     def unread(self) -> float:
-        """Prompt tokens that this host sent and of which no first event has come."""
+        """Prompt tokens of this host's requests without a first event."""
         return self._reading
 
     @property
     def running(self) -> int:
-        """Requests of all hosts that run there."""
+        """Number of running requests of all hosts."""
         return len(self._runs) + self.others.running
 
     @property
     def model(self) -> ReadingModel:
-        """How fast it reads, as far as is known."""
+        """The endpoint's own reading model, or the service's while samples are few."""
         known = self._model.samples >= TRUSTED_SAMPLES
         return self._model if known else self._common
 
     def ahead_s(self, now: float) -> float:
-        """Return the seconds until it would begin to read a prompt that is sent now.
+        """Return the seconds until a prompt that is sent now would begin to be read.
 
-        A request without a first event may be read already: for the fixed time it
-        does not show. So prompts that were sent are taken to be read at the learned
-        rate, and first events that are late put that right.
+        A prompt without a first event may already be read, since the event follows
+        only after the model's fixed time. So the unread tokens are assumed to drain at
+        the learned rate, and the estimate is raised when a first event is late.
         """
         rate = self.model.rate
         level = self._drained(now)
@@ -132,27 +132,27 @@
         return (level + self.others.reading) / rate
 
     def _drained(self, now: float) -> float:
-        """Return this host's prompt tokens that are yet to be read."""
+        """Return the estimate of this host's unread prompt tokens at ``now``."""
         read = max(0.0, now - self._level_at) * self.model.rate
         self._level = max(0.0, min(self._level - read, self._reading))
         self._level_at = now
         return self._level
 
     def has_slot(self, queue: float) -> bool:
-        """Whether one more request might go there.
+        """Whether one more request may be sent.
 
         Args:
-            queue: Requests for each slot that a plain service takes.
+            queue: Maximum requests per slot at an endpoint of a plain service.
         """
         most = self.slots if self.memory_tokens else queue * self.slots
         return self.running < max(1, most)
 
     def fits(self, memory: float, fill: float) -> bool:
-        """Whether there is a slot and room for ``memory`` more tokens.
+        """Whether there is a free slot and memory for ``memory`` more tokens.
 
         Args:
-            memory: Tokens that the request takes up in the end.
-            fill: Part of the slots that may be taken.
+            memory: Memory that the request needs at its end, in tokens.
+            fill: Fraction of the slots that may be used.
         """
         if self.running >= max(1, int(self.slots * fill)):
             return False
@@ -169,14 +169,14 @@
         *,
         sure: bool = True,
     ) -> None:
-        """Note a request that is sent there.
+        """Add a request that is sent to the endpoint.
 
         Args:
             now: The time.
             request: Its id.
             reading: Prompt tokens to read.
-            memory: Tokens that it takes up in the end.
-            sure: Whether the endpoint keeps its shared parts is known.
+            memory: Memory that it needs at its end, in tokens.
+            sure: ``reading`` is reliable, so that the model may learn from it.
         """
         alone = not self._unread and not self.others.reading
         level = self._drained(now) + reading
@@ -190,13 +190,13 @@
         self._level = level
 
     def first_event(self, now: float, request: str) -> None:
-        """Note a request's first event, and learn from the time that it took."""
+        """Record a request's first event, and update the reading models."""
         run = self._unread.pop(request, None)
         if run is None:
             return
         self._learn(now, run)
         self._last_event_at = now
-        # All that was sent up to it is read, and some of what was sent later.
+        # All prompts sent up to this one are read, and perhaps some sent later.
         self._level = min(self._drained(now), self._sent - run.mark)
         self._reading -= run.reading
         run.reading = 0.0
@@ -209,12 +209,12 @@
             for model in (self._model, self._common):
                 model.learn_idle(run.reading, took_s)
         elif run.sent_at <= self._last_event_at - self.model.fixed_s:
-            # It was there when the engine began to read it.
+            # It was already queued when the engine began to read it.
             for model in (self._model, self._common):
                 model.learn_busy(run.reading, now - self._last_event_at)
 
     def end(self, request: str) -> None:
-        """Note that a request no longer runs there."""
+        """Remove a request that no longer runs at the endpoint."""
         run = self._runs.pop(request, None)
         if run is not None:
             self._unread.pop(request, None)
@@ -233,7 +233,7 @@
     def add(
         self, endpoint: str, service: str, slots: int, memory_tokens: int
     ) -> EndpointLoad:
-        """Return the load of an endpoint that is new, or that of one that is known."""
+        """Return the load of an endpoint, which is created if it is new."""
         load = self._loads.get(endpoint)
         if load is None:
             common = self._models.setdefault(service, ReadingModel())
@@ -243,20 +243,20 @@
         return load
 
     def get(self, endpoint: str) -> EndpointLoad | None:
-        """Return the load of an endpoint, or None when it is not known."""
+        """Return the load of an endpoint, or None if it is unknown."""
         return self._loads.get(endpoint)
 
     def forget(self, endpoint: str) -> None:
-        """Forget an endpoint that is gone."""
+        """Remove an endpoint that is no longer listed."""
         self._loads.pop(endpoint, None)
 
     def own(self) -> dict[str, LoadShare]:
-        """Return what this host has under way, by endpoint."""
+        """Return the load by this host's requests, by endpoint id."""
         shares = ((name, load.own) for name, load in self._loads.items())
         return {name: share for name, share in shares if share.running}
 
     def set_others(self, shares: Mapping[str, LoadShare]) -> None:
-        """Take over what all other hosts have under way."""
+        """Replace the load by all other hosts' requests, by endpoint id."""
         self._others = shares
         nothing = LoadShare()
         for name, load in self._loads.items():
--- a/greengageflow/core/file_budget.py
+++ b/greengageflow/core/file_budget.py
@@ -1,9 +1,12 @@
-"""How many connections of each kind a host may have open."""
+"""Limits on a host's open connections, by kind."""
 
 from dataclasses import dataclass
 
 RESERVED = 200
-"""Descriptors for files, pages and the platform's store, in a process of many."""
+"""File descriptors reserved for files, pages and the platform's store.
+
+It is the upper limit; a process with few descriptors reserves a fraction of them.
+"""
 
 RESERVED_PART = 0.125
 CALLERS_PART = 0.4
@@ -13,26 +16,27 @@
 
 @dataclass(frozen=True, slots=True)
 class FileBudget:
-    """Shares the descriptors of a process out.
+    """Divides the file descriptors of a process among kinds of connections.
 
-    A caller's request takes its own connection and one to an endpoint, so callers get
-    less than half. Without a bound of their own they take all: then nothing can be
-    accepted, endpoints and the store can't be reached, and readiness isn't answered.
+    A caller's request needs its own connection and one to an endpoint, so callers get
+    less than half. Without this limit callers could use all descriptors: then no
+    connection can be accepted, endpoints and the store can't be reached, and readiness
+    checks go unanswered.
 
     Args:
-        files: Descriptors that the process may have.
+        files: Maximum number of descriptors of the process.
     """
 
     files: int
 
     @property
     def callers(self) -> int:
-        """Most connections of callers."""
+        """Maximum number of callers' connections."""
         return min(MOST_CALLERS, int(CALLERS_PART * self._sockets))
 
     @property
     def idle(self) -> int:
-        """Most idle connections to endpoints and the store."""
+        """Maximum number of idle connections to endpoints and the store."""
         return int(IDLE_PART * self._sockets)
 
     @property
--- a/greengageflow/core/forward_request.py
+++ b/greengageflow/core/forward_request.py
@@ -1,4 +1,4 @@
-"""One request that is forwarded as it came."""
+"""A caller's request that is forwarded unchanged."""
 
 from dataclasses import dataclass
 
@@ -9,11 +9,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PromptPart:
-    """A run of prompt tokens that requests may share.
+    """A segment of prompt tokens that requests may share.
 
     Args:
-        id: Names the content.
-        tokens: Its length.
+        id: Identifies the content.
+        tokens: Length in tokens.
     """
 
     id: str
@@ -22,12 +22,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Prompt:
-    """What a model engine has to read and to write.
+    """The prompt and the output limit of a model request.
 
     Args:
-        parts: Parts in order; the last one is the request's own or its session's.
-        tokens_in: All prompt tokens.
-        tokens_out: Most tokens to generate.
+        parts: Parts in order; the last one belongs to this request or its session.
+        tokens_in: Total prompt tokens.
+        tokens_out: Maximum number of tokens to generate.
     """
 
     parts: tuple[PromptPart, ...] = ()
@@ -36,37 +36,37 @@
 
     @property
     def shared_tokens(self) -> int:
-        """Tokens of the parts that other requests may have, too."""
+        """Tokens of the parts that other requests may share."""
         return sum(part.tokens for part in self.parts[:-1])
 
     @property
     def affinity(self) -> str:
-        """Id of the deepest shared part, or of the only one; empty without parts."""
+        """Id of the deepest shared part, or of the only part; empty without parts."""
         if len(self.parts) > 1:
             return self.parts[-2].id
         return self.parts[0].id if self.parts else ""
 
     @property
     def work(self) -> float:
-        """Cost in tokens: each read one once, each generated one twice."""
+        """Cost in tokens; a prompt token counts once, a generated one twice."""
         return self.tokens_in + 2.0 * self.tokens_out
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ForwardRequest:
-    """A caller's request, checked.
+    """A validated request of a caller.
 
     Args:
-        id: Id that the caller gave it.
+        id: Request id given by the caller.
         method: HTTP method.
-        host: Host name that the caller asked.
+        host: Host name of the request.
         target: Path and query as sent.
-        headers: Headers to pass on, names in lower case.
-        body: Whole body.
+        headers: Headers to forward, names in lower case.
+        body: Complete body.
         key: Account key, or empty.
-        patience_s: Seconds that the caller waits, or None when it did not say.
-        prompt: Work of a model request, or None.
-        last_event: Number of the last event that the caller has, or None.
+        patience_s: Seconds for which the caller waits, or None if not given.
+        prompt: Prompt of a model request, or None.
+        last_event: Number of the last event that the caller received, or None.
     """
 
     id: str
@@ -87,6 +87,6 @@
 
 
 def request_fingerprint(req: ForwardRequest, account: str) -> Fingerprint:
-    """Return what stays the same when the caller sends a request again."""
+    """Return a fingerprint that is the same when a caller resends a request."""
     head = f"{req.method} {req.host} {req.target}"
     return fingerprint_of(account.encode(), head.encode(), req.body)
--- a/greengageflow/core/kept_mirror.py
+++ b/greengageflow/core/kept_mirror.py
@@ -1,4 +1,4 @@
-"""What an engine's memory keeps, followed from what it was sent."""
+"""Model of an engine's prefix cache, derived from the requests sent to it."""
 
 from collections import OrderedDict
 from collections.abc import Iterable, Iterator
@@ -7,16 +7,16 @@
 
 
 class KeptMirror:
-    """The prompt parts in one engine's memory, the least recently used ones first.
+    """LRU model of the prompt parts in one engine's memory.
 
-    An engine lets go of the parts that were not used for longest when its memory is
-    full, and its events on that come late and with gaps. A host that sends it all its
-    work knows the order and the lengths as well. Taken to be kept for a fixed time
-    instead, parts were looked for where they no longer were and read again (too long a
-    time), or moved though they were still there (too short a one).
+    An engine evicts the least recently used parts when its memory is full, and its
+    eviction events arrive late and with gaps. A host that sends an engine all its
+    requests knows the order and lengths of its parts as well. Assuming a fixed
+    retention time instead caused parts to be expected after their eviction and read
+    again (time too long), or copied although they were still cached (too short).
 
     Args:
-        capacity: Tokens that fit into its memory.
+        capacity: Tokens that fit into the engine's memory.
     """
 
     def __init__(self, capacity: int) -> None:
@@ -25,11 +25,11 @@
         self._used = 0
 
     def __len__(self) -> int:
-        """Return how many parts are kept."""
+        """Return the number of cached parts."""
         return len(self._tokens)
 
     def touch(self, parts: Iterable[PromptPart]) -> Iterator[str]:
-        """Note parts that are used now, and yield the ids of those that yield."""
+        """Mark parts as used now, and yield the ids of the parts that are evicted."""
         for part in parts:
             self._used += part.tokens - self._tokens.get(part.id, 0)
             self._tokens[part.id] = part.tokens
--- a/greengageflow/core/leaving_signs.py
+++ b/greengageflow/core/leaving_signs.py
@@ -1,15 +1,15 @@
-"""What hosts tell each other of endpoints that said that they leave."""
+"""Messages between hosts about endpoints that are leaving."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class LeavingSign:
-    """An endpoint said in an answer that it leaves.
+    """An endpoint's announcement, in an answer, that it is leaving.
 
     Args:
-        endpoint: Its id.
-        born: Its start, in Unix milliseconds; 0 when not said.
+        endpoint: Endpoint id.
+        born: Its start time, in Unix milliseconds; 0 if not given.
     """
 
     endpoint: str
@@ -18,6 +18,6 @@
 
 @dataclass(frozen=True, slots=True)
 class LeavingReport:
-    """A message between hosts."""
+    """A message to other hosts with the announcements of endpoints."""
 
     signs: tuple[LeavingSign, ...]
--- a/greengageflow/core/prompt_places.py
+++ b/greengageflow/core/prompt_places.py
@@ -1,4 +1,4 @@
-"""Where the shared parts of prompts are kept."""
+"""Locations of shared prompt parts in the prefix caches of engines."""
 
 from collections import OrderedDict
 from collections.abc import Iterable
@@ -10,16 +10,16 @@
 
 _KEPT = 20_000
 _HOMES = 2_000
-"""Parts whose homes are remembered; a hash of each engine for each request adds up."""
+"""Cache size of ``home_of``; hashing each engine for each request is expensive."""
 
 READ_S = 0.3
 
 
 def home_of(part: str, endpoints: Iterable[ListedEndpoint]) -> ListedEndpoint | None:
-    """Return the endpoint that requests with ``part`` prefer, the same on all hosts.
+    """Return the preferred endpoint of a part, which is the same on all hosts.
 
-    It is the one with the highest hash of part and endpoint, so that an endpoint that
-    comes or goes moves only the parts that are its own.
+    Uses rendezvous hashing, so that adding or removing an endpoint moves only the parts
+    whose home it is.
     """
     rows = tuple(endpoints)
     return rows[_home_among(part, tuple(one.id for one in rows))] if rows else None
@@ -35,12 +35,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Holder:
-    """An endpoint that was sent a part.
+    """An endpoint that was sent a prompt part.
 
     Args:
-        endpoint: Its id.
-        age_s: Seconds since it was sent the part last.
-        has_read: It has read the part, as far as is known.
+        endpoint: Endpoint id.
+        age_s: Seconds since the part was last sent to it.
+        has_read: It is assumed to have read the part.
     """
 
     endpoint: str
@@ -56,11 +56,11 @@
 
 
 class PromptPlaces:
-    """Remembers which endpoints were lately sent a part.
+    """Records which endpoints were recently sent a prompt part.
 
     Args:
-        fresh_s: Seconds for which an endpoint is taken to keep a part, unless it is
-            known to have let go of it.
+        fresh_s: Seconds for which an endpoint is assumed to keep a part, unless its
+            eviction is known.
     """
 
     def __init__(self, fresh_s: float = 40.0) -> None:
@@ -68,7 +68,7 @@
         self._seen: OrderedDict[str, dict[str, _Place]] = OrderedDict()
 
     def note(self, at: float, part: str, endpoint: str) -> None:
-        """Note that a request with ``part`` was sent to an endpoint."""
+        """Record that a request with ``part`` was sent to an endpoint."""
         places = self._seen.setdefault(part, {})
         place = places.get(endpoint)
         if place is None or at - place.last > self._fresh_s:
@@ -80,29 +80,30 @@
             self._seen.popitem(last=False)
 
     def on_read(self, part: str, endpoint: str) -> None:
-        """Note that an endpoint has read a part that it was sent."""
+        """Record that an endpoint has read a part that was sent to it."""
         place = self._seen.get(part, {}).get(endpoint)
         if place is not None:
             place.has_read = True
 
     def forget(self, part: str, endpoint: str) -> None:
-        """Note that an endpoint keeps a part no longer."""
+        """Remove a part that an endpoint has evicted."""
         self._seen.get(part, {}).pop(endpoint, None)
 
     def forget_endpoint(self, endpoint: str) -> None:
-        """Note that an endpoint keeps nothing any more."""
+        """Remove all parts of an endpoint."""
         for places in self._seen.values():
             places.pop(endpoint, None)
 
     def holders(self, now: float, part: str) -> list[Holder]:
-        """Return the endpoints that were sent ``part`` lately, the last one first."""
+        """Return the endpoints that were recently sent ``part``, latest first."""
         places = self._seen.get(part)
         if not places:
             return []
         for endpoint in [e for e, p in places.items() if now - p.last > self._fresh_s]:
             del places[endpoint]
-        # Counted from the first request on: a part that is asked for all the time would
-        # otherwise seem unread for good, and be read again wherever it goes.
+        # The time counts from the first request. Counted from the last one, a part that
+        # is requested continuously would never count as read, so that every other
+        # engine would read it again.
         found = [
             Holder(name, now - p.last, p.has_read or now - p.first >= READ_S)
             for name, p in places.items()
--- a/greengageflow/core/reading_model.py
+++ b/greengageflow/core/reading_model.py
@@ -1,48 +1,49 @@
-"""How fast a model engine reads prompts, learned from first events alone.
+"""Prefill rate of a model engine, learned from the times of first events.
 
-The first event of a request comes a fixed time after its prompt is read: the engine's
-own way to the first token, the network, the router. That time is no part of what the
-engine can do in a second. A model without it takes an engine that shows its first
-events after 0.15 s for one that reads slower than it does, and refuses what would
-have been served in time.
+The first event of a request comes a fixed time after its prompt is read: the time of
+the engine's first decoding step, the network and the router. That time does not limit
+the engine's throughput. A model without it would underestimate the rate of an engine
+whose first events come after 0.15 s, and refuse requests that could be served in time.
 """
 
 from dataclasses import dataclass
 
 FIRST_RATE = 20_000.0
-"""Tokens a second of an engine not known yet; the slowest learned was 27,000."""
+"""Initial rate of an engine, in tokens a second; the slowest learned was 27,000."""
 FIRST_FIXED_S = 0.05
-"""Seconds to the first event beside reading, of an engine of which nothing is known."""
+"""Initial estimate of the fixed time to the first event, in seconds."""
 SLOWEST_RATE = 1_000.0
 FASTEST_RATE = 500_000.0
-"""Tokens a second; bounds that keep one bad sample from stopping or flooding engines.
+"""Bounds of the rate in tokens a second, so that a bad sample can't skew placement.
 
-Too low a fastest rate refuses what could run; too high a one floods an engine whose
-prompt parts are kept though nobody knows it, just after all hosts have restarted.
+If the upper bound is too low, requests that could run are refused. If it is too high,
+engines are overloaded just after a restart of all hosts, when their caches still keep
+prompt parts that no host knows of.
 """
 MEMORY = 0.98
-"""Weight that a sample keeps at the next one: a memory of about 50 samples."""
+"""Decay factor of the sums per sample; averages over about 50 samples."""
 TRUSTED_SAMPLES = 20
-"""Samples from which on an engine's own figures go before those of its service."""
+"""Minimum samples to use an engine's own model instead of its service's."""
 LEAST_SPREAD_TOKENS = 400.0
-"""Deviation of prompt lengths, in tokens, below which they say nothing of the rate.
+"""Minimum standard deviation of prompt lengths, in tokens, to fit the rate.
 
 At 60,000 tokens a second 400 tokens take 7 ms, as long as one step of an engine.
 """
 PRIOR_WEIGHT = 0.2
-"""Weight of each of the two points, in first events, that stand for the beginning."""
+"""Weight of each of the two initial points, in first events."""
 PRIOR_TOKENS = 10_000.0
-"""Prompt tokens of the second of them: a long prompt, to bind both figures."""
+"""Prompt tokens of the second initial point; a long prompt fixes both parameters."""
 OUTLIER = 3.0
-"""Times the predicted one beyond which a first event says that something else is wrong.
+"""Multiple of the predicted time at which a sample is capped as an outlier.
 
-A part that had to yield is read again, an engine stands still: the load shows those.
+Such times have other causes, which the endpoint's load shows: an evicted part that is
+read again, or an engine that stalls.
 """
 
 
 @dataclass(slots=True)
 class _Sums:
-    """Fading sums of a line's points; x in tokens, y in seconds."""
+    """Decaying sums for a linear regression; x in tokens, y in seconds."""
 
     n: float = 0.0
     x: float = 0.0
@@ -59,18 +60,19 @@
 
 
 class ReadingModel:
-    """Seconds to a first event as a line over the prompt tokens that stand before it.
+    """Linear model of the time to the first event over the tokens to be read.
 
-    Idle engines teach both figures: nothing stood before the prompt but itself. A busy
-    one teaches its rate: between two first events it has read the second prompt.
+    Samples of idle engines determine both parameters, because no other prompt is ahead.
+    Samples of busy engines determine the rate only: between two consecutive first
+    events the engine has read the second prompt.
 
     Args:
-        rate: Tokens read in a second, to begin with.
-        fixed_s: Seconds to the first event beside reading, to begin with.
+        rate: Initial rate, in tokens a second.
+        fixed_s: Initial fixed time to the first event, in seconds.
 
     Attributes:
-        samples: First events of prompts that were alone; without these the two figures
-            cannot be told apart, however many busy ones there were.
+        samples: Number of samples of idle engines. Without these the two parameters
+            can't be separated, whatever the number of busy samples.
     """
 
     def __init__(
@@ -87,15 +89,15 @@
         self._busy_samples = 0
 
     def first_event_s(self, tokens: float) -> float:
-        """Return the seconds to the first event after ``tokens`` are read."""
+        """Return the predicted seconds to the first event for ``tokens`` to read."""
         return self.fixed_s + tokens / self.rate
 
     def learn_idle(self, tokens: float, took_s: float) -> None:
-        """Take in the first event of a prompt that was alone.
+        """Add a sample of a prompt that was sent to an idle engine.
 
         Args:
             tokens: Prompt tokens that were read.
-            took_s: Seconds from the sending to the first event.
+            took_s: Seconds from sending the request to the first event.
         """
         self.samples += 1
         if self.samples > TRUSTED_SAMPLES:
@@ -104,10 +106,10 @@
         self._fit()
 
     def learn_busy(self, tokens: float, gap_s: float) -> None:
-        """Take in a prompt that was read right after another one.
+        """Add a sample of a prompt that was read right after another one.
 
         Args:
-            tokens: Its prompt tokens.
+            tokens: Prompt tokens that were read.
             gap_s: Seconds between the two first events.
         """
         if self._busy_samples > TRUSTED_SAMPLES:
@@ -126,7 +128,7 @@
             self.rate = _bounded(1.0 / slope if slope > 0 else FASTEST_RATE)
         self.fixed_s = max(0.0, mean_y - mean_x / self.rate)
         if self._busy_samples >= TRUSTED_SAMPLES and self._busy_s > 0:
-            # What it did while work waited goes before what a line makes of idle times.
+            # The throughput of a busy engine is more accurate than the fitted slope.
             self.rate = _bounded(self._busy_tokens / self._busy_s)
 
 
--- a/greengageflow/core/routes.py
+++ b/greengageflow/core/routes.py
@@ -1,4 +1,4 @@
-"""What the operators publish for forwarding: routes, services and client accounts."""
+"""Forwarding configuration: routes, services and client accounts."""
 
 from collections import defaultdict
 from collections.abc import Iterable
@@ -8,14 +8,14 @@
 
 
 class Repeat(Enum):
-    """What may be repeated of a route's requests."""
+    """Retry policy of a route."""
 
     ANY = auto()
-    """Idempotent: may run any number of times."""
+    """Idempotent: a request may run any number of times."""
     ONCE = auto()
-    """Runs at most once."""
+    """A request runs at most once."""
     RESUME = auto()
-    """A stream that another endpoint may go on with after the last event."""
+    """A stream that another endpoint may resume after its last event."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,8 +23,8 @@
     """One service of a route.
 
     Args:
-        service: Its name.
-        weight: Part of the requests, relative to the other backends.
+        service: Service name.
+        weight: Share of the requests, relative to the other backends.
     """
 
     service: str
@@ -33,21 +33,21 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Route:
-    """Requests of one host name and path prefix.
+    """Forwarding rules for the requests of one host name and path prefix.
 
     Args:
-        name: Its name.
+        name: Route name.
         host: Host name that callers use.
-        prefix: Begin of the path, with slashes at both ends.
-        repeat: What may be repeated.
+        prefix: Path prefix, with slashes at both ends.
+        repeat: Retry policy.
         stream: The answer is a stream of events.
-        timeout_s: Longest time that a request may be kept waiting, in seconds.
-        target_s: Time within which an answer is worth most, in seconds.
-        gap_s: Longest pause between events that is still in time, in seconds.
-        attempts: Most endpoints that one request may be sent to.
+        timeout_s: Request timeout, in seconds.
+        target_s: Target latency, in seconds.
+        gap_s: Longest gap between events that meets the target, in seconds.
+        attempts: Maximum number of endpoints that one request is sent to.
         priority: Rank, 0 is the highest.
-        public: No account key is asked for.
-        backends: Services that may run it.
+        public: No account key is required.
+        backends: Services that may run the requests.
     """
 
     name: str
@@ -64,7 +64,7 @@
     backends: tuple[Backend, ...]
 
     def pick(self, random: Random) -> str:
-        """Return the service of one request, by weight."""
+        """Return a service for one request, chosen at random by weight."""
         if len(self.backends) == 1:
             return self.backends[0].service
         weights = [backend.weight for backend in self.backends]
@@ -78,12 +78,12 @@
     """A service whose endpoints the fleet routes to.
 
     Args:
-        name: Its name.
-        slots: Requests that one endpoint runs at once; 0 when endpoints say so.
+        name: Service name.
+        slots: Concurrent requests of one endpoint; 0 if the endpoints report it.
         memory_tokens: Tokens that fit into a model engine's memory; 0 for a
             plain service.
-        max_conns: Most connections that one endpoint takes from all hosts.
-        transfers: Engines fetch prompt parts from each other.
+        max_conns: Maximum number of connections to one endpoint from all hosts.
+        transfers: Engines can fetch prompt parts from each other.
     """
 
     name: str
@@ -100,13 +100,13 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerBounds:
-    """What a caller may send, and how long it may take.
+    """Limits on callers' requests and connections.
 
     Args:
-        header_bytes: Largest request head.
-        body_bytes: Largest request body.
-        header_s: Longest time for a request to arrive, in seconds.
-        idle_s: Time after which an idle connection is closed, in seconds.
+        header_bytes: Maximum size of a request head, in bytes.
+        body_bytes: Maximum size of a request body, in bytes.
+        header_s: Timeout for receiving a request, in seconds.
+        idle_s: Idle timeout of a connection, in seconds.
     """
 
     header_bytes: int = 16_384
@@ -117,17 +117,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Routing:
-    """One published configuration, whole.
+    """A complete published forwarding configuration.
 
     Args:
-        version: Its version; later ones are greater.
+        version: Version number; later ones are greater.
         routes: Routes.
         services: Services by name.
         accounts: Client account by key.
         keyed: Requests carry account keys.
-        bounds: Bounds of callers.
-        tokens_per_s: Work that all engines together do in a second, where a token
-            read counts once and one generated twice; 0 when not known.
+        bounds: Limits on callers.
+        tokens_per_s: Capacity of all engines together, in tokens a second; a prompt
+            token counts once, a generated one twice; 0 if not known.
     """
 
     version: int = 0
@@ -140,7 +140,7 @@
 
 
 class RouteTable:
-    """Finds the route of a request.
+    """Looks up the route of a request.
 
     Args:
         routes: All routes.
@@ -155,7 +155,7 @@
         self._by_host = dict(by_host)
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix that begins ``path``."""
+        """Return the route with the longest prefix of ``path``, or None."""
         name = host.lower()
         found = self._by_host.get(name) or self._by_host.get(name.partition(":")[0])
         for route in found or ():
--- a/greengageflow/core/send_budget.py
+++ b/greengageflow/core/send_budget.py
@@ -1,30 +1,34 @@
-"""How often a service's requests may be sent once more, over the whole fleet."""
+"""Retry budget of a service, shared by the whole fleet."""
 
 from collections import deque
 from dataclasses import dataclass
 
 SLACK_USED = 0.8
-"""Part of the slack that hosts use.
+"""Fraction of the slack that hosts use.
 
-The rest covers tokens that requests before the window brought, see ``BURST_S``.
+The rest covers tokens earned by requests before the window, see ``BURST_S``.
 """
 BURST_PART = 0.5
-"""Part of a host's slack that may be used in one burst; the rest comes evenly."""
+"""Fraction of a host's slack that may be used in one burst.
+
+The rest is refilled at a constant rate.
+"""
 BURST_S = 1.0
-"""Seconds of requests whose tokens may be saved up.
+"""Seconds of requests whose tokens may accumulate in the bucket.
 
-Callers may move to another host, and a process may end and start again: what was saved
-is used beside what the same callers bring afterwards.
+The limit is needed because callers may move to another host and a process may restart:
+accumulated tokens are then spent in addition to those that the same callers earn
+afterwards.
 """
 
 
 @dataclass(frozen=True, slots=True)
 class BudgetUse:
-    """What a host's budget goes by at one moment.
+    """State of a host's retry budget at one moment.
 
     Args:
         requests: Requests of callers in the window.
-        repeats: Repeats in the window.
+        repeats: Retries in the window.
         hosts: Hosts that share the slack.
     """
 
@@ -34,21 +38,21 @@
 
 
 class SendBudget:
-    """Bounds repeats at one service within any window of time.
+    """Limits the retries at one service within any time window.
 
-    All hosts together may repeat ``ratio`` of the callers' requests and ``slack``
-    more in a window. Each host keeps to its own requests and its part of the slack,
-    so that the sum holds without a word between hosts. Within that a token bucket
-    bounds bursts. It starts empty: a process does not know what the one before it
-    on this host has used.
+    All hosts together may retry ``ratio`` of the callers' requests, plus ``slack``
+    retries in a window. Each host counts its own requests and its part of the slack,
+    so the total holds without coordination between hosts. A token bucket also limits
+    bursts. It starts empty, because a process does not know how much of the budget the
+    previous process on this host has used.
 
     Args:
-        ratio: Repeats for each request.
-        slack: Repeats of the whole fleet beside it.
-        window_s: Length of a window, in seconds.
+        ratio: Retries allowed for each request.
+        slack: Additional retries of the whole fleet in a window.
+        window_s: Length of the window, in seconds.
 
     Attributes:
-        at: Time of the last refill, or None before the first.
+        at: Time of the last refill, or None before the first one.
     """
 
     def __init__(self, ratio: float, slack: float, window_s: float) -> None:
@@ -63,14 +67,14 @@
         self.at: float | None = None
 
     def on_request(self, now: float) -> None:
-        """Count a request of a caller."""
+        """Count a caller's request, which adds ``ratio`` tokens."""
         self._requests.append(now)
         self._recent.append(now)
         self._tokens += self._ratio
         self._forget(now)
 
     def take(self, now: float, hosts: int) -> bool:
-        """Count a repeat if there is room for it; else return False."""
+        """Take a retry from the budget; return False if it is exhausted."""
         self._hosts = max(1, hosts)
         self._forget(now)
         most = self._ratio * len(self._requests) + self._slack / self._hosts
@@ -81,7 +85,7 @@
         return True
 
     def use(self, now: float, hosts: int) -> BudgetUse:
-        """Return what was counted in the window that ends now."""
+        """Return the counts of the window that ends now."""
         self._forget(now)
         return BudgetUse(len(self._requests), len(self._repeats), hosts)
 
@@ -97,7 +101,7 @@
         self.at = now
         refill = (1.0 - BURST_PART) * slack * passed_s / self._window_s
         burst = BURST_PART * slack + self._ratio * len(self._recent)
-        # In a large fleet a host's part is less than one repeat.
+        # In a large fleet a host's part of the slack is less than one retry.
         self._tokens = min(max(1.0, burst), self._tokens + refill)
 
 
--- a/greengageflow/core/service_book.py
+++ b/greengageflow/core/service_book.py
@@ -1,4 +1,4 @@
-"""All that one host decides about the services that it routes to."""
+"""Scheduling, placement and retry decisions of one host, for all its services."""
 
 from collections import deque
 from collections.abc import Callable, Iterable, Iterator, Mapping, Sequence
@@ -26,35 +26,38 @@
 )
 
 FADE_S = 2.0
-"""Time constant of work done lately, in seconds; its mean age is that of 4 s at once.
+"""Time constant of the decay of recent work, in seconds.
 
-An account that had engines to itself goes without until its sum has come down to the
-others'.
+The mean age of the work counted equals that of a plain 4 s window. An account that
+had the engines to itself gets no capacity until its decayed sum has dropped to that
+of the other accounts.
 """
 PLAIN_SLOTS = 6
 LEAST_RUNNING = 2.0
 LEAST_DONE = 25_000.0 * FADE_S
 READ_AHEAD_S = 0.35
 LEVEL_SLACK = 1.5
-"""Times its share from which on an account's work goes after others'.
+"""Multiple of its fair share above which an account's requests yield to others'.
 
-Levels fade, so that single large requests pass a share for a moment.
+Usage decays, so a single large request exceeds the share for a moment.
 """
 TELL_PLACED_S = 0.3
 TOLD_TOKENS = 300
 
 AccountKey = tuple[str, str]
-"""Service and client account."""
+"""Service name and client account."""
 
 
 class ServiceBook:
-    """Queues, loads and budgets of all services, and what other hosts tell of them.
+    """Queues, endpoint loads and retry budgets of all services.
+
+    Combines the state of this host with the reports of the other hosts.
 
     Args:
         endpoints: Listed endpoints.
         zone: Availability zone of this host.
-        budget: Makes the budget of repeats of one service.
-        least_hosts: Hosts that are known from the start, this one with them.
+        budget: Creates the retry budget of one service.
+        least_hosts: Number of hosts assumed at start-up, including this one.
     """
 
     def __init__(
@@ -85,14 +88,18 @@
         self._now = 0.0
         self._owned: frozenset[str] | None = None
 
-    # What this host decides for all.
+    # Placement on behalf of all hosts.
 
     def own(self, endpoints: frozenset[str] | None) -> None:
-        """Set the engines that this host places for all; None when it is no placer."""
+        """Set the engines that this host places for all hosts.
+
+        Args:
+            endpoints: Ids of the engines, or None if this host is not a placer.
+        """
         self._owned = endpoints
 
     def listed(self, endpoint: str) -> ListedEndpoint | None:
-        """Return an endpoint by id, or None when it is not listed."""
+        """Return an endpoint by id, or None if it is not listed."""
         return self._endpoints.get(endpoint)
 
     def is_engine(self, endpoint: ListedEndpoint | None) -> bool:
@@ -107,13 +114,13 @@
         reading: float,
         memory: float,
     ) -> None:
-        """Count a request that an earlier placer sent."""
+        """Add a request that a previous placer sent to the endpoint's load."""
         self._load(endpoint).begin(now, request, reading, memory, sure=False)
 
     def keeps(
         self, now: float, endpoint: ListedEndpoint, parts: Sequence[PromptPart]
     ) -> None:
-        """Take over which prompt parts an engine keeps, by its own word."""
+        """Record the prompt parts that an engine reports in its prefix cache."""
         if not self._endpoints.is_current(endpoint):
             return
         for part in parts:
@@ -130,71 +137,71 @@
             self._places.forget(part, endpoint.id)
 
     def _placed_at(self, service: str) -> Sequence[ListedEndpoint]:
-        """Return the endpoints that this host sends new requests to."""
+        """Return the endpoints to which this host sends new requests."""
         usable = self.open_endpoints(self._now, service)
         if self._owned is None or not self.service(service).is_engine:
             return usable
         return [endpoint for endpoint in usable if endpoint.id in self._owned] or usable
 
-    # What others see.
+    # Reports to other hosts.
 
     @property
     def waiting(self) -> int:
-        """Requests that wait."""
+        """Number of queued requests of all services."""
         return sum(scheduler.waiting for scheduler in self._schedulers.values())
 
     def level(self, service: str, account: str) -> float:
-        """Return an account's service lately in the whole fleet."""
+        """Return the decayed sum of work that an account got in the whole fleet."""
         key = (service, account)
         return self._served.get(self._now, key) + self._totals.served.get(key, 0.0)
 
     def waiting_at(self, service: str) -> int:
-        """Return the requests that wait for a service."""
+        """Return the number of queued requests of a service."""
         found = self._schedulers.get(service)
         return found.waiting if found else 0
 
     def served(self, now: float) -> dict[AccountKey, float]:
-        """Return the work begun here lately, by service and account."""
+        """Return the work started here recently, by service and account."""
         return dict(self._served.items(now, 1.0))
 
     def offered(self, now: float) -> dict[AccountKey, float]:
-        """Return the work asked for here lately, by service and account."""
+        """Return the work requested here recently, by service and account."""
         return dict(self._offered.items(now, 1.0))
 
     def own_loads(self) -> dict[str, LoadShare]:
-        """Return what this host has under way, by endpoint."""
+        """Return the load that this host puts on each endpoint, by endpoint id."""
         return self._loads.own()
 
     def recently_placed(self, now: float) -> tuple[tuple[str, str], ...]:
-        """Return prompt parts and the endpoints that got them lately."""
+        """Return recent placements as pairs of prompt part and endpoint id."""
         while self._placed and self._placed[0][0] < now - TELL_PLACED_S:
             self._placed.popleft()
         return tuple(dict.fromkeys((part, name) for _, part, name in self._placed))
 
-    # What others tell.
+    # Updates from the store and from other hosts.
 
     def on_routing(self, routing: Routing) -> None:
-        """Take over a configuration."""
+        """Apply a new configuration."""
         self._routing = routing
 
     def forget_endpoint(self, endpoint: str) -> None:
-        """Forget an endpoint that is gone."""
+        """Drop all state of an endpoint that is no longer listed."""
         self._health.forget(endpoint)
         self._loads.forget(endpoint)
         self._mirrors.pop(endpoint, None)
         self._places.forget_endpoint(endpoint)
 
     def on_loads(self, loads: Mapping[str, LoadShare]) -> None:
-        """Take over what all other hosts have under way."""
+        """Replace the load that all other hosts put on endpoints."""
         self._loads.set_others(loads)
 
     def on_placed(self, now: float, placed: Iterable[tuple[str, str]]) -> None:
-        """Take over where another host sent prompt parts."""
+        """Record where another host sent prompt parts."""
         for part, endpoint in placed:
             self._places.note(now, part, endpoint)
 
     def on_totals(self, now: float, totals: FleetTotals) -> Iterator[Decision]:
-        """Take over the sums of what other hosts told."""
+        """Apply the aggregated reports of the other hosts, and yield what can start."""
         self._now = now
         self._totals = totals
         self._fleet.note(now, totals.hosts + 1)
@@ -214,7 +221,7 @@
         loads = [self._load(e) for e in self._placed_at(service)]
         slots = sum(load.slots for load in loads)
         reading = sum(_read_ahead(load) for load in loads)
-        # A placer's engines get no work but by it.
+        # Engines that a placer owns get requests from this host only.
         part = parts.own if self._owned is None else 1.0
         return Allowance(
             running=max(LEAST_RUNNING, FILL * slots * part),
@@ -223,13 +230,13 @@
         )
 
     def _owed(self, done: float) -> float:
-        """Return the work lately of which accounts have even shares.
+        """Return the recent work that is divided into fair shares among accounts.
 
-        What operators state goes first: what engines do beyond it is nobody's due, and
-        a host that has just begun has seen nothing done.
+        The configured capacity takes precedence: work beyond it belongs to no account,
+        and a host that has just started has not observed any work yet.
 
         Args:
-            done: The work that was begun lately.
+            done: Decayed sum of the work that was started.
         """
         return self._routing.tokens_per_s * FADE_S or max(done, LEAST_DONE)
 
@@ -238,14 +245,15 @@
     def submit(
         self, now: float, service: str, job: Job, account: str, *, counted: bool = True
     ) -> Iterator[Decision]:
-        """Queue a request, and yield what can be decided.
+        """Queue a request, and yield the decisions that are now possible.
 
         Args:
             now: The time.
             service: Service that runs it.
             job: The request.
             account: Client account.
-            counted: It is a request of a caller of this host, for the budget.
+            counted: The request came from a caller of this host and counts towards the
+                retry budget.
         """
         self._now = now
         if counted:
@@ -254,18 +262,18 @@
         yield from self._started(service, self._scheduler(service).submit(now, job))
 
     def count(self, now: float, service: str) -> None:
-        """Count a request of a caller, for the budget of repeats."""
+        """Count a caller's request towards the retry budget."""
         self._budget(service).on_request(now)
 
     def pump(self, now: float) -> Iterator[Decision]:
-        """Yield every start and refusal that is due."""
+        """Yield all starts and refusals that are due."""
         self._now = now
         for name, scheduler in list(self._schedulers.items()):
             if scheduler.waiting:
                 yield from self._started(name, scheduler.pump(now))
 
     def ended(self, now: float, service: str, request: str) -> Iterator[Decision]:
-        """Note that a request has its answer, or its caller is gone."""
+        """Release a request that was answered or whose caller disconnected."""
         self._now = now
         scheduler = self._scheduler(service)
         scheduler.cancel(request)
@@ -283,15 +291,15 @@
     def again(
         self, now: float, service: str, prompt: Prompt | None, avoid: set[str]
     ) -> Choice | None:
-        """Return where a request may be sent once more; None when nowhere.
+        """Return the endpoint for a retry, or None if there is none.
 
-        ``take_repeat`` says whether it may be sent at all.
+        Only chooses the endpoint; ``take_repeat`` checks the retry budget.
 
         Args:
             now: The time.
-            service: Service that runs it.
-            prompt: Its work, for a model engine.
-            avoid: Endpoints that it was sent to.
+            service: Service that runs the request.
+            prompt: Its prompt, for a model engine.
+            avoid: Ids of endpoints that already got the request.
         """
         usable = self.open_endpoints(now, service)
         look = self._chooser.look(now, [e for e in usable if e.id not in avoid])
@@ -304,11 +312,11 @@
         )
 
     def take_repeat(self, now: float, service: str) -> bool:
-        """Count a repeat at a service if its budget has room; else return False."""
+        """Take a retry from a service's budget; return False if it is exhausted."""
         return self._budget(service).take(now, self._fleet.hosts)
 
     def budget_use(self, now: float, service: str) -> BudgetUse:
-        """Return what the budget of a service's repeats goes by."""
+        """Return the state of a service's retry budget."""
         return self._budget(service).use(now, self._fleet.hosts)
 
     def _budget(self, service: str) -> SendBudget:
@@ -321,7 +329,7 @@
     def sent(
         self, now: float, request: str, choice: Choice, prompt: Prompt | None
     ) -> None:
-        """Note that a request was sent to an endpoint."""
+        """Record that a request was sent to an endpoint."""
         endpoint = choice.endpoint
         memory = prompt.tokens_in + prompt.tokens_out if prompt else 0
         self._load(endpoint).begin(
@@ -337,7 +345,7 @@
                 self._placed.append((now, prompt.affinity, endpoint.id))
 
     def first_event(self, now: float, request: str, endpoint: ListedEndpoint) -> None:
-        """Note the first event of a request's answer."""
+        """Record the first event of a request's answer."""
         if not self._endpoints.is_current(endpoint):
             return
         self._load(endpoint).first_event(now, request)
@@ -346,33 +354,37 @@
         self._health.on_answer(endpoint.id, True)
 
     def left(self, request: str, endpoint: ListedEndpoint) -> None:
-        """Note that an endpoint no longer works on a request."""
+        """Remove a request from an endpoint's load."""
         self._parts.pop(request, None)
         load = self._loads.get(endpoint.id)
         if load is not None:
             load.end(request)
 
     def ask_backoff(self, now: float, endpoint: ListedEndpoint, seconds: float) -> bool:
-        """Note that an endpoint wants nothing for so long; True when it is news."""
+        """Start a backoff that an endpoint asked for.
+
+        Returns:
+            True if the endpoint was not in backoff before.
+        """
         if not self._endpoints.is_current(endpoint):
             return False
         return self._health.ask_backoff(now, endpoint.id, seconds)
 
     def open_endpoints(self, now: float, service: str) -> Sequence[ListedEndpoint]:
-        """Return the endpoints of a service that may get new work from this host."""
+        """Return the endpoints of a service that accept new work from this host."""
         usable = self._endpoints.usable(service)
         backoffs = self._health.backoffs(now)
         return [e for e in usable if e.id not in backoffs] if backoffs else usable
 
     def is_open(self, now: float, endpoint: ListedEndpoint) -> bool:
-        """Whether an endpoint may get new work from this host."""
+        """Whether an endpoint accepts new work from this host."""
         may_use = self._endpoints.may_use(endpoint.id)
         return may_use and endpoint.id not in self._health.backoffs(now)
 
     def backoff_s(self, now: float, service: str) -> float:
-        """Return the seconds until one of a service's endpoints wants work again.
+        """Return the seconds until the first of a service's endpoints ends its backoff.
 
-        It is 0 where one does now, or there is none.
+        It is 0 if an endpoint accepts work now, or if there are no endpoints.
         """
         backoffs = self._health.backoffs(now)
         if not backoffs:
@@ -381,32 +393,32 @@
         return min((backoffs.get(e.id, 0.0) for e in usable), default=0.0)
 
     def answered(self, endpoint: ListedEndpoint, good: bool) -> bool:
-        """Note an endpoint's answer; True when it rested before."""
+        """Record an endpoint's answer; return True if that ends its suspension."""
         if not self._endpoints.is_current(endpoint):
             return False
         return self._health.on_answer(endpoint.id, good)
 
     def silent(self, now: float, endpoint: ListedEndpoint) -> bool:
-        """Note that an endpoint did not answer; True when it begins to rest."""
+        """Record a missing answer; return True if the endpoint becomes suspended."""
         if not self._endpoints.is_current(endpoint):
             return False
         return self._health.on_silence(now, endpoint.id)
 
     def resting(self, now: float, service: str) -> tuple[str, ...]:
-        """Return the endpoints of a service that get nothing from this host now."""
+        """Return the endpoints of a service that are suspended or in backoff."""
         resting = self._health.resting(now)
         if not resting:
             return ()
         return tuple(e.id for e in self._endpoints.usable(service) if e.id in resting)
 
     def failures(self, endpoint: ListedEndpoint) -> int:
-        """Return how often in a row an endpoint did not answer."""
+        """Return an endpoint's number of consecutive missing answers."""
         return self._health.in_row(endpoint.id)
 
-    # Parts.
+    # Lookups.
 
     def service(self, name: str) -> Service:
-        """Return a service by name; one that is not configured is a plain one."""
+        """Return a service by name, or a default plain service if not configured."""
         return self._routing.services.get(name) or Service(name)
 
     def _load(self, endpoint: ListedEndpoint) -> EndpointLoad:
@@ -439,13 +451,16 @@
 
 
 def _read_ahead(load: EndpointLoad) -> float:
-    """Return the tokens to read that an engine may be sent beyond its first event."""
+    """Return the prompt tokens that may be queued at an engine for prefill."""
     model = load.model
     return (READ_AHEAD_S + model.fixed_s) * model.rate
 
 
 def _in_memory(request: str, prompt: Prompt) -> Iterator[PromptPart]:
-    """Yield the parts that a request leaves in memory, its own and its answer last."""
+    """Yield the parts that a request leaves in an engine's memory.
+
+    The last one stands for its private prompt tokens and its answer.
+    """
     yield from prompt.parts[:-1]
     own = prompt.tokens_in - prompt.shared_tokens + prompt.tokens_out
     yield PromptPart(f"own {request}", max(0, own))
--- a/greengageflow/core/service_scheduler.py
+++ b/greengageflow/core/service_scheduler.py
@@ -1,4 +1,4 @@
-"""Which waiting request of one service is sent next, and where."""
+"""Selection of the next queued request of a service and its endpoint."""
 
 from collections.abc import Callable, Iterator, Mapping, Sequence
 from dataclasses import dataclass, field
@@ -11,27 +11,30 @@
 from greengageflow.errors import ErrorKind
 
 FIRST_PART = 0.8
-"""Part of a target by which the first event is to be expected."""
+"""Fraction of a request's target by which its first event should be expected."""
 QUEUE_PART = 0.45
-"""Part of a target for which a request waits; after that its answer would be late."""
+"""Fraction of a target for which a request is queued.
+
+After that its answer would be late.
+"""
 SLACK_FILL = 0.5
-"""Part of an engine's slots that work beyond a share may take."""
+"""Fraction of an engine's slots that requests beyond a share may fill."""
 LEAST_COME_BACK_S = 1.0
 LONGEST_COME_BACK_S = 5.0
 SLACK_AHEAD_PART = 0.05
-"""Part of a target for which work beyond a share may wait at an engine."""
+"""Fraction of a target for which requests beyond a share may wait at an engine."""
 
 
 @dataclass(frozen=True, slots=True)
 class Job:
-    """One request that asks to be sent.
+    """A request that is submitted for scheduling.
 
     Args:
-        waiter: Its place in the queue.
-        target_s: Time from its arrival within which it is worth most, in seconds.
-        prompt: Its work, for a model engine.
-        avoid: Endpoints that it may not be sent to.
-        zone: Availability zone of the host that sends it; empty: this host's.
+        waiter: Its queue entry.
+        target_s: Target latency, counted from its arrival, in seconds.
+        prompt: Its prompt, for a model engine.
+        avoid: Ids of endpoints that it must not be sent to.
+        zone: Availability zone of the host that sends it; empty for this host's.
     """
 
     waiter: Waiter
@@ -43,12 +46,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Allowance:
-    """What of a service this host may use while it is busy.
+    """This host's share of a service's capacity under contention.
 
     Args:
-        running: Requests under way at once.
-        reading: Prompt tokens sent of which no first event has come.
-        levels: Service by client account from which on others go first.
+        running: Concurrent requests.
+        reading: Prompt tokens of requests without a first event.
+        levels: Recent work above which an account yields to others, by account.
     """
 
     running: float = inf
@@ -58,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartJob:
-    """A request is to be sent now."""
+    """Decision to send a request now."""
 
     waiter: Waiter
     choice: Choice
@@ -71,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RefuseJob:
-    """A request is to be refused now; it was not sent."""
+    """Decision to refuse a request that was not sent."""
 
     request: str
     kind: ErrorKind
@@ -83,18 +86,18 @@
 
 
 class ServiceScheduler:
-    """Queue, order and admission of one service at this host.
+    """Queueing, fair ordering and admission control of one service at this host.
 
     Args:
-        endpoints: Returns the endpoints that may be used.
+        endpoints: Returns the usable endpoints.
         chooser: Chooses among them.
-        level: Returns an account's service lately, over the whole fleet.
-        reading: Returns the prompt tokens of this host's requests that no endpoint
-            of the service has read yet.
-        backoff_s: Returns the seconds until one of the endpoints wants work again; 0 if
-            one does now, or there is none.
-        fade_s: Time constant of the service lately, in seconds.
-        transfers: Engines fetch prompt parts from each other.
+        level: Returns an account's recent work in the whole fleet.
+        reading: Returns the prompt tokens of this host's requests that are yet to be
+            read by the service's endpoints.
+        backoff_s: Returns the seconds until the first endpoint ends its backoff; 0 if
+            one accepts work now, or if there are none.
+        fade_s: Time constant of the decay of recent work, in seconds.
+        transfers: Engines can fetch prompt parts from each other.
     """
 
     def __init__(
@@ -122,11 +125,11 @@
 
     @property
     def waiting(self) -> int:
-        """Requests that wait."""
+        """Number of queued requests."""
         return len(self._queue)
 
     def submit(self, now: float, job: Job) -> Iterator[Decision]:
-        """Queue a request and yield what can be decided."""
+        """Queue a request, and yield the decisions that are now possible."""
         if not self._endpoints() and not self._backoff_s():
             text = "no endpoint of the service is known"
             yield RefuseJob(job.waiter.id, ErrorKind.NO_ENDPOINT, text, 1.0)
@@ -136,17 +139,17 @@
         yield from self.pump(now)
 
     def cancel(self, request: str) -> None:
-        """Forget a request whose caller is gone."""
+        """Remove a request from the queue, if it is still queued."""
         if self._queue.remove(request):
             del self._jobs[request]
 
     def finished(self, now: float, request: str) -> Iterator[Decision]:
-        """Note that a request needs no place any more."""
+        """Release a request's slot, and yield the decisions that are now possible."""
         self.running.discard(request)
         yield from self.pump(now)
 
     def pump(self, now: float) -> Iterator[Decision]:
-        """Yield every start and refusal that is due."""
+        """Yield all starts and refusals that are due."""
         yield from self._refuse_hopeless(now)
         for waiter in list(self._queue.expired(now)):
             del self._jobs[waiter.id]
@@ -160,7 +163,7 @@
             yield start
 
     def _refuse_hopeless(self, now: float) -> Iterator[RefuseJob]:
-        """Refuse what would be given up before any endpoint wants work again."""
+        """Refuse requests that would time out before any endpoint ends its backoff."""
         wait_s = self._backoff_s()
         if not wait_s:
             return
@@ -171,7 +174,7 @@
                 yield RefuseJob(waiter.id, ErrorKind.NO_ENDPOINT, text, wait_s)
 
     def _come_back_s(self, account: str) -> float:
-        """Return the seconds until the account is below its share again."""
+        """Return the seconds until the account's usage decays to its share."""
         most = self.allowance.levels.get(account, 0.0)
         level = self._level(account)
         if not most or level <= most:
@@ -193,8 +196,9 @@
             most = allowed.levels.get(waiter.account, inf)
             busy = not within or self._level(waiter.account) > most
             job = self._jobs[waiter.id]
-            # Beyond this host's or its account's part a request starts only where
-            # engines have time to spare: no capacity idles, and nobody else waits.
+            # Beyond the share of this host or its account, a request starts only on
+            # engines with spare capacity. So no capacity idles, and requests within
+            # their share do not have to wait for it.
             choice = self._chooser.choose(
                 now,
                 look,
@@ -211,5 +215,5 @@
         return None
 
     def next_due(self) -> float | None:
-        """Return the time by which ``pump`` is to be called, or None."""
+        """Return the time at which ``pump`` must be called next, or None."""
         return self._queue.next_expiry()
--- a/greengageflow/core/trust.py
+++ b/greengageflow/core/trust.py
@@ -1,17 +1,17 @@
-"""How long account keys are trusted without word from the platform's store."""
+"""Time limit for trusting account keys without contact to the platform's store."""
 
 
 class KeyTrust:
-    """Says whether the configuration in hand may still judge account keys.
+    """Decides whether the local configuration may still be used to check account keys.
 
-    A host that is cut off from the store would go on taking a key after it was
-    taken away. The operators' bound counts from the store's acknowledgement, so that
-    keys are trusted only up to that bound, less a margin for what is under way,
-    after the last moment at which the configuration was known to be the newest.
+    A host that is partitioned from the store would accept a key after its revocation.
+    The operators' bound counts from the moment at which the store acknowledges the
+    revocation. So keys are trusted for that bound, less a margin for queued requests,
+    after the last time at which the configuration was known to be the latest.
 
     Args:
-        bound_s: Seconds after which a key that was taken away must not work.
-        margin_s: Seconds of it that are left for a request that waits here.
+        bound_s: Seconds after which a revoked key must be refused.
+        margin_s: Part of the bound that is reserved for queued requests, in seconds.
     """
 
     def __init__(self, bound_s: float, margin_s: float = 0.6) -> None:
@@ -19,13 +19,13 @@
         self._confirmed = float("-inf")
 
     def confirm(self, at: float) -> None:
-        """Note that the configuration in hand was the newest at time ``at``."""
+        """Record that the local configuration was the latest at time ``at``."""
         self._confirmed = max(self._confirmed, at)
 
     def age_s(self, now: float) -> float:
-        """Return the seconds since the configuration was known to be the newest."""
+        """Return the seconds since the configuration was known to be the latest."""
         return now - self._confirmed
 
     def holds(self, now: float) -> bool:
-        """Whether keys are trusted now."""
+        """Whether keys are trusted at ``now``."""
         return self.age_s(now) < self._limit_s
--- a/greengageflow/core/work_queue.py
+++ b/greengageflow/core/work_queue.py
@@ -1,4 +1,4 @@
-"""Requests of one service that wait at this host, by client account."""
+"""Queue of one service's requests at this host, by client account."""
 
 from bisect import bisect_left, bisect_right, insort
 from collections.abc import Callable, Iterator
@@ -9,15 +9,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Waiter:
-    """A request that waits.
+    """A queued request.
 
     Args:
-        id: Its id here.
+        id: Its id on this host.
         account: Client account.
         work: Cost in the service's unit.
         priority: Rank within its account, 0 is the highest.
-        arrived: Time at which it came.
-        target_at: Time by which its answer is worth most.
+        arrived: Arrival time.
+        target_at: Time by which it should be answered.
         give_up_at: Time at which it is refused.
     """
 
@@ -31,10 +31,10 @@
 
 
 class WorkQueue:
-    """Waiting requests; the least-served account's first request comes next.
+    """Priority queue that serves the account with the least recent work first.
 
-    All are kept in order: a queue that is looked through at each arrival and each end
-    takes a host's processor just when it is long.
+    Requests are kept sorted. Scanning the queue at each arrival and each end of a
+    request would use up a host's processor just when the queue is long.
     """
 
     def __init__(self) -> None:
@@ -44,23 +44,23 @@
         self._orders = count()
 
     def __len__(self) -> int:
-        """Return how many wait."""
+        """Return the number of queued requests."""
         return len(self._entries)
 
     def waiting(self, account: str) -> int:
-        """Return how many requests of an account wait."""
+        """Return the number of queued requests of an account."""
         line = self._by_account.get(account)
         return len(line) if line else 0
 
     def put(self, waiter: Waiter) -> None:
-        """Queue a request."""
+        """Add a request."""
         order = next(self._orders)
         self._by_account.setdefault(waiter.account, _Line()).put(waiter, order)
         self._entries[waiter.id] = waiter, order
         heappush(self._expiries, (waiter.give_up_at, order, waiter.id))
 
     def remove(self, request: str) -> Waiter | None:
-        """Take a request out; None when it does not wait."""
+        """Remove and return a request, or return None if it is not queued."""
         entry = self._entries.pop(request, None)
         if entry is None:
             return None
@@ -74,25 +74,24 @@
     def heads(self, now: float, level: Callable[[str], float]) -> Iterator[Waiter]:
         """Yield the next request of each account, least-served account first.
 
-        Within an account the one whose target is nearest comes first, and those that
-        are late already come last: they are worth less than one that goes late for
-        their sake.
+        Within an account the earliest target comes first. Requests that are already
+        late come last, since serving them first would make other requests late too.
 
         Args:
             now: The time.
-            level: Returns an account's service lately; the lowest comes first.
+            level: Returns an account's recent work; the lowest comes first.
         """
         for account in sorted(self._by_account, key=level):
             yield self._by_account[account].head(now)
 
     def expired(self, now: float) -> Iterator[Waiter]:
-        """Take out and yield the requests whose time to wait is over."""
+        """Remove and yield the requests whose ``give_up_at`` has passed."""
         while (expiry := self.next_expiry()) is not None and expiry <= now:
             _, _, request = heappop(self._expiries)
             yield self.remove(request)
 
     def next_expiry(self) -> float | None:
-        """Return the time at which the next request is given up, or None."""
+        """Return the time at which the next request expires, or None."""
         while self._expiries:
             give_up_at, order, request = self._expiries[0]
             if self._entries.get(request, (None, -1))[1] == order:
@@ -102,7 +101,7 @@
 
 
 class _Line:
-    """The waiting requests of one account, by priority and target."""
+    """The queued requests of one account, by priority and target."""
 
     def __init__(self) -> None:
         self._by_priority: dict[int, list[tuple[float, int, Waiter]]] = {}
