--- a/tests/engine_stubs.py
+++ b/tests/engine_stubs.py
@@ -1,4 +1,4 @@
-"""Three engines of a service and what a host knows of them."""
+"""Three engines of a service, with their load, health and prompt places."""
 
 from greengageflow.core.endpoint_choice import EndpointChooser
 from greengageflow.core.endpoint_health import EndpointHealth
@@ -21,7 +21,7 @@
 
 
 class Engines:
-    """Three engines and what is known of them."""
+    """Three engines with the state that a host keeps of them."""
 
     def __init__(self):
         self.listed = [endpoint("e0"), endpoint("e1"), endpoint("e2")]
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -1,4 +1,4 @@
-"""Endpoints that ask a host for backoff, in simulated time."""
+"""Backoff that endpoints ask for, in simulated time."""
 
 from dataclasses import replace
 
@@ -22,7 +22,7 @@
 
 
 class Host:
-    """A host that knows two endpoints of a service."""
+    """A host with two listed endpoints of a service."""
 
     def __init__(self, service):
         self.service, self.sent = service, 0
@@ -38,7 +38,7 @@
             list(self.listed.put(endpoint))
 
     def ask(self, now):
-        """Return where a request goes, or its refusal."""
+        """Submit a request; return its endpoint id or its refusal."""
         self.sent += 1
         name = f"r{self.sent}"
         waiter = Waiter(name, "a", 1.0, 0, now, now + 1, now + 0.4)
@@ -59,7 +59,7 @@
     first = host.ask(0.0)
     asking = next(e for e in host.endpoints if e.id == first)
     assert host.book.ask_backoff(0.0, asking, 3.0)
-    assert not host.book.ask_backoff(0.1, asking, 1.0), "a shorter one is no news"
+    assert not host.book.ask_backoff(0.1, asking, 1.0), "no change by a shorter one"
     for step in range(1, 30):
         assert host.ask(step / 10) != first
         again = host.book.again(step / 10, host.service, host.prompt, set())
@@ -124,7 +124,7 @@
 def test_only_an_endpoint_that_turned_a_request_away_asks(
     status, not_executed, seconds
 ):
-    """The 503 of a run is an answer for the caller, with its header."""
+    """A 503 of an executed request is an answer for the caller, with its header."""
     headers = [("retry-after", "3")]
     if not_executed:
         headers.append(("x-greengageflow-not-executed", not_executed))
--- a/tests/test_endpoint_choice.py
+++ b/tests/test_endpoint_choice.py
@@ -1,4 +1,4 @@
-"""Which engine a request is sent to, by load and by the prompt parts that are kept."""
+"""Engine selection by load and cached prompt parts."""
 
 from itertools import accumulate
 
@@ -32,7 +32,7 @@
 def test_parts_are_fetched_only_from_an_engine_that_has_read_them(engines):
     engines.places.note(0.9, "shared", "e1")
     engines.loads["e1"].others = LoadShare(1, 90_000.0, 0.0)
-    assert engines.choose().fetch_from is None, "sent there just now"
+    assert engines.choose().fetch_from is None, "not read yet"
     engines.places.note(0.5, "shared", "e2")
     engines.loads["e2"].others = LoadShare(1, 90_000.0, 0.0)
     choice = engines.choose()
@@ -48,7 +48,7 @@
     assert choice.endpoint.id != "e1" and choice.fetch_from is None
     for name in ("e0", "e2"):
         engines.loads[name].others = LoadShare(2, 20_000.0, 0.0)
-    assert engines.choose().endpoint.id != "e1", "though it alone is idle"
+    assert engines.choose().endpoint.id != "e1", "though it is the only idle one"
     assert engines.choose(None).endpoint.id != "e1"
     engines.listed = [endpoint("e1")]
     assert engines.choose() is None
@@ -66,8 +66,11 @@
 
 @pytest.mark.parametrize("zone", ["a", "b"])
 def test_the_zone_of_the_host_that_sends_counts(engines, zone):
-    """A placer in zone a chose engines in zone a for hosts in zone b: their requests
-    and answers crossed zones though an engine beside them had room."""
+    """A placer must prefer the zone of the sending host to its own.
+
+    Otherwise requests and answers cross zones though an engine in the sender's zone has
+    capacity.
+    """
     engines.listed = [endpoint("e0", "a"), endpoint("e1", "b")]
     for keeper in ("e0", "e1"):
         engines.places.note(0.0, "shared", keeper)
@@ -75,19 +78,22 @@
 
 
 def test_work_beyond_a_share_moves_and_reads_again_nothing(engines):
-    """The engine that keeps a part has some work. A request beyond its account's share
-    may not wait there; sent elsewhere it had the part moved, and pushed others out."""
+    """A request beyond its account's share must not copy a part from a busy engine.
+
+    It may not wait for the engine that keeps the part. Sent to another engine, it had
+    the part copied, which evicted other parts.
+    """
     engines.places.note(0.0, "shared", "e1")
     engines.loads["e1"].others = LoadShare(1, 1500.0, 0.0)
     assert engines.choose(patience_s=0.1) is None
     assert engines.choose(patience_s=0.16).endpoint.id == "e1"
     engines.loads["e1"].others = LoadShare(1, 90_000.0, 0.0)
-    assert engines.choose().fetch_from.id == "e1", "what is owed may have it moved"
+    assert engines.choose().fetch_from.id == "e1", "within the share it may"
 
 
 @given(st.lists(st.tuples(st.integers(0, 9), st.integers(1, 40)), max_size=60))
 def test_a_mirror_keeps_what_was_used_last(touched):
-    """Checked against a list that is searched from its newest end."""
+    """Compares with a list that is searched from its most recently used end."""
     mirror, kept, lengths = KeptMirror(100), set(), {}
     for number, tokens in touched:
         name = f"p{number}"
@@ -125,8 +131,11 @@
 
 
 def test_a_part_that_is_asked_for_all_the_time_counts_as_read():
-    """Callers ask for a hot prompt part five times a second. Counted from the last of
-    them it would never seem read, and each other engine would read it again."""
+    """Callers request a part five times a second.
+
+    If the time counted from the last request, the part would never count as read, and
+    every other engine would read it again.
+    """
     places = PromptPlaces()
     for step in range(6):
         places.note(0.2 * step, "hot", "e0")
@@ -138,8 +147,11 @@
 
 
 def test_a_new_thing_is_fetched_as_far_as_another_engine_has_read_it(engines):
-    """Prompts begin with a part that all of a kind share. The first request for a
-    thing found no engine that has the thing's part, and read the common one again."""
+    """A common first part is fetched even if no engine has the part that follows it.
+
+    The first request with a new second part used to find no engine with that part, and
+    read the common part again.
+    """
     parts = PromptPart("common", 3000), PromptPart("thing", 800), PromptPart("own", 100)
     prompt = Prompt(parts, 3900, 10)
     engines.places.note(0.0, "common", "e1")
--- a/tests/test_reading_model.py
+++ b/tests/test_reading_model.py
@@ -1,4 +1,4 @@
-"""What is learned of a model engine from the first events of its answers."""
+"""Prefill rate and fixed time of engines, learned from first events."""
 
 from random import Random
 
@@ -13,7 +13,7 @@
 
 
 class Reader:
-    """An engine that reads one prompt after the other and shows it a while later."""
+    """An engine that reads prompts one by one, with first events a fixed time later."""
 
     def __init__(self, rate, fixed_s):
         self.rate, self.fixed_s, self.free_at = rate, fixed_s, 0.0
@@ -24,7 +24,7 @@
 
 
 def play(reader, load, per_s, seconds=20.0):
-    """Send prompts and tell of first events; return how far predictions were off."""
+    """Send prompts and record first events; return the prediction errors."""
     random, now, events, off = Random(1), 0.0, [], []
     while now < seconds:
         now += random.expovariate(per_s)
@@ -50,8 +50,11 @@
 
 @pytest.mark.parametrize("part", [0.3, 0.8])
 def test_first_events_are_predicted(part):
-    """An engine shows first events 0.15 s after it has read. Counted as reading, that
-    made it seem slower than it is, and callers were refused that it could serve."""
+    """The engine's first events come 0.15 s after it has read a prompt.
+
+    When that time was counted as reading, the rate was underestimated, and requests
+    were refused that could have been served.
+    """
     off = play(
         Reader(40_000.0, 0.15), EndpointLoad(64, 1_000_000), part * 40_000 / 4100
     )
@@ -64,14 +67,17 @@
     for number in range(10):
         load.begin(0.0, f"r{number}", 4000.0, 4000.0)
     assert load.ahead_s(0.0) == pytest.approx(1.0)
-    assert load.ahead_s(2.0) == pytest.approx(1.0), "no first event came"
+    assert load.ahead_s(2.0) == pytest.approx(1.0), "no first event has come"
     load.first_event(2.1, "r0")
     assert load.ahead_s(2.1) <= 0.9
 
 
 def test_prompts_of_unknown_parts_teach_nothing():
-    """After a restart of all hosts engines keep what nobody knows of: prompts would
-    seem to be read faster than they are."""
+    """Samples with an unreliable number of tokens to read must not change the rate.
+
+    After a restart of all hosts engines keep parts that no host knows of, so prompts
+    would seem to be read faster than they are.
+    """
     load = EndpointLoad(64, 1_000_000, ReadingModel(40_000.0, 0.1))
     for number in range(99):
         load.begin(number, f"r{number}", 40_000.0, 4000.0, sure=False)
@@ -80,8 +86,11 @@
 
 
 def test_callers_are_served_in_time_at_two_thirds_of_what_engines_read():
-    """The usual load of long prompts; after ten seconds engines have read what is
-    shared, and have time to spare. Nearly all requests get their answer in time."""
+    """Under the usual load of long prompts nearly all requests are answered in time.
+
+    Counts requests from ten seconds on, when engines have read the shared parts and
+    have spare capacity.
+    """
     rows = Play(LONG_PROMPTS, 3, troubles=()).run().rows
     rows = [row for row in rows if row.asked.at > 10]
     in_time = sum(row.end == "in_time" for row in rows) / len(rows)
--- a/tests/test_repeat_budget.py
+++ b/tests/test_repeat_budget.py
@@ -1,4 +1,4 @@
-"""Repeats of a whole fleet within any window, whatever becomes of its hosts."""
+"""The fleet's retry budget in any window, under host failures and partitions."""
 
 from bisect import bisect_left
 from functools import partial
@@ -23,13 +23,12 @@
 
 
 class Host:
-    """One host through all its starts.
+    """One host across all its restarts.
 
     Attributes:
-        down_until: Time at which it starts again.
-        still_until: Time at which it wakes from a freeze.
-        heard_at: Time from which it hears the others.
-        heard: How many others it hears then.
+        down_until: Time of its next start.
+        still_until: Time at which it resumes after a freeze.
+        heard_at: Time at which it next receives the other hosts' reports.
     """
 
     def __init__(self):
@@ -49,7 +48,7 @@
 
 
 class Fleet:
-    """Hosts whose callers come at a rate, and a service that fails much of the time."""
+    """Hosts with callers at a constant rate, and a service that often fails."""
 
     def __init__(self, seed, hosts, rate, pauses):
         self.pauses = pauses
@@ -107,7 +106,7 @@
         return self.random.sample(range(len(self.hosts)), count)
 
     def worst(self):
-        """Return by how many repeats the worst window is over what is allowed."""
+        """Return the largest excess of retries over the budget in any window."""
         requests, repeats = sorted(self.requests), sorted(self.repeats)
 
         def count(times, start):
@@ -144,7 +143,7 @@
             host.still_until = round(now + 3.0, 6)
             host.heard_at = host.still_until + 0.6
     for host in fleet.hosts:
-        # Who wakes up finds all that it has heard too old.
+        # At its resumption all reports that it has received are expired.
         if host.still_until == now:
             host.hear(now, 0)
 
@@ -174,7 +173,7 @@
 def test_no_window_of_the_fleet_has_more_repeats_than_allowed(
     trouble, hosts, rate, pauses
 ):
-    """Endpoints in trouble get a multiple of what callers ask when hosts forget."""
+    """Hosts that lose their counts would send failing endpoints too many retries."""
     for seed in range(6):
         fleet = Fleet(seed, hosts, rate, pauses)
         fleet.play(TROUBLES[trouble])
--- a/tests/test_service_core.py
+++ b/tests/test_service_core.py
@@ -1,4 +1,4 @@
-"""Parts of the decision where a request is sent, and when."""
+"""Retry budget, queue, endpoint health, load and scheduling of one service."""
 
 import re
 from collections import Counter, deque
@@ -41,7 +41,7 @@
     st.sampled_from([0, 2, 7]),
 )
 def test_no_window_has_more_repeats_than_the_budget(steps, hosts, ratio, slack):
-    """Any window that ends with a repeat, its first moment counted in."""
+    """Checks every window that ends with a retry, including its first moment."""
     budget = SendBudget(ratio, slack, WINDOW_S)
     requests, repeats = [], []
     times = accumulate(step for step, _ in steps)
@@ -62,7 +62,7 @@
     for _ in range(10):
         budget.on_request(8.0)
     assert sum(budget.take(8.0, 2) for _ in range(20)) == 8
-    # Half of the host's slack comes evenly, 0.4 a second.
+    # Half of the host's slack is refilled at a constant rate of 0.4 a second.
     assert sum(budget.take(9.0 + i / 10, 2) for i in range(80)) == 3
 
 
@@ -77,7 +77,7 @@
     st.sampled_from([2, 4]),
 )
 def test_no_window_has_more_however_often_the_host_starts(steps, hosts, ratio, slack):
-    """A new process knows nothing of what the one before it has repeated."""
+    """A new process does not know how many retries the previous one has used."""
     budget = SendBudget(ratio, slack, WINDOW_S)
     requests, repeats = [], []
     times = accumulate(step for step, _ in steps)
@@ -163,7 +163,7 @@
         now += rest_s
         assert not health.rests(now, "e")
     assert health.on_answer("e", True)
-    assert not health.on_silence(now, "e"), "an answer between them: no row"
+    assert not health.on_silence(now, "e"), "an answer in between resets the count"
     assert health.on_silence(now, "e")
     assert not health.rests(now + FIRST_REST_S, "e")
 
@@ -193,7 +193,7 @@
 
 
 class ServiceStub:
-    """A scheduler over three engines, with levels and reading that tests set."""
+    """A scheduler over three engines; tests set usage levels and unread tokens."""
 
     def __init__(self):
         self.engines = Engines()
@@ -225,7 +225,7 @@
 def test_beyond_the_allowance_requests_start_only_where_engines_are_slack(
     service, beyond
 ):
-    """Others wait for the room that this host leaves; only what idles may be taken."""
+    """Other hosts and accounts wait for the rest; only idle capacity may be used."""
     service.scheduler.allowance = Allowance(
         running=0 if beyond == "running" else 9,
         reading=0 if beyond == "reading" else 9,
@@ -233,9 +233,9 @@
     )
     service.levels["a"] = 11.0 if beyond == "level" else 9.0
     service.fill(2)
-    assert not service.submit("one"), "half of the slots run"
+    assert not service.submit("one"), "half of the slots are busy"
     service.fill(1, 1500.0)
-    assert not list(service.scheduler.pump(0.1)), "0.15 s ahead"
+    assert not list(service.scheduler.pump(0.1)), "0.15 s of unread prompts"
     service.fill(1, 500.0)
     assert [start.request for start in service.scheduler.pump(0.2)] == ["one"]
 
@@ -280,7 +280,7 @@
     assert service.submit("one") == []
     service.backoff_s = 9.5
     refusals = {one.request: one for one in service.submit("two")}
-    assert refusals.keys() == {"one", "two"}, "also those that wait already"
+    assert refusals.keys() == {"one", "two"}, "queued requests are refused as well"
     assert {one.retry_after_s for one in refusals.values()} == {9.5}
     assert {one.kind for one in refusals.values()} == {ErrorKind.NO_ENDPOINT}
     service.backoff_s = 0.1
@@ -322,9 +322,12 @@
 
 
 def test_an_account_that_had_all_engines_goes_without_for_a_moment_only():
-    """One account asks alone for ten seconds, then a second one asks for as much. The
-    first goes without while its earlier work counts; if that counts for long, it gets
-    less than half of what the second gets in the six seconds after."""
+    """One account sends requests alone for ten seconds, then a second one as many.
+
+    The first account gets no capacity while its earlier work counts. If the decay is
+    too slow, it gets less than half of the second account's work in the six seconds
+    that follow.
+    """
     listed = EndpointList()
     list(listed.put(replace(endpoint("e0"), service="m", slots=1)))
     book = ServiceBook(listed, "z", lambda: SendBudget(0, 0, 1))
