--- a/greengageflow/core/kept_mirror.py
+++ b/greengageflow/core/cache_mirror.py
@@ -6,7 +6,7 @@
 from greengageflow.core.forward_request import PromptPart
 
 
-class KeptMirror:
+class CacheMirror:
     """LRU model of the prompt parts in one engine's memory.
 
     An engine evicts the least recently used parts when its memory is full, and its
--- a/greengageflow/core/endpoint_choice.py
+++ b/greengageflow/core/endpoint_choice.py
@@ -85,7 +85,7 @@
         self._places = places
         self._zone = zone
 
-    def look(self, now: float, endpoints: Sequence[ListedEndpoint]) -> "Look":
+    def look(self, now: float, endpoints: Sequence[ListedEndpoint]) -> "Candidates":
         """Return the candidates that all queued requests can choose from.
 
         The queue is scanned at each event. Checking all engines again for the first
@@ -94,16 +94,16 @@
         room = [e for e in endpoints if self._loads(e).has_slot(PLAIN_QUEUE)]
         awake = [e for e in room if not self._health.rests(now, e.id)]
         loads = [(endpoint, self._loads(endpoint)) for endpoint in awake]
-        return Look(
+        return Candidates(
             endpoints=endpoints,
             room=room,
-            engines=[_Engine(e, load, load.ahead_s(now)) for e, load in loads],
+            engines=[_CandidateEngine(e, load, load.ahead_s(now)) for e, load in loads],
         )
 
     def choose(
         self,
         now: float,
-        look: "Look",
+        look: "Candidates",
         prompt: Prompt | None,
         *,
         patience_s: float,
@@ -151,7 +151,7 @@
         best: Choice | None = None
         best_s = inf
         for one in able:
-            plan = _plan(one, kept, prompt, transfers)
+            plan = _estimate_cost(one, kept, prompt, transfers)
             latest_s = max(LEAST_AHEAD_S, first_by_s - plan.first_s)
             if one.ahead_s > latest_s:
                 continue
@@ -172,8 +172,8 @@
 
     def _kept(
         self, now: float, prompt: Prompt, endpoints: Sequence[ListedEndpoint]
-    ) -> "_Kept":
-        kept = _Kept()
+    ) -> "_CachedPrefixes":
+        kept = _CachedPrefixes()
         if not prompt.shared_tokens:
             return kept
         by_id = {endpoint.id: endpoint for endpoint in endpoints}
@@ -208,7 +208,7 @@
                 best, best_cost = endpoint, cost
         return Choice(best) if best else None
 
-    def _cost_s(self, one: "_Engine", wait_s: float, zone: str) -> float:
+    def _cost_s(self, one: "_CandidateEngine", wait_s: float, zone: str) -> float:
         endpoint, load = one.endpoint, one.load
         cost_s = wait_s + FAILING_PENALTY_S * self._health.failing(endpoint.id)
         cost_s += 0.1 * load.running / load.slots
@@ -216,14 +216,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Engine:
+class _CandidateEngine:
     endpoint: ListedEndpoint
     load: EndpointLoad
     ahead_s: float
 
 
 @dataclass(frozen=True, slots=True)
-class Look:
+class Candidates:
     """Candidate endpoints at one moment.
 
     Args:
@@ -234,11 +234,11 @@
 
     endpoints: Sequence[ListedEndpoint]
     room: Sequence[ListedEndpoint]
-    engines: "Sequence[_Engine]"
+    engines: "Sequence[_CandidateEngine]"
 
 
 @dataclass(frozen=True, slots=True)
-class _Plan:
+class _CostEstimate:
     """Predicted cost of a request at one engine.
 
     Args:
@@ -257,7 +257,7 @@
 
 
 @dataclass(slots=True)
-class _Kept:
+class _CachedPrefixes:
     """Cached shared parts of a prompt, by engine.
 
     An engine that was sent parts just now will keep them when a new request gets its
@@ -277,7 +277,9 @@
     source_tokens: int = 0
 
 
-def _plan(one: _Engine, kept: _Kept, prompt: Prompt, transfers: bool) -> _Plan:
+def _estimate_cost(
+    one: _CandidateEngine, kept: _CachedPrefixes, prompt: Prompt, transfers: bool
+) -> _CostEstimate:
     here = kept.tokens.get(one.endpoint.id, 0)
     fetched = kept.source_tokens - here if transfers else 0
     model = one.load.model
@@ -285,9 +287,9 @@
         reading = prompt.tokens_in - kept.source_tokens + FETCH_PART * fetched
         again = kept.most - kept.source_tokens + COPY_PART * fetched
         first_s = model.first_event_s(reading)
-        return _Plan(reading, first_s, again / model.rate, kept.source, False)
+        return _CostEstimate(reading, first_s, again / model.rate, kept.source, False)
     reading = float(prompt.tokens_in - here)
     again = max(0, kept.most - here)
     sure = reading <= SURE_READING * (prompt.tokens_in - prompt.shared_tokens)
     first_s = model.first_event_s(reading)
-    return _Plan(reading, first_s, again / model.rate, None, sure)
+    return _CostEstimate(reading, first_s, again / model.rate, None, sure)
--- a/greengageflow/core/endpoint_health.py
+++ b/greengageflow/core/endpoint_health.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(slots=True)
-class _Record:
+class _EndpointRecord:
     in_row: int = 0
     rest_until: float = 0.0
     rest_s: float = FIRST_REST_S
@@ -27,7 +27,7 @@
     """
 
     def __init__(self) -> None:
-        self._records: dict[str, _Record] = {}
+        self._records: dict[str, _EndpointRecord] = {}
         self._backoffs: dict[str, float] = {}
 
     def forget(self, endpoint: str) -> None:
@@ -78,7 +78,7 @@
         Returns:
             True if it had been suspended.
         """
-        record = self._records.setdefault(endpoint, _Record())
+        record = self._records.setdefault(endpoint, _EndpointRecord())
         rested = record.rest_until > 0.0
         record.in_row = 0
         record.rest_until = 0.0
@@ -95,7 +95,7 @@
         Returns:
             True if the endpoint becomes suspended.
         """
-        record = self._records.setdefault(endpoint, _Record())
+        record = self._records.setdefault(endpoint, _EndpointRecord())
         record.in_row += 1
         record.failing += SMOOTHING * (1.0 - record.failing)
         if record.in_row < FAILURES_TO_REST or now < record.rest_until:
--- a/greengageflow/core/endpoint_load.py
+++ b/greengageflow/core/endpoint_load.py
@@ -2,7 +2,7 @@
 
 A model engine has two limits: it reads (prefills) prompts one after the other, and it
 runs a fixed number of requests at once. The wait of a prompt is predicted from the
-prompts sent before it and a ``ReadingModel``. No engine property is known in advance.
+prompts sent before it and a ``PrefillModel``. No engine property is known in advance.
 """
 
 from collections.abc import Iterable, Iterator, Mapping
@@ -10,7 +10,7 @@
 from functools import partial
 from typing import NamedTuple
 
-from greengageflow.core.reading_model import TRUSTED_SAMPLES, ReadingModel
+from greengageflow.core.prefill_model import TRUSTED_SAMPLES, PrefillModel
 
 LATE_SLACK_S = 0.1
 """Delay of a first event, in seconds, above which the engine counts as behind.
@@ -41,7 +41,7 @@
 
 
 @dataclass(slots=True)
-class _Run:
+class _ActiveRequest:
     """An unfinished request at an endpoint.
 
     Args:
@@ -77,15 +77,15 @@
         self,
         slots: int,
         memory_tokens: int = 0,
-        common: ReadingModel | None = None,
+        common: PrefillModel | None = None,
     ) -> None:
         self.slots = max(1, slots)
         self.memory_tokens = memory_tokens
         self.others = LoadShare()
-        self._common = common or ReadingModel()
-        self._model = ReadingModel()
-        self._runs: dict[str, _Run] = {}
-        self._unread: dict[str, _Run] = {}
+        self._common = common or PrefillModel()
+        self._model = PrefillModel()
+        self._runs: dict[str, _ActiveRequest] = {}
+        self._unread: dict[str, _ActiveRequest] = {}
         self._reading = 0.0
         self._memory = 0.0
         self._level = 0.0
@@ -109,7 +109,7 @@
         return len(self._runs) + self.others.running
 
     @property
-    def model(self) -> ReadingModel:
+    def model(self) -> PrefillModel:
         """The endpoint's own reading model, or the service's while samples are few."""
         known = self._model.samples >= TRUSTED_SAMPLES
         return self._model if known else self._common
@@ -181,7 +181,7 @@
         alone = not self._unread and not self.others.reading
         level = self._drained(now) + reading
         self._sent += reading
-        run = _Run(reading, memory, now, level, self._sent, alone, sure)
+        run = _ActiveRequest(reading, memory, now, level, self._sent, alone, sure)
         self._runs[request] = run
         if reading:
             self._unread[request] = run
@@ -201,7 +201,7 @@
         self._reading -= run.reading
         run.reading = 0.0
 
-    def _learn(self, now: float, run: _Run) -> None:
+    def _learn(self, now: float, run: _ActiveRequest) -> None:
         took_s = now - run.sent_at
         if not run.sure or took_s <= 0:
             return
@@ -222,12 +222,12 @@
             self._memory -= run.memory
 
 
-class LoadBook:
+class EndpointLoads:
     """The loads of all endpoints, by endpoint id."""
 
     def __init__(self) -> None:
         self._loads: dict[str, EndpointLoad] = {}
-        self._models: dict[str, ReadingModel] = {}
+        self._models: dict[str, PrefillModel] = {}
         self._others: Mapping[str, LoadShare] = {}
 
     def add(
@@ -236,7 +236,7 @@
         """Return the load of an endpoint, which is created if it is new."""
         load = self._loads.get(endpoint)
         if load is None:
-            common = self._models.setdefault(service, ReadingModel())
+            common = self._models.setdefault(service, PrefillModel())
             load = EndpointLoad(slots, memory_tokens, common)
             self._loads[endpoint] = load
             load.others = self._others.get(endpoint, LoadShare())
--- a/greengageflow/core/send_budget.py
+++ b/greengageflow/core/fleet_retry_budget.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BudgetUse:
+class BudgetUsage:
     """State of a host's retry budget at one moment.
 
     Args:
@@ -37,7 +37,7 @@
     hosts: int
 
 
-class SendBudget:
+class FleetRetryBudget:
     """Limits the retries at one service within any time window.
 
     All hosts together may retry ``ratio`` of the callers' requests, plus ``slack``
@@ -84,10 +84,10 @@
         self._repeats.append(now)
         return True
 
-    def use(self, now: float, hosts: int) -> BudgetUse:
+    def use(self, now: float, hosts: int) -> BudgetUsage:
         """Return the counts of the window that ends now."""
         self._forget(now)
-        return BudgetUse(len(self._requests), len(self._repeats), hosts)
+        return BudgetUsage(len(self._requests), len(self._repeats), hosts)
 
     def _forget(self, now: float) -> None:
         _drop(self._requests, now - self._window_s)
--- a/greengageflow/core/leaving_signs.py
+++ b/greengageflow/core/leaving_report.py
@@ -4,7 +4,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LeavingSign:
+class LeavingEndpoint:
     """An endpoint's announcement, in an answer, that it is leaving.
 
     Args:
@@ -20,4 +20,4 @@
 class LeavingReport:
     """A message to other hosts with the announcements of endpoints."""
 
-    signs: tuple[LeavingSign, ...]
+    signs: tuple[LeavingEndpoint, ...]
--- a/greengageflow/core/place_desk.py
+++ b/greengageflow/core/place_desk.py
@@ -14,9 +14,9 @@
     PlaceRoll,
     Verdict,
 )
-from greengageflow.core.service_book import ServiceBook
+from greengageflow.core.service_dispatcher import ServiceDispatcher
 from greengageflow.core.service_scheduler import Decision, Job, RefuseJob, StartJob
-from greengageflow.core.work_queue import Waiter
+from greengageflow.core.work_queue import QueuedRequest
 
 ROLL_SLACK_S = 0.5
 HOST_QUIET_S = 2.0
@@ -41,7 +41,7 @@
         book: Decides.
     """
 
-    def __init__(self, host: str, book: ServiceBook) -> None:
+    def __init__(self, host: str, book: ServiceDispatcher) -> None:
         self._host = host
         self._book = book
         self._placed: dict[str, _Placed] = {}
@@ -65,7 +65,7 @@
         prompt = _prompt(ask)
         placed = _Placed(ask.host, ask.boot, ask.request, ask.service, now, prompt)
         self._placed[key] = placed
-        waiter = Waiter(
+        waiter = QueuedRequest(
             key,
             ask.account,
             prompt.work,
--- a/greengageflow/core/reading_model.py
+++ b/greengageflow/core/prefill_model.py
@@ -42,7 +42,7 @@
 
 
 @dataclass(slots=True)
-class _Sums:
+class _RegressionSums:
     """Decaying sums for a linear regression; x in tokens, y in seconds."""
 
     n: float = 0.0
@@ -59,7 +59,7 @@
         self.xy = MEMORY * self.xy + weight * x * y
 
 
-class ReadingModel:
+class PrefillModel:
     """Linear model of the time to the first event over the tokens to be read.
 
     Samples of idle engines determine both parameters, because no other prompt is ahead.
@@ -81,7 +81,7 @@
         self.rate = rate
         self.fixed_s = fixed_s
         self.samples = 0
-        self._idle = _Sums()
+        self._idle = _RegressionSums()
         self._idle.add(0.0, fixed_s, PRIOR_WEIGHT)
         self._idle.add(PRIOR_TOKENS, fixed_s + PRIOR_TOKENS / rate, PRIOR_WEIGHT)
         self._busy_tokens = 0.0
--- a/greengageflow/core/prompt_places.py
+++ b/greengageflow/core/prompt_places.py
@@ -49,7 +49,7 @@
 
 
 @dataclass(slots=True)
-class _Place:
+class _SentPart:
     first: float
     last: float
     has_read: bool = False
@@ -65,14 +65,14 @@
 
     def __init__(self, fresh_s: float = 40.0) -> None:
         self._fresh_s = fresh_s
-        self._seen: OrderedDict[str, dict[str, _Place]] = OrderedDict()
+        self._seen: OrderedDict[str, dict[str, _SentPart]] = OrderedDict()
 
     def note(self, at: float, part: str, endpoint: str) -> None:
         """Record that a request with ``part`` was sent to an endpoint."""
         places = self._seen.setdefault(part, {})
         place = places.get(endpoint)
         if place is None or at - place.last > self._fresh_s:
-            places[endpoint] = _Place(at, at)
+            places[endpoint] = _SentPart(at, at)
         else:
             place.last = max(at, place.last)
         self._seen.move_to_end(part)
--- a/greengageflow/core/routes.py
+++ b/greengageflow/core/routes.py
@@ -7,7 +7,7 @@
 from random import Random
 
 
-class Repeat(Enum):
+class RetryPolicy(Enum):
     """Retry policy of a route."""
 
     ANY = auto()
@@ -53,7 +53,7 @@
     name: str
     host: str
     prefix: str
-    repeat: Repeat
+    repeat: RetryPolicy
     stream: bool
     timeout_s: float
     target_s: float
@@ -99,7 +99,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallerBounds:
+class CallerLimits:
     """Limits on callers' requests and connections.
 
     Args:
@@ -135,7 +135,7 @@
     services: dict[str, Service] = field(default_factory=dict)
     accounts: dict[str, str] = field(default_factory=dict)
     keyed: bool = False
-    bounds: CallerBounds = CallerBounds()
+    bounds: CallerLimits = CallerLimits()
     tokens_per_s: float = 0.0
 
 
--- a/greengageflow/core/service_book.py
+++ b/greengageflow/core/service_dispatcher.py
@@ -4,21 +4,21 @@
 from collections.abc import Callable, Iterable, Iterator, Mapping, Sequence
 from math import inf
 
+from greengageflow.core.cache_mirror import CacheMirror
 from greengageflow.core.decayed import DecayedSums
 from greengageflow.core.endpoint_choice import FILL, Choice, EndpointChooser
 from greengageflow.core.endpoint_health import EndpointHealth
 from greengageflow.core.endpoint_list import EndpointList, ListedEndpoint
-from greengageflow.core.endpoint_load import EndpointLoad, LoadBook, LoadShare
+from greengageflow.core.endpoint_load import EndpointLoad, EndpointLoads, LoadShare
 from greengageflow.core.fleet_demand import divide_capacity
+from greengageflow.core.fleet_retry_budget import BudgetUsage, FleetRetryBudget
 from greengageflow.core.fleet_size import FleetSize
 from greengageflow.core.fleet_sums import FleetTotals
 from greengageflow.core.forward_request import Prompt, PromptPart
-from greengageflow.core.kept_mirror import KeptMirror
 from greengageflow.core.prompt_places import PromptPlaces
 from greengageflow.core.routes import Routing, Service
-from greengageflow.core.send_budget import BudgetUse, SendBudget
 from greengageflow.core.service_scheduler import (
-    Allowance,
+    CapacityShare,
     Decision,
     Job,
     ServiceScheduler,
@@ -48,7 +48,7 @@
 """Service name and client account."""
 
 
-class ServiceBook:
+class ServiceDispatcher:
     """Queues, endpoint loads and retry budgets of all services.
 
     Combines the state of this host with the reports of the other hosts.
@@ -64,25 +64,25 @@
         self,
         endpoints: EndpointList,
         zone: str,
-        budget: Callable[[], SendBudget],
+        budget: Callable[[], FleetRetryBudget],
         *,
         least_hosts: int = 1,
     ) -> None:
         self._endpoints = endpoints
         self._routing = Routing()
-        self._loads = LoadBook()
+        self._loads = EndpointLoads()
         self._health = EndpointHealth()
         self._places = PromptPlaces()
         self._chooser = EndpointChooser(self._load, self._health, self._places, zone)
         self._schedulers: dict[str, ServiceScheduler] = {}
         self._make_budget = budget
-        self._budgets: dict[str, SendBudget] = {}
+        self._budgets: dict[str, FleetRetryBudget] = {}
         self._began: float | None = None
         self._served: DecayedSums[AccountKey] = DecayedSums(FADE_S)
         self._offered: DecayedSums[AccountKey] = DecayedSums(FADE_S)
         self._placed: deque[tuple[float, str, str]] = deque()
         self._parts: dict[str, tuple[str, ...]] = {}
-        self._mirrors: dict[str, KeptMirror] = {}
+        self._mirrors: dict[str, CacheMirror] = {}
         self._totals = FleetTotals()
         self._fleet = FleetSize(least_hosts)
         self._now = 0.0
@@ -132,7 +132,7 @@
         capacity = self.service(endpoint.service).memory_tokens
         if not capacity:
             return
-        mirror = self._mirrors.setdefault(endpoint.id, KeptMirror(capacity))
+        mirror = self._mirrors.setdefault(endpoint.id, CacheMirror(capacity))
         for part in mirror.touch(parts):
             self._places.forget(part, endpoint.id)
 
@@ -213,7 +213,7 @@
                 scheduler.allowance = self._allowance(now, name)
         yield from self.pump(now)
 
-    def _allowance(self, now: float, service: str) -> Allowance:
+    def _allowance(self, now: float, service: str) -> CapacityShare:
         own = _of_service(service, dict(self._offered.items(now, 1.0)))
         others = _of_service(service, self._totals.offered)
         done = sum(self.level(service, a) for a in own.keys() | others.keys())
@@ -223,7 +223,7 @@
         reading = sum(_read_ahead(load) for load in loads)
         # Engines that a placer owns get requests from this host only.
         part = parts.own if self._owned is None else 1.0
-        return Allowance(
+        return CapacityShare(
             running=max(LEAST_RUNNING, FILL * slots * part),
             reading=max(1.0, reading * part),
             levels={a: LEVEL_SLACK * share for a, share in parts.shares.items()},
@@ -315,11 +315,11 @@
         """Take a retry from a service's budget; return False if it is exhausted."""
         return self._budget(service).take(now, self._fleet.hosts)
 
-    def budget_use(self, now: float, service: str) -> BudgetUse:
+    def budget_use(self, now: float, service: str) -> BudgetUsage:
         """Return the state of a service's retry budget."""
         return self._budget(service).use(now, self._fleet.hosts)
 
-    def _budget(self, service: str) -> SendBudget:
+    def _budget(self, service: str) -> FleetRetryBudget:
         found = self._budgets.get(service)
         if found is None:
             found = self._budgets[service] = self._make_budget()
--- a/greengageflow/core/service_scheduler.py
+++ b/greengageflow/core/service_scheduler.py
@@ -7,7 +7,7 @@
 from greengageflow.core.endpoint_choice import FILL, Choice, EndpointChooser
 from greengageflow.core.endpoint_list import ListedEndpoint
 from greengageflow.core.forward_request import Prompt
-from greengageflow.core.work_queue import Waiter, WorkQueue
+from greengageflow.core.work_queue import QueuedRequest, WorkQueue
 from greengageflow.errors import ErrorKind
 
 FIRST_PART = 0.8
@@ -37,7 +37,7 @@
         zone: Availability zone of the host that sends it; empty for this host's.
     """
 
-    waiter: Waiter
+    waiter: QueuedRequest
     target_s: float
     prompt: Prompt | None = None
     avoid: frozenset[str] = frozenset()
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Allowance:
+class CapacityShare:
     """This host's share of a service's capacity under contention.
 
     Args:
@@ -63,7 +63,7 @@
 class StartJob:
     """Decision to send a request now."""
 
-    waiter: Waiter
+    waiter: QueuedRequest
     choice: Choice
 
     @property
@@ -111,7 +111,7 @@
         fade_s: float,
         transfers: bool = False,
     ) -> None:
-        self.allowance = Allowance()
+        self.allowance = CapacityShare()
         self.transfers = transfers
         self.running: set[str] = set()
         self._endpoints = endpoints
--- a/greengageflow/core/work_queue.py
+++ b/greengageflow/core/work_queue.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Waiter:
+class QueuedRequest:
     """A queued request.
 
     Args:
@@ -38,8 +38,8 @@
     """
 
     def __init__(self) -> None:
-        self._by_account: dict[str, _Line] = {}
-        self._entries: dict[str, tuple[Waiter, int]] = {}
+        self._by_account: dict[str, _AccountQueue] = {}
+        self._entries: dict[str, tuple[QueuedRequest, int]] = {}
         self._expiries: list[tuple[float, int, str]] = []
         self._orders = count()
 
@@ -52,14 +52,14 @@
         line = self._by_account.get(account)
         return len(line) if line else 0
 
-    def put(self, waiter: Waiter) -> None:
+    def put(self, waiter: QueuedRequest) -> None:
         """Add a request."""
         order = next(self._orders)
-        self._by_account.setdefault(waiter.account, _Line()).put(waiter, order)
+        self._by_account.setdefault(waiter.account, _AccountQueue()).put(waiter, order)
         self._entries[waiter.id] = waiter, order
         heappush(self._expiries, (waiter.give_up_at, order, waiter.id))
 
-    def remove(self, request: str) -> Waiter | None:
+    def remove(self, request: str) -> QueuedRequest | None:
         """Remove and return a request, or return None if it is not queued."""
         entry = self._entries.pop(request, None)
         if entry is None:
@@ -71,7 +71,9 @@
             del self._by_account[waiter.account]
         return waiter
 
-    def heads(self, now: float, level: Callable[[str], float]) -> Iterator[Waiter]:
+    def heads(
+        self, now: float, level: Callable[[str], float]
+    ) -> Iterator[QueuedRequest]:
         """Yield the next request of each account, least-served account first.
 
         Within an account the earliest target comes first. Requests that are already
@@ -84,7 +86,7 @@
         for account in sorted(self._by_account, key=level):
             yield self._by_account[account].head(now)
 
-    def expired(self, now: float) -> Iterator[Waiter]:
+    def expired(self, now: float) -> Iterator[QueuedRequest]:
         """Remove and yield the requests whose ``give_up_at`` has passed."""
         while (expiry := self.next_expiry()) is not None and expiry <= now:
             _, _, request = heappop(self._expiries)
@@ -100,26 +102,26 @@
         return None
 
 
-class _Line:
+class _AccountQueue:
     """The queued requests of one account, by priority and target."""
 
     def __init__(self) -> None:
-        self._by_priority: dict[int, list[tuple[float, int, Waiter]]] = {}
+        self._by_priority: dict[int, list[tuple[float, int, QueuedRequest]]] = {}
 
     def __len__(self) -> int:
         return sum(map(len, self._by_priority.values()))
 
-    def put(self, waiter: Waiter, order: int) -> None:
+    def put(self, waiter: QueuedRequest, order: int) -> None:
         line = self._by_priority.setdefault(waiter.priority, [])
         insort(line, (waiter.target_at, order, waiter))
 
-    def remove(self, waiter: Waiter, order: int) -> None:
+    def remove(self, waiter: QueuedRequest, order: int) -> None:
         line = self._by_priority[waiter.priority]
         del line[bisect_left(line, (waiter.target_at, order))]
         if not line:
             del self._by_priority[waiter.priority]
 
-    def head(self, now: float) -> Waiter:
+    def head(self, now: float) -> QueuedRequest:
         line = self._by_priority[min(self._by_priority)]
         in_time = bisect_right(line, now, key=lambda entry: entry[0])
         return line[in_time if in_time < len(line) else 0][2]
--- a/greengageflow/daemon/exchange_listener.py
+++ b/greengageflow/daemon/exchange_listener.py
@@ -5,7 +5,7 @@
 
 from greengageflow.core.endpoint_load import LoadShare
 from greengageflow.core.fleet_sums import FleetTotals
-from greengageflow.core.leaving_signs import LeavingReport
+from greengageflow.core.leaving_report import LeavingReport
 from greengageflow.core.peer_report import PeerReport
 from greengageflow.core.place_messages import PlaceMessage
 from greengageflow.core.quarantine import CrashReport
--- a/greengageflow/daemon/fleet_exchange.py
+++ b/greengageflow/daemon/fleet_exchange.py
@@ -14,7 +14,7 @@
 from greengageflow.core.fleet_sums import FleetTotals, SumReport, relay_turns
 from greengageflow.core.hello_cache import HelloCache
 from greengageflow.core.hello_ring import HelloRing
-from greengageflow.core.leaving_signs import LeavingReport
+from greengageflow.core.leaving_report import LeavingReport
 from greengageflow.core.peer_report import LoadNotice, PeerBook, PeerReport
 from greengageflow.core.place_messages import (
     PlaceAnswer,
@@ -26,7 +26,7 @@
 from greengageflow.core.quarantine import CrashRecord, CrashReport
 from greengageflow.core.relay_sums import RelaySums, word_of
 from greengageflow.core.router_table import RELAYS_A_ZONE, Hello, RouterTable
-from greengageflow.core.service_book import FADE_S
+from greengageflow.core.service_dispatcher import FADE_S
 from greengageflow.core.store_duty import READING_ZONES, StoreRole, StoreWord
 from greengageflow.core.store_updates import StoreUpdate
 from greengageflow.core.sum_book import Taken
--- a/greengageflow/daemon/forward_admission.py
+++ b/greengageflow/daemon/forward_admission.py
@@ -8,7 +8,7 @@
 from greengageflow.core.routes import Route, RouteTable, Routing
 from greengageflow.core.service_scheduler import QUEUE_PART, Job
 from greengageflow.core.trust import KeyTrust
-from greengageflow.core.work_queue import Waiter
+from greengageflow.core.work_queue import QueuedRequest
 from greengageflow.daemon.forward_flight import ForwardFlight
 from greengageflow.errors import ErrorKind, RouterError
 from greengageflow.net.forward_calls import ForwardCall
@@ -119,11 +119,11 @@
         """Return what the queue has to know of a request."""
         return Job(self._waiter(flight), flight.route.target_s, flight.req.prompt)
 
-    def _waiter(self, flight: ForwardFlight) -> Waiter:
+    def _waiter(self, flight: ForwardFlight) -> QueuedRequest:
         prompt = flight.req.prompt
         target_s = flight.route.target_s
         give_up_at = flight.arrived + QUEUE_PART * target_s
-        return Waiter(
+        return QueuedRequest(
             flight.id,
             flight.account,
             prompt.work if prompt else PLAIN_WORK,
--- a/greengageflow/daemon/forward_flight.py
+++ b/greengageflow/daemon/forward_flight.py
@@ -6,7 +6,7 @@
 from greengageflow.core.endpoint_choice import Choice
 from greengageflow.core.forward_request import ForwardRequest
 from greengageflow.core.quarantine import Fingerprint
-from greengageflow.core.routes import Repeat, Route
+from greengageflow.core.routes import RetryPolicy, Route
 from greengageflow.net.endpoint_attempt import EndpointAttempt
 from greengageflow.net.reply import Reply
 from greengageflow.net.timers import Subscription
@@ -75,7 +75,7 @@
     @property
     def repeatable(self) -> bool:
         """Whether another endpoint may run it although one may have."""
-        return self.route.repeat is not Repeat.ONCE
+        return self.route.repeat is not RetryPolicy.ONCE
 
     @property
     def runs_left(self) -> bool:
--- a/greengageflow/daemon/forward_notes.py
+++ b/greengageflow/daemon/forward_notes.py
@@ -4,7 +4,7 @@
 from greengageflow.core.endpoint_list import ListedEndpoint
 from greengageflow.core.forward_request import ForwardRequest, request_fingerprint
 from greengageflow.core.quarantine import short_digest
-from greengageflow.core.service_book import ServiceBook
+from greengageflow.core.service_dispatcher import ServiceDispatcher
 from greengageflow.daemon.forward_flight import ForwardFlight, Phase
 from greengageflow.errors import Ran, RouterError
 from greengageflow.net.decision_events import DecisionEvent
@@ -27,7 +27,9 @@
         book: Tells what decisions went by.
     """
 
-    def __init__(self, log: DecisionLog, page: MetricsPage, book: ServiceBook) -> None:
+    def __init__(
+        self, log: DecisionLog, page: MetricsPage, book: ServiceDispatcher
+    ) -> None:
         self.config = 0
         self.totals_at = 0.0
         self._log = log
--- a/greengageflow/daemon/forward_sending.py
+++ b/greengageflow/daemon/forward_sending.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 from math import inf
 
-from greengageflow.core.routes import Repeat
+from greengageflow.core.routes import RetryPolicy
 from greengageflow.daemon.forward_flight import ForwardFlight
 from greengageflow.net.event_frames import Frame
 from greengageflow.net.http_messages import Failure, HttpRequest
@@ -50,7 +50,7 @@
     An engine that went dark resets nothing: its streams would stand still up to their
     deadline, and the caller would leave.
     """
-    if flight.route.repeat is not Repeat.RESUME or flight.attempt is None:
+    if flight.route.repeat is not RetryPolicy.RESUME or flight.attempt is None:
         return False
     if flight.runs + 1 >= flight.route.attempts or flight.reply.blocked:
         return False
--- a/greengageflow/daemon/forwarder.py
+++ b/greengageflow/daemon/forwarder.py
@@ -6,7 +6,7 @@
 from greengageflow.core.endpoint_list import EndpointList, ListedEndpoint
 from greengageflow.core.quarantine import Fingerprint, Quarantine
 from greengageflow.core.routes import Routing
-from greengageflow.core.service_book import ServiceBook
+from greengageflow.core.service_dispatcher import ServiceDispatcher
 from greengageflow.core.service_scheduler import (
     QUEUE_PART,
     Decision,
@@ -72,7 +72,7 @@
         pool: HttpPool,
         timers: Timers,
         endpoints: EndpointList,
-        book: ServiceBook,
+        book: ServiceDispatcher,
         admission: ForwardAdmission,
         notes: ForwardNotes,
         quarantine: Quarantine,
--- a/greengageflow/daemon/gateway.py
+++ b/greengageflow/daemon/gateway.py
@@ -9,15 +9,15 @@
 
 from greengageflow.core.endpoint_list import EndpointList, ListChange
 from greengageflow.core.endpoint_load import LoadShare
+from greengageflow.core.fleet_retry_budget import FleetRetryBudget
 from greengageflow.core.fleet_sums import FleetTotals
-from greengageflow.core.leaving_signs import LeavingReport
+from greengageflow.core.leaving_report import LeavingReport
 from greengageflow.core.peer_report import PeerReport
 from greengageflow.core.place_messages import PlaceMessage
 from greengageflow.core.quarantine import CrashReport, Quarantine
 from greengageflow.core.router_table import Hello
 from greengageflow.core.routes import Routing
-from greengageflow.core.send_budget import SendBudget
-from greengageflow.core.service_book import ServiceBook
+from greengageflow.core.service_dispatcher import ServiceDispatcher
 from greengageflow.core.store_duty import StoreRole, pace_s
 from greengageflow.core.store_updates import StoreUpdate
 from greengageflow.core.trust import KeyTrust
@@ -95,7 +95,7 @@
         self._page = MetricsPage()
         self._trust = KeyTrust(settings.bounds.revoke_s)
         self._endpoints = EndpointList()
-        self._book = ServiceBook(
+        self._book = ServiceDispatcher(
             self._endpoints,
             settings.zone,
             self._budget,
@@ -118,9 +118,9 @@
         self._add_fleet()
         self._add_servers()
 
-    def _budget(self) -> SendBudget:
+    def _budget(self) -> FleetRetryBudget:
         bounds = self._settings.bounds
-        return SendBudget(
+        return FleetRetryBudget(
             bounds.budget_ratio, bounds.budget_slack, bounds.budget_window_s
         )
 
--- a/greengageflow/daemon/kept_parts.py
+++ b/greengageflow/daemon/kept_parts.py
@@ -4,7 +4,7 @@
 from typing import Protocol
 
 from greengageflow.core.endpoint_list import ListedEndpoint
-from greengageflow.core.service_book import ServiceBook
+from greengageflow.core.service_dispatcher import ServiceDispatcher
 from greengageflow.net.decision_events import DecisionEvent
 from greengageflow.net.decision_log import DecisionLog
 from greengageflow.net.http_messages import (
@@ -52,7 +52,7 @@
         self,
         pool: HttpPool,
         timers: Timers,
-        book: ServiceBook,
+        book: ServiceDispatcher,
         log: DecisionLog,
         on_leaving: Callable[[ListedEndpoint], None],
     ) -> None:
--- a/greengageflow/daemon/leaving_watch.py
+++ b/greengageflow/daemon/leaving_watch.py
@@ -4,7 +4,7 @@
 from typing import Protocol
 
 from greengageflow.core.endpoint_list import EndpointList, ListedEndpoint
-from greengageflow.core.leaving_signs import LeavingReport, LeavingSign
+from greengageflow.core.leaving_report import LeavingEndpoint, LeavingReport
 from greengageflow.net.timers import Timers
 
 AGAIN_S = 0.25
@@ -44,7 +44,7 @@
         self._timers = timers
         self._sender = sender
         self._on_left = on_left
-        self._signs: dict[LeavingSign, float] = {}
+        self._signs: dict[LeavingEndpoint, float] = {}
 
     def start(self) -> None:
         """Begin to repeat to other hosts what is known."""
@@ -52,18 +52,18 @@
 
     def on_answer(self, endpoint: ListedEndpoint) -> None:
         """Note that an endpoint said in an answer that it leaves."""
-        sign = LeavingSign(endpoint.id, endpoint.born)
+        sign = LeavingEndpoint(endpoint.id, endpoint.born)
         if self._take(sign, "answer"):
             report = LeavingReport((sign,))
             self._sender.send_leaving(report, None)
             self._timers.after(AGAIN_S, lambda: self._sender.send_leaving(report, None))
 
-    def receive(self, signs: Iterable[LeavingSign]) -> None:
+    def receive(self, signs: Iterable[LeavingEndpoint]) -> None:
         """Take what other hosts were told by endpoints."""
         for sign in signs:
             self._take(sign, "peer")
 
-    def _take(self, sign: LeavingSign, source: str) -> bool:
+    def _take(self, sign: LeavingEndpoint, source: str) -> bool:
         if not self._endpoints.note_left(sign.endpoint, sign.born):
             return False
         self._signs[sign] = self._timers.now
--- a/greengageflow/daemon/placement.py
+++ b/greengageflow/daemon/placement.py
@@ -19,7 +19,7 @@
 from greengageflow.core.placers import PlacerTable
 from greengageflow.core.prompt_places import home_of
 from greengageflow.core.router_table import Hello
-from greengageflow.core.service_book import ServiceBook
+from greengageflow.core.service_dispatcher import ServiceDispatcher
 from greengageflow.core.service_scheduler import Decision, Job, RefuseJob, StartJob
 from greengageflow.daemon.kept_parts import PartsAsker
 from greengageflow.daemon.pending_placements import PendingPlacement, PlaceSender, Run
@@ -69,7 +69,7 @@
     def __init__(
         self,
         own: Hello,
-        book: ServiceBook,
+        book: ServiceDispatcher,
         endpoints: EndpointList,
         timers: Timers,
         sender: PlaceSender,
--- a/greengageflow/lab/_gateway_world.py
+++ b/greengageflow/lab/_gateway_world.py
@@ -11,15 +11,15 @@
 
 from greengageflow.core.decayed import DecayedSums
 from greengageflow.core.endpoint_list import EndpointList
-from greengageflow.core.endpoint_load import LoadBook, LoadShare
+from greengageflow.core.endpoint_load import EndpointLoads, LoadShare
 from greengageflow.core.fleet_demand import divide_capacity
 from greengageflow.core.fleet_sums import FleetTotals
-from greengageflow.core.leaving_signs import LeavingReport
+from greengageflow.core.leaving_report import LeavingReport
 from greengageflow.core.peer_report import PeerReport
 from greengageflow.core.prompt_places import PromptPlaces
 from greengageflow.core.quarantine import CrashReport
 from greengageflow.core.router_table import Hello
-from greengageflow.core.service_book import FADE_S
+from greengageflow.core.service_dispatcher import FADE_S
 from greengageflow.core.store_duty import pace_s
 from greengageflow.core.store_updates import StoreUpdate
 from greengageflow.daemon.exchange_listener import Placed
@@ -129,7 +129,7 @@
         self._endpoints, self._accounts = self.shared = names
         self._rate = rate
         self._numbers = count()
-        self._loads = LoadBook()
+        self._loads = EndpointLoads()
         for name in self._endpoints:
             self._loads.add(name, "model", 64, 1_000_000)
         self._served: DecayedSums[tuple[str, str]] = DecayedSums(FADE_S)
--- a/greengageflow/lab/bench_policy.py
+++ b/greengageflow/lab/bench_policy.py
@@ -9,8 +9,8 @@
 
 from greengageflow.core import (
     endpoint_choice,
-    reading_model,
-    service_book,
+    prefill_model,
+    service_dispatcher,
     service_scheduler,
 )
 from greengageflow.lab._slopes_svg import draw
@@ -35,25 +35,25 @@
 
 
 def _no_fixed_time() -> None:
-    fit = reading_model.ReadingModel._fit
+    fit = prefill_model.PrefillModel._fit
 
-    def without(model: reading_model.ReadingModel) -> None:
+    def without(model: prefill_model.PrefillModel) -> None:
         fit(model)
         model.fixed_s = 0.0
 
-    reading_model.ReadingModel._fit = without
+    prefill_model.PrefillModel._fit = without
 
 
 def _no_mirror() -> None:
-    service_book.KeptMirror.touch = lambda _mirror, _parts: ()
+    service_dispatcher.CacheMirror.touch = lambda _mirror, _parts: ()
 
 
 def _no_asking() -> None:
-    service_book.ServiceBook.keeps = lambda *_args: None
+    service_dispatcher.ServiceDispatcher.keeps = lambda *_args: None
 
 
 def _no_stated_shares() -> None:
-    service_book.ServiceBook._owed = lambda _book, done: max(done, 50_000.0)
+    service_dispatcher.ServiceDispatcher._owed = lambda _book, done: max(done, 50_000.0)
 
 
 def _no_fetch() -> None:
@@ -74,7 +74,7 @@
     "mirror": _no_mirror,
     "asking": _no_asking,
     "stated-shares": _no_stated_shares,
-    "levels": _set(service_book, LEVEL_SLACK=inf),
+    "levels": _set(service_dispatcher, LEVEL_SLACK=inf),
     "slack": _set(service_scheduler, SLACK_AHEAD_PART=inf, SLACK_FILL=1.0),
     "first-by": _set(service_scheduler, FIRST_PART=inf),
     "queue": _set(service_scheduler, QUEUE_PART=0.1),
--- a/greengageflow/lab/policy_play.py
+++ b/greengageflow/lab/policy_play.py
@@ -9,12 +9,12 @@
 from greengageflow.core import service_scheduler
 from greengageflow.core.endpoint_choice import Choice
 from greengageflow.core.endpoint_list import EndpointList, ListedEndpoint
+from greengageflow.core.fleet_retry_budget import FleetRetryBudget
 from greengageflow.core.fleet_sums import FleetTotals
 from greengageflow.core.routes import Routing, Service
-from greengageflow.core.send_budget import SendBudget
-from greengageflow.core.service_book import ServiceBook
+from greengageflow.core.service_dispatcher import ServiceDispatcher
 from greengageflow.core.service_scheduler import Decision, Job, StartJob
-from greengageflow.core.work_queue import Waiter
+from greengageflow.core.work_queue import QueuedRequest
 from greengageflow.lab.policy_engine import EngineRun, PolicyEngine
 from greengageflow.lab.policy_load import (
     DAY_S,
@@ -149,9 +149,9 @@
 
     # The fleet.
 
-    def _new_book(self) -> ServiceBook:
-        book = ServiceBook(
-            self._listed, self._sheet.zones[0], lambda: SendBudget(0.2, 58, 10.0)
+    def _new_book(self) -> ServiceDispatcher:
+        book = ServiceDispatcher(
+            self._listed, self._sheet.zones[0], lambda: FleetRetryBudget(0.2, 58, 10.0)
         )
         service = Service(
             SERVICE, self._sheet.slots, self._sheet.memory, transfers=True
@@ -188,7 +188,7 @@
         tried = self._tries[request] = _Try(row, request)
         give_up = self._now + service_scheduler.QUEUE_PART * asked.kind.target_s
         end_at = asked.at + asked.kind.deadline_s
-        waiter = Waiter(
+        waiter = QueuedRequest(
             request,
             asked.account,
             asked.prompt.work,
--- a/greengageflow/net/callers.py
+++ b/greengageflow/net/callers.py
@@ -15,7 +15,7 @@
 
 from circuits import BaseComponent, handler
 
-from greengageflow.core.routes import CallerBounds
+from greengageflow.core.routes import CallerLimits
 from greengageflow.errors import RouterError
 from greengageflow.net._caller_conn import CallerConnection, Phase
 from greengageflow.net._caller_link import READ_SIZE, CallerLink, received
@@ -165,7 +165,7 @@
         """Change the largest body of requests that begin from now on."""
         self.limits = replace(self.limits, body=body_limit)
 
-    def set_bounds(self, bounds: CallerBounds) -> None:
+    def set_bounds(self, bounds: CallerLimits) -> None:
         """Change what callers may send, for requests that begin from now on."""
         self.limits = replace(
             self.limits,
--- a/greengageflow/net/leaving_codec.py
+++ b/greengageflow/net/leaving_codec.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from greengageflow.core.leaving_signs import LeavingReport, LeavingSign
+from greengageflow.core.leaving_report import LeavingEndpoint, LeavingReport
 from greengageflow.net._columns import check_names
 
 LEAVING = 29
@@ -21,8 +21,8 @@
     return LeavingReport(tuple(_sign(*row) for row in rows))
 
 
-def _sign(endpoint: Any, born: Any) -> LeavingSign:
+def _sign(endpoint: Any, born: Any) -> LeavingEndpoint:
     check_names((endpoint,))
     if type(born) is not int or not 0 <= born <= _LATEST:
         raise ValueError(f"no start: {born!r}")
-    return LeavingSign(endpoint, born)
+    return LeavingEndpoint(endpoint, born)
--- a/greengageflow/net/report_codec.py
+++ b/greengageflow/net/report_codec.py
@@ -8,7 +8,7 @@
 from greengageflow.core.endpoint_load import LoadShare, load_shares
 from greengageflow.core.fleet_sums import AccountKey, FleetTotals, SumReport
 from greengageflow.core.keyed_record import KeyedRecord
-from greengageflow.core.leaving_signs import LeavingReport
+from greengageflow.core.leaving_report import LeavingReport
 from greengageflow.core.peer_report import LoadNotice, PeerReport
 from greengageflow.core.place_messages import PlaceMessage
 from greengageflow.core.quarantine import CrashReport
--- a/greengageflow/platform/records.py
+++ b/greengageflow/platform/records.py
@@ -9,8 +9,8 @@
 from greengageflow.core.forward_request import PromptPart
 from greengageflow.core.routes import (
     Backend,
-    CallerBounds,
-    Repeat,
+    CallerLimits,
+    RetryPolicy,
     Route,
     Routing,
     Service,
@@ -18,7 +18,7 @@
 from greengageflow.net.http_messages import Response
 from greengageflow.platform.names import DRAINING, IDEMPOTENT, READY, STREAM
 
-_REPEATS = {IDEMPOTENT: Repeat.ANY}
+_REPEATS = {IDEMPOTENT: RetryPolicy.ANY}
 
 
 _UNREADABLE = (
@@ -57,7 +57,7 @@
         services={s.name: s for s in map(_service, doc.get("services") or [])},
         accounts=dict(_keys(tenants)),
         keyed=bool(tenants),
-        bounds=CallerBounds(
+        bounds=CallerLimits(
             header_bytes=int(limits.get("max_header_bytes", 16_384)),
             body_bytes=int(limits.get("max_body_bytes", 4_194_304)),
             header_s=limits.get("header_timeout_ms", 10_000) / 1000,
@@ -75,9 +75,9 @@
 
 def _route(doc: dict[str, Any]) -> Route:
     stream = doc["kind"] == STREAM
-    repeat = _REPEATS.get(doc["kind"], Repeat.ONCE)
+    repeat = _REPEATS.get(doc["kind"], RetryPolicy.ONCE)
     if stream and doc.get("resumable"):
-        repeat = Repeat.RESUME
+        repeat = RetryPolicy.RESUME
     backends = doc.get("backends") or [{"service": doc["service"], "weight": 1}]
     return Route(
         name=doc.get("name", ""),
--- a/tests/engine_stubs.py
+++ b/tests/engine_stubs.py
@@ -5,12 +5,12 @@
 from greengageflow.core.endpoint_list import ListedEndpoint
 from greengageflow.core.endpoint_load import EndpointLoad
 from greengageflow.core.forward_request import Prompt, PromptPart
+from greengageflow.core.prefill_model import PrefillModel
 from greengageflow.core.prompt_places import PromptPlaces
-from greengageflow.core.reading_model import ReadingModel
 
 
 def engine_load(rate=10_000.0, slots=4, memory=1000):
-    return EndpointLoad(slots, memory, ReadingModel(rate, fixed_s=0.0))
+    return EndpointLoad(slots, memory, PrefillModel(rate, fixed_s=0.0))
 
 
 def endpoint(name, zone="z"):
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -5,12 +5,12 @@
 import pytest
 
 from greengageflow.core.endpoint_list import EndpointList, ListedEndpoint
+from greengageflow.core.fleet_retry_budget import FleetRetryBudget
 from greengageflow.core.forward_request import Prompt, PromptPart
 from greengageflow.core.routes import Routing, Service
-from greengageflow.core.send_budget import SendBudget
-from greengageflow.core.service_book import ServiceBook
+from greengageflow.core.service_dispatcher import ServiceDispatcher
 from greengageflow.core.service_scheduler import Job, RefuseJob, StartJob
-from greengageflow.core.work_queue import Waiter
+from greengageflow.core.work_queue import QueuedRequest
 from greengageflow.net.http_messages import LONGEST_BACKOFF_S, Head, retry_after_s
 from greengageflow.platform.answers import note_of
 
@@ -28,7 +28,9 @@
         self.service, self.sent = service, 0
         self.prompt = PROMPT if service == "model" else None
         self.listed = EndpointList()
-        self.book = ServiceBook(self.listed, "z", lambda: SendBudget(9, 9, 9.0))
+        self.book = ServiceDispatcher(
+            self.listed, "z", lambda: FleetRetryBudget(9, 9, 9.0)
+        )
         self.book.on_routing(Routing(services=SERVICES))
         self.endpoints = [
             ListedEndpoint(name, service, "127.0.0.1", 9, "z", 4, born=5)
@@ -41,7 +43,7 @@
         """Submit a request; return its endpoint id or its refusal."""
         self.sent += 1
         name = f"r{self.sent}"
-        waiter = Waiter(name, "a", 1.0, 0, now, now + 1, now + 0.4)
+        waiter = QueuedRequest(name, "a", 1.0, 0, now, now + 1, now + 0.4)
         job = Job(waiter, 1.0, self.prompt)
         (decision,) = self.book.submit(now, self.service, job, "a")
         if isinstance(decision, StartJob):
--- a/tests/test_endpoint_choice.py
+++ b/tests/test_endpoint_choice.py
@@ -7,9 +7,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from greengageflow.core.cache_mirror import CacheMirror
 from greengageflow.core.endpoint_load import LoadShare
 from greengageflow.core.forward_request import Prompt, PromptPart
-from greengageflow.core.kept_mirror import KeptMirror
 from greengageflow.core.prompt_places import PromptPlaces, home_of
 
 
@@ -94,7 +94,7 @@
 @given(st.lists(st.tuples(st.integers(0, 9), st.integers(1, 40)), max_size=60))
 def test_a_mirror_keeps_what_was_used_last(touched):
     """Compares with a list that is searched from its most recently used end."""
-    mirror, kept, lengths = KeptMirror(100), set(), {}
+    mirror, kept, lengths = CacheMirror(100), set(), {}
     for number, tokens in touched:
         name = f"p{number}"
         lengths.setdefault(name, tokens)
--- a/tests/test_kept_parts.py
+++ b/tests/test_kept_parts.py
@@ -6,11 +6,11 @@
 from engine_stubs import PROMPT, endpoint
 
 from greengageflow.core.endpoint_list import EndpointList
+from greengageflow.core.fleet_retry_budget import FleetRetryBudget
 from greengageflow.core.routes import Routing, Service
-from greengageflow.core.send_budget import SendBudget
-from greengageflow.core.service_book import ServiceBook
+from greengageflow.core.service_dispatcher import ServiceDispatcher
 from greengageflow.core.service_scheduler import Job
-from greengageflow.core.work_queue import Waiter
+from greengageflow.core.work_queue import QueuedRequest
 from greengageflow.daemon.kept_parts import MOST_TRIES, KeptParts
 from greengageflow.net.http_messages import Failure, FailureKind, Response
 
@@ -30,7 +30,7 @@
         listed = EndpointList()
         for engine in self.engines:
             list(listed.put(engine))
-        self.book = ServiceBook(listed, "z", lambda: SendBudget(1, 9, 10.0))
+        self.book = ServiceDispatcher(listed, "z", lambda: FleetRetryBudget(1, 9, 10.0))
         service = Service("model", 4, memory_tokens=100_000)
         self.book.on_routing(Routing(version=1, services={"model": service}))
         self.parts = KeptParts(self, self, self.book, self, self.left.append)
@@ -47,7 +47,7 @@
 
     def start(self):
         """Return the engine that a request for the shared part goes to."""
-        job = Job(Waiter("r", "a", 1.0, 0, 1.0, 2.0, 1.5), 1.0, PROMPT)
+        job = Job(QueuedRequest("r", "a", 1.0, 0, 1.0, 2.0, 1.5), 1.0, PROMPT)
         (decision,) = self.book.submit(1.0, "model", job, "a")
         return decision.choice
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -12,6 +12,7 @@
 from msgpack import packb
 
 from greengageflow.core.endpoint_list import EndpointList, ListedEndpoint
+from greengageflow.core.fleet_retry_budget import FleetRetryBudget
 from greengageflow.core.fleet_sums import FleetTotals
 from greengageflow.core.forward_request import Prompt, PromptPart
 from greengageflow.core.place_desk import PlaceDesk, ask_for
@@ -25,10 +26,9 @@
 from greengageflow.core.placers import placer_of, placers_among
 from greengageflow.core.router_table import Hello
 from greengageflow.core.routes import Routing, Service
-from greengageflow.core.send_budget import SendBudget
-from greengageflow.core.service_book import ServiceBook
+from greengageflow.core.service_dispatcher import ServiceDispatcher
 from greengageflow.core.service_scheduler import Job, RefuseJob, StartJob
-from greengageflow.core.work_queue import Waiter
+from greengageflow.core.work_queue import QueuedRequest
 from greengageflow.daemon.placement import (
     ALONE_S,
     ANSWER_S,
@@ -87,7 +87,9 @@
         self.endpoints = EndpointList()
         engine = ListedEndpoint("e0", "model", "10.0.0.1", 80, "z", slots=SLOTS)
         list(self.endpoints.put(engine))
-        self.book = ServiceBook(self.endpoints, "z", lambda: SendBudget(1, 9, 10.0))
+        self.book = ServiceDispatcher(
+            self.endpoints, "z", lambda: FleetRetryBudget(1, 9, 10.0)
+        )
         service = Service("model", slots=SLOTS, memory_tokens=100_000)
         self.book.on_routing(Routing(version=1, services={"model": service}))
         self.lines, self.asked = [], set()
@@ -157,7 +159,7 @@
 
     def ask(self, patience_s=0.5):
         name, now = str(next(self.runs)), self.now
-        waiter = Waiter(name, "a", 100.0, 0, now, now + 1, now + patience_s)
+        waiter = QueuedRequest(name, "a", 100.0, 0, now, now + 1, now + patience_s)
         job = Job(waiter, 1.0, PROMPT)
         self.carry_out(self.placement.submit(now, "model", job, "a"))
         return name
@@ -352,7 +354,7 @@
     fleet = Fleet()
     desk = PlaceDesk("p", fleet.hosts[fleet.placer].book)
     for number in range(SLOTS + 2):
-        waiter = Waiter(str(number), "a", 100.0, 0, 9.0, 10.0, 9.2)
+        waiter = QueuedRequest(str(number), "a", 100.0, 0, 9.0, 10.0, 9.2)
         job = Job(waiter, 1.0, PROMPT)
         for decision in desk.ask(9.0, ask_for("h", 1, 9.0, "model", job, "a", (), "z")):
             desk.decided(9.0, decision)
@@ -365,7 +367,7 @@
 def test_a_host_that_does_not_place_says_so_at_once():
     fleet = Fleet()
     host, stranger = fleet.others
-    job = Job(Waiter("7", "a", 1.0, 0, 0.0, 1.0, 0.5), 1.0, PROMPT)
+    job = Job(QueuedRequest("7", "a", 1.0, 0, 0.0, 1.0, 0.5), 1.0, PROMPT)
     ask = ask_for(host.name, 1, 0.0, "model", job, "a", (), "z")
     answers = []
     host.placement.receive = answers.append
--- a/tests/test_reading_model.py
+++ b/tests/test_prefill_model.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from greengageflow.core.endpoint_load import EndpointLoad
-from greengageflow.core.reading_model import ReadingModel
+from greengageflow.core.prefill_model import PrefillModel
 from greengageflow.lab.policy_load import LONG_PROMPTS
 from greengageflow.lab.policy_play import Play
 
@@ -63,7 +63,7 @@
 
 
 def test_an_engine_that_stands_still_is_seen_to_be_behind():
-    load = EndpointLoad(64, 1_000_000, ReadingModel(40_000.0, 0.1))
+    load = EndpointLoad(64, 1_000_000, PrefillModel(40_000.0, 0.1))
     for number in range(10):
         load.begin(0.0, f"r{number}", 4000.0, 4000.0)
     assert load.ahead_s(0.0) == pytest.approx(1.0)
@@ -78,7 +78,7 @@
     After a restart of all hosts engines keep parts that no host knows of, so prompts
     would seem to be read faster than they are.
     """
-    load = EndpointLoad(64, 1_000_000, ReadingModel(40_000.0, 0.1))
+    load = EndpointLoad(64, 1_000_000, PrefillModel(40_000.0, 0.1))
     for number in range(99):
         load.begin(number, f"r{number}", 40_000.0, 4000.0, sure=False)
         load.first_event(number + 0.15, f"r{number}")
--- a/tests/test_report_codec.py
+++ b/tests/test_report_codec.py
@@ -12,7 +12,7 @@
 from greengageflow.core.endpoint_load import LoadShare
 from greengageflow.core.fleet_sums import FleetTotals, SumReport, merge
 from greengageflow.core.keyed_record import KeyedRecord
-from greengageflow.core.leaving_signs import LeavingReport, LeavingSign
+from greengageflow.core.leaving_report import LeavingEndpoint, LeavingReport
 from greengageflow.core.peer_report import LoadNotice, PeerReport
 from greengageflow.core.quarantine import (
     FINGERPRINT_BYTES,
@@ -109,7 +109,7 @@
 CRASHES = st.builds(CrashReport, records=st.lists(CRASH_RECORDS, max_size=3).map(tuple))
 LEAVING = st.builds(
     LeavingReport,
-    signs=st.lists(st.builds(LeavingSign, NAMES, COUNTS), max_size=3).map(tuple),
+    signs=st.lists(st.builds(LeavingEndpoint, NAMES, COUNTS), max_size=3).map(tuple),
 )
 MESSAGES = (
     HELLOS | NOTICES | REPORTS | SUM_REPORTS | SUM_CHANGES | WANTED | NEWS | CRASHES
--- a/tests/test_repeat_budget.py
+++ b/tests/test_retry_budget.py
@@ -7,10 +7,10 @@
 import pytest
 
 from greengageflow.core.endpoint_list import EndpointList
+from greengageflow.core.fleet_retry_budget import FleetRetryBudget
 from greengageflow.core.fleet_size import KEPT_S, FleetSize
 from greengageflow.core.fleet_sums import FleetTotals
-from greengageflow.core.send_budget import SendBudget
-from greengageflow.core.service_book import ServiceBook
+from greengageflow.core.service_dispatcher import ServiceDispatcher
 
 SERVICE = "plain"
 RATIO, SLACK, WINDOW_S = 0.2, 58.0, 10.0
@@ -36,8 +36,8 @@
         self.start(-15.0)
 
     def start(self, now):
-        budget = partial(SendBudget, RATIO, SLACK, WINDOW_S)
-        self.book = ServiceBook(EndpointList(), "z", budget)
+        budget = partial(FleetRetryBudget, RATIO, SLACK, WINDOW_S)
+        self.book = ServiceDispatcher(EndpointList(), "z", budget)
         self.heard_at = now + ROUND_S
 
     def is_up(self, now):
--- a/tests/test_service_core.py
+++ b/tests/test_service_core.py
@@ -13,21 +13,21 @@
 from greengageflow.core.endpoint_health import FIRST_REST_S, EndpointHealth
 from greengageflow.core.endpoint_list import EndpointList
 from greengageflow.core.endpoint_load import LoadShare
+from greengageflow.core.fleet_retry_budget import BURST_S, FleetRetryBudget
 from greengageflow.core.fleet_sums import FleetTotals
 from greengageflow.core.forward_request import Prompt
 from greengageflow.core.max_min import max_min_shares
 from greengageflow.core.routes import Routing, Service
-from greengageflow.core.send_budget import BURST_S, SendBudget
-from greengageflow.core.service_book import ServiceBook
+from greengageflow.core.service_dispatcher import ServiceDispatcher
 from greengageflow.core.service_scheduler import (
-    Allowance,
+    CapacityShare,
     Job,
     RefuseJob,
     ServiceScheduler,
     StartJob,
 )
 from greengageflow.core.trust import KeyTrust
-from greengageflow.core.work_queue import Waiter, WorkQueue
+from greengageflow.core.work_queue import QueuedRequest, WorkQueue
 from greengageflow.errors import ErrorKind
 from greengageflow.net.event_frames import FRAME_LIMIT, EventFrames, FrameTooLarge
 
@@ -42,7 +42,7 @@
 )
 def test_no_window_has_more_repeats_than_the_budget(steps, hosts, ratio, slack):
     """Checks every window that ends with a retry, including its first moment."""
-    budget = SendBudget(ratio, slack, WINDOW_S)
+    budget = FleetRetryBudget(ratio, slack, WINDOW_S)
     requests, repeats = [], []
     times = accumulate(step for step, _ in steps)
     for now, (_, is_repeat) in zip(times, steps, strict=True):
@@ -57,7 +57,7 @@
 
 
 def test_budget_lets_repeat_as_often_as_it_may():
-    budget = SendBudget(0.5, 20, WINDOW_S)
+    budget = FleetRetryBudget(0.5, 20, WINDOW_S)
     assert not budget.take(0.0, 2)
     for _ in range(10):
         budget.on_request(8.0)
@@ -78,7 +78,7 @@
 )
 def test_no_window_has_more_however_often_the_host_starts(steps, hosts, ratio, slack):
     """A new process does not know how many retries the previous one has used."""
-    budget = SendBudget(ratio, slack, WINDOW_S)
+    budget = FleetRetryBudget(ratio, slack, WINDOW_S)
     requests, repeats = [], []
     times = accumulate(step for step, _ in steps)
     for now, (_, step) in zip(times, steps, strict=True):
@@ -87,7 +87,7 @@
                 budget.on_request(now)
                 requests.append(now)
             case "start":
-                budget = SendBudget(ratio, slack, WINDOW_S)
+                budget = FleetRetryBudget(ratio, slack, WINDOW_S)
             case _ if budget.take(now, hosts):
                 repeats.append(now)
                 asked = sum(now - at <= WINDOW_S + BURST_S for at in requests)
@@ -122,7 +122,7 @@
 
 
 def waiter(name, account="a", *, priority=0, target_at=5.0, give_up_at=9.0, work=1.0):
-    return Waiter(name, account, work, priority, 0.0, target_at, give_up_at)
+    return QueuedRequest(name, account, work, priority, 0.0, target_at, give_up_at)
 
 
 def test_queue_serves_low_accounts_then_rank_then_what_is_in_time():
@@ -226,7 +226,7 @@
     service, beyond
 ):
     """Other hosts and accounts wait for the rest; only idle capacity may be used."""
-    service.scheduler.allowance = Allowance(
+    service.scheduler.allowance = CapacityShare(
         running=0 if beyond == "running" else 9,
         reading=0 if beyond == "reading" else 9,
         levels={"a": 10.0},
@@ -248,7 +248,7 @@
 def test_accounts_above_their_level_go_after_others(service):
     service.fill(4)
     service.levels.update(a=30.0, b=10.0)
-    service.scheduler.allowance = Allowance(levels={"a": 20.0, "b": 20.0})
+    service.scheduler.allowance = CapacityShare(levels={"a": 20.0, "b": 20.0})
     assert not service.submit("above", "a") and not service.submit("below", "b")
     service.fill(2)
     assert [d.request for d in service.scheduler.pump(0.1)] == ["below"]
@@ -257,7 +257,7 @@
 
 def test_requests_are_refused_when_their_time_is_over(service):
     service.fill(4)
-    service.scheduler.allowance = Allowance(levels={"a": 10.0})
+    service.scheduler.allowance = CapacityShare(levels={"a": 10.0})
     service.submit("one", give_up_at=2.0)
     service.levels["a"] = 27.0
     assert service.scheduler.next_due() == 2.0
@@ -330,7 +330,7 @@
     """
     listed = EndpointList()
     list(listed.put(replace(endpoint("e0"), service="m", slots=1)))
-    book = ServiceBook(listed, "z", lambda: SendBudget(0, 0, 1))
+    book = ServiceDispatcher(listed, "z", lambda: FleetRetryBudget(0, 0, 1))
     service = Service("m", slots=1, memory_tokens=1_000_000)
     book.on_routing(Routing(version=1, services={"m": service}))
     prompt = Prompt((), 1000, 100)
@@ -349,7 +349,9 @@
         if step % 25 == 0:
             carry_out(now, book.on_totals(now, FleetTotals()))
         for account in "ab" if now >= 10 else "a":
-            place = Waiter(f"{account}{step}", account, 1200, 0, now, now + 1, now + 1)
+            place = QueuedRequest(
+                f"{account}{step}", account, 1200, 0, now, now + 1, now + 1
+            )
             job = Job(place, 9.0, prompt)
             carry_out(now, book.submit(now, "m", job, account))
         while ends and ends[0][0] <= now:
--- a/tests/test_started_again.py
+++ b/tests/test_started_again.py
@@ -10,14 +10,14 @@
     EndpointList,
     ListedEndpoint,
 )
+from greengageflow.core.fleet_retry_budget import FleetRetryBudget
 from greengageflow.core.forward_request import Prompt, PromptPart
 from greengageflow.core.place_desk import PlaceDesk
 from greengageflow.core.place_messages import Happened, PlaceAsk, PlaceNote
 from greengageflow.core.routes import Routing, Service
-from greengageflow.core.send_budget import SendBudget
-from greengageflow.core.service_book import ServiceBook
+from greengageflow.core.service_dispatcher import ServiceDispatcher
 from greengageflow.core.service_scheduler import Job, StartJob
-from greengageflow.core.work_queue import Waiter
+from greengageflow.core.work_queue import QueuedRequest
 
 SERVICE = Service("m", slots=4, memory_tokens=100_000, transfers=True)
 PROMPT = Prompt((PromptPart("shared", 4000), PromptPart("own", 100)), 4100, 10)
@@ -31,7 +31,9 @@
 
     def __init__(self):
         self.listed = EndpointList()
-        self.book = ServiceBook(self.listed, "z", lambda: SendBudget(0.2, 9, 9.0))
+        self.book = ServiceDispatcher(
+            self.listed, "z", lambda: FleetRetryBudget(0.2, 9, 9.0)
+        )
         self.book.on_routing(Routing(services={"m": SERVICE}))
         self.put(OLD)
         self.put(OTHER)
@@ -42,7 +44,7 @@
                 self.book.forget_endpoint(change.id)
 
     def choice(self, now, prompt=PROMPT):
-        waiter = Waiter(f"r{now}", "a", 1.0, 0, now, now + 1, now + 1)
+        waiter = QueuedRequest(f"r{now}", "a", 1.0, 0, now, now + 1, now + 1)
         job = Job(waiter, 1.0, prompt)
         (start,) = self.book.submit(now, "m", job, "a")
         assert isinstance(start, StartJob)
