--- a/greengageflow/core/endpoint_choice.py
+++ b/greengageflow/core/endpoint_choice.py
@@ -10,32 +10,32 @@
 from greengageflow.core.forward_request import Prompt
 from greengageflow.core.prompt_places import PromptPlaces, home_of
 
-FAILING_PENALTY_S = 1.0
-AWAY_PENALTY_S = 0.04
+FAILURE_PENALTY_S = 1.0
+CROSS_ZONE_PENALTY_S = 0.04
 """Extra wait, in seconds, that is accepted to stay within the zone.
 
 The bytes of a request in another zone cross zones twice.
 """
-FETCH_PART = 0.3
+FETCH_COST_FRACTION = 0.3
 """Engine time for a fetched token, relative to a token that is read."""
-COPY_PART = 0.3
+COPY_COST_FRACTION = 0.3
 """Cost of a copied token to other requests, relative to a token that is read.
 
 It accounts for memory and link use. If copies are too cheap they evict each other from
 memory.
 """
-PLAIN_QUEUE = 3.0
-PLAIN_AWAY = 0.3
-PLAIN_FAILING = 8.0
+PLAIN_REQUESTS_PER_SLOT = 3.0
+PLAIN_CROSS_ZONE_PENALTY = 0.3
+PLAIN_FAILURE_PENALTY = 8.0
 HOME_BONUS_S = 0.05
 """Preference for a part's home endpoint, in seconds of wait.
 
 It makes hosts that choose independently agree on an endpoint.
 """
-FILL = 0.92
-LEAST_AHEAD_S = 0.05
+MAX_FILL_FRACTION = 0.92
+NEGLIGIBLE_WAIT_S = 0.05
 """Seconds of wait that count as zero: one or two steps of an engine."""
-SURE_READING = 1.5
+MAX_RELIABLE_READING_RATIO = 1.5
 """Maximum tokens to read, relative to a prompt's own tokens, for a rate sample.
 
 It is not known whether an engine keeps shared parts that were not sent to it recently.
@@ -91,7 +91,9 @@
         The queue is scanned at each event. Checking all engines again for the first
         request of each account would take most of a placer's time while they are full.
         """
-        room = [e for e in endpoints if self._loads(e).has_slot(PLAIN_QUEUE)]
+        room = [
+            e for e in endpoints if self._loads(e).has_slot(PLAIN_REQUESTS_PER_SLOT)
+        ]
         awake = [e for e in room if not self._health.rests(now, e.id)]
         loads = [(endpoint, self._loads(endpoint)) for endpoint in awake]
         return Candidates(
@@ -109,7 +111,7 @@
         patience_s: float,
         first_by_s: float = inf,
         transfers: bool,
-        fill: float = FILL,
+        fill: float = MAX_FILL_FRACTION,
         avoid: Container[str] = (),
         zone: str = "",
     ) -> Choice | None:
@@ -121,8 +123,8 @@
             prompt: Prompt, for a model engine.
             patience_s: Maximum wait until the endpoint begins, in seconds.
             first_by_s: Seconds from now by which the first event should come. An
-                endpoint that begins within ``LEAST_AHEAD_S`` is accepted anyway, since
-                no other could begin sooner.
+                endpoint that begins within ``NEGLIGIBLE_WAIT_S`` is accepted anyway,
+                since no other could begin sooner.
             transfers: Engines can fetch prompt parts from each other.
             fill: Fraction of an engine's slots that may be used.
             avoid: Ids of endpoints that must not be chosen; parts may still be fetched
@@ -135,7 +137,7 @@
             awake = [one.endpoint for one in look.engines]
             found = [e for e in awake or look.room if e.id not in avoid]
             return self._plain(found, fill, zone)
-        longest_s = max(LEAST_AHEAD_S, min(patience_s, first_by_s))
+        longest_s = max(NEGLIGIBLE_WAIT_S, min(patience_s, first_by_s))
         able = [
             one
             for one in look.engines
@@ -152,12 +154,12 @@
         best_s = inf
         for one in able:
             plan = _estimate_cost(one, kept, prompt, transfers)
-            latest_s = max(LEAST_AHEAD_S, first_by_s - plan.first_s)
+            latest_s = max(NEGLIGIBLE_WAIT_S, first_by_s - plan.first_s)
             if one.ahead_s > latest_s:
                 continue
             # Reading or copying parts that another engine keeps delays later requests
             # as much as waiting does, so it counts towards the maximum wait.
-            if one.ahead_s + plan.again_s > max(LEAST_AHEAD_S, patience_s):
+            if one.ahead_s + plan.again_s > max(NEGLIGIBLE_WAIT_S, patience_s):
                 continue
             wait_s = one.ahead_s + plan.first_s
             cost_s = self._cost_s(one, wait_s, zone) + plan.again_s
@@ -199,10 +201,10 @@
             load = self._loads(endpoint)
             # Beyond this an endpoint's own queue is full, and it rejects requests;
             # retries of these would use up the retry budget.
-            if load.running >= PLAIN_QUEUE * fill * load.slots:
+            if load.running >= PLAIN_REQUESTS_PER_SLOT * fill * load.slots:
                 continue
-            away = PLAIN_AWAY if endpoint.zone != zone else 0.0
-            failing = PLAIN_FAILING * self._health.failing(endpoint.id)
+            away = PLAIN_CROSS_ZONE_PENALTY if endpoint.zone != zone else 0.0
+            failing = PLAIN_FAILURE_PENALTY * self._health.failing(endpoint.id)
             cost = load.running + away + failing
             if cost < best_cost:
                 best, best_cost = endpoint, cost
@@ -210,9 +212,9 @@
 
     def _cost_s(self, one: "_CandidateEngine", wait_s: float, zone: str) -> float:
         endpoint, load = one.endpoint, one.load
-        cost_s = wait_s + FAILING_PENALTY_S * self._health.failing(endpoint.id)
+        cost_s = wait_s + FAILURE_PENALTY_S * self._health.failing(endpoint.id)
         cost_s += 0.1 * load.running / load.slots
-        return cost_s + (AWAY_PENALTY_S if endpoint.zone != zone else 0.0)
+        return cost_s + (CROSS_ZONE_PENALTY_S if endpoint.zone != zone else 0.0)
 
 
 @dataclass(frozen=True, slots=True)
@@ -284,12 +286,14 @@
     fetched = kept.source_tokens - here if transfers else 0
     model = one.load.model
     if fetched > 0:
-        reading = prompt.tokens_in - kept.source_tokens + FETCH_PART * fetched
-        again = kept.most - kept.source_tokens + COPY_PART * fetched
+        reading = prompt.tokens_in - kept.source_tokens + FETCH_COST_FRACTION * fetched
+        again = kept.most - kept.source_tokens + COPY_COST_FRACTION * fetched
         first_s = model.first_event_s(reading)
         return _CostEstimate(reading, first_s, again / model.rate, kept.source, False)
     reading = float(prompt.tokens_in - here)
     again = max(0, kept.most - here)
-    sure = reading <= SURE_READING * (prompt.tokens_in - prompt.shared_tokens)
+    sure = reading <= MAX_RELIABLE_READING_RATIO * (
+        prompt.tokens_in - prompt.shared_tokens
+    )
     first_s = model.first_event_s(reading)
     return _CostEstimate(reading, first_s, again / model.rate, None, sure)
--- a/greengageflow/core/endpoint_health.py
+++ b/greengageflow/core/endpoint_health.py
@@ -3,17 +3,17 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-FAILURES_TO_REST = 2
-FIRST_REST_S = 0.5
-LONGEST_REST_S = 8.0
-SMOOTHING = 0.15
+FAILURES_TO_SUSPEND = 2
+INITIAL_SUSPENSION_S = 0.5
+MAX_SUSPENSION_S = 8.0
+FAILURE_RATE_WEIGHT = 0.15
 
 
 @dataclass(slots=True)
 class _EndpointRecord:
     in_row: int = 0
     rest_until: float = 0.0
-    rest_s: float = FIRST_REST_S
+    rest_s: float = INITIAL_SUSPENSION_S
     failing: float = 0.0
 
 
@@ -82,8 +82,8 @@
         rested = record.rest_until > 0.0
         record.in_row = 0
         record.rest_until = 0.0
-        record.rest_s = FIRST_REST_S
-        record.failing += SMOOTHING * ((not good) - record.failing)
+        record.rest_s = INITIAL_SUSPENSION_S
+        record.failing += FAILURE_RATE_WEIGHT * ((not good) - record.failing)
         return rested
 
     def on_silence(self, now: float, endpoint: str) -> bool:
@@ -97,9 +97,9 @@
         """
         record = self._records.setdefault(endpoint, _EndpointRecord())
         record.in_row += 1
-        record.failing += SMOOTHING * (1.0 - record.failing)
-        if record.in_row < FAILURES_TO_REST or now < record.rest_until:
+        record.failing += FAILURE_RATE_WEIGHT * (1.0 - record.failing)
+        if record.in_row < FAILURES_TO_SUSPEND or now < record.rest_until:
             return False
         record.rest_until = now + record.rest_s
-        record.rest_s = min(LONGEST_REST_S, 2 * record.rest_s)
+        record.rest_s = min(MAX_SUSPENSION_S, 2 * record.rest_s)
         return True
--- a/greengageflow/core/endpoint_list.py
+++ b/greengageflow/core/endpoint_list.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-MOST_LEFT = 4096
+MAX_TOMBSTONES = 4096
 """Maximum number of entries in each record of leaving or dropped endpoints."""
 
 
@@ -123,7 +123,7 @@
             return False
         self._left.pop(endpoint, None)
         self._left[endpoint] = born
-        if len(self._left) > MOST_LEFT:
+        if len(self._left) > MAX_TOMBSTONES:
             del self._left[next(iter(self._left))]
         self._usable.clear()
         return True
@@ -159,7 +159,7 @@
         found = self._listed.pop(endpoint, None)
         if found is not None:
             self._dropped[endpoint] = found.born
-            if len(self._dropped) > MOST_LEFT:
+            if len(self._dropped) > MAX_TOMBSTONES:
                 del self._dropped[next(iter(self._dropped))]
             self._usable.clear()
             yield ListChange(endpoint, "gone")
--- a/greengageflow/core/endpoint_load.py
+++ b/greengageflow/core/endpoint_load.py
@@ -10,9 +10,9 @@
 from functools import partial
 from typing import NamedTuple
 
-from greengageflow.core.prefill_model import TRUSTED_SAMPLES, PrefillModel
+from greengageflow.core.prefill_model import MIN_TRUSTED_SAMPLES, PrefillModel
 
-LATE_SLACK_S = 0.1
+FIRST_EVENT_GRACE_S = 0.1
 """Delay of a first event, in seconds, above which the engine counts as behind.
 
 It is longer than one prefill step of an engine and much shorter than a target.
@@ -111,7 +111,7 @@
     @property
     def model(self) -> PrefillModel:
         """The endpoint's own reading model, or the service's while samples are few."""
-        known = self._model.samples >= TRUSTED_SAMPLES
+        known = self._model.samples >= MIN_TRUSTED_SAMPLES
         return self._model if known else self._common
 
     def ahead_s(self, now: float) -> float:
@@ -127,7 +127,7 @@
         if oldest is not None:
             due_at = oldest.sent_at + self.model.first_event_s(oldest.ahead)
             late_s = now - due_at
-            if late_s > LATE_SLACK_S:
+            if late_s > FIRST_EVENT_GRACE_S:
                 level = min(self._reading, level + late_s * rate)
         return (level + self.others.reading) / rate
 
--- a/greengageflow/core/file_budget.py
+++ b/greengageflow/core/file_budget.py
@@ -2,16 +2,16 @@
 
 from dataclasses import dataclass
 
-RESERVED = 200
+MAX_RESERVED_FILES = 200
 """File descriptors reserved for files, pages and the platform's store.
 
 It is the upper limit; a process with few descriptors reserves a fraction of them.
 """
 
-RESERVED_PART = 0.125
-CALLERS_PART = 0.4
-IDLE_PART = 0.15
-MOST_CALLERS = 4096
+RESERVED_FRACTION = 0.125
+CALLERS_FRACTION = 0.4
+IDLE_FRACTION = 0.15
+MAX_CALLER_CONNECTIONS = 4096
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,13 +32,13 @@
     @property
     def callers(self) -> int:
         """Maximum number of callers' connections."""
-        return min(MOST_CALLERS, int(CALLERS_PART * self._sockets))
+        return min(MAX_CALLER_CONNECTIONS, int(CALLERS_FRACTION * self._sockets))
 
     @property
     def idle(self) -> int:
         """Maximum number of idle connections to endpoints and the store."""
-        return int(IDLE_PART * self._sockets)
+        return int(IDLE_FRACTION * self._sockets)
 
     @property
     def _sockets(self) -> int:
-        return self.files - min(RESERVED, int(RESERVED_PART * self.files))
+        return self.files - min(MAX_RESERVED_FILES, int(RESERVED_FRACTION * self.files))
--- a/greengageflow/core/fleet_retry_budget.py
+++ b/greengageflow/core/fleet_retry_budget.py
@@ -3,12 +3,12 @@
 from collections import deque
 from dataclasses import dataclass
 
-SLACK_USED = 0.8
+SLACK_USED_FRACTION = 0.8
 """Fraction of the slack that hosts use.
 
 The rest covers tokens earned by requests before the window, see ``BURST_S``.
 """
-BURST_PART = 0.5
+BURST_FRACTION = 0.5
 """Fraction of a host's slack that may be used in one burst.
 
 The rest is refilled at a constant rate.
@@ -57,7 +57,7 @@
 
     def __init__(self, ratio: float, slack: float, window_s: float) -> None:
         self._ratio = ratio
-        self._slack = SLACK_USED * slack
+        self._slack = SLACK_USED_FRACTION * slack
         self._window_s = window_s
         self._requests: deque[float] = deque()
         self._recent: deque[float] = deque()
@@ -99,8 +99,8 @@
         slack = self._slack / self._hosts
         passed_s = 0.0 if self.at is None else now - self.at
         self.at = now
-        refill = (1.0 - BURST_PART) * slack * passed_s / self._window_s
-        burst = BURST_PART * slack + self._ratio * len(self._recent)
+        refill = (1.0 - BURST_FRACTION) * slack * passed_s / self._window_s
+        burst = BURST_FRACTION * slack + self._ratio * len(self._recent)
         # In a large fleet a host's part of the slack is less than one retry.
         self._tokens = min(max(1.0, burst), self._tokens + refill)
 
--- a/greengageflow/core/prefill_model.py
+++ b/greengageflow/core/prefill_model.py
@@ -8,23 +8,23 @@
 
 from dataclasses import dataclass
 
-FIRST_RATE = 20_000.0
+INITIAL_TOKENS_PER_S = 20_000.0
 """Initial rate of an engine, in tokens a second; the slowest learned was 27,000."""
-FIRST_FIXED_S = 0.05
+INITIAL_FIXED_S = 0.05
 """Initial estimate of the fixed time to the first event, in seconds."""
-SLOWEST_RATE = 1_000.0
-FASTEST_RATE = 500_000.0
+MIN_TOKENS_PER_S = 1_000.0
+MAX_TOKENS_PER_S = 500_000.0
 """Bounds of the rate in tokens a second, so that a bad sample can't skew placement.
 
 If the upper bound is too low, requests that could run are refused. If it is too high,
 engines are overloaded just after a restart of all hosts, when their caches still keep
 prompt parts that no host knows of.
 """
-MEMORY = 0.98
+SAMPLE_DECAY = 0.98
 """Decay factor of the sums per sample; averages over about 50 samples."""
-TRUSTED_SAMPLES = 20
+MIN_TRUSTED_SAMPLES = 20
 """Minimum samples to use an engine's own model instead of its service's."""
-LEAST_SPREAD_TOKENS = 400.0
+MIN_SPREAD_TOKENS = 400.0
 """Minimum standard deviation of prompt lengths, in tokens, to fit the rate.
 
 At 60,000 tokens a second 400 tokens take 7 ms, as long as one step of an engine.
@@ -33,7 +33,7 @@
 """Weight of each of the two initial points, in first events."""
 PRIOR_TOKENS = 10_000.0
 """Prompt tokens of the second initial point; a long prompt fixes both parameters."""
-OUTLIER = 3.0
+OUTLIER_RATIO = 3.0
 """Multiple of the predicted time at which a sample is capped as an outlier.
 
 Such times have other causes, which the endpoint's load shows: an evicted part that is
@@ -52,11 +52,11 @@
     xy: float = 0.0
 
     def add(self, x: float, y: float, weight: float = 1.0) -> None:
-        self.n = MEMORY * self.n + weight
-        self.x = MEMORY * self.x + weight * x
-        self.y = MEMORY * self.y + weight * y
-        self.xx = MEMORY * self.xx + weight * x * x
-        self.xy = MEMORY * self.xy + weight * x * y
+        self.n = SAMPLE_DECAY * self.n + weight
+        self.x = SAMPLE_DECAY * self.x + weight * x
+        self.y = SAMPLE_DECAY * self.y + weight * y
+        self.xx = SAMPLE_DECAY * self.xx + weight * x * x
+        self.xy = SAMPLE_DECAY * self.xy + weight * x * y
 
 
 class PrefillModel:
@@ -76,7 +76,7 @@
     """
 
     def __init__(
-        self, rate: float = FIRST_RATE, fixed_s: float = FIRST_FIXED_S
+        self, rate: float = INITIAL_TOKENS_PER_S, fixed_s: float = INITIAL_FIXED_S
     ) -> None:
         self.rate = rate
         self.fixed_s = fixed_s
@@ -100,8 +100,8 @@
             took_s: Seconds from sending the request to the first event.
         """
         self.samples += 1
-        if self.samples > TRUSTED_SAMPLES:
-            took_s = min(took_s, OUTLIER * self.first_event_s(tokens))
+        if self.samples > MIN_TRUSTED_SAMPLES:
+            took_s = min(took_s, OUTLIER_RATIO * self.first_event_s(tokens))
         self._idle.add(tokens, took_s)
         self._fit()
 
@@ -112,25 +112,25 @@
             tokens: Prompt tokens that were read.
             gap_s: Seconds between the two first events.
         """
-        if self._busy_samples > TRUSTED_SAMPLES:
-            gap_s = min(gap_s, OUTLIER * tokens / self.rate)
+        if self._busy_samples > MIN_TRUSTED_SAMPLES:
+            gap_s = min(gap_s, OUTLIER_RATIO * tokens / self.rate)
         self._busy_samples += 1
-        self._busy_tokens = MEMORY * self._busy_tokens + tokens
-        self._busy_s = MEMORY * self._busy_s + gap_s
+        self._busy_tokens = SAMPLE_DECAY * self._busy_tokens + tokens
+        self._busy_s = SAMPLE_DECAY * self._busy_s + gap_s
         self._fit()
 
     def _fit(self) -> None:
         sums = self._idle
         mean_x, mean_y = sums.x / sums.n, sums.y / sums.n
         spread = sums.xx / sums.n - mean_x * mean_x
-        if spread >= LEAST_SPREAD_TOKENS**2:
+        if spread >= MIN_SPREAD_TOKENS**2:
             slope = (sums.xy / sums.n - mean_x * mean_y) / spread
-            self.rate = _bounded(1.0 / slope if slope > 0 else FASTEST_RATE)
+            self.rate = _bounded(1.0 / slope if slope > 0 else MAX_TOKENS_PER_S)
         self.fixed_s = max(0.0, mean_y - mean_x / self.rate)
-        if self._busy_samples >= TRUSTED_SAMPLES and self._busy_s > 0:
+        if self._busy_samples >= MIN_TRUSTED_SAMPLES and self._busy_s > 0:
             # The throughput of a busy engine is more accurate than the fitted slope.
             self.rate = _bounded(self._busy_tokens / self._busy_s)
 
 
 def _bounded(rate: float) -> float:
-    return min(FASTEST_RATE, max(SLOWEST_RATE, rate))
+    return min(MAX_TOKENS_PER_S, max(MIN_TOKENS_PER_S, rate))
--- a/greengageflow/core/prompt_places.py
+++ b/greengageflow/core/prompt_places.py
@@ -8,11 +8,11 @@
 
 from greengageflow.core.endpoint_list import ListedEndpoint
 
-_KEPT = 20_000
-_HOMES = 2_000
+_MAX_PARTS = 20_000
+_MAX_CACHED_HOMES = 2_000
 """Cache size of ``home_of``; hashing each engine for each request is expensive."""
 
-READ_S = 0.3
+ASSUMED_READ_S = 0.3
 
 
 def home_of(part: str, endpoints: Iterable[ListedEndpoint]) -> ListedEndpoint | None:
@@ -25,7 +25,7 @@
     return rows[_home_among(part, tuple(one.id for one in rows))] if rows else None
 
 
-@lru_cache(maxsize=_HOMES)
+@lru_cache(maxsize=_MAX_CACHED_HOMES)
 def _home_among(part: str, names: tuple[str, ...]) -> int:
     def weight(at: int) -> bytes:
         return blake2b(f"{part} {names[at]}".encode(), digest_size=8).digest()
@@ -76,7 +76,7 @@
         else:
             place.last = max(at, place.last)
         self._seen.move_to_end(part)
-        if len(self._seen) > _KEPT:
+        if len(self._seen) > _MAX_PARTS:
             self._seen.popitem(last=False)
 
     def on_read(self, part: str, endpoint: str) -> None:
@@ -105,7 +105,7 @@
         # is requested continuously would never count as read, so that every other
         # engine would read it again.
         found = [
-            Holder(name, now - p.last, p.has_read or now - p.first >= READ_S)
+            Holder(name, now - p.last, p.has_read or now - p.first >= ASSUMED_READ_S)
             for name, p in places.items()
         ]
         return sorted(found, key=lambda holder: holder.age_s)
--- a/greengageflow/core/service_dispatcher.py
+++ b/greengageflow/core/service_dispatcher.py
@@ -6,7 +6,11 @@
 
 from greengageflow.core.cache_mirror import CacheMirror
 from greengageflow.core.decayed import DecayedSums
-from greengageflow.core.endpoint_choice import FILL, Choice, EndpointChooser
+from greengageflow.core.endpoint_choice import (
+    MAX_FILL_FRACTION,
+    Choice,
+    EndpointChooser,
+)
 from greengageflow.core.endpoint_health import EndpointHealth
 from greengageflow.core.endpoint_list import EndpointList, ListedEndpoint
 from greengageflow.core.endpoint_load import EndpointLoad, EndpointLoads, LoadShare
@@ -25,24 +29,24 @@
     StartJob,
 )
 
-FADE_S = 2.0
+USAGE_DECAY_S = 2.0
 """Time constant of the decay of recent work, in seconds.
 
 The mean age of the work counted equals that of a plain 4 s window. An account that
 had the engines to itself gets no capacity until its decayed sum has dropped to that
 of the other accounts.
 """
-PLAIN_SLOTS = 6
-LEAST_RUNNING = 2.0
-LEAST_DONE = 25_000.0 * FADE_S
-READ_AHEAD_S = 0.35
-LEVEL_SLACK = 1.5
+DEFAULT_SLOTS = 6
+MIN_RUNNING_REQUESTS = 2.0
+MIN_RECENT_WORK_TOKENS = 25_000.0 * USAGE_DECAY_S
+PREFILL_LOOKAHEAD_S = 0.35
+FAIR_SHARE_TOLERANCE = 1.5
 """Multiple of its fair share above which an account's requests yield to others'.
 
 Usage decays, so a single large request exceeds the share for a moment.
 """
-TELL_PLACED_S = 0.3
-TOLD_TOKENS = 300
+PLACEMENT_REPORT_WINDOW_S = 0.3
+MIN_REPORTED_PREFIX_TOKENS = 300
 
 AccountKey = tuple[str, str]
 """Service name and client account."""
@@ -78,8 +82,8 @@
         self._make_budget = budget
         self._budgets: dict[str, FleetRetryBudget] = {}
         self._began: float | None = None
-        self._served: DecayedSums[AccountKey] = DecayedSums(FADE_S)
-        self._offered: DecayedSums[AccountKey] = DecayedSums(FADE_S)
+        self._served: DecayedSums[AccountKey] = DecayedSums(USAGE_DECAY_S)
+        self._offered: DecayedSums[AccountKey] = DecayedSums(USAGE_DECAY_S)
         self._placed: deque[tuple[float, str, str]] = deque()
         self._parts: dict[str, tuple[str, ...]] = {}
         self._mirrors: dict[str, CacheMirror] = {}
@@ -174,7 +178,7 @@
 
     def recently_placed(self, now: float) -> tuple[tuple[str, str], ...]:
         """Return recent placements as pairs of prompt part and endpoint id."""
-        while self._placed and self._placed[0][0] < now - TELL_PLACED_S:
+        while self._placed and self._placed[0][0] < now - PLACEMENT_REPORT_WINDOW_S:
             self._placed.popleft()
         return tuple(dict.fromkeys((part, name) for _, part, name in self._placed))
 
@@ -224,9 +228,11 @@
         # Engines that a placer owns get requests from this host only.
         part = parts.own if self._owned is None else 1.0
         return CapacityShare(
-            running=max(LEAST_RUNNING, FILL * slots * part),
+            running=max(MIN_RUNNING_REQUESTS, MAX_FILL_FRACTION * slots * part),
             reading=max(1.0, reading * part),
-            levels={a: LEVEL_SLACK * share for a, share in parts.shares.items()},
+            levels={
+                a: FAIR_SHARE_TOLERANCE * share for a, share in parts.shares.items()
+            },
         )
 
     def _owed(self, done: float) -> float:
@@ -238,7 +244,9 @@
         Args:
             done: Decayed sum of the work that was started.
         """
-        return self._routing.tokens_per_s * FADE_S or max(done, LEAST_DONE)
+        return self._routing.tokens_per_s * USAGE_DECAY_S or max(
+            done, MIN_RECENT_WORK_TOKENS
+        )
 
     # Requests.
 
@@ -341,7 +349,7 @@
                 self._places.note(now, part, endpoint.id)
             self._mirror(endpoint, _in_memory(request, prompt))
             self._parts[request] = shared
-            if prompt.shared_tokens >= TOLD_TOKENS:
+            if prompt.shared_tokens >= MIN_REPORTED_PREFIX_TOKENS:
                 self._placed.append((now, prompt.affinity, endpoint.id))
 
     def first_event(self, now: float, request: str, endpoint: ListedEndpoint) -> None:
@@ -426,7 +434,7 @@
         if found is not None:
             return found
         service = self.service(endpoint.service)
-        slots = endpoint.slots or service.slots or PLAIN_SLOTS
+        slots = endpoint.slots or service.slots or DEFAULT_SLOTS
         return self._loads.add(
             endpoint.id, endpoint.service, slots, service.memory_tokens
         )
@@ -440,7 +448,7 @@
                 lambda account: self.level(service, account),
                 lambda: self._reading(service),
                 lambda: self.backoff_s(self._now, service),
-                fade_s=FADE_S,
+                fade_s=USAGE_DECAY_S,
             )
         found.transfers = self.service(service).transfers
         return found
@@ -453,7 +461,7 @@
 def _read_ahead(load: EndpointLoad) -> float:
     """Return the prompt tokens that may be queued at an engine for prefill."""
     model = load.model
-    return (READ_AHEAD_S + model.fixed_s) * model.rate
+    return (PREFILL_LOOKAHEAD_S + model.fixed_s) * model.rate
 
 
 def _in_memory(request: str, prompt: Prompt) -> Iterator[PromptPart]:
--- a/greengageflow/core/service_scheduler.py
+++ b/greengageflow/core/service_scheduler.py
@@ -4,24 +4,28 @@
 from dataclasses import dataclass, field
 from math import inf, log
 
-from greengageflow.core.endpoint_choice import FILL, Choice, EndpointChooser
+from greengageflow.core.endpoint_choice import (
+    MAX_FILL_FRACTION,
+    Choice,
+    EndpointChooser,
+)
 from greengageflow.core.endpoint_list import ListedEndpoint
 from greengageflow.core.forward_request import Prompt
 from greengageflow.core.work_queue import QueuedRequest, WorkQueue
 from greengageflow.errors import ErrorKind
 
-FIRST_PART = 0.8
+FIRST_EVENT_TARGET_FRACTION = 0.8
 """Fraction of a request's target by which its first event should be expected."""
-QUEUE_PART = 0.45
+QUEUE_TARGET_FRACTION = 0.45
 """Fraction of a target for which a request is queued.
 
 After that its answer would be late.
 """
-SLACK_FILL = 0.5
+SPARE_FILL_FRACTION = 0.5
 """Fraction of an engine's slots that requests beyond a share may fill."""
-LEAST_COME_BACK_S = 1.0
-LONGEST_COME_BACK_S = 5.0
-SLACK_AHEAD_PART = 0.05
+MIN_RETRY_AFTER_S = 1.0
+MAX_RETRY_AFTER_S = 5.0
+SPARE_WAIT_TARGET_FRACTION = 0.05
 """Fraction of a target for which requests beyond a share may wait at an engine."""
 
 
@@ -178,9 +182,9 @@
         most = self.allowance.levels.get(account, 0.0)
         level = self._level(account)
         if not most or level <= most:
-            return LEAST_COME_BACK_S
+            return MIN_RETRY_AFTER_S
         return min(
-            LONGEST_COME_BACK_S, LEAST_COME_BACK_S + self._fade_s * log(level / most)
+            MAX_RETRY_AFTER_S, MIN_RETRY_AFTER_S + self._fade_s * log(level / most)
         )
 
     def _next(self, now: float) -> StartJob | None:
@@ -204,11 +208,12 @@
                 look,
                 job.prompt,
                 avoid=job.avoid,
-                patience_s=SLACK_AHEAD_PART * job.target_s if busy else inf,
+                patience_s=SPARE_WAIT_TARGET_FRACTION * job.target_s if busy else inf,
                 zone=job.zone,
-                first_by_s=FIRST_PART * job.target_s - (now - waiter.arrived),
+                first_by_s=FIRST_EVENT_TARGET_FRACTION * job.target_s
+                - (now - waiter.arrived),
                 transfers=self.transfers,
-                fill=SLACK_FILL if busy else FILL,
+                fill=SPARE_FILL_FRACTION if busy else MAX_FILL_FRACTION,
             )
             if choice is not None:
                 return StartJob(waiter, choice)
--- a/greengageflow/daemon/fleet_exchange.py
+++ b/greengageflow/daemon/fleet_exchange.py
@@ -26,7 +26,7 @@
 from greengageflow.core.quarantine import CrashRecord, CrashReport
 from greengageflow.core.relay_sums import RelaySums, word_of
 from greengageflow.core.router_table import RELAYS_A_ZONE, Hello, RouterTable
-from greengageflow.core.service_dispatcher import FADE_S
+from greengageflow.core.service_dispatcher import USAGE_DECAY_S
 from greengageflow.core.store_duty import READING_ZONES, StoreRole, StoreWord
 from greengageflow.core.store_updates import StoreUpdate
 from greengageflow.core.sum_book import Taken
@@ -83,7 +83,7 @@
         self._listener = listener
         self._table = RouterTable(own)
         self._book = PeerBook(own.host)
-        self._relayed = RelaySums(own, self._table, self._book, FADE_S)
+        self._relayed = RelaySums(own, self._table, self._book, USAGE_DECAY_S)
         self._mesh_loads = ZoneLoads()
         self._words: tuple[float, list[StoreWord]] = (float("-inf"), [])
         self._addresses: dict[Address, float] = {}
@@ -416,7 +416,7 @@
         """Return the sums of all other routers."""
         now = self._now
         if not self._is_large:
-            return sum_reports(now, self._book.live(now), FADE_S)
+            return sum_reports(now, self._book.live(now), USAGE_DECAY_S)
         return self._relayed.others(now, self._quiet_s)
 
     def _relay(self) -> None:
--- a/greengageflow/daemon/forward_admission.py
+++ b/greengageflow/daemon/forward_admission.py
@@ -6,7 +6,7 @@
 
 from greengageflow.core.forward_request import request_fingerprint
 from greengageflow.core.routes import Route, RouteTable, Routing
-from greengageflow.core.service_scheduler import QUEUE_PART, Job
+from greengageflow.core.service_scheduler import QUEUE_TARGET_FRACTION, Job
 from greengageflow.core.trust import KeyTrust
 from greengageflow.core.work_queue import QueuedRequest
 from greengageflow.daemon.forward_flight import ForwardFlight
@@ -122,7 +122,7 @@
     def _waiter(self, flight: ForwardFlight) -> QueuedRequest:
         prompt = flight.req.prompt
         target_s = flight.route.target_s
-        give_up_at = flight.arrived + QUEUE_PART * target_s
+        give_up_at = flight.arrived + QUEUE_TARGET_FRACTION * target_s
         return QueuedRequest(
             flight.id,
             flight.account,
--- a/greengageflow/daemon/forwarder.py
+++ b/greengageflow/daemon/forwarder.py
@@ -8,7 +8,7 @@
 from greengageflow.core.routes import Routing
 from greengageflow.core.service_dispatcher import ServiceDispatcher
 from greengageflow.core.service_scheduler import (
-    QUEUE_PART,
+    QUEUE_TARGET_FRACTION,
     Decision,
     RefuseJob,
     StartJob,
@@ -290,7 +290,7 @@
         """Send a request again when a backoff ends, if it may wait for so long."""
         now = self._timers.now
         wait_s = self._book.backoff_s(now, flight.service)
-        until = flight.arrived + QUEUE_PART * flight.route.target_s
+        until = flight.arrived + QUEUE_TARGET_FRACTION * flight.route.target_s
         if flight.phase is Phase.STREAMING:
             until = flight.moved_at + STALL_S
         late = now + wait_s > min(until, flight.deadline)
--- a/greengageflow/lab/_gateway_world.py
+++ b/greengageflow/lab/_gateway_world.py
@@ -19,7 +19,7 @@
 from greengageflow.core.prompt_places import PromptPlaces
 from greengageflow.core.quarantine import CrashReport
 from greengageflow.core.router_table import Hello
-from greengageflow.core.service_dispatcher import FADE_S
+from greengageflow.core.service_dispatcher import USAGE_DECAY_S
 from greengageflow.core.store_duty import pace_s
 from greengageflow.core.store_updates import StoreUpdate
 from greengageflow.daemon.exchange_listener import Placed
@@ -132,8 +132,8 @@
         self._loads = EndpointLoads()
         for name in self._endpoints:
             self._loads.add(name, "model", 64, 1_000_000)
-        self._served: DecayedSums[tuple[str, str]] = DecayedSums(FADE_S)
-        self._offered: DecayedSums[tuple[str, str]] = DecayedSums(FADE_S)
+        self._served: DecayedSums[tuple[str, str]] = DecayedSums(USAGE_DECAY_S)
+        self._offered: DecayedSums[tuple[str, str]] = DecayedSums(USAGE_DECAY_S)
         self._placed: list[tuple[float, str, str]] = []
         self._places = PromptPlaces()
         self.exchange = FleetExchange(own, self, self, seeds, self)
--- a/greengageflow/lab/bench_policy.py
+++ b/greengageflow/lab/bench_policy.py
@@ -67,17 +67,19 @@
 
 MECHANISMS: Mapping[str, Callable[[], None]] = {
     "fixed-time": _no_fixed_time,
-    "zones": _set(endpoint_choice, AWAY_PENALTY_S=0.0),
+    "zones": _set(endpoint_choice, CROSS_ZONE_PENALTY_S=0.0),
     "homes": _set(endpoint_choice, HOME_BONUS_S=0.0),
     "fetch": _no_fetch,
-    "copy-price": _set(endpoint_choice, COPY_PART=0.0),
+    "copy-price": _set(endpoint_choice, COPY_COST_FRACTION=0.0),
     "mirror": _no_mirror,
     "asking": _no_asking,
     "stated-shares": _no_stated_shares,
-    "levels": _set(service_dispatcher, LEVEL_SLACK=inf),
-    "slack": _set(service_scheduler, SLACK_AHEAD_PART=inf, SLACK_FILL=1.0),
-    "first-by": _set(service_scheduler, FIRST_PART=inf),
-    "queue": _set(service_scheduler, QUEUE_PART=0.1),
+    "levels": _set(service_dispatcher, FAIR_SHARE_TOLERANCE=inf),
+    "slack": _set(
+        service_scheduler, SPARE_WAIT_TARGET_FRACTION=inf, SPARE_FILL_FRACTION=1.0
+    ),
+    "first-by": _set(service_scheduler, FIRST_EVENT_TARGET_FRACTION=inf),
+    "queue": _set(service_scheduler, QUEUE_TARGET_FRACTION=0.1),
 }
 """What can be left out, by name."""
 
--- a/greengageflow/lab/policy_play.py
+++ b/greengageflow/lab/policy_play.py
@@ -186,7 +186,9 @@
             self._played.rows.append(row)
         request = f"{asked.id}/{row.tries}"
         tried = self._tries[request] = _Try(row, request)
-        give_up = self._now + service_scheduler.QUEUE_PART * asked.kind.target_s
+        give_up = (
+            self._now + service_scheduler.QUEUE_TARGET_FRACTION * asked.kind.target_s
+        )
         end_at = asked.at + asked.kind.deadline_s
         waiter = QueuedRequest(
             request,
--- a/tests/test_fleet_exchange.py
+++ b/tests/test_fleet_exchange.py
@@ -1,7 +1,7 @@
 """Sums over a fleet of routers, on a network in memory and in simulated time.
 
-Work fades while a report is under way, by design; ``FADE_S`` is set so long here that
-sums come out exactly.
+Work fades while a report is under way, by design; ``USAGE_DECAY_S`` is set so long
+here that sums come out exactly.
 """
 
 from collections import Counter
@@ -146,7 +146,7 @@
 
 
 def fleet(monkeypatch, size, zones, loss=0.0):
-    monkeypatch.setattr(fleet_exchange, "FADE_S", inf)
+    monkeypatch.setattr(fleet_exchange, "USAGE_DECAY_S", inf)
     network = Network(loss)
     seeds = [(f"127.0.0.{index + 1}", 7000) for index in range(2)]
     routers = [
--- a/tests/test_service_core.py
+++ b/tests/test_service_core.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from greengageflow.core.endpoint_health import FIRST_REST_S, EndpointHealth
+from greengageflow.core.endpoint_health import INITIAL_SUSPENSION_S, EndpointHealth
 from greengageflow.core.endpoint_list import EndpointList
 from greengageflow.core.endpoint_load import LoadShare
 from greengageflow.core.fleet_retry_budget import BURST_S, FleetRetryBudget
@@ -165,7 +165,7 @@
     assert health.on_answer("e", True)
     assert not health.on_silence(now, "e"), "an answer in between resets the count"
     assert health.on_silence(now, "e")
-    assert not health.rests(now + FIRST_REST_S, "e")
+    assert not health.rests(now + INITIAL_SUSPENSION_S, "e")
 
 
 def test_failures_that_are_answered_rank_and_fade():
--- a/tests/test_started_again.py
+++ b/tests/test_started_again.py
@@ -6,7 +6,7 @@
 
 from greengageflow.core.endpoint_choice import Choice
 from greengageflow.core.endpoint_list import (
-    MOST_LEFT,
+    MAX_TOMBSTONES,
     EndpointList,
     ListedEndpoint,
 )
@@ -128,10 +128,10 @@
 
 def test_signs_of_leaving_are_bounded():
     listed = EndpointList()
-    for number in range(MOST_LEFT + 9):
+    for number in range(MAX_TOMBSTONES + 9):
         listed.note_left(f"e{number}", 0)
     assert listed.note_left("e0", 0), "the oldest one is forgotten"
-    assert not listed.note_left(f"e{MOST_LEFT}", 0)
+    assert not listed.note_left(f"e{MAX_TOMBSTONES}", 0)
 
 
 def test_another_hosts_word_of_the_earlier_start_is_not_the_later_ones(fleet):
