--- a/greengageflow/core/place_desk.py
+++ b/greengageflow/core/place_desk.py
@@ -75,7 +75,9 @@
             now + ask.patience_s,
         )
         job = Job(waiter, ask.target_s, prompt, frozenset(ask.avoid), ask.zone)
-        yield from self._book.submit(now, ask.service, job, ask.account, counted=False)
+        yield from self._book.submit(
+            now, ask.service, job, ask.account, count_for_budget=False
+        )
 
     def is_waiting(self, ask: PlaceAsk) -> bool:
         """Whether a request waits here."""
@@ -90,7 +92,7 @@
         match decision:
             case StartJob(choice=choice):
                 placed.endpoint = choice.endpoint
-                self._book.sent(now, decision.request, choice, placed.prompt)
+                self._book.on_request_sent(now, decision.request, choice, placed.prompt)
                 source = choice.fetch_from
                 return placed.host, PlaceAnswer(
                     host=self._host,
@@ -127,13 +129,13 @@
                 yield from self._end(now, key)
                 return
             case Happened.FIRST_EVENT if endpoint is not None:
-                self._book.first_event(now, key, endpoint)
+                self._book.on_first_event(now, key, endpoint)
                 # Its prompt is read: the next one may be sent.
                 yield from self._book.pump(now)
             case Happened.FAILED if endpoint is not None:
-                self._book.answered(endpoint, False)
+                self._book.on_answer(endpoint, False)
             case Happened.SILENT if endpoint is not None:
-                self._book.silent(now, endpoint)
+                self._book.on_no_answer(now, endpoint)
 
     def roll(self, now: float, roll: PlaceRoll) -> Iterator[Decision]:
         """Drop what a host no longer has, and take on what an earlier placer sent.
@@ -152,7 +154,7 @@
             self._adopt(now, key, roll, run)
 
     def _adopt(self, now: float, key: str, roll: PlaceRoll, run: PlacedRun) -> None:
-        endpoint = self._book.listed(run.endpoint)
+        endpoint = self._book.get_endpoint(run.endpoint)
         if key in self._placed or endpoint is None:
             return
         self._placed[key] = _Placed(
@@ -163,7 +165,7 @@
             now,
             endpoint=endpoint,
         )
-        self._book.adopt(now, key, endpoint, run.reading, run.memory)
+        self._book.restore_request(now, key, endpoint, run.reading, run.memory)
 
     def drop_silent(self, now: float) -> Iterator[Decision]:
         """Drop what hosts have that were not heard for long."""
@@ -177,8 +179,8 @@
         if placed is None:
             return
         if placed.endpoint is not None:
-            self._book.left(key, placed.endpoint)
-        yield from self._book.ended(now, placed.service, key)
+            self._book.on_request_released(key, placed.endpoint)
+        yield from self._book.on_request_end(now, placed.service, key)
 
 
 def _key(host: str, boot: int, request: str) -> str:
--- a/greengageflow/core/service_dispatcher.py
+++ b/greengageflow/core/service_dispatcher.py
@@ -61,7 +61,7 @@
         endpoints: Listed endpoints.
         zone: Availability zone of this host.
         budget: Creates the retry budget of one service.
-        least_hosts: Number of hosts assumed at start-up, including this one.
+        min_hosts: Number of hosts assumed at start-up, including this one.
     """
 
     def __init__(
@@ -70,7 +70,7 @@
         zone: str,
         budget: Callable[[], FleetRetryBudget],
         *,
-        least_hosts: int = 1,
+        min_hosts: int = 1,
     ) -> None:
         self._endpoints = endpoints
         self._routing = Routing()
@@ -81,28 +81,28 @@
         self._schedulers: dict[str, ServiceScheduler] = {}
         self._make_budget = budget
         self._budgets: dict[str, FleetRetryBudget] = {}
-        self._began: float | None = None
-        self._served: DecayedSums[AccountKey] = DecayedSums(USAGE_DECAY_S)
-        self._offered: DecayedSums[AccountKey] = DecayedSums(USAGE_DECAY_S)
-        self._placed: deque[tuple[float, str, str]] = deque()
-        self._parts: dict[str, tuple[str, ...]] = {}
-        self._mirrors: dict[str, CacheMirror] = {}
+        self._started_at: float | None = None
+        self._recent_work: DecayedSums[AccountKey] = DecayedSums(USAGE_DECAY_S)
+        self._recent_demand: DecayedSums[AccountKey] = DecayedSums(USAGE_DECAY_S)
+        self._recent_placements: deque[tuple[float, str, str]] = deque()
+        self._shared_parts: dict[str, tuple[str, ...]] = {}
+        self._cache_mirrors: dict[str, CacheMirror] = {}
         self._totals = FleetTotals()
-        self._fleet = FleetSize(least_hosts)
+        self._fleet_size = FleetSize(min_hosts)
         self._now = 0.0
-        self._owned: frozenset[str] | None = None
+        self._owned_engines: frozenset[str] | None = None
 
     # Placement on behalf of all hosts.
 
-    def own(self, endpoints: frozenset[str] | None) -> None:
+    def set_owned_engines(self, endpoints: frozenset[str] | None) -> None:
         """Set the engines that this host places for all hosts.
 
         Args:
             endpoints: Ids of the engines, or None if this host is not a placer.
         """
-        self._owned = endpoints
+        self._owned_engines = endpoints
 
-    def listed(self, endpoint: str) -> ListedEndpoint | None:
+    def get_endpoint(self, endpoint: str) -> ListedEndpoint | None:
         """Return an endpoint by id, or None if it is not listed."""
         return self._endpoints.get(endpoint)
 
@@ -110,7 +110,7 @@
         """Whether an endpoint is a model engine."""
         return endpoint is not None and self.service(endpoint.service).is_engine
 
-    def adopt(
+    def restore_request(
         self,
         now: float,
         request: str,
@@ -121,7 +121,7 @@
         """Add a request that a previous placer sent to the endpoint's load."""
         self._load(endpoint).begin(now, request, reading, memory, sure=False)
 
-    def keeps(
+    def on_cached_parts(
         self, now: float, endpoint: ListedEndpoint, parts: Sequence[PromptPart]
     ) -> None:
         """Record the prompt parts that an engine reports in its prefix cache."""
@@ -130,22 +130,26 @@
         for part in parts:
             self._places.note(now, part.id, endpoint.id)
             self._places.on_read(part.id, endpoint.id)
-        self._mirror(endpoint, parts)
+        self._update_cache_mirror(endpoint, parts)
 
-    def _mirror(self, endpoint: ListedEndpoint, parts: Iterable[PromptPart]) -> None:
+    def _update_cache_mirror(
+        self, endpoint: ListedEndpoint, parts: Iterable[PromptPart]
+    ) -> None:
         capacity = self.service(endpoint.service).memory_tokens
         if not capacity:
             return
-        mirror = self._mirrors.setdefault(endpoint.id, CacheMirror(capacity))
+        mirror = self._cache_mirrors.setdefault(endpoint.id, CacheMirror(capacity))
         for part in mirror.touch(parts):
             self._places.forget(part, endpoint.id)
 
-    def _placed_at(self, service: str) -> Sequence[ListedEndpoint]:
+    def _assigned_endpoints(self, service: str) -> Sequence[ListedEndpoint]:
         """Return the endpoints to which this host sends new requests."""
-        usable = self.open_endpoints(self._now, service)
-        if self._owned is None or not self.service(service).is_engine:
+        usable = self.available_endpoints(self._now, service)
+        if self._owned_engines is None or not self.service(service).is_engine:
             return usable
-        return [endpoint for endpoint in usable if endpoint.id in self._owned] or usable
+        return [
+            endpoint for endpoint in usable if endpoint.id in self._owned_engines
+        ] or usable
 
     # Reports to other hosts.
 
@@ -154,33 +158,38 @@
         """Number of queued requests of all services."""
         return sum(scheduler.waiting for scheduler in self._schedulers.values())
 
-    def level(self, service: str, account: str) -> float:
+    def recent_usage(self, service: str, account: str) -> float:
         """Return the decayed sum of work that an account got in the whole fleet."""
         key = (service, account)
-        return self._served.get(self._now, key) + self._totals.served.get(key, 0.0)
+        return self._recent_work.get(self._now, key) + self._totals.served.get(key, 0.0)
 
-    def waiting_at(self, service: str) -> int:
+    def queue_length(self, service: str) -> int:
         """Return the number of queued requests of a service."""
         found = self._schedulers.get(service)
         return found.waiting if found else 0
 
-    def served(self, now: float) -> dict[AccountKey, float]:
+    def recent_work(self, now: float) -> dict[AccountKey, float]:
         """Return the work started here recently, by service and account."""
-        return dict(self._served.items(now, 1.0))
+        return dict(self._recent_work.items(now, 1.0))
 
-    def offered(self, now: float) -> dict[AccountKey, float]:
+    def recent_demand(self, now: float) -> dict[AccountKey, float]:
         """Return the work requested here recently, by service and account."""
-        return dict(self._offered.items(now, 1.0))
+        return dict(self._recent_demand.items(now, 1.0))
 
     def own_loads(self) -> dict[str, LoadShare]:
         """Return the load that this host puts on each endpoint, by endpoint id."""
         return self._loads.own()
 
-    def recently_placed(self, now: float) -> tuple[tuple[str, str], ...]:
+    def recent_placements(self, now: float) -> tuple[tuple[str, str], ...]:
         """Return recent placements as pairs of prompt part and endpoint id."""
-        while self._placed and self._placed[0][0] < now - PLACEMENT_REPORT_WINDOW_S:
-            self._placed.popleft()
-        return tuple(dict.fromkeys((part, name) for _, part, name in self._placed))
+        while (
+            self._recent_placements
+            and self._recent_placements[0][0] < now - PLACEMENT_REPORT_WINDOW_S
+        ):
+            self._recent_placements.popleft()
+        return tuple(
+            dict.fromkeys((part, name) for _, part, name in self._recent_placements)
+        )
 
     # Updates from the store and from other hosts.
 
@@ -192,14 +201,14 @@
         """Drop all state of an endpoint that is no longer listed."""
         self._health.forget(endpoint)
         self._loads.forget(endpoint)
-        self._mirrors.pop(endpoint, None)
+        self._cache_mirrors.pop(endpoint, None)
         self._places.forget_endpoint(endpoint)
 
     def on_loads(self, loads: Mapping[str, LoadShare]) -> None:
         """Replace the load that all other hosts put on endpoints."""
         self._loads.set_others(loads)
 
-    def on_placed(self, now: float, placed: Iterable[tuple[str, str]]) -> None:
+    def on_placements(self, now: float, placed: Iterable[tuple[str, str]]) -> None:
         """Record where another host sent prompt parts."""
         for part, endpoint in placed:
             self._places.note(now, part, endpoint)
@@ -208,9 +217,9 @@
         """Apply the aggregated reports of the other hosts, and yield what can start."""
         self._now = now
         self._totals = totals
-        self._fleet.note(now, totals.hosts + 1)
-        if self._began is None:
-            self._began = now
+        self._fleet_size.note(now, totals.hosts + 1)
+        if self._started_at is None:
+            self._started_at = now
         self._loads.set_others(totals.loads)
         for name, scheduler in self._schedulers.items():
             if self.service(name).is_engine:
@@ -218,15 +227,15 @@
         yield from self.pump(now)
 
     def _allowance(self, now: float, service: str) -> CapacityShare:
-        own = _of_service(service, dict(self._offered.items(now, 1.0)))
-        others = _of_service(service, self._totals.offered)
-        done = sum(self.level(service, a) for a in own.keys() | others.keys())
-        parts = divide_capacity(own, others, self._owed(done))
-        loads = [self._load(e) for e in self._placed_at(service)]
+        own = _work_by_account(service, dict(self._recent_demand.items(now, 1.0)))
+        others = _work_by_account(service, self._totals.offered)
+        done = sum(self.recent_usage(service, a) for a in own.keys() | others.keys())
+        parts = divide_capacity(own, others, self._fair_share_capacity(done))
+        loads = [self._load(e) for e in self._assigned_endpoints(service)]
         slots = sum(load.slots for load in loads)
-        reading = sum(_read_ahead(load) for load in loads)
+        reading = sum(_prefill_lookahead(load) for load in loads)
         # Engines that a placer owns get requests from this host only.
-        part = parts.own if self._owned is None else 1.0
+        part = parts.own if self._owned_engines is None else 1.0
         return CapacityShare(
             running=max(MIN_RUNNING_REQUESTS, MAX_FILL_FRACTION * slots * part),
             reading=max(1.0, reading * part),
@@ -235,7 +244,7 @@
             },
         )
 
-    def _owed(self, done: float) -> float:
+    def _fair_share_capacity(self, done: float) -> float:
         """Return the recent work that is divided into fair shares among accounts.
 
         The configured capacity takes precedence: work beyond it belongs to no account,
@@ -251,7 +260,13 @@
     # Requests.
 
     def submit(
-        self, now: float, service: str, job: Job, account: str, *, counted: bool = True
+        self,
+        now: float,
+        service: str,
+        job: Job,
+        account: str,
+        *,
+        count_for_budget: bool = True,
     ) -> Iterator[Decision]:
         """Queue a request, and yield the decisions that are now possible.
 
@@ -260,16 +275,18 @@
             service: Service that runs it.
             job: The request.
             account: Client account.
-            counted: The request came from a caller of this host and counts towards the
-                retry budget.
+            count_for_budget: The request came from a caller of this host and
+                counts towards the retry budget.
         """
         self._now = now
-        if counted:
-            self.count(now, service)
-        self._offered.add(now, (service, account), job.waiter.work)
-        yield from self._started(service, self._scheduler(service).submit(now, job))
+        if count_for_budget:
+            self.count_request(now, service)
+        self._recent_demand.add(now, (service, account), job.waiter.work)
+        yield from self._record_starts(
+            service, self._scheduler(service).submit(now, job)
+        )
 
-    def count(self, now: float, service: str) -> None:
+    def count_request(self, now: float, service: str) -> None:
         """Count a caller's request towards the retry budget."""
         self._budget(service).on_request(now)
 
@@ -278,30 +295,32 @@
         self._now = now
         for name, scheduler in list(self._schedulers.items()):
             if scheduler.waiting:
-                yield from self._started(name, scheduler.pump(now))
+                yield from self._record_starts(name, scheduler.pump(now))
 
-    def ended(self, now: float, service: str, request: str) -> Iterator[Decision]:
+    def on_request_end(
+        self, now: float, service: str, request: str
+    ) -> Iterator[Decision]:
         """Release a request that was answered or whose caller disconnected."""
         self._now = now
         scheduler = self._scheduler(service)
         scheduler.cancel(request)
-        yield from self._started(service, scheduler.finished(now, request))
+        yield from self._record_starts(service, scheduler.finished(now, request))
 
-    def _started(
+    def _record_starts(
         self, service: str, decisions: Iterable[Decision]
     ) -> Iterator[Decision]:
         for decision in decisions:
             if isinstance(decision, StartJob):
                 waiter = decision.waiter
-                self._served.add(self._now, (service, waiter.account), waiter.work)
+                self._recent_work.add(self._now, (service, waiter.account), waiter.work)
             yield decision
 
-    def again(
+    def choose_retry_endpoint(
         self, now: float, service: str, prompt: Prompt | None, avoid: set[str]
     ) -> Choice | None:
         """Return the endpoint for a retry, or None if there is none.
 
-        Only chooses the endpoint; ``take_repeat`` checks the retry budget.
+        Only chooses the endpoint; ``take_retry`` checks the retry budget.
 
         Args:
             now: The time.
@@ -309,7 +328,7 @@
             prompt: Its prompt, for a model engine.
             avoid: Ids of endpoints that already got the request.
         """
-        usable = self.open_endpoints(now, service)
+        usable = self.available_endpoints(now, service)
         look = self._chooser.look(now, [e for e in usable if e.id not in avoid])
         return self._chooser.choose(
             now,
@@ -319,22 +338,22 @@
             transfers=self.service(service).transfers,
         )
 
-    def take_repeat(self, now: float, service: str) -> bool:
+    def take_retry(self, now: float, service: str) -> bool:
         """Take a retry from a service's budget; return False if it is exhausted."""
-        return self._budget(service).take(now, self._fleet.hosts)
+        return self._budget(service).take(now, self._fleet_size.hosts)
 
     def budget_use(self, now: float, service: str) -> BudgetUsage:
         """Return the state of a service's retry budget."""
-        return self._budget(service).use(now, self._fleet.hosts)
+        return self._budget(service).use(now, self._fleet_size.hosts)
 
     def _budget(self, service: str) -> FleetRetryBudget:
         found = self._budgets.get(service)
         if found is None:
             found = self._budgets[service] = self._make_budget()
-            found.at = self._began
+            found.at = self._started_at
         return found
 
-    def sent(
+    def on_request_sent(
         self, now: float, request: str, choice: Choice, prompt: Prompt | None
     ) -> None:
         """Record that a request was sent to an endpoint."""
@@ -347,28 +366,30 @@
             shared = tuple(part.id for part in prompt.parts[:-1])
             for part in shared:
                 self._places.note(now, part, endpoint.id)
-            self._mirror(endpoint, _in_memory(request, prompt))
-            self._parts[request] = shared
+            self._update_cache_mirror(endpoint, _cached_after(request, prompt))
+            self._shared_parts[request] = shared
             if prompt.shared_tokens >= MIN_REPORTED_PREFIX_TOKENS:
-                self._placed.append((now, prompt.affinity, endpoint.id))
+                self._recent_placements.append((now, prompt.affinity, endpoint.id))
 
-    def first_event(self, now: float, request: str, endpoint: ListedEndpoint) -> None:
+    def on_first_event(
+        self, now: float, request: str, endpoint: ListedEndpoint
+    ) -> None:
         """Record the first event of a request's answer."""
         if not self._endpoints.is_current(endpoint):
             return
         self._load(endpoint).first_event(now, request)
-        for part in self._parts.pop(request, ()):
+        for part in self._shared_parts.pop(request, ()):
             self._places.on_read(part, endpoint.id)
         self._health.on_answer(endpoint.id, True)
 
-    def left(self, request: str, endpoint: ListedEndpoint) -> None:
+    def on_request_released(self, request: str, endpoint: ListedEndpoint) -> None:
         """Remove a request from an endpoint's load."""
-        self._parts.pop(request, None)
+        self._shared_parts.pop(request, None)
         load = self._loads.get(endpoint.id)
         if load is not None:
             load.end(request)
 
-    def ask_backoff(self, now: float, endpoint: ListedEndpoint, seconds: float) -> bool:
+    def on_backoff(self, now: float, endpoint: ListedEndpoint, seconds: float) -> bool:
         """Start a backoff that an endpoint asked for.
 
         Returns:
@@ -378,13 +399,13 @@
             return False
         return self._health.ask_backoff(now, endpoint.id, seconds)
 
-    def open_endpoints(self, now: float, service: str) -> Sequence[ListedEndpoint]:
+    def available_endpoints(self, now: float, service: str) -> Sequence[ListedEndpoint]:
         """Return the endpoints of a service that accept new work from this host."""
         usable = self._endpoints.usable(service)
         backoffs = self._health.backoffs(now)
         return [e for e in usable if e.id not in backoffs] if backoffs else usable
 
-    def is_open(self, now: float, endpoint: ListedEndpoint) -> bool:
+    def is_available(self, now: float, endpoint: ListedEndpoint) -> bool:
         """Whether an endpoint accepts new work from this host."""
         may_use = self._endpoints.may_use(endpoint.id)
         return may_use and endpoint.id not in self._health.backoffs(now)
@@ -400,26 +421,26 @@
         usable = self._endpoints.usable(service)
         return min((backoffs.get(e.id, 0.0) for e in usable), default=0.0)
 
-    def answered(self, endpoint: ListedEndpoint, good: bool) -> bool:
+    def on_answer(self, endpoint: ListedEndpoint, good: bool) -> bool:
         """Record an endpoint's answer; return True if that ends its suspension."""
         if not self._endpoints.is_current(endpoint):
             return False
         return self._health.on_answer(endpoint.id, good)
 
-    def silent(self, now: float, endpoint: ListedEndpoint) -> bool:
+    def on_no_answer(self, now: float, endpoint: ListedEndpoint) -> bool:
         """Record a missing answer; return True if the endpoint becomes suspended."""
         if not self._endpoints.is_current(endpoint):
             return False
         return self._health.on_silence(now, endpoint.id)
 
-    def resting(self, now: float, service: str) -> tuple[str, ...]:
+    def unavailable_endpoints(self, now: float, service: str) -> tuple[str, ...]:
         """Return the endpoints of a service that are suspended or in backoff."""
         resting = self._health.resting(now)
         if not resting:
             return ()
         return tuple(e.id for e in self._endpoints.usable(service) if e.id in resting)
 
-    def failures(self, endpoint: ListedEndpoint) -> int:
+    def consecutive_failures(self, endpoint: ListedEndpoint) -> int:
         """Return an endpoint's number of consecutive missing answers."""
         return self._health.in_row(endpoint.id)
 
@@ -443,28 +464,28 @@
         found = self._schedulers.get(service)
         if found is None:
             found = self._schedulers[service] = ServiceScheduler(
-                lambda: self._placed_at(service),
+                lambda: self._assigned_endpoints(service),
                 self._chooser,
-                lambda account: self.level(service, account),
-                lambda: self._reading(service),
+                lambda account: self.recent_usage(service, account),
+                lambda: self._unread_tokens(service),
                 lambda: self.backoff_s(self._now, service),
                 fade_s=USAGE_DECAY_S,
             )
         found.transfers = self.service(service).transfers
         return found
 
-    def _reading(self, service: str) -> float:
+    def _unread_tokens(self, service: str) -> float:
         usable = self._endpoints.usable(service)
         return sum(self._load(endpoint).unread for endpoint in usable)
 
 
-def _read_ahead(load: EndpointLoad) -> float:
+def _prefill_lookahead(load: EndpointLoad) -> float:
     """Return the prompt tokens that may be queued at an engine for prefill."""
     model = load.model
     return (PREFILL_LOOKAHEAD_S + model.fixed_s) * model.rate
 
 
-def _in_memory(request: str, prompt: Prompt) -> Iterator[PromptPart]:
+def _cached_after(request: str, prompt: Prompt) -> Iterator[PromptPart]:
     """Yield the parts that a request leaves in an engine's memory.
 
     The last one stands for its private prompt tokens and its answer.
@@ -474,5 +495,7 @@
     yield PromptPart(f"own {request}", max(0, own))
 
 
-def _of_service(service: str, sums: Mapping[AccountKey, float]) -> dict[str, float]:
+def _work_by_account(
+    service: str, sums: Mapping[AccountKey, float]
+) -> dict[str, float]:
     return {account: work for (name, account), work in sums.items() if name == service}
--- a/greengageflow/daemon/forward_notes.py
+++ b/greengageflow/daemon/forward_notes.py
@@ -75,8 +75,8 @@
 
     def _inputs(self, now: float, flight: ForwardFlight) -> dict[str, int]:
         return {
-            "queued": self._book.waiting_at(flight.service),
-            "level": int(self._book.level(flight.service, flight.account)),
+            "queued": self._book.queue_length(flight.service),
+            "level": int(self._book.recent_usage(flight.service, flight.account)),
             "report_age_ms": _ms(now - self.totals_at),
             "config": self.config,
         }
@@ -226,5 +226,5 @@
                 DecisionEvent.ENDPOINT_SUSPECT,
                 endpoint=flight.attempt.endpoint.id,
                 why=why,
-                failures=self._book.failures(flight.attempt.endpoint),
+                failures=self._book.consecutive_failures(flight.attempt.endpoint),
             )
--- a/greengageflow/daemon/forwarder.py
+++ b/greengageflow/daemon/forwarder.py
@@ -305,7 +305,7 @@
 
     def _on_backoff(self, endpoint: ListedEndpoint, seconds: float) -> None:
         now = self._timers.now
-        if self._book.ask_backoff(now, endpoint, seconds):
+        if self._book.on_backoff(now, endpoint, seconds):
             self._notes.backoff(endpoint, seconds)
             self.carry_out(self._book.pump(now))
 
@@ -360,7 +360,7 @@
         """Send a request to its endpoint on a new connection, if that is allowed."""
         endpoint = flight.attempt.endpoint
         allowed = flight.repeatable and flight.stale_retry_at != endpoint.id
-        if not allowed or not self._book.is_open(self._timers.now, endpoint):
+        if not allowed or not self._book.is_available(self._timers.now, endpoint):
             return False
         if not self._may_go_on(flight) or not self._take_repeat(flight):
             return False
@@ -399,7 +399,9 @@
         if not self._may_go_on(flight):
             return None
         now = self._timers.now
-        choice = self._book.again(now, flight.service, flight.req.prompt, avoid)
+        choice = self._book.choose_retry_endpoint(
+            now, flight.service, flight.req.prompt, avoid
+        )
         return choice if choice and self._take_repeat(flight) else None
 
     def _may_go_on(self, flight: ForwardFlight) -> bool:
@@ -412,7 +414,7 @@
         if not flight.may_have_arrived:
             return True
         now = self._timers.now
-        if self._book.take_repeat(now, flight.service):
+        if self._book.take_retry(now, flight.service):
             return True
         self._notes.out_of_budget(now, flight.service)
         return False
--- a/greengageflow/daemon/gateway.py
+++ b/greengageflow/daemon/gateway.py
@@ -99,7 +99,7 @@
             self._endpoints,
             settings.zone,
             self._budget,
-            least_hosts=len({settings.gossip, *settings.seeds}),
+            min_hosts=len({settings.gossip, *settings.seeds}),
         )
         self._notes = ForwardNotes(self._log, self._page, self._book)
         self._admission = ForwardAdmission(self._timers, self._trust, clock)
@@ -294,14 +294,14 @@
             port=gossip.port,
             zone=self._settings.zone,
             stopping=self._forwarder.stopping,
-            served=self._book.served(now),
-            offered=self._book.offered(now),
+            served=self._book.recent_work(now),
+            offered=self._book.recent_demand(now),
             loads=self._book.own_loads(),
             version=self._store.version,
             list_mark=self._store.list_mark,
             heard_s=clock() - self._store.confirmed,
             list_heard_s=clock() - self._store.list_confirmed,
-            placed=self._book.recently_placed(now),
+            placed=self._book.recent_placements(now),
         )
 
     def loads(self) -> Mapping[str, LoadShare]:
@@ -310,11 +310,11 @@
 
     def placed(self) -> Placed:
         """Return prompt parts and the endpoints that they were sent to lately."""
-        return self._book.recently_placed(self._timers.now)
+        return self._book.recent_placements(self._timers.now)
 
     def on_placed(self, placed: Placed) -> None:
         """Take where other routers sent prompt parts."""
-        self._book.on_placed(self._timers.now, placed)
+        self._book.on_placements(self._timers.now, placed)
 
     def on_loads(self, loads: Mapping[str, LoadShare]) -> None:
         """Take what other routers have under way."""
--- a/greengageflow/daemon/kept_parts.py
+++ b/greengageflow/daemon/kept_parts.py
@@ -93,7 +93,7 @@
                 DecisionEvent.PARTS_UNKNOWN, endpoint=engine.id, why=str(exc)
             )
             return
-        self._book.keeps(self._timers.now, engine, parts)
+        self._book.on_cached_parts(self._timers.now, engine, parts)
         self._log.write(
             DecisionEvent.PARTS_LEARNED, endpoint=engine.id, parts=len(parts)
         )
--- a/greengageflow/daemon/placement.py
+++ b/greengageflow/daemon/placement.py
@@ -134,7 +134,7 @@
         self, now: float, service: str, job: Job, account: str
     ) -> Iterator[Decision]:
         """Ask for a place for a request, and yield what can be decided here."""
-        self._book.count(now, service)
+        self._book.count_request(now, service)
         if job.prompt is not None and self._holds_back(now):
             held = PendingPlacement("", service, job, account, now, queued=True)
             self._pending[job.waiter.id] = held
@@ -149,12 +149,14 @@
     ) -> Iterator[Decision]:
         placer = self._placer_for(now, service, job.prompt)
         if not placer:
-            yield from self._book.submit(now, service, job, account, counted=False)
+            yield from self._book.submit(
+                now, service, job, account, count_for_budget=False
+            )
             return
         request = job.waiter.id
         self._pending[request] = PendingPlacement(placer, service, job, account, now)
         self._roll_until[placer] = now + ROLLS_ON_S
-        avoid = self._book.resting(now, service)
+        avoid = self._book.unavailable_endpoints(now, service)
         ask = ask_for(
             self._host, self._boot, now, service, job, account, avoid, self._zone
         )
@@ -164,7 +166,7 @@
     def _placer_for(self, now: float, service: str, prompt: Prompt | None) -> str:
         if prompt is None:
             return ""
-        home = home_of(prompt.affinity, self._book.open_endpoints(now, service))
+        home = home_of(prompt.affinity, self._book.available_endpoints(now, service))
         placer = self._table.owner(home.id) if home else ""
         return placer if self._table.answers(now, placer) else ""
 
@@ -202,7 +204,11 @@
             if which(asked) and self._pending.pop(request, None) is not None:
                 self._carry_out(
                     self._book.submit(
-                        now, asked.service, asked.job, asked.account, counted=False
+                        now,
+                        asked.service,
+                        asked.job,
+                        asked.account,
+                        count_for_budget=False,
                     )
                 )
 
@@ -212,11 +218,11 @@
         """Note that a request was sent to an endpoint."""
         run = self._runs.get(request)
         if run is None or run.endpoint.id != choice.endpoint.id or not run.live:
-            self._book.sent(now, request, choice, prompt)
+            self._book.on_request_sent(now, request, choice, prompt)
 
     def first_event(self, now: float, request: str, endpoint: ListedEndpoint) -> None:
         """Note the first event of a request's answer."""
-        self._book.first_event(now, request, endpoint)
+        self._book.on_first_event(now, request, endpoint)
         run = self._runs.get(request)
         if run is not None and run.live:
             run.reading = 0.0
@@ -224,7 +230,7 @@
 
     def answered(self, request: str, endpoint: ListedEndpoint, good: bool) -> None:
         """Note an endpoint's answer."""
-        self._book.answered(endpoint, good)
+        self._book.on_answer(endpoint, good)
         run = self._runs.get(request)
         if run is not None and run.live and not good:
             self._note(request, run, Happened.FAILED)
@@ -234,11 +240,11 @@
         run = self._runs.get(request)
         if run is not None and run.live:
             self._note(request, run, Happened.SILENT)
-        return self._book.silent(now, endpoint)
+        return self._book.on_no_answer(now, endpoint)
 
     def left(self, request: str, endpoint: ListedEndpoint) -> None:
         """Note that an endpoint no longer works on a request."""
-        self._book.left(request, endpoint)
+        self._book.on_request_released(request, endpoint)
         run = self._runs.get(request)
         if run is not None and run.live:
             run.live = False
@@ -252,7 +258,7 @@
         run = self._runs.pop(request, None)
         if run is not None and run.live:
             self._note(request, run, Happened.ENDED)
-        yield from self._book.ended(now, service, request)
+        yield from self._book.on_request_end(now, service, request)
 
     def _note(self, request: str, run: Run, happened: Happened) -> None:
         # An endpoint may have got another placer since, which has it from a roll.
@@ -346,7 +352,7 @@
     def _on_start(self, asked: PendingPlacement, answer: PlaceAnswer) -> None:
         endpoint = self._endpoints.get(answer.endpoint)
         now = self._timers.now
-        if endpoint is None or not self._book.is_open(now, endpoint):
+        if endpoint is None or not self._book.is_available(now, endpoint):
             self._tell(asked.placer, answer.request, Happened.ENDED)
             self._decide_here(lambda other: other is asked)
             return
@@ -377,7 +383,7 @@
         if now - self._placer_since >= STEADY_S:
             listed = filter(None, map(self._endpoints.get, self._owned or ()))
             engines = filter(self._book.is_engine, listed)
-            self._parts.ask(e for e in engines if self._book.is_open(now, e))
+            self._parts.ask(e for e in engines if self._book.is_available(now, e))
         self._carry_out(self._desk.drop_silent(now))
 
     def _release(self, now: float) -> None:
@@ -394,7 +400,7 @@
         owned = self._table.owned(self._endpoints.ids())
         if owned != self._owned:
             self._owned = owned
-            self._book.own(owned)
+            self._book.set_owned_engines(owned)
             self._log.write(
                 DecisionEvent.PLACING,
                 placers=" ".join(self._table.placers),
--- a/greengageflow/lab/bench_policy.py
+++ b/greengageflow/lab/bench_policy.py
@@ -49,11 +49,13 @@
 
 
 def _no_asking() -> None:
-    service_dispatcher.ServiceDispatcher.keeps = lambda *_args: None
+    service_dispatcher.ServiceDispatcher.on_cached_parts = lambda *_args: None
 
 
 def _no_stated_shares() -> None:
-    service_dispatcher.ServiceDispatcher._owed = lambda _book, done: max(done, 50_000.0)
+    service_dispatcher.ServiceDispatcher._fair_share_capacity = lambda _book, done: max(
+        done, 50_000.0
+    )
 
 
 def _no_fetch() -> None:
--- a/greengageflow/lab/policy_play.py
+++ b/greengageflow/lab/policy_play.py
@@ -161,11 +161,11 @@
                 1, services={SERVICE: service}, tokens_per_s=self._sheet.tokens_per_s
             )
         )
-        book.own(frozenset(self._listed.ids()))
+        book.set_owned_engines(frozenset(self._listed.ids()))
         return book
 
     def _round(self) -> None:
-        self._book.own(frozenset(self._listed.ids()))
+        self._book.set_owned_engines(frozenset(self._listed.ids()))
         self._carry_out(self._book.on_totals(self._now, FleetTotals(hosts=8)))
 
     def _add_engine(self, name: str, zone: str) -> None:
@@ -230,8 +230,8 @@
             return
         tried.row.end = end
         if tried.endpoint is not None:
-            self._book.left(tried.id, tried.endpoint)
-        self._carry_out(self._book.ended(self._now, SERVICE, tried.id))
+            self._book.on_request_released(tried.id, tried.endpoint)
+        self._carry_out(self._book.on_request_end(self._now, SERVICE, tried.id))
 
     def _stop(self, tried: _Try, end: str) -> None:
         if tried.id in self._tries:
@@ -244,7 +244,7 @@
     def _send(self, tried: _Try, choice: Choice) -> None:
         asked = tried.row.asked
         tried.endpoint = choice.endpoint
-        self._book.sent(self._now, tried.id, choice, asked.prompt)
+        self._book.on_request_sent(self._now, tried.id, choice, asked.prompt)
         way_s = WAY_S
         if choice.endpoint.zone != asked.zone:
             way_s += AWAY_S
@@ -259,12 +259,12 @@
         engine = self._engines.get(choice.endpoint.id)
         asked = tried.row.asked
         if engine is None:
-            self._book.silent(self._now, choice.endpoint)
-            self._book.left(tried.id, choice.endpoint)
-            again = self._book.again(
+            self._book.on_no_answer(self._now, choice.endpoint)
+            self._book.on_request_released(tried.id, choice.endpoint)
+            again = self._book.choose_retry_endpoint(
                 self._now, SERVICE, asked.prompt, {choice.endpoint.id}
             )
-            if again is None or not self._book.take_repeat(self._now, SERVICE):
+            if again is None or not self._book.take_retry(self._now, SERVICE):
                 self._finish(tried, "failed")
             else:
                 self._send(tried, again)
@@ -305,11 +305,11 @@
         if tried is None:
             return
         if self._random.random() < self._grey(engine):
-            self._book.answered(tried.endpoint, False)
+            self._book.on_answer(tried.endpoint, False)
             self._stop(tried, "failed")
             return
         tried.row.first_s = self._now - run.asked.at
-        self._book.first_event(self._now, tried.id, tried.endpoint)
+        self._book.on_first_event(self._now, tried.id, tried.endpoint)
         self._carry_out(self._book.pump(self._now))
 
     def _grey(self, engine: PolicyEngine) -> float:
@@ -349,7 +349,7 @@
         for run in engine.crash():
             tried = self._try_of(run)
             if tried is not None:
-                self._book.silent(self._now, tried.endpoint)
+                self._book.on_no_answer(self._now, tried.endpoint)
                 self._finish(tried, "failed")
         self._at(self._now + RELIST_S, lambda: list(self._listed.drop(engine.name)))
 
@@ -366,4 +366,4 @@
         for name, engine in self._engines.items():
             listed = self._listed.get(name)
             if listed is not None:
-                self._book.keeps(self._now, listed, engine.kept)
+                self._book.on_cached_parts(self._now, listed, engine.kept)
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -47,7 +47,7 @@
         job = Job(waiter, 1.0, self.prompt)
         (decision,) = self.book.submit(now, self.service, job, "a")
         if isinstance(decision, StartJob):
-            list(self.book.ended(now, self.service, name))
+            list(self.book.on_request_end(now, self.service, name))
             return decision.choice.endpoint.id
         return decision
 
@@ -60,45 +60,54 @@
 def test_endpoint_gets_nothing_until_the_time_that_it_asked_for_is_over(host):
     first = host.ask(0.0)
     asking = next(e for e in host.endpoints if e.id == first)
-    assert host.book.ask_backoff(0.0, asking, 3.0)
-    assert not host.book.ask_backoff(0.1, asking, 1.0), "no change by a shorter one"
+    assert host.book.on_backoff(0.0, asking, 3.0)
+    assert not host.book.on_backoff(0.1, asking, 1.0), "no change by a shorter one"
     for step in range(1, 30):
         assert host.ask(step / 10) != first
-        again = host.book.again(step / 10, host.service, host.prompt, set())
+        again = host.book.choose_retry_endpoint(
+            step / 10, host.service, host.prompt, set()
+        )
         assert again.endpoint.id != first
-    assert host.book.resting(2.9, host.service) == (first,)
-    assert not host.book.is_open(2.9, asking)
-    assert host.book.is_open(3.1, asking)
+    assert host.book.unavailable_endpoints(2.9, host.service) == (first,)
+    assert not host.book.is_available(2.9, asking)
+    assert host.book.is_available(3.1, asking)
     others = {one.id for one in host.endpoints} - {first}
-    assert host.book.again(3.1, host.service, host.prompt, others).endpoint.id == first
+    assert (
+        host.book.choose_retry_endpoint(
+            3.1, host.service, host.prompt, others
+        ).endpoint.id
+        == first
+    )
 
 
 def test_requests_are_refused_with_the_end_of_the_first_backoff(host):
     for endpoint, seconds in zip(host.endpoints, (5.0, 3.0), strict=True):
-        host.book.ask_backoff(0.0, endpoint, seconds)
+        host.book.on_backoff(0.0, endpoint, seconds)
     refusal = host.ask(1.0)
     assert isinstance(refusal, RefuseJob)
     assert refusal.retry_after_s == 2.0
-    assert host.book.again(1.0, host.service, host.prompt, set()) is None
+    assert (
+        host.book.choose_retry_endpoint(1.0, host.service, host.prompt, set()) is None
+    )
     assert host.ask(3.1) == "e1"
 
 
 def test_good_answer_to_an_earlier_request_does_not_end_a_backoff(host):
-    host.book.ask_backoff(0.0, host.endpoints[0], 3.0)
-    host.book.answered(host.endpoints[0], True)
+    host.book.on_backoff(0.0, host.endpoints[0], 3.0)
+    host.book.on_answer(host.endpoints[0], True)
     assert host.ask(1.0) == "e1"
 
 
 def test_later_start_has_asked_for_nothing(host):
     old = host.endpoints[0]
-    host.book.ask_backoff(0.0, old, 3.0)
+    host.book.on_backoff(0.0, old, 3.0)
     new = replace(old, born=9)
     for change in list(host.listed.put(new)):
         if change.what == "gone":
             host.book.forget_endpoint(change.id)
-    assert host.book.is_open(1.0, new)
-    assert not host.book.ask_backoff(1.0, old, 3.0)
-    assert host.book.is_open(1.0, new)
+    assert host.book.is_available(1.0, new)
+    assert not host.book.on_backoff(1.0, old, 3.0)
+    assert host.book.is_available(1.0, new)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -90,14 +90,14 @@
         (host,) = self.random.choices(self.hosts, self.weights)
         if not host.is_up(now):
             return
-        host.book.count(now, SERVICE)
+        host.book.count_request(now, SERVICE)
         failing = self.failing if self.pauses else now > 6.0
         fails = FAIL if failing else 0.0
         for _ in range(MOST_REPEATS):
             if self.random.random() > fails:
                 return
             now += 0.002
-            if not host.book.take_repeat(now, SERVICE):
+            if not host.book.take_retry(now, SERVICE):
                 return
             self.repeats.append(now)
 
@@ -195,6 +195,6 @@
 def test_first_request_of_a_service_may_be_repeated_on_a_host_that_runs_for_long():
     host = Host()
     host.hear(0.0, 1)
-    host.book.count(100.0, SERVICE)
-    repeats = sum(host.book.take_repeat(100.0, SERVICE) for _ in range(100))
+    host.book.count_request(100.0, SERVICE)
+    repeats = sum(host.book.take_retry(100.0, SERVICE) for _ in range(100))
     assert repeats == 11
--- a/tests/test_service_core.py
+++ b/tests/test_service_core.py
@@ -339,8 +339,8 @@
     def carry_out(now, decisions):
         for start in decisions:
             if isinstance(start, StartJob):
-                book.sent(now, start.request, start.choice, prompt)
-                book.first_event(now, start.request, start.choice.endpoint)
+                book.on_request_sent(now, start.request, start.choice, prompt)
+                book.on_first_event(now, start.request, start.choice.endpoint)
                 ends.append((now + 0.1, start.request))
                 started[start.request[0]] += now >= 10
 
@@ -356,7 +356,7 @@
             carry_out(now, book.submit(now, "m", job, account))
         while ends and ends[0][0] <= now:
             _, name = ends.popleft()
-            book.left(name, listed.get("e0"))
-            carry_out(now, book.ended(now, "m", name))
+            book.on_request_released(name, listed.get("e0"))
+            carry_out(now, book.on_request_end(now, "m", name))
     assert started["a"] + started["b"] > 50, "the engine was busy"
     assert started["a"] >= 0.5 * started["b"]
--- a/tests/test_started_again.py
+++ b/tests/test_started_again.py
@@ -59,9 +59,9 @@
 def test_the_later_start_keeps_no_parts_of_the_earlier_one(fleet):
     """Counted as kept, they would be read at once by an engine that is never first."""
     choice = fleet.choice(0.0)
-    fleet.book.sent(0.0, "r0.0", choice, PROMPT)
-    fleet.book.first_event(0.5, "r0.0", choice.endpoint)
-    fleet.book.left("r0.0", choice.endpoint)
+    fleet.book.on_request_sent(0.0, "r0.0", choice, PROMPT)
+    fleet.book.on_first_event(0.5, "r0.0", choice.endpoint)
+    fleet.book.on_request_released("r0.0", choice.endpoint)
     assert fleet.choice(1.0).reading < 4000
     fleet.put(replace(choice.endpoint, born=choice.endpoint.born + 4))
     assert fleet.choice(2.0).reading >= 4000
@@ -75,23 +75,25 @@
     fleet.put(NEW)
     for _ in range(9):
         if happened == "silent":
-            assert not fleet.book.silent(1.0, OLD)
+            assert not fleet.book.on_no_answer(1.0, OLD)
         else:
-            fleet.book.answered(OLD, False)
-    assert fleet.book.resting(1.0, "m") == ()
-    assert fleet.book.failures(NEW) == 0
-    fleet.book.sent(1.5, "r", Choice(OTHER), None)
+            fleet.book.on_answer(OLD, False)
+    assert fleet.book.unavailable_endpoints(1.0, "m") == ()
+    assert fleet.book.consecutive_failures(NEW) == 0
+    fleet.book.on_request_sent(1.5, "r", Choice(OTHER), None)
     assert fleet.choice(2.0, None).endpoint == NEW, "not behind the other one"
-    fleet.book.silent(3.0, NEW)
-    fleet.book.silent(3.0, NEW)
-    assert fleet.book.resting(3.0, "m") == ("e",), "its own failures count"
+    fleet.book.on_no_answer(3.0, NEW)
+    fleet.book.on_no_answer(3.0, NEW)
+    assert fleet.book.unavailable_endpoints(3.0, "m") == ("e",), (
+        "its own failures count"
+    )
 
 
 def test_what_the_earlier_start_says_that_it_keeps_is_not_the_later_ones(fleet):
     fleet.put(NEW)
-    fleet.book.keeps(1.0, OLD, PROMPT.parts[:1])
+    fleet.book.on_cached_parts(1.0, OLD, PROMPT.parts[:1])
     assert fleet.choice(2.0).reading >= 4000
-    fleet.book.keeps(2.5, NEW, PROMPT.parts[:1])
+    fleet.book.on_cached_parts(2.5, NEW, PROMPT.parts[:1])
     assert fleet.choice(3.0).reading < 4000
 
 
@@ -164,4 +166,4 @@
             host="h", boot=1, request=f"q{number}", happened=Happened.SILENT
         )
         list(desk.note(1.0, note))
-    assert fleet.book.resting(1.0, "m") == ()
+    assert fleet.book.unavailable_endpoints(1.0, "m") == ()
