--- a/greengageflow/core/place_desk.py
+++ b/greengageflow/core/place_desk.py
@@ -65,7 +65,7 @@
         prompt = _prompt(ask)
         placed = _Placed(ask.host, ask.boot, ask.request, ask.service, now, prompt)
         self._placed[key] = placed
-        waiter = QueuedRequest(
+        queued_request = QueuedRequest(
             key,
             ask.account,
             prompt.work,
@@ -74,7 +74,7 @@
             now + ask.left_s,
             now + ask.patience_s,
         )
-        job = Job(waiter, ask.target_s, prompt, frozenset(ask.avoid), ask.zone)
+        job = Job(queued_request, ask.target_s, prompt, frozenset(ask.avoid), ask.zone)
         yield from self._book.submit(
             now, ask.service, job, ask.account, count_for_budget=False
         )
@@ -204,17 +204,17 @@
     zone: str,
 ) -> PlaceAsk:
     """Return the ask of a host for a request; ``PlaceDesk.ask`` takes it."""
-    waiter, prompt = job.waiter, job.prompt
+    queued_request, prompt = job.queued_request, job.prompt
     return PlaceAsk(
         host=host,
         boot=boot,
-        request=waiter.id,
+        request=queued_request.id,
         service=service,
         account=account,
-        priority=waiter.priority,
-        waited_s=now - waiter.arrived,
-        left_s=waiter.target_at - now,
-        patience_s=max(0.0, waiter.give_up_at - now),
+        priority=queued_request.priority,
+        waited_s=now - queued_request.arrived,
+        left_s=queued_request.target_at - now,
+        patience_s=max(0.0, queued_request.expires_at - now),
         target_s=job.target_s,
         parts=tuple((part.id, part.tokens) for part in prompt.parts[:-1]),
         tokens_in=prompt.tokens_in,
--- a/greengageflow/core/service_dispatcher.py
+++ b/greengageflow/core/service_dispatcher.py
@@ -223,14 +223,16 @@
         self._loads.set_others(totals.loads)
         for name, scheduler in self._schedulers.items():
             if self.service(name).is_engine:
-                scheduler.allowance = self._allowance(now, name)
+                scheduler.capacity_share = self._capacity_share(now, name)
         yield from self.pump(now)
 
-    def _allowance(self, now: float, service: str) -> CapacityShare:
+    def _capacity_share(self, now: float, service: str) -> CapacityShare:
         own = _work_by_account(service, dict(self._recent_demand.items(now, 1.0)))
         others = _work_by_account(service, self._totals.offered)
-        done = sum(self.recent_usage(service, a) for a in own.keys() | others.keys())
-        parts = divide_capacity(own, others, self._fair_share_capacity(done))
+        started_work = sum(
+            self.recent_usage(service, a) for a in own.keys() | others.keys()
+        )
+        parts = divide_capacity(own, others, self._fair_share_capacity(started_work))
         loads = [self._load(e) for e in self._assigned_endpoints(service)]
         slots = sum(load.slots for load in loads)
         reading = sum(_prefill_lookahead(load) for load in loads)
@@ -239,22 +241,22 @@
         return CapacityShare(
             running=max(MIN_RUNNING_REQUESTS, MAX_FILL_FRACTION * slots * part),
             reading=max(1.0, reading * part),
-            levels={
+            usage_limits={
                 a: FAIR_SHARE_TOLERANCE * share for a, share in parts.shares.items()
             },
         )
 
-    def _fair_share_capacity(self, done: float) -> float:
+    def _fair_share_capacity(self, started_work: float) -> float:
         """Return the recent work that is divided into fair shares among accounts.
 
         The configured capacity takes precedence: work beyond it belongs to no account,
         and a host that has just started has not observed any work yet.
 
         Args:
-            done: Decayed sum of the work that was started.
+            started_work: Decayed sum of the work that was started.
         """
         return self._routing.tokens_per_s * USAGE_DECAY_S or max(
-            done, MIN_RECENT_WORK_TOKENS
+            started_work, MIN_RECENT_WORK_TOKENS
         )
 
     # Requests.
@@ -281,7 +283,7 @@
         self._now = now
         if count_for_budget:
             self.count_request(now, service)
-        self._recent_demand.add(now, (service, account), job.waiter.work)
+        self._recent_demand.add(now, (service, account), job.queued_request.work)
         yield from self._record_starts(
             service, self._scheduler(service).submit(now, job)
         )
@@ -304,15 +306,17 @@
         self._now = now
         scheduler = self._scheduler(service)
         scheduler.cancel(request)
-        yield from self._record_starts(service, scheduler.finished(now, request))
+        yield from self._record_starts(service, scheduler.release(now, request))
 
     def _record_starts(
         self, service: str, decisions: Iterable[Decision]
     ) -> Iterator[Decision]:
         for decision in decisions:
             if isinstance(decision, StartJob):
-                waiter = decision.waiter
-                self._recent_work.add(self._now, (service, waiter.account), waiter.work)
+                queued_request = decision.queued_request
+                self._recent_work.add(
+                    self._now, (service, queued_request.account), queued_request.work
+                )
             yield decision
 
     def choose_retry_endpoint(
@@ -469,7 +473,7 @@
                 lambda account: self.recent_usage(service, account),
                 lambda: self._unread_tokens(service),
                 lambda: self.backoff_s(self._now, service),
-                fade_s=USAGE_DECAY_S,
+                usage_decay_s=USAGE_DECAY_S,
             )
         found.transfers = self.service(service).transfers
         return found
--- a/greengageflow/core/service_scheduler.py
+++ b/greengageflow/core/service_scheduler.py
@@ -34,14 +34,14 @@
     """A request that is submitted for scheduling.
 
     Args:
-        waiter: Its queue entry.
+        queued_request: Its queue entry.
         target_s: Target latency, counted from its arrival, in seconds.
         prompt: Its prompt, for a model engine.
         avoid: Ids of endpoints that it must not be sent to.
         zone: Availability zone of the host that sends it; empty for this host's.
     """
 
-    waiter: QueuedRequest
+    queued_request: QueuedRequest
     target_s: float
     prompt: Prompt | None = None
     avoid: frozenset[str] = frozenset()
@@ -55,25 +55,25 @@
     Args:
         running: Concurrent requests.
         reading: Prompt tokens of requests without a first event.
-        levels: Recent work above which an account yields to others, by account.
+        usage_limits: Recent work above which an account yields to others, by account.
     """
 
     running: float = inf
     reading: float = inf
-    levels: Mapping[str, float] = field(default_factory=dict)
+    usage_limits: Mapping[str, float] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
 class StartJob:
     """Decision to send a request now."""
 
-    waiter: QueuedRequest
+    queued_request: QueuedRequest
     choice: Choice
 
     @property
     def request(self) -> str:
         """Id of the request."""
-        return self.waiter.id
+        return self.queued_request.id
 
 
 @dataclass(frozen=True, slots=True)
@@ -95,12 +95,12 @@
     Args:
         endpoints: Returns the usable endpoints.
         chooser: Chooses among them.
-        level: Returns an account's recent work in the whole fleet.
-        reading: Returns the prompt tokens of this host's requests that are yet to be
-            read by the service's endpoints.
+        recent_usage: Returns an account's recent work in the whole fleet.
+        unread_tokens: Returns the prompt tokens of this host's requests that the
+            service's endpoints have yet to read.
         backoff_s: Returns the seconds until the first endpoint ends its backoff; 0 if
             one accepts work now, or if there are none.
-        fade_s: Time constant of the decay of recent work, in seconds.
+        usage_decay_s: Time constant of the decay of recent work, in seconds.
         transfers: Engines can fetch prompt parts from each other.
     """
 
@@ -108,22 +108,22 @@
         self,
         endpoints: Callable[[], Sequence[ListedEndpoint]],
         chooser: EndpointChooser,
-        level: Callable[[str], float],
-        reading: Callable[[], float],
+        recent_usage: Callable[[str], float],
+        unread_tokens: Callable[[], float],
         backoff_s: Callable[[], float],
         *,
-        fade_s: float,
+        usage_decay_s: float,
         transfers: bool = False,
     ) -> None:
-        self.allowance = CapacityShare()
+        self.capacity_share = CapacityShare()
         self.transfers = transfers
         self.running: set[str] = set()
         self._endpoints = endpoints
         self._chooser = chooser
-        self._level = level
-        self._reading = reading
+        self._recent_usage = recent_usage
+        self._unread_tokens = unread_tokens
         self._backoff_s = backoff_s
-        self._fade_s = fade_s
+        self._usage_decay_s = usage_decay_s
         self._queue = WorkQueue()
         self._jobs: dict[str, Job] = {}
 
@@ -136,10 +136,10 @@
         """Queue a request, and yield the decisions that are now possible."""
         if not self._endpoints() and not self._backoff_s():
             text = "no endpoint of the service is known"
-            yield RefuseJob(job.waiter.id, ErrorKind.NO_ENDPOINT, text, 1.0)
+            yield RefuseJob(job.queued_request.id, ErrorKind.NO_ENDPOINT, text, 1.0)
             return
-        self._jobs[job.waiter.id] = job
-        self._queue.put(job.waiter)
+        self._jobs[job.queued_request.id] = job
+        self._queue.put(job.queued_request)
         yield from self.pump(now)
 
     def cancel(self, request: str) -> None:
@@ -147,44 +147,45 @@
         if self._queue.remove(request):
             del self._jobs[request]
 
-    def finished(self, now: float, request: str) -> Iterator[Decision]:
+    def release(self, now: float, request: str) -> Iterator[Decision]:
         """Release a request's slot, and yield the decisions that are now possible."""
         self.running.discard(request)
         yield from self.pump(now)
 
     def pump(self, now: float) -> Iterator[Decision]:
         """Yield all starts and refusals that are due."""
-        yield from self._refuse_hopeless(now)
-        for waiter in list(self._queue.expired(now)):
-            del self._jobs[waiter.id]
+        yield from self._refuse_during_backoff(now)
+        for queued in list(self._queue.expired(now)):
+            del self._jobs[queued.id]
             text = "no endpoint had room in time"
-            wait_s = self._come_back_s(waiter.account)
-            yield RefuseJob(waiter.id, ErrorKind.QUEUE_FULL, text, wait_s)
+            wait_s = self._retry_after_s(queued.account)
+            yield RefuseJob(queued.id, ErrorKind.QUEUE_FULL, text, wait_s)
         while (start := self._next(now)) is not None:
             self._queue.remove(start.request)
             del self._jobs[start.request]
             self.running.add(start.request)
             yield start
 
-    def _refuse_hopeless(self, now: float) -> Iterator[RefuseJob]:
+    def _refuse_during_backoff(self, now: float) -> Iterator[RefuseJob]:
         """Refuse requests that would time out before any endpoint ends its backoff."""
         wait_s = self._backoff_s()
         if not wait_s:
             return
-        for waiter in [job.waiter for job in self._jobs.values()]:
-            if now + wait_s >= waiter.give_up_at:
-                self.cancel(waiter.id)
+        for queued in [job.queued_request for job in self._jobs.values()]:
+            if now + wait_s >= queued.expires_at:
+                self.cancel(queued.id)
                 text = "all endpoints of the service ask for backoff"
-                yield RefuseJob(waiter.id, ErrorKind.NO_ENDPOINT, text, wait_s)
+                yield RefuseJob(queued.id, ErrorKind.NO_ENDPOINT, text, wait_s)
 
-    def _come_back_s(self, account: str) -> float:
+    def _retry_after_s(self, account: str) -> float:
         """Return the seconds until the account's usage decays to its share."""
-        most = self.allowance.levels.get(account, 0.0)
-        level = self._level(account)
-        if not most or level <= most:
+        limit = self.capacity_share.usage_limits.get(account, 0.0)
+        usage = self._recent_usage(account)
+        if not limit or usage <= limit:
             return MIN_RETRY_AFTER_S
         return min(
-            MAX_RETRY_AFTER_S, MIN_RETRY_AFTER_S + self._fade_s * log(level / most)
+            MAX_RETRY_AFTER_S,
+            MIN_RETRY_AFTER_S + self._usage_decay_s * log(usage / limit),
         )
 
     def _next(self, now: float) -> StartJob | None:
@@ -193,13 +194,15 @@
         look = self._chooser.look(now, self._endpoints())
         if not look.room:
             return None
-        allowed = self.allowance
-        within = len(self.running) < allowed.running
-        within = within and self._reading() < allowed.reading
-        for waiter in self._queue.heads(now, self._level):
-            most = allowed.levels.get(waiter.account, inf)
-            busy = not within or self._level(waiter.account) > most
-            job = self._jobs[waiter.id]
+        share = self.capacity_share
+        within_share = len(self.running) < share.running
+        within_share = within_share and self._unread_tokens() < share.reading
+        for queued in self._queue.next_by_account(now, self._recent_usage):
+            limit = share.usage_limits.get(queued.account, inf)
+            beyond_share = (
+                not within_share or self._recent_usage(queued.account) > limit
+            )
+            job = self._jobs[queued.id]
             # Beyond the share of this host or its account, a request starts only on
             # engines with spare capacity. So no capacity idles, and requests within
             # their share do not have to wait for it.
@@ -208,15 +211,17 @@
                 look,
                 job.prompt,
                 avoid=job.avoid,
-                patience_s=SPARE_WAIT_TARGET_FRACTION * job.target_s if busy else inf,
+                patience_s=SPARE_WAIT_TARGET_FRACTION * job.target_s
+                if beyond_share
+                else inf,
                 zone=job.zone,
                 first_by_s=FIRST_EVENT_TARGET_FRACTION * job.target_s
-                - (now - waiter.arrived),
+                - (now - queued.arrived),
                 transfers=self.transfers,
-                fill=SPARE_FILL_FRACTION if busy else MAX_FILL_FRACTION,
+                fill=SPARE_FILL_FRACTION if beyond_share else MAX_FILL_FRACTION,
             )
             if choice is not None:
-                return StartJob(waiter, choice)
+                return StartJob(queued, choice)
         return None
 
     def next_due(self) -> float | None:
--- a/greengageflow/core/work_queue.py
+++ b/greengageflow/core/work_queue.py
@@ -18,7 +18,7 @@
         priority: Rank within its account, 0 is the highest.
         arrived: Arrival time.
         target_at: Time by which it should be answered.
-        give_up_at: Time at which it is refused.
+        expires_at: Time at which it is refused.
     """
 
     id: str
@@ -27,7 +27,7 @@
     priority: int
     arrived: float
     target_at: float
-    give_up_at: float
+    expires_at: float
 
 
 class WorkQueue:
@@ -41,7 +41,7 @@
         self._by_account: dict[str, _AccountQueue] = {}
         self._entries: dict[str, tuple[QueuedRequest, int]] = {}
         self._expiries: list[tuple[float, int, str]] = []
-        self._orders = count()
+        self._sequence = count()
 
     def __len__(self) -> int:
         """Return the number of queued requests."""
@@ -49,30 +49,32 @@
 
     def waiting(self, account: str) -> int:
         """Return the number of queued requests of an account."""
-        line = self._by_account.get(account)
-        return len(line) if line else 0
+        account_queue = self._by_account.get(account)
+        return len(account_queue) if account_queue else 0
 
-    def put(self, waiter: QueuedRequest) -> None:
+    def put(self, queued: QueuedRequest) -> None:
         """Add a request."""
-        order = next(self._orders)
-        self._by_account.setdefault(waiter.account, _AccountQueue()).put(waiter, order)
-        self._entries[waiter.id] = waiter, order
-        heappush(self._expiries, (waiter.give_up_at, order, waiter.id))
+        sequence = next(self._sequence)
+        self._by_account.setdefault(queued.account, _AccountQueue()).put(
+            queued, sequence
+        )
+        self._entries[queued.id] = queued, sequence
+        heappush(self._expiries, (queued.expires_at, sequence, queued.id))
 
     def remove(self, request: str) -> QueuedRequest | None:
         """Remove and return a request, or return None if it is not queued."""
         entry = self._entries.pop(request, None)
         if entry is None:
             return None
-        waiter, order = entry
-        line = self._by_account[waiter.account]
-        line.remove(waiter, order)
-        if not line:
-            del self._by_account[waiter.account]
-        return waiter
-
-    def heads(
-        self, now: float, level: Callable[[str], float]
+        queued, sequence = entry
+        account_queue = self._by_account[queued.account]
+        account_queue.remove(queued, sequence)
+        if not account_queue:
+            del self._by_account[queued.account]
+        return queued
+
+    def next_by_account(
+        self, now: float, recent_usage: Callable[[str], float]
     ) -> Iterator[QueuedRequest]:
         """Yield the next request of each account, least-served account first.
 
@@ -81,13 +83,13 @@
 
         Args:
             now: The time.
-            level: Returns an account's recent work; the lowest comes first.
+            recent_usage: Returns an account's recent work; the lowest comes first.
         """
-        for account in sorted(self._by_account, key=level):
-            yield self._by_account[account].head(now)
+        for account in sorted(self._by_account, key=recent_usage):
+            yield self._by_account[account].first(now)
 
     def expired(self, now: float) -> Iterator[QueuedRequest]:
-        """Remove and yield the requests whose ``give_up_at`` has passed."""
+        """Remove and yield the requests whose ``expires_at`` has passed."""
         while (expiry := self.next_expiry()) is not None and expiry <= now:
             _, _, request = heappop(self._expiries)
             yield self.remove(request)
@@ -95,9 +97,9 @@
     def next_expiry(self) -> float | None:
         """Return the time at which the next request expires, or None."""
         while self._expiries:
-            give_up_at, order, request = self._expiries[0]
-            if self._entries.get(request, (None, -1))[1] == order:
-                return give_up_at
+            expires_at, sequence, request = self._expiries[0]
+            if self._entries.get(request, (None, -1))[1] == sequence:
+                return expires_at
             heappop(self._expiries)
         return None
 
@@ -111,17 +113,17 @@
     def __len__(self) -> int:
         return sum(map(len, self._by_priority.values()))
 
-    def put(self, waiter: QueuedRequest, order: int) -> None:
-        line = self._by_priority.setdefault(waiter.priority, [])
-        insort(line, (waiter.target_at, order, waiter))
+    def put(self, queued: QueuedRequest, sequence: int) -> None:
+        entries = self._by_priority.setdefault(queued.priority, [])
+        insort(entries, (queued.target_at, sequence, queued))
 
-    def remove(self, waiter: QueuedRequest, order: int) -> None:
-        line = self._by_priority[waiter.priority]
-        del line[bisect_left(line, (waiter.target_at, order))]
-        if not line:
-            del self._by_priority[waiter.priority]
+    def remove(self, queued: QueuedRequest, sequence: int) -> None:
+        entries = self._by_priority[queued.priority]
+        del entries[bisect_left(entries, (queued.target_at, sequence))]
+        if not entries:
+            del self._by_priority[queued.priority]
 
-    def head(self, now: float) -> QueuedRequest:
-        line = self._by_priority[min(self._by_priority)]
-        in_time = bisect_right(line, now, key=lambda entry: entry[0])
-        return line[in_time if in_time < len(line) else 0][2]
+    def first(self, now: float) -> QueuedRequest:
+        entries = self._by_priority[min(self._by_priority)]
+        first_in_time = bisect_right(entries, now, key=lambda entry: entry[0])
+        return entries[first_in_time if first_in_time < len(entries) else 0][2]
--- a/greengageflow/daemon/forward_admission.py
+++ b/greengageflow/daemon/forward_admission.py
@@ -122,7 +122,7 @@
     def _waiter(self, flight: ForwardFlight) -> QueuedRequest:
         prompt = flight.req.prompt
         target_s = flight.route.target_s
-        give_up_at = flight.arrived + QUEUE_TARGET_FRACTION * target_s
+        expires_at = flight.arrived + QUEUE_TARGET_FRACTION * target_s
         return QueuedRequest(
             flight.id,
             flight.account,
@@ -130,7 +130,7 @@
             flight.route.priority,
             flight.arrived,
             flight.arrived + target_s - self._age_s(flight),
-            min(give_up_at, flight.deadline),
+            min(expires_at, flight.deadline),
         )
 
     def _age_s(self, flight: ForwardFlight) -> float:
--- a/greengageflow/daemon/placement.py
+++ b/greengageflow/daemon/placement.py
@@ -137,7 +137,7 @@
         self._book.count_request(now, service)
         if job.prompt is not None and self._holds_back(now):
             held = PendingPlacement("", service, job, account, now, queued=True)
-            self._pending[job.waiter.id] = held
+            self._pending[job.queued_request.id] = held
             return
         yield from self._place(now, service, job, account)
 
@@ -153,7 +153,7 @@
                 now, service, job, account, count_for_budget=False
             )
             return
-        request = job.waiter.id
+        request = job.queued_request.id
         self._pending[request] = PendingPlacement(placer, service, job, account, now)
         self._roll_until[placer] = now + ROLLS_ON_S
         avoid = self._book.unavailable_endpoints(now, service)
@@ -177,7 +177,7 @@
         if not asked.queued:
             self._on_mute(asked.placer)
             return
-        late_s = asked.job.waiter.give_up_at - self._timers.now + LATE_WORD_S
+        late_s = asked.job.queued_request.expires_at - self._timers.now + LATE_WORD_S
         if late_s > 0:
             self._timers.after(late_s, lambda: self._on_silence(request))
         else:
@@ -362,7 +362,7 @@
         self._runs[answer.request] = Run(asked.placer, endpoint, answer.reading, memory)
         source = self._endpoints.get(answer.fetch_from)
         choice = Choice(endpoint, answer.reading, answer.wait_s, source)
-        self._carry_out([StartJob(asked.job.waiter, choice)])
+        self._carry_out([StartJob(asked.job.queued_request, choice)])
 
     # The fleet.
 
--- a/greengageflow/lab/policy_play.py
+++ b/greengageflow/lab/policy_play.py
@@ -190,7 +190,7 @@
             self._now + service_scheduler.QUEUE_TARGET_FRACTION * asked.kind.target_s
         )
         end_at = asked.at + asked.kind.deadline_s
-        waiter = QueuedRequest(
+        queued_request = QueuedRequest(
             request,
             asked.account,
             asked.prompt.work,
@@ -199,7 +199,7 @@
             asked.at + asked.kind.target_s,
             min(give_up, end_at),
         )
-        job = Job(waiter, asked.kind.target_s, asked.prompt, zone=asked.zone)
+        job = Job(queued_request, asked.kind.target_s, asked.prompt, zone=asked.zone)
         self._at(end_at, lambda: self._stop(tried, "failed"))
         if asked.leaves_after_s is not None:
             self._at(asked.at + asked.leaves_after_s, lambda: self._stop(tried, "left"))
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -43,8 +43,8 @@
         """Submit a request; return its endpoint id or its refusal."""
         self.sent += 1
         name = f"r{self.sent}"
-        waiter = QueuedRequest(name, "a", 1.0, 0, now, now + 1, now + 0.4)
-        job = Job(waiter, 1.0, self.prompt)
+        queued_request = QueuedRequest(name, "a", 1.0, 0, now, now + 1, now + 0.4)
+        job = Job(queued_request, 1.0, self.prompt)
         (decision,) = self.book.submit(now, self.service, job, "a")
         if isinstance(decision, StartJob):
             list(self.book.on_request_end(now, self.service, name))
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -159,8 +159,10 @@
 
     def ask(self, patience_s=0.5):
         name, now = str(next(self.runs)), self.now
-        waiter = QueuedRequest(name, "a", 100.0, 0, now, now + 1, now + patience_s)
-        job = Job(waiter, 1.0, PROMPT)
+        queued_request = QueuedRequest(
+            name, "a", 100.0, 0, now, now + 1, now + patience_s
+        )
+        job = Job(queued_request, 1.0, PROMPT)
         self.carry_out(self.placement.submit(now, "model", job, "a"))
         return name
 
@@ -354,8 +356,8 @@
     fleet = Fleet()
     desk = PlaceDesk("p", fleet.hosts[fleet.placer].book)
     for number in range(SLOTS + 2):
-        waiter = QueuedRequest(str(number), "a", 100.0, 0, 9.0, 10.0, 9.2)
-        job = Job(waiter, 1.0, PROMPT)
+        queued_request = QueuedRequest(str(number), "a", 100.0, 0, 9.0, 10.0, 9.2)
+        job = Job(queued_request, 1.0, PROMPT)
         for decision in desk.ask(9.0, ask_for("h", 1, 9.0, "model", job, "a", (), "z")):
             desk.decided(9.0, decision)
     roll = PlaceRoll(host="h", boot=1)
--- a/tests/test_service_core.py
+++ b/tests/test_service_core.py
@@ -121,21 +121,23 @@
     assert short.holds(0.79) and not short.holds(0.8)
 
 
-def waiter(name, account="a", *, priority=0, target_at=5.0, give_up_at=9.0, work=1.0):
-    return QueuedRequest(name, account, work, priority, 0.0, target_at, give_up_at)
+def queued_request(
+    name, account="a", *, priority=0, target_at=5.0, expires_at=9.0, work=1.0
+):
+    return QueuedRequest(name, account, work, priority, 0.0, target_at, expires_at)
 
 
 def test_queue_serves_low_accounts_then_rank_then_what_is_in_time():
     queue = WorkQueue()
-    queue.put(waiter("late", target_at=1.0))
-    queue.put(waiter("far", target_at=8.0))
-    queue.put(waiter("near", target_at=4.0))
-    queue.put(waiter("low", priority=1, target_at=3.0))
-    queue.put(waiter("other", "b"))
+    queue.put(queued_request("late", target_at=1.0))
+    queue.put(queued_request("far", target_at=8.0))
+    queue.put(queued_request("near", target_at=4.0))
+    queue.put(queued_request("low", priority=1, target_at=3.0))
+    queue.put(queued_request("other", "b"))
     levels = {"a": 5.0, "b": 3.0}
 
     def order():
-        while heads := [w.id for w in queue.heads(2.0, levels.get)]:
+        while heads := [w.id for w in queue.next_by_account(2.0, levels.get)]:
             queue.remove(heads[0])
             yield heads[0]
 
@@ -145,8 +147,8 @@
 
 def test_queue_gives_up_each_request_at_its_time():
     queue = WorkQueue()
-    queue.put(waiter("one", give_up_at=3.0))
-    queue.put(waiter("two", "b", give_up_at=4.0))
+    queue.put(queued_request("one", expires_at=3.0))
+    queue.put(queued_request("two", "b", expires_at=4.0))
     assert queue.next_expiry() == 3.0
     assert [w.id for w in queue.expired(3.0)] == ["one"]
     assert queue.remove("one") is None and queue.waiting("a") == 0
@@ -204,11 +206,11 @@
             lambda account: self.levels.get(account, 0.0),
             lambda: self.reading,
             lambda: self.backoff_s,
-            fade_s=4.0,
+            usage_decay_s=4.0,
         )
 
     def submit(self, name, account="a", **options):
-        job = Job(waiter(name, account, **options), 1.0, PROMPT)
+        job = Job(queued_request(name, account, **options), 1.0, PROMPT)
         return list(self.scheduler.submit(0.0, job))
 
     def fill(self, running, reading=0.0):
@@ -226,10 +228,10 @@
     service, beyond
 ):
     """Other hosts and accounts wait for the rest; only idle capacity may be used."""
-    service.scheduler.allowance = CapacityShare(
+    service.scheduler.capacity_share = CapacityShare(
         running=0 if beyond == "running" else 9,
         reading=0 if beyond == "reading" else 9,
-        levels={"a": 10.0},
+        usage_limits={"a": 10.0},
     )
     service.levels["a"] = 11.0 if beyond == "level" else 9.0
     service.fill(2)
@@ -248,7 +250,9 @@
 def test_accounts_above_their_level_go_after_others(service):
     service.fill(4)
     service.levels.update(a=30.0, b=10.0)
-    service.scheduler.allowance = CapacityShare(levels={"a": 20.0, "b": 20.0})
+    service.scheduler.capacity_share = CapacityShare(
+        usage_limits={"a": 20.0, "b": 20.0}
+    )
     assert not service.submit("above", "a") and not service.submit("below", "b")
     service.fill(2)
     assert [d.request for d in service.scheduler.pump(0.1)] == ["below"]
@@ -257,14 +261,14 @@
 
 def test_requests_are_refused_when_their_time_is_over(service):
     service.fill(4)
-    service.scheduler.allowance = CapacityShare(levels={"a": 10.0})
-    service.submit("one", give_up_at=2.0)
+    service.scheduler.capacity_share = CapacityShare(usage_limits={"a": 10.0})
+    service.submit("one", expires_at=2.0)
     service.levels["a"] = 27.0
     assert service.scheduler.next_due() == 2.0
     assert not list(service.scheduler.pump(1.99))
     (refusal,) = service.scheduler.pump(2.0)
     assert isinstance(refusal, RefuseJob) and refusal.kind is ErrorKind.QUEUE_FULL
-    assert 4.9 < refusal.retry_after_s <= 5.0, "1 s and fade_s * ln(2.7)"
+    assert 4.9 < refusal.retry_after_s <= 5.0, "1 s and usage_decay_s * ln(2.7)"
     assert service.scheduler.next_due() is None and not service.scheduler.waiting
 
 
--- a/tests/test_started_again.py
+++ b/tests/test_started_again.py
@@ -44,8 +44,8 @@
                 self.book.forget_endpoint(change.id)
 
     def choice(self, now, prompt=PROMPT):
-        waiter = QueuedRequest(f"r{now}", "a", 1.0, 0, now, now + 1, now + 1)
-        job = Job(waiter, 1.0, prompt)
+        queued_request = QueuedRequest(f"r{now}", "a", 1.0, 0, now, now + 1, now + 1)
+        job = Job(queued_request, 1.0, prompt)
         (start,) = self.book.submit(now, "m", job, "a")
         assert isinstance(start, StartJob)
         return start.choice
