--- a/greengageflow/core/endpoint_choice.py
+++ b/greengageflow/core/endpoint_choice.py
@@ -53,14 +53,14 @@
         reading: Expected number of prompt tokens that it has to read.
         wait_s: Predicted time to the first event, in seconds.
         fetch_from: Engine from which missing shared parts are fetched, or None.
-        sure: The number of tokens to read is reliable.
+        reliable: The number of tokens to read is reliable.
     """
 
     endpoint: ListedEndpoint
     reading: float = 0.0
     wait_s: float = 0.0
     fetch_from: ListedEndpoint | None = None
-    sure: bool = True
+    reliable: bool = True
 
 
 class EndpointChooser:
@@ -85,31 +85,35 @@
         self._places = places
         self._zone = zone
 
-    def look(self, now: float, endpoints: Sequence[ListedEndpoint]) -> "Candidates":
+    def find_candidates(
+        self, now: float, endpoints: Sequence[ListedEndpoint]
+    ) -> "Candidates":
         """Return the candidates that all queued requests can choose from.
 
         The queue is scanned at each event. Checking all engines again for the first
         request of each account would take most of a placer's time while they are full.
         """
-        room = [
+        with_free_slot = [
             e for e in endpoints if self._loads(e).has_slot(PLAIN_REQUESTS_PER_SLOT)
         ]
-        awake = [e for e in room if not self._health.rests(now, e.id)]
-        loads = [(endpoint, self._loads(endpoint)) for endpoint in awake]
+        active = [e for e in with_free_slot if not self._health.rests(now, e.id)]
+        loads = [(endpoint, self._loads(endpoint)) for endpoint in active]
         return Candidates(
             endpoints=endpoints,
-            room=room,
-            engines=[_CandidateEngine(e, load, load.ahead_s(now)) for e, load in loads],
+            with_free_slot=with_free_slot,
+            engines=[
+                _CandidateEngine(e, load, load.queue_wait_s(now)) for e, load in loads
+            ],
         )
 
     def choose(
         self,
         now: float,
-        look: "Candidates",
+        candidates: "Candidates",
         prompt: Prompt | None,
         *,
-        patience_s: float,
-        first_by_s: float = inf,
+        max_wait_s: float,
+        first_event_within_s: float = inf,
         transfers: bool,
         fill: float = MAX_FILL_FRACTION,
         avoid: Container[str] = (),
@@ -119,11 +123,11 @@
 
         Args:
             now: The time.
-            look: Candidates as of ``now``.
+            candidates: Endpoints to choose from, as of ``now``.
             prompt: Prompt, for a model engine.
-            patience_s: Maximum wait until the endpoint begins, in seconds.
-            first_by_s: Seconds from now by which the first event should come. An
-                endpoint that begins within ``NEGLIGIBLE_WAIT_S`` is accepted anyway,
+            max_wait_s: Maximum wait until the endpoint begins, in seconds.
+            first_event_within_s: Seconds from now by which the first event should come.
+                An endpoint that begins within ``NEGLIGIBLE_WAIT_S`` is accepted anyway,
                 since no other could begin sooner.
             transfers: Engines can fetch prompt parts from each other.
             fill: Fraction of an engine's slots that may be used.
@@ -134,50 +138,58 @@
         """
         zone = zone or self._zone
         if prompt is None:
-            awake = [one.endpoint for one in look.engines]
-            found = [e for e in awake or look.room if e.id not in avoid]
-            return self._plain(found, fill, zone)
-        longest_s = max(NEGLIGIBLE_WAIT_S, min(patience_s, first_by_s))
-        able = [
-            one
-            for one in look.engines
-            if one.ahead_s <= longest_s
-            and one.endpoint.id not in avoid
-            and one.load.fits(prompt.tokens_in, fill)
+            active = [engine.endpoint for engine in candidates.engines]
+            found = [
+                e for e in active or candidates.with_free_slot if e.id not in avoid
+            ]
+            return self._choose_plain(found, fill, zone)
+        wait_limit_s = max(NEGLIGIBLE_WAIT_S, min(max_wait_s, first_event_within_s))
+        eligible = [
+            engine
+            for engine in candidates.engines
+            if engine.queue_wait_s <= wait_limit_s
+            and engine.endpoint.id not in avoid
+            and engine.load.fits(prompt.tokens_in, fill)
         ]
-        if not able:
+        if not eligible:
             return None
-        kept = self._kept(now, prompt, look.endpoints)
-        is_kept = 0 < prompt.shared_tokens == kept.most
-        home = None if is_kept else home_of(prompt.affinity, look.endpoints)
+        cached = self._find_cached(now, prompt, candidates.endpoints)
+        is_cached = 0 < prompt.shared_tokens == cached.longest_tokens
+        home = None if is_cached else home_of(prompt.affinity, candidates.endpoints)
         best: Choice | None = None
         best_s = inf
-        for one in able:
-            plan = _estimate_cost(one, kept, prompt, transfers)
-            latest_s = max(NEGLIGIBLE_WAIT_S, first_by_s - plan.first_s)
-            if one.ahead_s > latest_s:
+        for engine in eligible:
+            estimate = _estimate_cost(engine, cached, prompt, transfers)
+            latest_s = max(NEGLIGIBLE_WAIT_S, first_event_within_s - estimate.first_s)
+            if engine.queue_wait_s > latest_s:
                 continue
             # Reading or copying parts that another engine keeps delays later requests
             # as much as waiting does, so it counts towards the maximum wait.
-            if one.ahead_s + plan.again_s > max(NEGLIGIBLE_WAIT_S, patience_s):
+            if engine.queue_wait_s + estimate.duplicate_s > max(
+                NEGLIGIBLE_WAIT_S, max_wait_s
+            ):
                 continue
-            wait_s = one.ahead_s + plan.first_s
-            cost_s = self._cost_s(one, wait_s, zone) + plan.again_s
-            if home is not None and one.endpoint.id == home.id:
+            wait_s = engine.queue_wait_s + estimate.first_s
+            cost_s = self._cost_s(engine, wait_s, zone) + estimate.duplicate_s
+            if home is not None and engine.endpoint.id == home.id:
                 cost_s -= HOME_BONUS_S
             if cost_s < best_s:
                 best_s = cost_s
                 best = Choice(
-                    one.endpoint, plan.reading, wait_s, plan.source, plan.sure
+                    engine.endpoint,
+                    estimate.reading,
+                    wait_s,
+                    estimate.source,
+                    estimate.reliable,
                 )
         return best
 
-    def _kept(
+    def _find_cached(
         self, now: float, prompt: Prompt, endpoints: Sequence[ListedEndpoint]
     ) -> "_CachedPrefixes":
-        kept = _CachedPrefixes()
+        cached = _CachedPrefixes()
         if not prompt.shared_tokens:
-            return kept
+            return cached
         by_id = {endpoint.id: endpoint for endpoint in endpoints}
         depth = 0
         for part in prompt.parts[:-1]:
@@ -186,12 +198,12 @@
                 found = by_id.get(holder.endpoint)
                 if found is None or self._health.rests(now, found.id):
                     continue
-                kept.tokens[found.id] = kept.most = depth
-                if holder.has_read and depth > kept.source_tokens:
-                    kept.source, kept.source_tokens = found, depth
-        return kept
+                cached.tokens[found.id] = cached.longest_tokens = depth
+                if holder.has_read and depth > cached.source_tokens:
+                    cached.source, cached.source_tokens = found, depth
+        return cached
 
-    def _plain(
+    def _choose_plain(
         self, endpoints: Sequence[ListedEndpoint], fill: float, zone: str
     ) -> Choice | None:
         """Return the least loaded endpoint of a plain service."""
@@ -203,15 +215,15 @@
             # retries of these would use up the retry budget.
             if load.running >= PLAIN_REQUESTS_PER_SLOT * fill * load.slots:
                 continue
-            away = PLAIN_CROSS_ZONE_PENALTY if endpoint.zone != zone else 0.0
-            failing = PLAIN_FAILURE_PENALTY * self._health.failing(endpoint.id)
-            cost = load.running + away + failing
+            cross_zone = PLAIN_CROSS_ZONE_PENALTY if endpoint.zone != zone else 0.0
+            failure_cost = PLAIN_FAILURE_PENALTY * self._health.failing(endpoint.id)
+            cost = load.running + cross_zone + failure_cost
             if cost < best_cost:
                 best, best_cost = endpoint, cost
         return Choice(best) if best else None
 
-    def _cost_s(self, one: "_CandidateEngine", wait_s: float, zone: str) -> float:
-        endpoint, load = one.endpoint, one.load
+    def _cost_s(self, engine: "_CandidateEngine", wait_s: float, zone: str) -> float:
+        endpoint, load = engine.endpoint, engine.load
         cost_s = wait_s + FAILURE_PENALTY_S * self._health.failing(endpoint.id)
         cost_s += 0.1 * load.running / load.slots
         return cost_s + (CROSS_ZONE_PENALTY_S if endpoint.zone != zone else 0.0)
@@ -221,7 +233,7 @@
 class _CandidateEngine:
     endpoint: ListedEndpoint
     load: EndpointLoad
-    ahead_s: float
+    queue_wait_s: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -230,12 +242,12 @@
 
     Args:
         endpoints: All endpoints of the service; any may keep prompt parts.
-        room: Endpoints with a free slot.
+        with_free_slot: Endpoints with a free slot.
         engines: Endpoints with a free slot that are not suspended, with their waits.
     """
 
     endpoints: Sequence[ListedEndpoint]
-    room: Sequence[ListedEndpoint]
+    with_free_slot: Sequence[ListedEndpoint]
     engines: "Sequence[_CandidateEngine]"
 
 
@@ -246,16 +258,16 @@
     Args:
         reading: Tokens to read.
         first_s: Seconds from the begin of reading to the first event.
-        again_s: Seconds spent on parts that another engine already keeps.
+        duplicate_s: Seconds spent on parts that another engine already keeps.
         source: Engine from which shared parts are fetched, or None.
-        sure: The number of tokens to read is reliable.
+        reliable: The number of tokens to read is reliable.
     """
 
     reading: float
     first_s: float
-    again_s: float
+    duplicate_s: float
     source: ListedEndpoint | None
-    sure: bool
+    reliable: bool
 
 
 @dataclass(slots=True)
@@ -267,33 +279,41 @@
 
     Args:
         tokens: Length of the cached prefix, in tokens, by engine id.
-        most: Longest cached prefix.
+        longest_tokens: Longest cached prefix.
         source: Engine that has read the longest prefix, the most recently used one of
             several, or None.
         source_tokens: Length of the prefix that ``source`` has read.
     """
 
     tokens: dict[str, int] = field(default_factory=dict)
-    most: int = 0
+    longest_tokens: int = 0
     source: ListedEndpoint | None = None
     source_tokens: int = 0
 
 
 def _estimate_cost(
-    one: _CandidateEngine, kept: _CachedPrefixes, prompt: Prompt, transfers: bool
+    engine: _CandidateEngine, cached: _CachedPrefixes, prompt: Prompt, transfers: bool
 ) -> _CostEstimate:
-    here = kept.tokens.get(one.endpoint.id, 0)
-    fetched = kept.source_tokens - here if transfers else 0
-    model = one.load.model
+    cached_tokens = cached.tokens.get(engine.endpoint.id, 0)
+    fetched = cached.source_tokens - cached_tokens if transfers else 0
+    model = engine.load.model
     if fetched > 0:
-        reading = prompt.tokens_in - kept.source_tokens + FETCH_COST_FRACTION * fetched
-        again = kept.most - kept.source_tokens + COPY_COST_FRACTION * fetched
+        reading = (
+            prompt.tokens_in - cached.source_tokens + FETCH_COST_FRACTION * fetched
+        )
+        duplicate_tokens = (
+            cached.longest_tokens - cached.source_tokens + COPY_COST_FRACTION * fetched
+        )
         first_s = model.first_event_s(reading)
-        return _CostEstimate(reading, first_s, again / model.rate, kept.source, False)
-    reading = float(prompt.tokens_in - here)
-    again = max(0, kept.most - here)
-    sure = reading <= MAX_RELIABLE_READING_RATIO * (
+        return _CostEstimate(
+            reading, first_s, duplicate_tokens / model.rate, cached.source, False
+        )
+    reading = float(prompt.tokens_in - cached_tokens)
+    duplicate_tokens = max(0, cached.longest_tokens - cached_tokens)
+    reliable = reading <= MAX_RELIABLE_READING_RATIO * (
         prompt.tokens_in - prompt.shared_tokens
     )
     first_s = model.first_event_s(reading)
-    return _CostEstimate(reading, first_s, again / model.rate, None, sure)
+    return _CostEstimate(
+        reading, first_s, duplicate_tokens / model.rate, None, reliable
+    )
--- a/greengageflow/core/endpoint_load.py
+++ b/greengageflow/core/endpoint_load.py
@@ -51,7 +51,7 @@
         ahead: Unread tokens at that time, including its own.
         mark: Total prompt tokens sent to the endpoint until then, including its own.
         alone: No other prompt was known to be unread at that time.
-        sure: The number of tokens to read is reliable.
+        reliable: The number of tokens to read is reliable.
     """
 
     reading: float
@@ -60,7 +60,7 @@
     ahead: float
     mark: float
     alone: bool
-    sure: bool
+    reliable: bool
 
 
 class EndpointLoad:
@@ -114,7 +114,7 @@
         known = self._model.samples >= MIN_TRUSTED_SAMPLES
         return self._model if known else self._common
 
-    def ahead_s(self, now: float) -> float:
+    def queue_wait_s(self, now: float) -> float:
         """Return the seconds until a prompt that is sent now would begin to be read.
 
         A prompt without a first event may already be read, since the event follows
@@ -167,7 +167,7 @@
         reading: float,
         memory: float,
         *,
-        sure: bool = True,
+        reliable: bool = True,
     ) -> None:
         """Add a request that is sent to the endpoint.
 
@@ -176,12 +176,12 @@
             request: Its id.
             reading: Prompt tokens to read.
             memory: Memory that it needs at its end, in tokens.
-            sure: ``reading`` is reliable, so that the model may learn from it.
+            reliable: ``reading`` is reliable, so that the model may learn from it.
         """
         alone = not self._unread and not self.others.reading
         level = self._drained(now) + reading
         self._sent += reading
-        run = _ActiveRequest(reading, memory, now, level, self._sent, alone, sure)
+        run = _ActiveRequest(reading, memory, now, level, self._sent, alone, reliable)
         self._runs[request] = run
         if reading:
             self._unread[request] = run
@@ -203,7 +203,7 @@
 
     def _learn(self, now: float, run: _ActiveRequest) -> None:
         took_s = now - run.sent_at
-        if not run.sure or took_s <= 0:
+        if not run.reliable or took_s <= 0:
             return
         if run.alone:
             for model in (self._model, self._common):
--- a/greengageflow/core/service_dispatcher.py
+++ b/greengageflow/core/service_dispatcher.py
@@ -119,7 +119,7 @@
         memory: float,
     ) -> None:
         """Add a request that a previous placer sent to the endpoint's load."""
-        self._load(endpoint).begin(now, request, reading, memory, sure=False)
+        self._load(endpoint).begin(now, request, reading, memory, reliable=False)
 
     def on_cached_parts(
         self, now: float, endpoint: ListedEndpoint, parts: Sequence[PromptPart]
@@ -333,12 +333,14 @@
             avoid: Ids of endpoints that already got the request.
         """
         usable = self.available_endpoints(now, service)
-        look = self._chooser.look(now, [e for e in usable if e.id not in avoid])
+        candidates = self._chooser.find_candidates(
+            now, [e for e in usable if e.id not in avoid]
+        )
         return self._chooser.choose(
             now,
-            look,
+            candidates,
             prompt,
-            patience_s=inf,
+            max_wait_s=inf,
             transfers=self.service(service).transfers,
         )
 
@@ -364,7 +366,7 @@
         endpoint = choice.endpoint
         memory = prompt.tokens_in + prompt.tokens_out if prompt else 0
         self._load(endpoint).begin(
-            now, request, choice.reading, memory, sure=choice.sure
+            now, request, choice.reading, memory, reliable=choice.reliable
         )
         if prompt is not None:
             shared = tuple(part.id for part in prompt.parts[:-1])
--- a/greengageflow/core/service_scheduler.py
+++ b/greengageflow/core/service_scheduler.py
@@ -191,8 +191,8 @@
     def _next(self, now: float) -> StartJob | None:
         if not self._queue:
             return None
-        look = self._chooser.look(now, self._endpoints())
-        if not look.room:
+        candidates = self._chooser.find_candidates(now, self._endpoints())
+        if not candidates.with_free_slot:
             return None
         share = self.capacity_share
         within_share = len(self.running) < share.running
@@ -208,14 +208,14 @@
             # their share do not have to wait for it.
             choice = self._chooser.choose(
                 now,
-                look,
+                candidates,
                 job.prompt,
                 avoid=job.avoid,
-                patience_s=SPARE_WAIT_TARGET_FRACTION * job.target_s
+                max_wait_s=SPARE_WAIT_TARGET_FRACTION * job.target_s
                 if beyond_share
                 else inf,
                 zone=job.zone,
-                first_by_s=FIRST_EVENT_TARGET_FRACTION * job.target_s
+                first_event_within_s=FIRST_EVENT_TARGET_FRACTION * job.target_s
                 - (now - queued.arrived),
                 transfers=self.transfers,
                 fill=SPARE_FILL_FRACTION if beyond_share else MAX_FILL_FRACTION,
--- a/tests/engine_stubs.py
+++ b/tests/engine_stubs.py
@@ -31,8 +31,13 @@
             lambda e: self.loads[e.id], self.health, self.places, "z"
         )
 
-    def choose(self, prompt=PROMPT, patience_s=9.0, transfers=True, zone=""):
-        look = self.chooser.look(1.0, self.listed)
+    def choose(self, prompt=PROMPT, max_wait_s=9.0, transfers=True, zone=""):
+        candidates = self.chooser.find_candidates(1.0, self.listed)
         return self.chooser.choose(
-            1.0, look, prompt, patience_s=patience_s, transfers=transfers, zone=zone
+            1.0,
+            candidates,
+            prompt,
+            max_wait_s=max_wait_s,
+            transfers=transfers,
+            zone=zone,
         )
--- a/tests/test_endpoint_choice.py
+++ b/tests/test_endpoint_choice.py
@@ -57,8 +57,8 @@
 def test_no_engine_is_chosen_that_begins_too_late_or_is_full(engines):
     for load in engines.loads.values():
         load.others = LoadShare(1, 5000.0, 0.0)
-    assert engines.choose(patience_s=0.49) is None
-    assert engines.choose(patience_s=0.51) is not None
+    assert engines.choose(max_wait_s=0.49) is None
+    assert engines.choose(max_wait_s=0.51) is not None
     for load in engines.loads.values():
         load.others = LoadShare(4, 0.0, 0.0)
     assert engines.choose() is None
@@ -85,8 +85,8 @@
     """
     engines.places.note(0.0, "shared", "e1")
     engines.loads["e1"].others = LoadShare(1, 1500.0, 0.0)
-    assert engines.choose(patience_s=0.1) is None
-    assert engines.choose(patience_s=0.16).endpoint.id == "e1"
+    assert engines.choose(max_wait_s=0.1) is None
+    assert engines.choose(max_wait_s=0.16).endpoint.id == "e1"
     engines.loads["e1"].others = LoadShare(1, 90_000.0, 0.0)
     assert engines.choose().fetch_from.id == "e1", "within the share it may"
 
--- a/tests/test_service_core.py
+++ b/tests/test_service_core.py
@@ -184,7 +184,7 @@
     load = engine_load()
     load.others = LoadShare(1, 5000.0, 300.0)
     load.begin(0.0, "r", 1000.0, 400.0)
-    assert load.ahead_s(0.0) == pytest.approx(0.6) and load.running == 2
+    assert load.queue_wait_s(0.0) == pytest.approx(0.6) and load.running == 2
     assert load.fits(300.0, 1.0) and not load.fits(301.0, 1.0)
     assert not load.fits(1.0, 0.5), "half of the slots are taken"
     load.first_event(0.5, "r")
