--- a/greengageflow/core/endpoint_choice.py
+++ b/greengageflow/core/endpoint_choice.py
@@ -96,7 +96,7 @@
         with_free_slot = [
             e for e in endpoints if self._loads(e).has_slot(PLAIN_REQUESTS_PER_SLOT)
         ]
-        active = [e for e in with_free_slot if not self._health.rests(now, e.id)]
+        active = [e for e in with_free_slot if not self._health.is_suspended(now, e.id)]
         loads = [(endpoint, self._loads(endpoint)) for endpoint in active]
         return Candidates(
             endpoints=endpoints,
@@ -196,7 +196,7 @@
             depth += part.tokens
             for holder in self._places.holders(now, part.id):
                 found = by_id.get(holder.endpoint)
-                if found is None or self._health.rests(now, found.id):
+                if found is None or self._health.is_suspended(now, found.id):
                     continue
                 cached.tokens[found.id] = cached.longest_tokens = depth
                 if holder.has_read and depth > cached.source_tokens:
@@ -216,7 +216,9 @@
             if load.running >= PLAIN_REQUESTS_PER_SLOT * fill * load.slots:
                 continue
             cross_zone = PLAIN_CROSS_ZONE_PENALTY if endpoint.zone != zone else 0.0
-            failure_cost = PLAIN_FAILURE_PENALTY * self._health.failing(endpoint.id)
+            failure_cost = PLAIN_FAILURE_PENALTY * self._health.failure_rate(
+                endpoint.id
+            )
             cost = load.running + cross_zone + failure_cost
             if cost < best_cost:
                 best, best_cost = endpoint, cost
@@ -224,7 +226,7 @@
 
     def _cost_s(self, engine: "_CandidateEngine", wait_s: float, zone: str) -> float:
         endpoint, load = engine.endpoint, engine.load
-        cost_s = wait_s + FAILURE_PENALTY_S * self._health.failing(endpoint.id)
+        cost_s = wait_s + FAILURE_PENALTY_S * self._health.failure_rate(endpoint.id)
         cost_s += 0.1 * load.running / load.slots
         return cost_s + (CROSS_ZONE_PENALTY_S if endpoint.zone != zone else 0.0)
 
--- a/greengageflow/core/endpoint_health.py
+++ b/greengageflow/core/endpoint_health.py
@@ -11,10 +11,10 @@
 
 @dataclass(slots=True)
 class _EndpointRecord:
-    in_row: int = 0
-    rest_until: float = 0.0
-    rest_s: float = INITIAL_SUSPENSION_S
-    failing: float = 0.0
+    consecutive_failures: int = 0
+    suspended_until: float = 0.0
+    suspension_s: float = INITIAL_SUSPENSION_S
+    failure_rate: float = 0.0
 
 
 class EndpointHealth:
@@ -35,12 +35,12 @@
         self._records.pop(endpoint, None)
         self._backoffs.pop(endpoint, None)
 
-    def rests(self, now: float, endpoint: str) -> bool:
+    def is_suspended(self, now: float, endpoint: str) -> bool:
         """Whether an endpoint is suspended."""
         found = self._records.get(endpoint)
-        return found is not None and now < found.rest_until
+        return found is not None and now < found.suspended_until
 
-    def ask_backoff(self, now: float, endpoint: str, seconds: float) -> bool:
+    def on_backoff(self, now: float, endpoint: str, seconds: float) -> bool:
         """Start or extend a backoff that an endpoint asked for.
 
         Returns:
@@ -57,36 +57,42 @@
         self._backoffs = {e: at for e, at in self._backoffs.items() if at > now}
         return {endpoint: until - now for endpoint, until in self._backoffs.items()}
 
-    def resting(self, now: float) -> frozenset[str]:
+    def unavailable_endpoints(self, now: float) -> frozenset[str]:
         """Return the endpoints that are suspended or in backoff."""
-        rests = (name for name, one in self._records.items() if now < one.rest_until)
-        return frozenset(rests).union(self.backoffs(now))
-
-    def failing(self, endpoint: str) -> float:
+        suspended = (
+            name
+            for name, record in self._records.items()
+            if now < record.suspended_until
+        )
+        return frozenset(suspended).union(self.backoffs(now))
+
+    def failure_rate(self, endpoint: str) -> float:
         """Return the smoothed failure rate of an endpoint, 0 to 1."""
         found = self._records.get(endpoint)
-        return found.failing if found else 0.0
+        return found.failure_rate if found else 0.0
 
-    def in_row(self, endpoint: str) -> int:
+    def consecutive_failures(self, endpoint: str) -> int:
         """Return an endpoint's number of consecutive missing answers."""
         found = self._records.get(endpoint)
-        return found.in_row if found else 0
+        return found.consecutive_failures if found else 0
 
-    def on_answer(self, endpoint: str, good: bool) -> bool:
+    def on_answer(self, endpoint: str, success: bool) -> bool:
         """Record that an endpoint answered, with a success or a failure.
 
         Returns:
             True if it had been suspended.
         """
         record = self._records.setdefault(endpoint, _EndpointRecord())
-        rested = record.rest_until > 0.0
-        record.in_row = 0
-        record.rest_until = 0.0
-        record.rest_s = INITIAL_SUSPENSION_S
-        record.failing += FAILURE_RATE_WEIGHT * ((not good) - record.failing)
-        return rested
-
-    def on_silence(self, now: float, endpoint: str) -> bool:
+        was_suspended = record.suspended_until > 0.0
+        record.consecutive_failures = 0
+        record.suspended_until = 0.0
+        record.suspension_s = INITIAL_SUSPENSION_S
+        record.failure_rate += FAILURE_RATE_WEIGHT * (
+            (not success) - record.failure_rate
+        )
+        return was_suspended
+
+    def on_no_answer(self, now: float, endpoint: str) -> bool:
         """Record that an endpoint did not answer.
 
         A single lost connection also happens with healthy endpoints; several in a row
@@ -96,10 +102,13 @@
             True if the endpoint becomes suspended.
         """
         record = self._records.setdefault(endpoint, _EndpointRecord())
-        record.in_row += 1
-        record.failing += FAILURE_RATE_WEIGHT * (1.0 - record.failing)
-        if record.in_row < FAILURES_TO_SUSPEND or now < record.rest_until:
+        record.consecutive_failures += 1
+        record.failure_rate += FAILURE_RATE_WEIGHT * (1.0 - record.failure_rate)
+        if (
+            record.consecutive_failures < FAILURES_TO_SUSPEND
+            or now < record.suspended_until
+        ):
             return False
-        record.rest_until = now + record.rest_s
-        record.rest_s = min(MAX_SUSPENSION_S, 2 * record.rest_s)
+        record.suspended_until = now + record.suspension_s
+        record.suspension_s = min(MAX_SUSPENSION_S, 2 * record.suspension_s)
         return True
--- a/greengageflow/core/service_dispatcher.py
+++ b/greengageflow/core/service_dispatcher.py
@@ -403,7 +403,7 @@
         """
         if not self._endpoints.is_current(endpoint):
             return False
-        return self._health.ask_backoff(now, endpoint.id, seconds)
+        return self._health.on_backoff(now, endpoint.id, seconds)
 
     def available_endpoints(self, now: float, service: str) -> Sequence[ListedEndpoint]:
         """Return the endpoints of a service that accept new work from this host."""
@@ -427,28 +427,30 @@
         usable = self._endpoints.usable(service)
         return min((backoffs.get(e.id, 0.0) for e in usable), default=0.0)
 
-    def on_answer(self, endpoint: ListedEndpoint, good: bool) -> bool:
+    def on_answer(self, endpoint: ListedEndpoint, success: bool) -> bool:
         """Record an endpoint's answer; return True if that ends its suspension."""
         if not self._endpoints.is_current(endpoint):
             return False
-        return self._health.on_answer(endpoint.id, good)
+        return self._health.on_answer(endpoint.id, success)
 
     def on_no_answer(self, now: float, endpoint: ListedEndpoint) -> bool:
         """Record a missing answer; return True if the endpoint becomes suspended."""
         if not self._endpoints.is_current(endpoint):
             return False
-        return self._health.on_silence(now, endpoint.id)
+        return self._health.on_no_answer(now, endpoint.id)
 
     def unavailable_endpoints(self, now: float, service: str) -> tuple[str, ...]:
         """Return the endpoints of a service that are suspended or in backoff."""
-        resting = self._health.resting(now)
-        if not resting:
+        unavailable = self._health.unavailable_endpoints(now)
+        if not unavailable:
             return ()
-        return tuple(e.id for e in self._endpoints.usable(service) if e.id in resting)
+        return tuple(
+            e.id for e in self._endpoints.usable(service) if e.id in unavailable
+        )
 
     def consecutive_failures(self, endpoint: ListedEndpoint) -> int:
         """Return an endpoint's number of consecutive missing answers."""
-        return self._health.in_row(endpoint.id)
+        return self._health.consecutive_failures(endpoint.id)
 
     # Lookups.
 
--- a/tests/test_endpoint_choice.py
+++ b/tests/test_endpoint_choice.py
@@ -43,7 +43,7 @@
 def test_resting_engines_get_nothing_and_nobody_fetches_from_them(engines):
     engines.places.note(0.0, "shared", "e1")
     for _ in range(2):
-        engines.health.on_silence(1.0, "e1")
+        engines.health.on_no_answer(1.0, "e1")
     choice = engines.choose()
     assert choice.endpoint.id != "e1" and choice.fetch_from is None
     for name in ("e0", "e2"):
--- a/tests/test_service_core.py
+++ b/tests/test_service_core.py
@@ -157,27 +157,27 @@
 
 def test_silent_endpoints_rest_longer_each_time_until_they_answer():
     health = EndpointHealth()
-    assert not health.on_silence(0.0, "e")
+    assert not health.on_no_answer(0.0, "e")
     now = 0.0
-    for rest_s in (0.5, 1.0, 2.0, 4.0, 8.0, 8.0):
-        assert health.on_silence(now, "e")
-        assert health.rests(now + rest_s - 0.01, "e")
-        now += rest_s
-        assert not health.rests(now, "e")
+    for suspension_s in (0.5, 1.0, 2.0, 4.0, 8.0, 8.0):
+        assert health.on_no_answer(now, "e")
+        assert health.is_suspended(now + suspension_s - 0.01, "e")
+        now += suspension_s
+        assert not health.is_suspended(now, "e")
     assert health.on_answer("e", True)
-    assert not health.on_silence(now, "e"), "an answer in between resets the count"
-    assert health.on_silence(now, "e")
-    assert not health.rests(now + INITIAL_SUSPENSION_S, "e")
+    assert not health.on_no_answer(now, "e"), "an answer in between resets the count"
+    assert health.on_no_answer(now, "e")
+    assert not health.is_suspended(now + INITIAL_SUSPENSION_S, "e")
 
 
 def test_failures_that_are_answered_rank_and_fade():
     health = EndpointHealth()
     for _ in range(30):
         health.on_answer("e", False)
-    assert health.failing("e") > 0.9 and not health.rests(0.0, "e")
+    assert health.failure_rate("e") > 0.9 and not health.is_suspended(0.0, "e")
     for _ in range(30):
         health.on_answer("e", True)
-    assert health.failing("e") < 0.1
+    assert health.failure_rate("e") < 0.1
 
 
 def test_load_counts_own_and_others_work():
