--- a/greengageflow/core/endpoint_load.py
+++ b/greengageflow/core/endpoint_load.py
@@ -48,18 +48,18 @@
         reading: Prompt tokens to read; 0 from the first event on.
         memory: Memory that it needs at its end, in tokens.
         sent_at: Time at which it was sent.
-        ahead: Unread tokens at that time, including its own.
-        mark: Total prompt tokens sent to the endpoint until then, including its own.
-        alone: No other prompt was known to be unread at that time.
+        unread_at_send: Unread tokens at that time, including its own.
+        cumulative_tokens: Total prompt tokens sent there so far, including its own.
+        sent_to_idle: No other prompt was known to be unread at that time.
         reliable: The number of tokens to read is reliable.
     """
 
     reading: float
     memory: float
     sent_at: float
-    ahead: float
-    mark: float
-    alone: bool
+    unread_at_send: float
+    cumulative_tokens: float
+    sent_to_idle: bool
     reliable: bool
 
 
@@ -69,28 +69,28 @@
     Args:
         slots: Requests that it runs at once.
         memory_tokens: Tokens that fit into its memory; 0 for a plain service.
-        common: Model shared by all endpoints of the service, used until this endpoint
-            has enough samples of its own.
+        service_model: Model shared by all endpoints of the service, used until this
+            endpoint has enough samples of its own.
     """
 
     def __init__(
         self,
         slots: int,
         memory_tokens: int = 0,
-        common: PrefillModel | None = None,
+        service_model: PrefillModel | None = None,
     ) -> None:
         self.slots = max(1, slots)
         self.memory_tokens = memory_tokens
         self.others = LoadShare()
-        self._common = common or PrefillModel()
+        self._service_model = service_model or PrefillModel()
         self._model = PrefillModel()
         self._runs: dict[str, _ActiveRequest] = {}
-        self._unread: dict[str, _ActiveRequest] = {}
+        self._awaiting_first_event: dict[str, _ActiveRequest] = {}
         self._reading = 0.0
         self._memory = 0.0
-        self._level = 0.0
-        self._level_at = 0.0
-        self._sent = 0.0
+        self._unread_estimate = 0.0
+        self._estimated_at = 0.0
+        self._sent_tokens = 0.0
         self._last_event_at = float("-inf")
 
     @property
@@ -99,7 +99,7 @@
         return LoadShare(len(self._runs), self._reading, self._memory)
 
     @property
-    def unread(self) -> float:
+    def unread_tokens(self) -> float:
         """Prompt tokens of this host's requests without a first event."""
         return self._reading
 
@@ -111,8 +111,8 @@
     @property
     def model(self) -> PrefillModel:
         """The endpoint's own reading model, or the service's while samples are few."""
-        known = self._model.samples >= MIN_TRUSTED_SAMPLES
-        return self._model if known else self._common
+        has_own_samples = self._model.samples >= MIN_TRUSTED_SAMPLES
+        return self._model if has_own_samples else self._service_model
 
     def queue_wait_s(self, now: float) -> float:
         """Return the seconds until a prompt that is sent now would begin to be read.
@@ -122,30 +122,32 @@
         the learned rate, and the estimate is raised when a first event is late.
         """
         rate = self.model.rate
-        level = self._drained(now)
-        oldest = next(iter(self._unread.values()), None)
+        estimate = self._update_unread_estimate(now)
+        oldest = next(iter(self._awaiting_first_event.values()), None)
         if oldest is not None:
-            due_at = oldest.sent_at + self.model.first_event_s(oldest.ahead)
+            due_at = oldest.sent_at + self.model.first_event_s(oldest.unread_at_send)
             late_s = now - due_at
             if late_s > FIRST_EVENT_GRACE_S:
-                level = min(self._reading, level + late_s * rate)
-        return (level + self.others.reading) / rate
+                estimate = min(self._reading, estimate + late_s * rate)
+        return (estimate + self.others.reading) / rate
 
-    def _drained(self, now: float) -> float:
+    def _update_unread_estimate(self, now: float) -> float:
         """Return the estimate of this host's unread prompt tokens at ``now``."""
-        read = max(0.0, now - self._level_at) * self.model.rate
-        self._level = max(0.0, min(self._level - read, self._reading))
-        self._level_at = now
-        return self._level
-
-    def has_slot(self, queue: float) -> bool:
+        read = max(0.0, now - self._estimated_at) * self.model.rate
+        self._unread_estimate = max(
+            0.0, min(self._unread_estimate - read, self._reading)
+        )
+        self._estimated_at = now
+        return self._unread_estimate
+
+    def has_slot(self, requests_per_slot: float) -> bool:
         """Whether one more request may be sent.
 
         Args:
-            queue: Maximum requests per slot at an endpoint of a plain service.
+            requests_per_slot: Maximum requests per slot of a plain service.
         """
-        most = self.slots if self.memory_tokens else queue * self.slots
-        return self.running < max(1, most)
+        limit = self.slots if self.memory_tokens else requests_per_slot * self.slots
+        return self.running < max(1, limit)
 
     def fits(self, memory: float, fill: float) -> bool:
         """Whether there is a free slot and memory for ``memory`` more tokens.
@@ -160,7 +162,7 @@
             return True
         return self._memory + self.others.memory + memory <= self.memory_tokens
 
-    def begin(
+    def add_request(
         self,
         now: float,
         request: str,
@@ -178,26 +180,30 @@
             memory: Memory that it needs at its end, in tokens.
             reliable: ``reading`` is reliable, so that the model may learn from it.
         """
-        alone = not self._unread and not self.others.reading
-        level = self._drained(now) + reading
-        self._sent += reading
-        run = _ActiveRequest(reading, memory, now, level, self._sent, alone, reliable)
+        sent_to_idle = not self._awaiting_first_event and not self.others.reading
+        estimate = self._update_unread_estimate(now) + reading
+        self._sent_tokens += reading
+        run = _ActiveRequest(
+            reading, memory, now, estimate, self._sent_tokens, sent_to_idle, reliable
+        )
         self._runs[request] = run
         if reading:
-            self._unread[request] = run
+            self._awaiting_first_event[request] = run
         self._reading += reading
         self._memory += memory
-        self._level = level
+        self._unread_estimate = estimate
 
-    def first_event(self, now: float, request: str) -> None:
+    def on_first_event(self, now: float, request: str) -> None:
         """Record a request's first event, and update the reading models."""
-        run = self._unread.pop(request, None)
+        run = self._awaiting_first_event.pop(request, None)
         if run is None:
             return
         self._learn(now, run)
         self._last_event_at = now
         # All prompts sent up to this one are read, and perhaps some sent later.
-        self._level = min(self._drained(now), self._sent - run.mark)
+        self._unread_estimate = min(
+            self._update_unread_estimate(now), self._sent_tokens - run.cumulative_tokens
+        )
         self._reading -= run.reading
         run.reading = 0.0
 
@@ -205,19 +211,19 @@
         took_s = now - run.sent_at
         if not run.reliable or took_s <= 0:
             return
-        if run.alone:
-            for model in (self._model, self._common):
+        if run.sent_to_idle:
+            for model in (self._model, self._service_model):
                 model.learn_idle(run.reading, took_s)
         elif run.sent_at <= self._last_event_at - self.model.fixed_s:
             # It was already queued when the engine began to read it.
-            for model in (self._model, self._common):
+            for model in (self._model, self._service_model):
                 model.learn_busy(run.reading, now - self._last_event_at)
 
-    def end(self, request: str) -> None:
+    def remove_request(self, request: str) -> None:
         """Remove a request that no longer runs at the endpoint."""
         run = self._runs.pop(request, None)
         if run is not None:
-            self._unread.pop(request, None)
+            self._awaiting_first_event.pop(request, None)
             self._reading -= run.reading
             self._memory -= run.memory
 
@@ -236,8 +242,8 @@
         """Return the load of an endpoint, which is created if it is new."""
         load = self._loads.get(endpoint)
         if load is None:
-            common = self._models.setdefault(service, PrefillModel())
-            load = EndpointLoad(slots, memory_tokens, common)
+            service_model = self._models.setdefault(service, PrefillModel())
+            load = EndpointLoad(slots, memory_tokens, service_model)
             self._loads[endpoint] = load
             load.others = self._others.get(endpoint, LoadShare())
         return load
@@ -250,7 +256,7 @@
         """Remove an endpoint that is no longer listed."""
         self._loads.pop(endpoint, None)
 
-    def own(self) -> dict[str, LoadShare]:
+    def own_shares(self) -> dict[str, LoadShare]:
         """Return the load by this host's requests, by endpoint id."""
         shares = ((name, load.own) for name, load in self._loads.items())
         return {name: share for name, share in shares if share.running}
--- a/greengageflow/core/service_dispatcher.py
+++ b/greengageflow/core/service_dispatcher.py
@@ -119,7 +119,7 @@
         memory: float,
     ) -> None:
         """Add a request that a previous placer sent to the endpoint's load."""
-        self._load(endpoint).begin(now, request, reading, memory, reliable=False)
+        self._load(endpoint).add_request(now, request, reading, memory, reliable=False)
 
     def on_cached_parts(
         self, now: float, endpoint: ListedEndpoint, parts: Sequence[PromptPart]
@@ -178,7 +178,7 @@
 
     def own_loads(self) -> dict[str, LoadShare]:
         """Return the load that this host puts on each endpoint, by endpoint id."""
-        return self._loads.own()
+        return self._loads.own_shares()
 
     def recent_placements(self, now: float) -> tuple[tuple[str, str], ...]:
         """Return recent placements as pairs of prompt part and endpoint id."""
@@ -365,7 +365,7 @@
         """Record that a request was sent to an endpoint."""
         endpoint = choice.endpoint
         memory = prompt.tokens_in + prompt.tokens_out if prompt else 0
-        self._load(endpoint).begin(
+        self._load(endpoint).add_request(
             now, request, choice.reading, memory, reliable=choice.reliable
         )
         if prompt is not None:
@@ -383,7 +383,7 @@
         """Record the first event of a request's answer."""
         if not self._endpoints.is_current(endpoint):
             return
-        self._load(endpoint).first_event(now, request)
+        self._load(endpoint).on_first_event(now, request)
         for part in self._shared_parts.pop(request, ()):
             self._places.on_read(part, endpoint.id)
         self._health.on_answer(endpoint.id, True)
@@ -393,7 +393,7 @@
         self._shared_parts.pop(request, None)
         load = self._loads.get(endpoint.id)
         if load is not None:
-            load.end(request)
+            load.remove_request(request)
 
     def on_backoff(self, now: float, endpoint: ListedEndpoint, seconds: float) -> bool:
         """Start a backoff that an endpoint asked for.
@@ -484,7 +484,7 @@
 
     def _unread_tokens(self, service: str) -> float:
         usable = self._endpoints.usable(service)
-        return sum(self._load(endpoint).unread for endpoint in usable)
+        return sum(self._load(endpoint).unread_tokens for endpoint in usable)
 
 
 def _prefill_lookahead(load: EndpointLoad) -> float:
--- a/greengageflow/lab/_gateway_world.py
+++ b/greengageflow/lab/_gateway_world.py
@@ -265,12 +265,12 @@
         request = str(next(self._numbers))
         self._served.add(now, key, 1500.0)
         self._offered.add(now, key, 1500.0)
-        load.begin(now, request, 1000.0, 1500.0)
+        load.add_request(now, request, 1000.0, 1500.0)
         if random.random() < 0.5 and not gone_s:
             self._placed.append((now, f"part-{part:07d}", endpoint))
         first_s = max(0.0, FIRST_S - gone_s)
-        self.world.at(now + first_s, lambda: load.first_event(now, request))
-        self.world.at(now + ANSWER_S - gone_s, lambda: load.end(request))
+        self.world.at(now + first_s, lambda: load.on_first_event(now, request))
+        self.world.at(now + ANSWER_S - gone_s, lambda: load.remove_request(request))
 
     # The listener.
 
@@ -295,7 +295,7 @@
 
     def loads(self) -> Mapping[str, LoadShare]:
         """Return what is under way here."""
-        return self._loads.own()
+        return self._loads.own_shares()
 
     def placed(self) -> Placed:
         """Return what was placed lately."""
--- a/tests/test_prefill_model.py
+++ b/tests/test_prefill_model.py
@@ -29,12 +29,12 @@
     while now < seconds:
         now += random.expovariate(per_s)
         for at, name in sorted(event for event in events if event[0] <= now):
-            load.first_event(at, name)
+            load.on_first_event(at, name)
         events = [event for event in events if event[0] > now]
         tokens = random.lognormvariate(8, 0.8)
         predicted_s = load.queue_wait_s(now) + load.model.first_event_s(tokens)
         name = f"r{now}"
-        load.begin(now, name, tokens, tokens)
+        load.add_request(now, name, tokens, tokens)
         events.append((reader.first_event_at(now, tokens), name))
         off.append(predicted_s - (events[-1][0] - now))
     return off
@@ -65,10 +65,10 @@
 def test_an_engine_that_stands_still_is_seen_to_be_behind():
     load = EndpointLoad(64, 1_000_000, PrefillModel(40_000.0, 0.1))
     for number in range(10):
-        load.begin(0.0, f"r{number}", 4000.0, 4000.0)
+        load.add_request(0.0, f"r{number}", 4000.0, 4000.0)
     assert load.queue_wait_s(0.0) == pytest.approx(1.0)
     assert load.queue_wait_s(2.0) == pytest.approx(1.0), "no first event has come"
-    load.first_event(2.1, "r0")
+    load.on_first_event(2.1, "r0")
     assert load.queue_wait_s(2.1) <= 0.9
 
 
@@ -80,8 +80,8 @@
     """
     load = EndpointLoad(64, 1_000_000, PrefillModel(40_000.0, 0.1))
     for number in range(99):
-        load.begin(number, f"r{number}", 40_000.0, 4000.0, reliable=False)
-        load.first_event(number + 0.15, f"r{number}")
+        load.add_request(number, f"r{number}", 40_000.0, 4000.0, reliable=False)
+        load.on_first_event(number + 0.15, f"r{number}")
     assert load.model.rate == 40_000.0
 
 
--- a/tests/test_service_core.py
+++ b/tests/test_service_core.py
@@ -183,14 +183,14 @@
 def test_load_counts_own_and_others_work():
     load = engine_load()
     load.others = LoadShare(1, 5000.0, 300.0)
-    load.begin(0.0, "r", 1000.0, 400.0)
+    load.add_request(0.0, "r", 1000.0, 400.0)
     assert load.queue_wait_s(0.0) == pytest.approx(0.6) and load.running == 2
     assert load.fits(300.0, 1.0) and not load.fits(301.0, 1.0)
     assert not load.fits(1.0, 0.5), "half of the slots are taken"
-    load.first_event(0.5, "r")
+    load.on_first_event(0.5, "r")
     assert load.own.reading == 0.0 and load.own.running == 1
-    load.end("r")
-    load.end("r")
+    load.remove_request("r")
+    load.remove_request("r")
     assert load.own == LoadShare()
 
 
