--- a/greengageflow/core/endpoint_list.py
+++ b/greengageflow/core/endpoint_list.py
@@ -61,8 +61,8 @@
     def __init__(self) -> None:
         # Start times of leaving endpoints by id. They are kept apart from the entries,
         # since an entry may expire and come back while its endpoint drains.
-        self._left: dict[str, int] = {}
-        self._dropped: dict[str, int] = {}
+        self._leaving_starts: dict[str, int] = {}
+        self._dropped_starts: dict[str, int] = {}
         self._listed: dict[str, ListedEndpoint] = {}
         self._usable: dict[str, tuple[ListedEndpoint, ...]] = {}
 
@@ -92,17 +92,21 @@
     def may_use(self, endpoint: str) -> bool:
         """Whether an endpoint accepts new work."""
         found = self._listed.get(endpoint)
-        return found is not None and not found.leaving and not self._has_left(found)
+        return (
+            found is not None
+            and not found.leaving
+            and not self._is_marked_leaving(found)
+        )
 
-    def _has_left(self, endpoint: ListedEndpoint) -> bool:
-        return self._left.get(endpoint.id, -1) >= endpoint.born
+    def _is_marked_leaving(self, endpoint: ListedEndpoint) -> bool:
+        return self._leaving_starts.get(endpoint.id, -1) >= endpoint.born
 
     def is_current(self, endpoint: ListedEndpoint) -> bool:
         """Whether an endpoint is listed, without a later start."""
         listed = self._listed.get(endpoint.id)
         return listed is not None and listed.born <= endpoint.born
 
-    def note_left(self, endpoint: str, born: int) -> bool:
+    def mark_leaving(self, endpoint: str, born: int) -> bool:
         """Record that an endpoint announced that it is leaving.
 
         The platform's list reflects a stop late or never, and not at all while the
@@ -116,21 +120,21 @@
         Returns:
             True if it was not known before.
         """
-        if self._left.get(endpoint, -1) >= born:
+        if self._leaving_starts.get(endpoint, -1) >= born:
             return False
         listed = self._listed.get(endpoint)
         if listed is not None and listed.born > born:
             return False
-        self._left.pop(endpoint, None)
-        self._left[endpoint] = born
-        if len(self._left) > MAX_TOMBSTONES:
-            del self._left[next(iter(self._left))]
+        self._leaving_starts.pop(endpoint, None)
+        self._leaving_starts[endpoint] = born
+        if len(self._leaving_starts) > MAX_TOMBSTONES:
+            del self._leaving_starts[next(iter(self._leaving_starts))]
         self._usable.clear()
         return True
 
     def was_dropped(self, endpoint: ListedEndpoint) -> bool:
         """Whether this start of an endpoint was listed and has been dropped."""
-        return self._dropped.get(endpoint.id, -1) >= endpoint.born
+        return self._dropped_starts.get(endpoint.id, -1) >= endpoint.born
 
     def put(self, endpoint: ListedEndpoint) -> Iterator[ListChange]:
         """Add or update an entry, and yield the changes."""
@@ -145,7 +149,7 @@
         # Leaving is permanent, since entries may arrive in any order.
         if before is not None and before.leaving:
             return
-        self._dropped.pop(endpoint.id, None)
+        self._dropped_starts.pop(endpoint.id, None)
         if endpoint != before:
             self._listed[endpoint.id] = endpoint
             self._usable.clear()
@@ -158,8 +162,8 @@
         """Remove an endpoint, and yield the change."""
         found = self._listed.pop(endpoint, None)
         if found is not None:
-            self._dropped[endpoint] = found.born
-            if len(self._dropped) > MAX_TOMBSTONES:
-                del self._dropped[next(iter(self._dropped))]
+            self._dropped_starts[endpoint] = found.born
+            if len(self._dropped_starts) > MAX_TOMBSTONES:
+                del self._dropped_starts[next(iter(self._dropped_starts))]
             self._usable.clear()
             yield ListChange(endpoint, "gone")
--- a/greengageflow/core/forward_request.py
+++ b/greengageflow/core/forward_request.py
@@ -64,7 +64,7 @@
         headers: Headers to forward, names in lower case.
         body: Complete body.
         key: Account key, or empty.
-        patience_s: Seconds for which the caller waits, or None if not given.
+        max_wait_s: Seconds for which the caller waits, or None if not given.
         prompt: Prompt of a model request, or None.
         last_event: Number of the last event that the caller received, or None.
     """
@@ -76,7 +76,7 @@
     headers: tuple[Header, ...] = ()
     body: bytes = b""
     key: str = ""
-    patience_s: float | None = None
+    max_wait_s: float | None = None
     prompt: Prompt | None = None
     last_event: int | None = None
 
--- a/greengageflow/core/leaving_report.py
+++ b/greengageflow/core/leaving_report.py
@@ -20,4 +20,4 @@
 class LeavingReport:
     """A message to other hosts with the announcements of endpoints."""
 
-    signs: tuple[LeavingEndpoint, ...]
+    endpoints: tuple[LeavingEndpoint, ...]
--- a/greengageflow/core/routes.py
+++ b/greengageflow/core/routes.py
@@ -39,7 +39,7 @@
         name: Route name.
         host: Host name that callers use.
         prefix: Path prefix, with slashes at both ends.
-        repeat: Retry policy.
+        retry_policy: Retry policy.
         stream: The answer is a stream of events.
         timeout_s: Request timeout, in seconds.
         target_s: Target latency, in seconds.
@@ -53,7 +53,7 @@
     name: str
     host: str
     prefix: str
-    repeat: RetryPolicy
+    retry_policy: RetryPolicy
     stream: bool
     timeout_s: float
     target_s: float
--- a/greengageflow/daemon/forward_admission.py
+++ b/greengageflow/daemon/forward_admission.py
@@ -71,8 +71,8 @@
         account = self._account(route, req.key)
         now = self._timers.now
         wait_s = route.timeout_s
-        if req.patience_s is not None:
-            wait_s = min(wait_s, req.patience_s)
+        if req.max_wait_s is not None:
+            wait_s = min(wait_s, req.max_wait_s)
         return ForwardFlight(
             id=str(next(self._numbers)),
             call_key=id(call),
@@ -139,7 +139,7 @@
         A caller that comes back says how long it still waits; the longest that is
         seen on a route is what callers wait in all.
         """
-        patience_s = flight.req.patience_s
+        patience_s = flight.req.max_wait_s
         if patience_s is None:
             return 0.0
         longest_s = max(patience_s, self._patience.get(flight.route.name, 0.0))
--- a/greengageflow/daemon/forward_flight.py
+++ b/greengageflow/daemon/forward_flight.py
@@ -75,7 +75,7 @@
     @property
     def repeatable(self) -> bool:
         """Whether another endpoint may run it although one may have."""
-        return self.route.repeat is not RetryPolicy.ONCE
+        return self.route.retry_policy is not RetryPolicy.ONCE
 
     @property
     def runs_left(self) -> bool:
--- a/greengageflow/daemon/forward_sending.py
+++ b/greengageflow/daemon/forward_sending.py
@@ -50,7 +50,7 @@
     An engine that went dark resets nothing: its streams would stand still up to their
     deadline, and the caller would leave.
     """
-    if flight.route.repeat is not RetryPolicy.RESUME or flight.attempt is None:
+    if flight.route.retry_policy is not RetryPolicy.RESUME or flight.attempt is None:
         return False
     if flight.runs + 1 >= flight.route.attempts or flight.reply.blocked:
         return False
--- a/greengageflow/daemon/forwarder.py
+++ b/greengageflow/daemon/forwarder.py
@@ -281,7 +281,7 @@
         else:
             flight.avoid.add(endpoint.id)
         if note.replaced:
-            self._endpoints.note_left(endpoint.id, endpoint.born)
+            self._endpoints.mark_leaving(endpoint.id, endpoint.born)
         exc = self._not_taken(flight, note.status)
         if not self._go_on(flight, exc.message) and not self._wait_out(flight, exc):
             self._answer_error(flight, exc)
--- a/greengageflow/daemon/gateway.py
+++ b/greengageflow/daemon/gateway.py
@@ -337,7 +337,7 @@
 
     def on_leaving_report(self, report: LeavingReport) -> None:
         """Take which endpoints said that they leave."""
-        self._leaving.receive(report.signs)
+        self._leaving.receive(report.endpoints)
 
     def on_place_message(self, message: PlaceMessage) -> None:
         """Take what another router asks or tells of a request's place."""
--- a/greengageflow/daemon/leaving_watch.py
+++ b/greengageflow/daemon/leaving_watch.py
@@ -64,7 +64,7 @@
             self._take(sign, "peer")
 
     def _take(self, sign: LeavingEndpoint, source: str) -> bool:
-        if not self._endpoints.note_left(sign.endpoint, sign.born):
+        if not self._endpoints.mark_leaving(sign.endpoint, sign.born):
             return False
         self._signs[sign] = self._timers.now
         self._on_left(sign.endpoint, source)
--- a/greengageflow/net/leaving_codec.py
+++ b/greengageflow/net/leaving_codec.py
@@ -12,7 +12,7 @@
 
 def leaving_values(report: LeavingReport) -> tuple[Any, ...]:
     """Return the values of a report, its kind first."""
-    return LEAVING, [(sign.endpoint, sign.born) for sign in report.signs]
+    return LEAVING, [(sign.endpoint, sign.born) for sign in report.endpoints]
 
 
 def leaving_of(values: list[Any]) -> LeavingReport:
--- a/greengageflow/platform/records.py
+++ b/greengageflow/platform/records.py
@@ -75,15 +75,15 @@
 
 def _route(doc: dict[str, Any]) -> Route:
     stream = doc["kind"] == STREAM
-    repeat = _REPEATS.get(doc["kind"], RetryPolicy.ONCE)
+    retry_policy = _REPEATS.get(doc["kind"], RetryPolicy.ONCE)
     if stream and doc.get("resumable"):
-        repeat = RetryPolicy.RESUME
+        retry_policy = RetryPolicy.RESUME
     backends = doc.get("backends") or [{"service": doc["service"], "weight": 1}]
     return Route(
         name=doc.get("name", ""),
         host=doc["host"],
         prefix=doc["path_prefix"],
-        repeat=repeat,
+        retry_policy=retry_policy,
         stream=stream,
         timeout_s=doc.get("timeout_ms", 30_000) / 1000,
         target_s=doc.get("target_latency_ms", 1000) / 1000,
--- a/greengageflow/platform/requests.py
+++ b/greengageflow/platform/requests.py
@@ -63,7 +63,7 @@
         headers=_passed_on(req),
         body=req.body,
         key=req.header(CREDENTIAL).strip(),
-        patience_s=_patience_s(req.header(DEADLINE_MS)),
+        max_wait_s=_patience_s(req.header(DEADLINE_MS)),
         prompt=_prompt(req),
         last_event=_number(req.header(LAST_EVENT_ID)),
     )
--- a/tests/test_leaving_watch.py
+++ b/tests/test_leaving_watch.py
@@ -20,7 +20,7 @@
             router.exchange,
             lambda *line: self.lines.append(line),
         )
-        router.on_leaving_report = lambda report: self.watch.receive(report.signs)
+        router.on_leaving_report = lambda report: self.watch.receive(report.endpoints)
         self.watch.start()
 
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -40,7 +40,7 @@
     found = {request_fingerprint(one, "a") for one in (REQUEST, *others)}
     found |= {request_fingerprint(REQUEST, "b"), request_fingerprint(REQUEST, "a/t")}
     assert len(found) == 7
-    again = replace(REQUEST, id="2", headers=(("x", "y"),), patience_s=1.0)
+    again = replace(REQUEST, id="2", headers=(("x", "y"),), max_wait_s=1.0)
     assert request_fingerprint(again, "a") in found
 
 
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -109,7 +109,7 @@
     from its earlier life."""
     listed = EndpointList()
     assert [change.what for change in listed.put(entry(born=5))] == ["new"]
-    listed.note_left(entry(born=5).id, 5)
+    listed.mark_leaving(entry(born=5).id, 5)
     assert not listed.may_use("e")
     assert [change.what for change in listed.put(entry(born=9))] == ["gone", "new"]
     assert listed.may_use("e")
--- a/tests/test_report_codec.py
+++ b/tests/test_report_codec.py
@@ -109,7 +109,9 @@
 CRASHES = st.builds(CrashReport, records=st.lists(CRASH_RECORDS, max_size=3).map(tuple))
 LEAVING = st.builds(
     LeavingReport,
-    signs=st.lists(st.builds(LeavingEndpoint, NAMES, COUNTS), max_size=3).map(tuple),
+    endpoints=st.lists(st.builds(LeavingEndpoint, NAMES, COUNTS), max_size=3).map(
+        tuple
+    ),
 )
 MESSAGES = (
     HELLOS | NOTICES | REPORTS | SUM_REPORTS | SUM_CHANGES | WANTED | NEWS | CRASHES
@@ -167,7 +169,7 @@
         quarantine.receive(1.0, found.records)
         list(quarantine.records(2.0, 10.0, 9))
     if isinstance(found, LeavingReport):
-        for sign in found.signs:
-            EndpointList().note_left(sign.endpoint, sign.born)
+        for sign in found.endpoints:
+            EndpointList().mark_leaving(sign.endpoint, sign.born)
     merge([FleetTotals(loads=loads)] * 2)
     assert all(0 <= load.reading < inf for load in loads.values())
--- a/tests/test_started_again.py
+++ b/tests/test_started_again.py
@@ -99,9 +99,9 @@
 
 def test_the_earlier_starts_sign_of_leaving_is_not_the_later_ones(fleet):
     fleet.put(NEW)
-    assert not fleet.listed.note_left(OLD.id, OLD.born)
+    assert not fleet.listed.mark_leaving(OLD.id, OLD.born)
     assert fleet.listed.may_use("e")
-    assert fleet.listed.note_left(NEW.id, NEW.born)
+    assert fleet.listed.mark_leaving(NEW.id, NEW.born)
     assert not fleet.listed.may_use("e")
     fleet.put(replace(NEW, born=12))
     assert fleet.listed.may_use("e")
@@ -113,9 +113,9 @@
     listed = EndpointList()
     entry = replace(OLD, born=born)
     list(listed.put(entry))
-    assert listed.note_left(entry.id, entry.born)
+    assert listed.mark_leaving(entry.id, entry.born)
     list(listed.drop(entry.id))
-    assert not listed.note_left(entry.id, entry.born), "no news"
+    assert not listed.mark_leaving(entry.id, entry.born), "no news"
     list(listed.put(entry))
     assert not listed.usable(entry.service)
     assert not listed.may_use(entry.id)
@@ -123,7 +123,7 @@
 
 def test_sign_of_leaving_holds_for_an_entry_that_comes_later():
     listed = EndpointList()
-    assert listed.note_left(OLD.id, OLD.born)
+    assert listed.mark_leaving(OLD.id, OLD.born)
     list(listed.put(OLD))
     assert not listed.may_use(OLD.id)
 
@@ -131,9 +131,9 @@
 def test_signs_of_leaving_are_bounded():
     listed = EndpointList()
     for number in range(MAX_TOMBSTONES + 9):
-        listed.note_left(f"e{number}", 0)
-    assert listed.note_left("e0", 0), "the oldest one is forgotten"
-    assert not listed.note_left(f"e{MAX_TOMBSTONES}", 0)
+        listed.mark_leaving(f"e{number}", 0)
+    assert listed.mark_leaving("e0", 0), "the oldest one is forgotten"
+    assert not listed.mark_leaving(f"e{MAX_TOMBSTONES}", 0)
 
 
 def test_another_hosts_word_of_the_earlier_start_is_not_the_later_ones(fleet):
