--- a/greengageflow/core/cache_mirror.py
+++ b/greengageflow/core/cache_mirror.py
@@ -21,20 +21,20 @@
 
     def __init__(self, capacity: int) -> None:
         self._capacity = capacity
-        self._tokens: OrderedDict[str, int] = OrderedDict()
-        self._used = 0
+        self._part_tokens: OrderedDict[str, int] = OrderedDict()
+        self._used_tokens = 0
 
     def __len__(self) -> int:
         """Return the number of cached parts."""
-        return len(self._tokens)
+        return len(self._part_tokens)
 
     def touch(self, parts: Iterable[PromptPart]) -> Iterator[str]:
         """Mark parts as used now, and yield the ids of the parts that are evicted."""
         for part in parts:
-            self._used += part.tokens - self._tokens.get(part.id, 0)
-            self._tokens[part.id] = part.tokens
-            self._tokens.move_to_end(part.id)
-        while self._used > self._capacity and len(self._tokens) > 1:
-            name, tokens = self._tokens.popitem(last=False)
-            self._used -= tokens
+            self._used_tokens += part.tokens - self._part_tokens.get(part.id, 0)
+            self._part_tokens[part.id] = part.tokens
+            self._part_tokens.move_to_end(part.id)
+        while self._used_tokens > self._capacity and len(self._part_tokens) > 1:
+            name, tokens = self._part_tokens.popitem(last=False)
+            self._used_tokens -= tokens
             yield name
--- a/greengageflow/core/decayed.py
+++ b/greengageflow/core/decayed.py
@@ -8,14 +8,14 @@
 
 
 class DecayedSums(Generic[K]):
-    """Sums by key that decay to 1/e in ``fade_s`` seconds.
+    """Sums by key that decay to 1/e in ``time_constant_s`` seconds.
 
     Args:
-        fade_s: Time constant, in seconds.
+        time_constant_s: Time constant, in seconds.
     """
 
-    def __init__(self, fade_s: float) -> None:
-        self._fade_s = fade_s
+    def __init__(self, time_constant_s: float) -> None:
+        self._time_constant_s = time_constant_s
         self._sums: dict[K, tuple[float, float]] = {}
 
     def add(self, now: float, key: K, amount: float) -> None:
@@ -27,13 +27,13 @@
         found = self._sums.get(key)
         if found is None:
             return 0.0
-        return found[0] * exp(min(0.0, (found[1] - now) / self._fade_s))
+        return found[0] * exp(min(0.0, (found[1] - now) / self._time_constant_s))
 
-    def items(self, now: float, least: float = 0.0) -> Iterator[tuple[K, float]]:
-        """Yield keys with sums above ``least``, and delete the others."""
+    def items(self, now: float, min_sum: float = 0.0) -> Iterator[tuple[K, float]]:
+        """Yield keys with sums above ``min_sum``, and delete the others."""
         for key in list(self._sums):
             value = self.get(now, key)
-            if value > least:
+            if value > min_sum:
                 yield key, value
             else:
                 del self._sums[key]
--- a/greengageflow/core/fleet_retry_budget.py
+++ b/greengageflow/core/fleet_retry_budget.py
@@ -28,12 +28,12 @@
 
     Args:
         requests: Requests of callers in the window.
-        repeats: Retries in the window.
+        retries: Retries in the window.
         hosts: Hosts that share the slack.
     """
 
     requests: int
-    repeats: int
+    retries: int
     hosts: int
 
 
@@ -52,7 +52,7 @@
         window_s: Length of the window, in seconds.
 
     Attributes:
-        at: Time of the last refill, or None before the first one.
+        refilled_at: Time of the last refill, or None before the first one.
     """
 
     def __init__(self, ratio: float, slack: float, window_s: float) -> None:
@@ -60,51 +60,51 @@
         self._slack = SLACK_USED_FRACTION * slack
         self._window_s = window_s
         self._requests: deque[float] = deque()
-        self._recent: deque[float] = deque()
-        self._repeats: deque[float] = deque()
+        self._recent_requests: deque[float] = deque()
+        self._retries: deque[float] = deque()
         self._tokens = 0.0
         self._hosts = 1
-        self.at: float | None = None
+        self.refilled_at: float | None = None
 
     def on_request(self, now: float) -> None:
         """Count a caller's request, which adds ``ratio`` tokens."""
         self._requests.append(now)
-        self._recent.append(now)
+        self._recent_requests.append(now)
         self._tokens += self._ratio
-        self._forget(now)
+        self._expire(now)
 
     def take(self, now: float, hosts: int) -> bool:
         """Take a retry from the budget; return False if it is exhausted."""
         self._hosts = max(1, hosts)
-        self._forget(now)
-        most = self._ratio * len(self._requests) + self._slack / self._hosts
-        if self._tokens < 1.0 or len(self._repeats) + 1 > most:
+        self._expire(now)
+        limit = self._ratio * len(self._requests) + self._slack / self._hosts
+        if self._tokens < 1.0 or len(self._retries) + 1 > limit:
             return False
         self._tokens -= 1.0
-        self._repeats.append(now)
+        self._retries.append(now)
         return True
 
-    def use(self, now: float, hosts: int) -> BudgetUsage:
+    def usage(self, now: float, hosts: int) -> BudgetUsage:
         """Return the counts of the window that ends now."""
-        self._forget(now)
-        return BudgetUsage(len(self._requests), len(self._repeats), hosts)
+        self._expire(now)
+        return BudgetUsage(len(self._requests), len(self._retries), hosts)
 
-    def _forget(self, now: float) -> None:
-        _drop(self._requests, now - self._window_s)
-        _drop(self._repeats, now - self._window_s)
-        _drop(self._recent, now - BURST_S)
+    def _expire(self, now: float) -> None:
+        _drop_before(self._requests, now - self._window_s)
+        _drop_before(self._retries, now - self._window_s)
+        _drop_before(self._recent_requests, now - BURST_S)
         self._refill(now)
 
     def _refill(self, now: float) -> None:
         slack = self._slack / self._hosts
-        passed_s = 0.0 if self.at is None else now - self.at
-        self.at = now
-        refill = (1.0 - BURST_FRACTION) * slack * passed_s / self._window_s
-        burst = BURST_FRACTION * slack + self._ratio * len(self._recent)
+        elapsed_s = 0.0 if self.refilled_at is None else now - self.refilled_at
+        self.refilled_at = now
+        refill = (1.0 - BURST_FRACTION) * slack * elapsed_s / self._window_s
+        burst = BURST_FRACTION * slack + self._ratio * len(self._recent_requests)
         # In a large fleet a host's part of the slack is less than one retry.
         self._tokens = min(max(1.0, burst), self._tokens + refill)
 
 
-def _drop(times: deque[float], before: float) -> None:
+def _drop_before(times: deque[float], before: float) -> None:
     while times and times[0] < before:
         times.popleft()
--- a/greengageflow/core/prompt_places.py
+++ b/greengageflow/core/prompt_places.py
@@ -22,13 +22,17 @@
     whose home it is.
     """
     rows = tuple(endpoints)
-    return rows[_home_among(part, tuple(one.id for one in rows))] if rows else None
+    return (
+        rows[_home_among(part, tuple(endpoint.id for endpoint in rows))]
+        if rows
+        else None
+    )
 
 
 @lru_cache(maxsize=_MAX_CACHED_HOMES)
 def _home_among(part: str, names: tuple[str, ...]) -> int:
-    def weight(at: int) -> bytes:
-        return blake2b(f"{part} {names[at]}".encode(), digest_size=8).digest()
+    def weight(index: int) -> bytes:
+        return blake2b(f"{part} {names[index]}".encode(), digest_size=8).digest()
 
     return max(range(len(names)), key=weight)
 
@@ -50,8 +54,8 @@
 
 @dataclass(slots=True)
 class _SentPart:
-    first: float
-    last: float
+    first_sent_at: float
+    last_sent_at: float
     has_read: bool = False
 
 
@@ -59,53 +63,59 @@
     """Records which endpoints were recently sent a prompt part.
 
     Args:
-        fresh_s: Seconds for which an endpoint is assumed to keep a part, unless its
-            eviction is known.
+        retention_s: Seconds for which an endpoint is assumed to keep a part, unless
+            its eviction is known.
     """
 
-    def __init__(self, fresh_s: float = 40.0) -> None:
-        self._fresh_s = fresh_s
-        self._seen: OrderedDict[str, dict[str, _SentPart]] = OrderedDict()
+    def __init__(self, retention_s: float = 40.0) -> None:
+        self._retention_s = retention_s
+        self._places: OrderedDict[str, dict[str, _SentPart]] = OrderedDict()
 
-    def note(self, at: float, part: str, endpoint: str) -> None:
+    def on_sent(self, at: float, part: str, endpoint: str) -> None:
         """Record that a request with ``part`` was sent to an endpoint."""
-        places = self._seen.setdefault(part, {})
+        places = self._places.setdefault(part, {})
         place = places.get(endpoint)
-        if place is None or at - place.last > self._fresh_s:
+        if place is None or at - place.last_sent_at > self._retention_s:
             places[endpoint] = _SentPart(at, at)
         else:
-            place.last = max(at, place.last)
-        self._seen.move_to_end(part)
-        if len(self._seen) > _MAX_PARTS:
-            self._seen.popitem(last=False)
+            place.last_sent_at = max(at, place.last_sent_at)
+        self._places.move_to_end(part)
+        if len(self._places) > _MAX_PARTS:
+            self._places.popitem(last=False)
 
     def on_read(self, part: str, endpoint: str) -> None:
         """Record that an endpoint has read a part that was sent to it."""
-        place = self._seen.get(part, {}).get(endpoint)
+        place = self._places.get(part, {}).get(endpoint)
         if place is not None:
             place.has_read = True
 
-    def forget(self, part: str, endpoint: str) -> None:
+    def on_evicted(self, part: str, endpoint: str) -> None:
         """Remove a part that an endpoint has evicted."""
-        self._seen.get(part, {}).pop(endpoint, None)
+        self._places.get(part, {}).pop(endpoint, None)
 
     def forget_endpoint(self, endpoint: str) -> None:
         """Remove all parts of an endpoint."""
-        for places in self._seen.values():
+        for places in self._places.values():
             places.pop(endpoint, None)
 
     def holders(self, now: float, part: str) -> list[Holder]:
         """Return the endpoints that were recently sent ``part``, latest first."""
-        places = self._seen.get(part)
+        places = self._places.get(part)
         if not places:
             return []
-        for endpoint in [e for e, p in places.items() if now - p.last > self._fresh_s]:
+        for endpoint in [
+            e for e, p in places.items() if now - p.last_sent_at > self._retention_s
+        ]:
             del places[endpoint]
         # The time counts from the first request. Counted from the last one, a part that
         # is requested continuously would never count as read, so that every other
         # engine would read it again.
         found = [
-            Holder(name, now - p.last, p.has_read or now - p.first >= ASSUMED_READ_S)
+            Holder(
+                name,
+                now - p.last_sent_at,
+                p.has_read or now - p.first_sent_at >= ASSUMED_READ_S,
+            )
             for name, p in places.items()
         ]
         return sorted(found, key=lambda holder: holder.age_s)
--- a/greengageflow/core/service_dispatcher.py
+++ b/greengageflow/core/service_dispatcher.py
@@ -128,7 +128,7 @@
         if not self._endpoints.is_current(endpoint):
             return
         for part in parts:
-            self._places.note(now, part.id, endpoint.id)
+            self._places.on_sent(now, part.id, endpoint.id)
             self._places.on_read(part.id, endpoint.id)
         self._update_cache_mirror(endpoint, parts)
 
@@ -140,7 +140,7 @@
             return
         mirror = self._cache_mirrors.setdefault(endpoint.id, CacheMirror(capacity))
         for part in mirror.touch(parts):
-            self._places.forget(part, endpoint.id)
+            self._places.on_evicted(part, endpoint.id)
 
     def _assigned_endpoints(self, service: str) -> Sequence[ListedEndpoint]:
         """Return the endpoints to which this host sends new requests."""
@@ -211,7 +211,7 @@
     def on_placements(self, now: float, placed: Iterable[tuple[str, str]]) -> None:
         """Record where another host sent prompt parts."""
         for part, endpoint in placed:
-            self._places.note(now, part, endpoint)
+            self._places.on_sent(now, part, endpoint)
 
     def on_totals(self, now: float, totals: FleetTotals) -> Iterator[Decision]:
         """Apply the aggregated reports of the other hosts, and yield what can start."""
@@ -348,15 +348,15 @@
         """Take a retry from a service's budget; return False if it is exhausted."""
         return self._budget(service).take(now, self._fleet_size.hosts)
 
-    def budget_use(self, now: float, service: str) -> BudgetUsage:
+    def budget_usage(self, now: float, service: str) -> BudgetUsage:
         """Return the state of a service's retry budget."""
-        return self._budget(service).use(now, self._fleet_size.hosts)
+        return self._budget(service).usage(now, self._fleet_size.hosts)
 
     def _budget(self, service: str) -> FleetRetryBudget:
         found = self._budgets.get(service)
         if found is None:
             found = self._budgets[service] = self._make_budget()
-            found.at = self._started_at
+            found.refilled_at = self._started_at
         return found
 
     def on_request_sent(
@@ -371,7 +371,7 @@
         if prompt is not None:
             shared = tuple(part.id for part in prompt.parts[:-1])
             for part in shared:
-                self._places.note(now, part, endpoint.id)
+                self._places.on_sent(now, part, endpoint.id)
             self._update_cache_mirror(endpoint, _cached_after(request, prompt))
             self._shared_parts[request] = shared
             if prompt.shared_tokens >= MIN_REPORTED_PREFIX_TOKENS:
--- a/greengageflow/core/trust.py
+++ b/greengageflow/core/trust.py
@@ -16,16 +16,16 @@
 
     def __init__(self, bound_s: float, margin_s: float = 0.6) -> None:
         self._limit_s = bound_s - min(margin_s, 0.2 * bound_s)
-        self._confirmed = float("-inf")
+        self._confirmed_at = float("-inf")
 
     def confirm(self, at: float) -> None:
         """Record that the local configuration was the latest at time ``at``."""
-        self._confirmed = max(self._confirmed, at)
+        self._confirmed_at = max(self._confirmed_at, at)
 
     def age_s(self, now: float) -> float:
         """Return the seconds since the configuration was known to be the latest."""
-        return now - self._confirmed
+        return now - self._confirmed_at
 
-    def holds(self, now: float) -> bool:
+    def is_trusted(self, now: float) -> bool:
         """Whether keys are trusted at ``now``."""
         return self.age_s(now) < self._limit_s
--- a/greengageflow/daemon/forward_admission.py
+++ b/greengageflow/daemon/forward_admission.py
@@ -54,7 +54,7 @@
         """Return why requests cannot be judged now, or None."""
         if not self._routing.version:
             return RouterError(ErrorKind.NOT_CONFIGURED, "no configuration yet")
-        if not self._trust.holds(self._clock()):
+        if not self._trust.is_trusted(self._clock()):
             return RouterError(ErrorKind.LOG_UNAVAILABLE, "the log is out of reach")
         return None
 
@@ -97,7 +97,7 @@
     def _account(self, route: Route, key: str) -> str:
         if route.public or not self._routing.keyed:
             return self.account_of(key)
-        if not self._trust.holds(self._clock()):
+        if not self._trust.is_trusted(self._clock()):
             text = "keys cannot be checked, the log is out of reach"
             kind = ErrorKind.LOG_UNAVAILABLE
             raise RouterError(kind, text, retry_after_s=COME_BACK_S)
--- a/greengageflow/daemon/forward_notes.py
+++ b/greengageflow/daemon/forward_notes.py
@@ -107,12 +107,12 @@
         if now - before < OUT_OF_BUDGET_EVERY_S:
             return
         self._out_of_budget_at[service] = now
-        use = self._book.budget_use(now, service)
+        use = self._book.budget_usage(now, service)
         self._log.write(
             DecisionEvent.OUT_OF_BUDGET,
             service=service,
             requests=use.requests,
-            repeats=use.repeats,
+            repeats=use.retries,
             hosts=use.hosts,
         )
 
--- a/greengageflow/daemon/key_watch.py
+++ b/greengageflow/daemon/key_watch.py
@@ -53,7 +53,7 @@
         if words and now >= self._doubt_until:
             known = peers_know_config(told, self._store.version, words)
             self._trust.confirm(now - known.heard_s - PEER_MARGIN_S)
-        trusted = self._trust.holds(now)
+        trusted = self._trust.is_trusted(now)
         if trusted != self._trusted:
             self._trusted = trusted
             self._note(now)
--- a/greengageflow/lab/_gateway_world.py
+++ b/greengageflow/lab/_gateway_world.py
@@ -306,7 +306,7 @@
     def on_placed(self, placed: Placed) -> None:
         """Take where others sent prompt parts."""
         for part, endpoint in placed:
-            self._places.note(self.now, part, endpoint)
+            self._places.on_sent(self.now, part, endpoint)
 
     def on_loads(self, loads: Mapping[str, LoadShare]) -> None:
         """Take what others have under way."""
--- a/tests/test_endpoint_choice.py
+++ b/tests/test_endpoint_choice.py
@@ -20,7 +20,7 @@
 
 @pytest.mark.parametrize("keeper", ["e0", "e1", "e2"])
 def test_requests_keep_to_an_engine_that_has_the_part(engines, keeper):
-    engines.places.note(0.0, "shared", keeper)
+    engines.places.on_sent(0.0, "shared", keeper)
     choice = engines.choose()
     assert (choice.endpoint.id, choice.reading, choice.fetch_from) == (
         keeper,
@@ -30,10 +30,10 @@
 
 
 def test_parts_are_fetched_only_from_an_engine_that_has_read_them(engines):
-    engines.places.note(0.9, "shared", "e1")
+    engines.places.on_sent(0.9, "shared", "e1")
     engines.loads["e1"].others = LoadShare(1, 90_000.0, 0.0)
     assert engines.choose().fetch_from is None, "not read yet"
-    engines.places.note(0.5, "shared", "e2")
+    engines.places.on_sent(0.5, "shared", "e2")
     engines.loads["e2"].others = LoadShare(1, 90_000.0, 0.0)
     choice = engines.choose()
     assert (choice.endpoint.id, choice.fetch_from.id) == ("e0", "e2")
@@ -41,7 +41,7 @@
 
 
 def test_resting_engines_get_nothing_and_nobody_fetches_from_them(engines):
-    engines.places.note(0.0, "shared", "e1")
+    engines.places.on_sent(0.0, "shared", "e1")
     for _ in range(2):
         engines.health.on_no_answer(1.0, "e1")
     choice = engines.choose()
@@ -73,7 +73,7 @@
     """
     engines.listed = [endpoint("e0", "a"), endpoint("e1", "b")]
     for keeper in ("e0", "e1"):
-        engines.places.note(0.0, "shared", keeper)
+        engines.places.on_sent(0.0, "shared", keeper)
     assert engines.choose(zone=zone).endpoint.zone == zone
 
 
@@ -83,7 +83,7 @@
     It may not wait for the engine that keeps the part. Sent to another engine, it had
     the part copied, which evicted other parts.
     """
-    engines.places.note(0.0, "shared", "e1")
+    engines.places.on_sent(0.0, "shared", "e1")
     engines.loads["e1"].others = LoadShare(1, 1500.0, 0.0)
     assert engines.choose(max_wait_s=0.1) is None
     assert engines.choose(max_wait_s=0.16).endpoint.id == "e1"
@@ -119,9 +119,9 @@
 
 def test_places_are_forgotten_with_time_and_newest_come_first():
     places = PromptPlaces(10.0)
-    places.note(1.0, "p", "e1")
-    places.note(3.0, "p", "e2")
-    places.note(2.0, "p", "e2")
+    places.on_sent(1.0, "p", "e1")
+    places.on_sent(3.0, "p", "e2")
+    places.on_sent(2.0, "p", "e2")
     assert [(h.endpoint, h.age_s) for h in places.holders(4.0, "p")] == [
         ("e2", 1.0),
         ("e1", 3.0),
@@ -138,8 +138,8 @@
     """
     places = PromptPlaces()
     for step in range(6):
-        places.note(0.2 * step, "hot", "e0")
-    places.note(1.0, "hot", "e1")
+        places.on_sent(0.2 * step, "hot", "e0")
+    places.on_sent(1.0, "hot", "e1")
     found = {one.endpoint: one.has_read for one in places.holders(1.1, "hot")}
     assert found == {"e0": True, "e1": False}
     places.on_read("hot", "e1")
@@ -154,7 +154,7 @@
     """
     parts = PromptPart("common", 3000), PromptPart("thing", 800), PromptPart("own", 100)
     prompt = Prompt(parts, 3900, 10)
-    engines.places.note(0.0, "common", "e1")
+    engines.places.on_sent(0.0, "common", "e1")
     engines.loads["e1"].others = LoadShare(1, 90_000.0, 0.0)
     choice = engines.choose(prompt)
     assert choice.endpoint.id != "e1" and choice.fetch_from.id == "e1"
--- a/tests/test_service_core.py
+++ b/tests/test_service_core.py
@@ -112,13 +112,13 @@
 
 def test_keys_are_trusted_up_to_the_bound_less_its_margin():
     trust = KeyTrust(5.0, 0.6)
-    assert not trust.holds(0.0)
+    assert not trust.is_trusted(0.0)
     trust.confirm(10.0)
     trust.confirm(8.0)
-    assert trust.holds(14.39) and not trust.holds(14.4)
+    assert trust.is_trusted(14.39) and not trust.is_trusted(14.4)
     short = KeyTrust(1.0, 0.6)
     short.confirm(0.0)
-    assert short.holds(0.79) and not short.holds(0.8)
+    assert short.is_trusted(0.79) and not short.is_trusted(0.8)
 
 
 def queued_request(
