--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -28,10 +28,10 @@
         self.service, self.sent = service, 0
         self.prompt = PROMPT if service == "model" else None
         self.listed = EndpointList()
-        self.book = ServiceDispatcher(
+        self.dispatcher = ServiceDispatcher(
             self.listed, "z", lambda: FleetRetryBudget(9, 9, 9.0)
         )
-        self.book.on_routing(Routing(services=SERVICES))
+        self.dispatcher.on_routing(Routing(services=SERVICES))
         self.endpoints = [
             ListedEndpoint(name, service, "127.0.0.1", 9, "z", 4, born=5)
             for name in ("e0", "e1")
@@ -45,9 +45,9 @@
         name = f"r{self.sent}"
         queued_request = QueuedRequest(name, "a", 1.0, 0, now, now + 1, now + 0.4)
         job = Job(queued_request, 1.0, self.prompt)
-        (decision,) = self.book.submit(now, self.service, job, "a")
+        (decision,) = self.dispatcher.submit(now, self.service, job, "a")
         if isinstance(decision, StartJob):
-            list(self.book.on_request_end(now, self.service, name))
+            list(self.dispatcher.on_request_end(now, self.service, name))
             return decision.choice.endpoint.id
         return decision
 
@@ -57,57 +57,60 @@
     return Host(request.param)
 
 
-def test_endpoint_gets_nothing_until_the_time_that_it_asked_for_is_over(host):
+def test_endpoint_gets_no_requests_during_its_backoff(host):
     first = host.ask(0.0)
     asking = next(e for e in host.endpoints if e.id == first)
-    assert host.book.on_backoff(0.0, asking, 3.0)
-    assert not host.book.on_backoff(0.1, asking, 1.0), "no change by a shorter one"
+    assert host.dispatcher.on_backoff(0.0, asking, 3.0)
+    assert not host.dispatcher.on_backoff(0.1, asking, 1.0), (
+        "no change by a shorter one"
+    )
     for step in range(1, 30):
         assert host.ask(step / 10) != first
-        again = host.book.choose_retry_endpoint(
+        retry = host.dispatcher.choose_retry_endpoint(
             step / 10, host.service, host.prompt, set()
         )
-        assert again.endpoint.id != first
-    assert host.book.unavailable_endpoints(2.9, host.service) == (first,)
-    assert not host.book.is_available(2.9, asking)
-    assert host.book.is_available(3.1, asking)
-    others = {one.id for one in host.endpoints} - {first}
+        assert retry.endpoint.id != first
+    assert host.dispatcher.unavailable_endpoints(2.9, host.service) == (first,)
+    assert not host.dispatcher.is_available(2.9, asking)
+    assert host.dispatcher.is_available(3.1, asking)
+    others = {e.id for e in host.endpoints} - {first}
     assert (
-        host.book.choose_retry_endpoint(
+        host.dispatcher.choose_retry_endpoint(
             3.1, host.service, host.prompt, others
         ).endpoint.id
         == first
     )
 
 
-def test_requests_are_refused_with_the_end_of_the_first_backoff(host):
+def test_refusals_say_when_the_first_backoff_ends(host):
     for endpoint, seconds in zip(host.endpoints, (5.0, 3.0), strict=True):
-        host.book.on_backoff(0.0, endpoint, seconds)
+        host.dispatcher.on_backoff(0.0, endpoint, seconds)
     refusal = host.ask(1.0)
     assert isinstance(refusal, RefuseJob)
     assert refusal.retry_after_s == 2.0
     assert (
-        host.book.choose_retry_endpoint(1.0, host.service, host.prompt, set()) is None
+        host.dispatcher.choose_retry_endpoint(1.0, host.service, host.prompt, set())
+        is None
     )
     assert host.ask(3.1) == "e1"
 
 
 def test_good_answer_to_an_earlier_request_does_not_end_a_backoff(host):
-    host.book.on_backoff(0.0, host.endpoints[0], 3.0)
-    host.book.on_answer(host.endpoints[0], True)
+    host.dispatcher.on_backoff(0.0, host.endpoints[0], 3.0)
+    host.dispatcher.on_answer(host.endpoints[0], True)
     assert host.ask(1.0) == "e1"
 
 
-def test_later_start_has_asked_for_nothing(host):
+def test_restart_clears_a_backoff(host):
     old = host.endpoints[0]
-    host.book.on_backoff(0.0, old, 3.0)
+    host.dispatcher.on_backoff(0.0, old, 3.0)
     new = replace(old, born=9)
     for change in list(host.listed.put(new)):
         if change.what == "gone":
-            host.book.forget_endpoint(change.id)
-    assert host.book.is_available(1.0, new)
-    assert not host.book.on_backoff(1.0, old, 3.0)
-    assert host.book.is_available(1.0, new)
+            host.dispatcher.forget_endpoint(change.id)
+    assert host.dispatcher.is_available(1.0, new)
+    assert not host.dispatcher.on_backoff(1.0, old, 3.0)
+    assert host.dispatcher.is_available(1.0, new)
 
 
 @pytest.mark.parametrize(
@@ -124,7 +127,7 @@
         ("Thu, 03 Dec 2026 12:00:00 GMT", 0.0),
     ],
 )
-def test_time_of_a_backoff_is_read_as_seconds(text, seconds):
+def test_retry_after_is_parsed_as_seconds(text, seconds):
     assert retry_after_s(text) == seconds
 
 
@@ -132,9 +135,7 @@
     ("status", "not_executed", "seconds"),
     [(503, "1", 3.0), (503, "", 0.0), (429, "1", 0.0), (421, "", 0.0)],
 )
-def test_only_an_endpoint_that_turned_a_request_away_asks(
-    status, not_executed, seconds
-):
+def test_only_a_rejection_starts_a_backoff(status, not_executed, seconds):
     """A 503 of an executed request is an answer for the caller, with its header."""
     headers = [("retry-after", "3")]
     if not_executed:
--- a/tests/test_endpoint_choice.py
+++ b/tests/test_endpoint_choice.py
@@ -19,7 +19,7 @@
 
 
 @pytest.mark.parametrize("keeper", ["e0", "e1", "e2"])
-def test_requests_keep_to_an_engine_that_has_the_part(engines, keeper):
+def test_engine_with_cached_part_is_preferred(engines, keeper):
     engines.places.on_sent(0.0, "shared", keeper)
     choice = engines.choose()
     assert (choice.endpoint.id, choice.reading, choice.fetch_from) == (
@@ -40,7 +40,7 @@
     assert engines.choose(transfers=False).fetch_from is None
 
 
-def test_resting_engines_get_nothing_and_nobody_fetches_from_them(engines):
+def test_suspended_engines_get_no_requests_and_no_fetches(engines):
     engines.places.on_sent(0.0, "shared", "e1")
     for _ in range(2):
         engines.health.on_no_answer(1.0, "e1")
@@ -65,7 +65,7 @@
 
 
 @pytest.mark.parametrize("zone", ["a", "b"])
-def test_the_zone_of_the_host_that_sends_counts(engines, zone):
+def test_zone_of_the_sending_host_is_preferred(engines, zone):
     """A placer must prefer the zone of the sending host to its own.
 
     Otherwise requests and answers cross zones though an engine in the sender's zone has
@@ -77,7 +77,7 @@
     assert engines.choose(zone=zone).endpoint.zone == zone
 
 
-def test_work_beyond_a_share_moves_and_reads_again_nothing(engines):
+def test_requests_beyond_a_share_copy_or_reread_no_parts(engines):
     """A request beyond its account's share must not copy a part from a busy engine.
 
     It may not wait for the engine that keeps the part. Sent to another engine, it had
@@ -92,15 +92,15 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 9), st.integers(1, 40)), max_size=60))
-def test_a_mirror_keeps_what_was_used_last(touched):
+def test_cache_mirror_evicts_least_recently_used(accesses):
     """Compares with a list that is searched from its most recently used end."""
     mirror, kept, lengths = CacheMirror(100), set(), {}
-    for number, tokens in touched:
+    for number, tokens in accesses:
         name = f"p{number}"
         lengths.setdefault(name, tokens)
         kept.add(name)
         kept -= set(mirror.touch([PromptPart(name, lengths[name])]))
-    newest = list(dict.fromkeys(f"p{number}" for number, _ in reversed(touched)))
+    newest = list(dict.fromkeys(f"p{number}" for number, _ in reversed(accesses)))
     sums = accumulate(lengths[name] for name in newest)
     fits = {name for name, total in zip(newest, sums, strict=True) if total <= 100}
     assert kept >= fits and len(mirror) == len(kept)
@@ -112,12 +112,12 @@
     listed = [endpoint(f"e{number}") for number in sorted(numbers)]
     home = home_of(part, listed)
     assert home == home_of(part, reversed(listed))
-    for gone in listed:
-        if gone != home:
-            assert home_of(part, [e for e in listed if e != gone]) == home
+    for removed in listed:
+        if removed != home:
+            assert home_of(part, [e for e in listed if e != removed]) == home
 
 
-def test_places_are_forgotten_with_time_and_newest_come_first():
+def test_places_expire_and_are_sorted_by_age():
     places = PromptPlaces(10.0)
     places.on_sent(1.0, "p", "e1")
     places.on_sent(3.0, "p", "e2")
@@ -130,7 +130,7 @@
     assert not places.holders(14.0, "p") and not places.holders(0.0, "q")
 
 
-def test_a_part_that_is_asked_for_all_the_time_counts_as_read():
+def test_continuously_requested_part_counts_as_read():
     """Callers request a part five times a second.
 
     If the time counted from the last request, the part would never count as read, and
@@ -140,13 +140,13 @@
     for step in range(6):
         places.on_sent(0.2 * step, "hot", "e0")
     places.on_sent(1.0, "hot", "e1")
-    found = {one.endpoint: one.has_read for one in places.holders(1.1, "hot")}
+    found = {holder.endpoint: holder.has_read for holder in places.holders(1.1, "hot")}
     assert found == {"e0": True, "e1": False}
     places.on_read("hot", "e1")
-    assert all(one.has_read for one in places.holders(1.1, "hot"))
+    assert all(holder.has_read for holder in places.holders(1.1, "hot"))
 
 
-def test_a_new_thing_is_fetched_as_far_as_another_engine_has_read_it(engines):
+def test_common_prefix_of_a_new_prompt_is_fetched(engines):
     """A common first part is fetched even if no engine has the part that follows it.
 
     The first request with a new second part used to find no engine with that part, and
--- a/tests/test_prefill_model.py
+++ b/tests/test_prefill_model.py
@@ -23,9 +23,9 @@
         return self.free_at + self.fixed_s
 
 
-def play(reader, load, per_s, seconds=20.0):
+def send_prompts(reader, load, per_s, seconds=20.0):
     """Send prompts and record first events; return the prediction errors."""
-    random, now, events, off = Random(1), 0.0, [], []
+    random, now, events, errors = Random(1), 0.0, [], []
     while now < seconds:
         now += random.expovariate(per_s)
         for at, name in sorted(event for event in events if event[0] <= now):
@@ -36,14 +36,14 @@
         name = f"r{now}"
         load.add_request(now, name, tokens, tokens)
         events.append((reader.first_event_at(now, tokens), name))
-        off.append(predicted_s - (events[-1][0] - now))
-    return off
+        errors.append(predicted_s - (events[-1][0] - now))
+    return errors
 
 
 @given(st.sampled_from([20_000.0, 40_000.0, 120_000.0]), st.sampled_from([0.02, 0.15]))
-def test_rate_and_fixed_time_are_told_apart(rate, fixed_s):
+def test_rate_and_fixed_time_are_separated(rate, fixed_s):
     load = EndpointLoad(64, 1_000_000)
-    play(Reader(rate, fixed_s), load, per_s=0.4 * rate / 4100)
+    send_prompts(Reader(rate, fixed_s), load, per_s=0.4 * rate / 4100)
     assert load.model.rate == pytest.approx(rate, rel=0.25)
     assert load.model.fixed_s == pytest.approx(fixed_s, abs=0.02)
 
@@ -55,14 +55,14 @@
     When that time was counted as reading, the rate was underestimated, and requests
     were refused that could have been served.
     """
-    off = play(
+    errors = send_prompts(
         Reader(40_000.0, 0.15), EndpointLoad(64, 1_000_000), part * 40_000 / 4100
     )
-    settled = sorted(map(abs, off[len(off) // 2 :]))
+    settled = sorted(map(abs, errors[len(errors) // 2 :]))
     assert settled[int(0.9 * len(settled))] < 0.1
 
 
-def test_an_engine_that_stands_still_is_seen_to_be_behind():
+def test_stalled_engine_counts_as_behind():
     load = EndpointLoad(64, 1_000_000, PrefillModel(40_000.0, 0.1))
     for number in range(10):
         load.add_request(0.0, f"r{number}", 4000.0, 4000.0)
@@ -72,7 +72,7 @@
     assert load.queue_wait_s(2.1) <= 0.9
 
 
-def test_prompts_of_unknown_parts_teach_nothing():
+def test_unreliable_samples_are_not_learned():
     """Samples with an unreliable number of tokens to read must not change the rate.
 
     After a restart of all hosts engines keep parts that no host knows of, so prompts
@@ -85,7 +85,7 @@
     assert load.model.rate == 40_000.0
 
 
-def test_callers_are_served_in_time_at_two_thirds_of_what_engines_read():
+def test_callers_are_served_in_time_at_two_thirds_of_capacity():
     """Under the usual load of long prompts nearly all requests are answered in time.
 
     Counts requests from ten seconds on, when engines have read the shared parts and
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -14,12 +14,12 @@
 
 SERVICE = "plain"
 RATIO, SLACK, WINDOW_S = 0.2, 58.0, 10.0
-LENGTH_S = 45.0
+DURATION_S = 45.0
 STEP_S = 0.05
-ROUND_S = 0.25
-FAIL = 0.6
-MOST_REPEATS = 3
-TROUBLE_S = (12.0, 40.0)
+REPORT_INTERVAL_S = 0.25
+FAILURE_RATE = 0.6
+MAX_RETRIES = 3
+FAULT_PERIOD_S = (12.0, 40.0)
 
 
 class Host:
@@ -27,164 +27,167 @@
 
     Attributes:
         down_until: Time of its next start.
-        still_until: Time at which it resumes after a freeze.
-        heard_at: Time at which it next receives the other hosts' reports.
+        frozen_until: Time at which it resumes after a freeze.
+        next_reports_at: Time at which it next receives the other hosts' reports.
     """
 
     def __init__(self):
-        self.down_until = self.still_until = 0.0
+        self.down_until = self.frozen_until = 0.0
         self.start(-15.0)
 
     def start(self, now):
         budget = partial(FleetRetryBudget, RATIO, SLACK, WINDOW_S)
-        self.book = ServiceDispatcher(EndpointList(), "z", budget)
-        self.heard_at = now + ROUND_S
+        self.dispatcher = ServiceDispatcher(EndpointList(), "z", budget)
+        self.next_reports_at = now + REPORT_INTERVAL_S
 
     def is_up(self, now):
-        return now >= max(self.down_until, self.still_until)
+        return now >= max(self.down_until, self.frozen_until)
 
-    def hear(self, now, others):
-        list(self.book.on_totals(now, FleetTotals(hosts=others)))
+    def receive_reports(self, now, others):
+        list(self.dispatcher.on_totals(now, FleetTotals(hosts=others)))
 
 
 class Fleet:
     """Hosts with callers at a constant rate, and a service that often fails."""
 
-    def __init__(self, seed, hosts, rate, pauses):
-        self.pauses = pauses
+    def __init__(self, seed, hosts, rate, intermittent):
+        self.intermittent = intermittent
         self.random = Random(seed)
         self.hosts = [Host() for _ in range(hosts)]
         self.weights = [self.random.uniform(0.3, 2.0) for _ in self.hosts]
         self.rate = rate
-        self.requests, self.repeats = [], []
-        self.cut = frozenset()
+        self.requests, self.retries = [], []
+        self.partition = frozenset()
         self.failing = False
-        self.turns_at = 6.0
+        self.next_toggle_at = 6.0
 
-    def play(self, trouble):
+    def run(self, fault):
         now = -15.0
-        while now < LENGTH_S:
-            if TROUBLE_S[0] <= now < TROUBLE_S[1]:
-                trouble(self, now)
-            if now >= self.turns_at:
+        while now < DURATION_S:
+            if FAULT_PERIOD_S[0] <= now < FAULT_PERIOD_S[1]:
+                fault(self, now)
+            if now >= self.next_toggle_at:
                 self.failing = not self.failing
-                self.turns_at = now + self.random.uniform(1.0, 6.0)
-            self._hear(now)
+                self.next_toggle_at = now + self.random.uniform(1.0, 6.0)
+            self._exchange_reports(now)
             rate = self.rate if now >= 0 else 0.0
             for _ in range(int(rate * STEP_S + self.random.random())):
-                self._ask(now + self.random.uniform(0, STEP_S))
+                self._send_request(now + self.random.uniform(0, STEP_S))
             now = round(now + STEP_S, 6)
 
-    def _hear(self, now):
+    def _exchange_reports(self, now):
         up = [i for i, host in enumerate(self.hosts) if host.is_up(now)]
         for i in up:
             host = self.hosts[i]
-            if host.heard_at <= now:
-                side = i in self.cut
-                others = sum(1 for j in up if j != i and (j in self.cut) == side)
-                host.hear(now, 0 if side else others)
-                host.heard_at = now + ROUND_S
-
-    def _ask(self, now):
+            if host.next_reports_at <= now:
+                is_partitioned = i in self.partition
+                others = sum(
+                    1 for j in up if j != i and (j in self.partition) == is_partitioned
+                )
+                host.receive_reports(now, 0 if is_partitioned else others)
+                host.next_reports_at = now + REPORT_INTERVAL_S
+
+    def _send_request(self, now):
         self.requests.append(now)
         (host,) = self.random.choices(self.hosts, self.weights)
         if not host.is_up(now):
             return
-        host.book.count_request(now, SERVICE)
-        failing = self.failing if self.pauses else now > 6.0
-        fails = FAIL if failing else 0.0
-        for _ in range(MOST_REPEATS):
+        host.dispatcher.count_request(now, SERVICE)
+        failing = self.failing if self.intermittent else now > 6.0
+        fails = FAILURE_RATE if failing else 0.0
+        for _ in range(MAX_RETRIES):
             if self.random.random() > fails:
                 return
             now += 0.002
-            if not host.book.take_retry(now, SERVICE):
+            if not host.dispatcher.take_retry(now, SERVICE):
                 return
-            self.repeats.append(now)
+            self.retries.append(now)
 
-    def some(self, share):
+    def sample_hosts(self, share):
         count = max(1, round(share * len(self.hosts)))
         return self.random.sample(range(len(self.hosts)), count)
 
-    def worst(self):
+    def largest_excess(self):
         """Return the largest excess of retries over the budget in any window."""
-        requests, repeats = sorted(self.requests), sorted(self.repeats)
+        requests, retries = sorted(self.requests), sorted(self.retries)
 
         def count(times, start):
             return bisect_left(times, start + WINDOW_S) - bisect_left(times, start)
 
         return max(
-            count(repeats, at)
-            - RATIO * max(count(requests, at - late) for late in (0.0, 5.0, 10.0))
+            count(retries, at)
+            - RATIO
+            * max(count(requests, at - offset_s) for offset_s in (0.0, 5.0, 10.0))
             - SLACK
-            for at in repeats
+            for at in retries
         )
 
 
-def every(gap_s):
+def due_every(gap_s):
     def is_due(now):
-        return (now - TROUBLE_S[0]) % gap_s < STEP_S - 1e-9
+        return (now - FAULT_PERIOD_S[0]) % gap_s < STEP_S - 1e-9
 
     return is_due
 
 
-def kill(fleet, now, share, gap_s):
+def restart(fleet, now, share, gap_s):
     for host in fleet.hosts:
         if host.down_until == now:
             host.start(now)
-    if every(gap_s)(now):
-        for i in fleet.some(share):
+    if due_every(gap_s)(now):
+        for i in fleet.sample_hosts(share):
             fleet.hosts[i].down_until = round(now + 10 * STEP_S, 6)
 
 
 def freeze(fleet, now):
-    if every(6.0)(now):
-        for i in fleet.some(0.7):
+    if due_every(6.0)(now):
+        for i in fleet.sample_hosts(0.7):
             host = fleet.hosts[i]
-            host.still_until = round(now + 3.0, 6)
-            host.heard_at = host.still_until + 0.6
+            host.frozen_until = round(now + 3.0, 6)
+            host.next_reports_at = host.frozen_until + 0.6
     for host in fleet.hosts:
         # At its resumption all reports that it has received are expired.
-        if host.still_until == now:
-            host.hear(now, 0)
+        if host.frozen_until == now:
+            host.receive_reports(now, 0)
 
 
-def cut(fleet, now):
-    fleet.cut = frozenset(range(len(fleet.hosts) // 2))
+def partition(fleet, now):
+    fleet.partition = frozenset(range(len(fleet.hosts) // 2))
 
 
-def move(fleet, now):
-    if every(4.0)(now):
+def move_callers(fleet, now):
+    if due_every(4.0)(now):
         fleet.weights = [fleet.random.choice((0.05, 2.0)) for _ in fleet.hosts]
 
 
-TROUBLES = {
-    "some hosts start again and again": partial(kill, share=0.5, gap_s=3.0),
-    "all hosts start at once": partial(kill, share=1.0, gap_s=7.0),
-    "one host after the other starts": partial(kill, share=0.12, gap_s=0.7),
+FAULTS = {
+    "some hosts start again and again": partial(restart, share=0.5, gap_s=3.0),
+    "all hosts start at once": partial(restart, share=1.0, gap_s=7.0),
+    "one host after the other starts": partial(restart, share=0.12, gap_s=0.7),
     "hosts wake from a freeze": freeze,
-    "hosts are cut off from the others": cut,
-    "callers move to other hosts": move,
+    "hosts are cut off from the others": partition,
+    "callers move to other hosts": move_callers,
 }
 
 
-@pytest.mark.parametrize("pauses", [False, True], ids=["lasting", "with pauses"])
+@pytest.mark.parametrize("intermittent", [False, True], ids=["lasting", "with pauses"])
 @pytest.mark.parametrize("hosts, rate", [(9, 40.0), (9, 120.0), (60, 250.0)])
-@pytest.mark.parametrize("trouble", TROUBLES)
-def test_no_window_of_the_fleet_has_more_repeats_than_allowed(
-    trouble, hosts, rate, pauses
+@pytest.mark.parametrize("fault", FAULTS)
+def test_no_window_of_the_fleet_has_more_retries_than_allowed(
+    fault, hosts, rate, intermittent
 ):
     """Hosts that lose their counts would send failing endpoints too many retries."""
     for seed in range(6):
-        fleet = Fleet(seed, hosts, rate, pauses)
-        fleet.play(TROUBLES[trouble])
-        assert fleet.worst() <= 0, seed
+        fleet = Fleet(seed, hosts, rate, intermittent)
+        fleet.run(FAULTS[fault])
+        assert fleet.largest_excess() <= 0, seed
 
 
-def test_host_that_hears_nobody_shares_with_as_many_as_before():
+def test_isolated_host_keeps_the_last_fleet_size():
     fleet = FleetSize(least=3)
     assert fleet.hosts == 3
-    for now, heard in ((0.0, 9), (1.0, 1), (2.0, 4)):
-        fleet.note(now, heard)
+    for now, host_count in ((0.0, 9), (1.0, 1), (2.0, 4)):
+        fleet.note(now, host_count)
         assert fleet.hosts == 9
     fleet.note(KEPT_S + 1.0, 4)
     assert fleet.hosts == 4
@@ -192,9 +195,9 @@
     assert fleet.hosts == 3
 
 
-def test_first_request_of_a_service_may_be_repeated_on_a_host_that_runs_for_long():
+def test_long_running_host_may_retry_the_first_request_of_a_service():
     host = Host()
-    host.hear(0.0, 1)
-    host.book.count_request(100.0, SERVICE)
-    repeats = sum(host.book.take_retry(100.0, SERVICE) for _ in range(100))
-    assert repeats == 11
+    host.receive_reports(0.0, 1)
+    host.dispatcher.count_request(100.0, SERVICE)
+    retries = sum(host.dispatcher.take_retry(100.0, SERVICE) for _ in range(100))
+    assert retries == 11
--- a/tests/test_service_core.py
+++ b/tests/test_service_core.py
@@ -40,7 +40,7 @@
     st.sampled_from([0.0, 0.1, 0.5]),
     st.sampled_from([0, 2, 7]),
 )
-def test_no_window_has_more_repeats_than_the_budget(steps, hosts, ratio, slack):
+def test_no_window_has_more_retries_than_the_budget(steps, hosts, ratio, slack):
     """Checks every window that ends with a retry, including its first moment."""
     budget = FleetRetryBudget(ratio, slack, WINDOW_S)
     requests, repeats = [], []
@@ -56,7 +56,7 @@
             assert taken <= ratio * asked + slack / hosts
 
 
-def test_budget_lets_repeat_as_often_as_it_may():
+def test_budget_allows_retries_up_to_its_limit():
     budget = FleetRetryBudget(0.5, 20, WINDOW_S)
     assert not budget.take(0.0, 2)
     for _ in range(10):
@@ -76,7 +76,7 @@
     st.sampled_from([0.1, 0.5]),
     st.sampled_from([2, 4]),
 )
-def test_no_window_has_more_however_often_the_host_starts(steps, hosts, ratio, slack):
+def test_restarts_do_not_exceed_the_budget(steps, hosts, ratio, slack):
     """A new process does not know how many retries the previous one has used."""
     budget = FleetRetryBudget(ratio, slack, WINDOW_S)
     requests, repeats = [], []
@@ -127,7 +127,7 @@
     return QueuedRequest(name, account, work, priority, 0.0, target_at, expires_at)
 
 
-def test_queue_serves_low_accounts_then_rank_then_what_is_in_time():
+def test_queue_order_is_by_account_usage_priority_and_target():
     queue = WorkQueue()
     queue.put(queued_request("late", target_at=1.0))
     queue.put(queued_request("far", target_at=8.0))
@@ -145,7 +145,7 @@
     assert not queue and queue.next_expiry() is None
 
 
-def test_queue_gives_up_each_request_at_its_time():
+def test_queue_expires_each_request_at_its_time():
     queue = WorkQueue()
     queue.put(queued_request("one", expires_at=3.0))
     queue.put(queued_request("two", "b", expires_at=4.0))
@@ -155,7 +155,7 @@
     assert queue.next_expiry() == 4.0
 
 
-def test_silent_endpoints_rest_longer_each_time_until_they_answer():
+def test_suspension_doubles_until_an_endpoint_answers():
     health = EndpointHealth()
     assert not health.on_no_answer(0.0, "e")
     now = 0.0
@@ -170,7 +170,7 @@
     assert not health.is_suspended(now + INITIAL_SUSPENSION_S, "e")
 
 
-def test_failures_that_are_answered_rank_and_fade():
+def test_failure_rate_rises_and_decays():
     health = EndpointHealth()
     for _ in range(30):
         health.on_answer("e", False)
@@ -180,7 +180,7 @@
     assert health.failure_rate("e") < 0.1
 
 
-def test_load_counts_own_and_others_work():
+def test_load_counts_requests_of_all_hosts():
     load = engine_load()
     load.others = LoadShare(1, 5000.0, 300.0)
     load.add_request(0.0, "r", 1000.0, 400.0)
@@ -224,9 +224,7 @@
 
 
 @pytest.mark.parametrize("beyond", ["running", "reading", "level"])
-def test_beyond_the_allowance_requests_start_only_where_engines_are_slack(
-    service, beyond
-):
+def test_beyond_the_share_requests_start_only_on_spare_capacity(service, beyond):
     """Other hosts and accounts wait for the rest; only idle capacity may be used."""
     service.scheduler.capacity_share = CapacityShare(
         running=0 if beyond == "running" else 9,
@@ -242,12 +240,12 @@
     assert [start.request for start in service.scheduler.pump(0.2)] == ["one"]
 
 
-def test_within_the_allowance_requests_start_while_there_is_room(service):
+def test_within_the_share_requests_start_while_there_is_capacity(service):
     service.fill(2, 1500.0)
     assert [type(decision) for decision in service.submit("one")] == [StartJob]
 
 
-def test_accounts_above_their_level_go_after_others(service):
+def test_accounts_above_their_share_yield_to_others(service):
     service.fill(4)
     service.levels.update(a=30.0, b=10.0)
     service.scheduler.capacity_share = CapacityShare(
@@ -259,7 +257,7 @@
     assert service.scheduler.waiting == 1
 
 
-def test_requests_are_refused_when_their_time_is_over(service):
+def test_expired_requests_are_refused(service):
     service.fill(4)
     service.scheduler.capacity_share = CapacityShare(usage_limits={"a": 10.0})
     service.submit("one", expires_at=2.0)
@@ -301,7 +299,7 @@
 
 
 @given(PIECES, st.lists(st.integers(0, 150), max_size=8))
-def test_frames_are_the_same_however_bytes_are_cut(text, cuts):
+def test_frames_do_not_depend_on_chunk_boundaries(text, cuts):
     whole = EventFrames()
     frames = list(whole.feed(text))
     parts = EventFrames()
@@ -317,7 +315,7 @@
     assert not re.search(rb"\r?\n\r?\n", text[len(raw) :])
 
 
-def test_frames_tell_numbers_and_torn_ends():
+def test_frames_have_event_numbers_and_flag_truncation():
     frames = EventFrames()
     found = list(frames.feed(b"id: 12\r\ndata: x\r\n\r\ndata: id: 3\n\ndata"))
     assert [frame.number for frame in found] == [12, None] and frames.torn
@@ -325,7 +323,7 @@
         list(frames.feed(b"x" * FRAME_LIMIT))
 
 
-def test_an_account_that_had_all_engines_goes_without_for_a_moment_only():
+def test_usage_of_a_formerly_lone_account_decays_quickly():
     """One account sends requests alone for ten seconds, then a second one as many.
 
     The first account gets no capacity while its earlier work counts. If the decay is
@@ -334,33 +332,33 @@
     """
     listed = EndpointList()
     list(listed.put(replace(endpoint("e0"), service="m", slots=1)))
-    book = ServiceDispatcher(listed, "z", lambda: FleetRetryBudget(0, 0, 1))
+    dispatcher = ServiceDispatcher(listed, "z", lambda: FleetRetryBudget(0, 0, 1))
     service = Service("m", slots=1, memory_tokens=1_000_000)
-    book.on_routing(Routing(version=1, services={"m": service}))
+    dispatcher.on_routing(Routing(version=1, services={"m": service}))
     prompt = Prompt((), 1000, 100)
     started, ends = Counter(), deque()
 
-    def carry_out(now, decisions):
+    def apply_decisions(now, decisions):
         for start in decisions:
             if isinstance(start, StartJob):
-                book.on_request_sent(now, start.request, start.choice, prompt)
-                book.on_first_event(now, start.request, start.choice.endpoint)
+                dispatcher.on_request_sent(now, start.request, start.choice, prompt)
+                dispatcher.on_first_event(now, start.request, start.choice.endpoint)
                 ends.append((now + 0.1, start.request))
                 started[start.request[0]] += now >= 10
 
     for step in range(1600):
         now = step / 100
         if step % 25 == 0:
-            carry_out(now, book.on_totals(now, FleetTotals()))
+            apply_decisions(now, dispatcher.on_totals(now, FleetTotals()))
         for account in "ab" if now >= 10 else "a":
-            place = QueuedRequest(
+            queued = QueuedRequest(
                 f"{account}{step}", account, 1200, 0, now, now + 1, now + 1
             )
-            job = Job(place, 9.0, prompt)
-            carry_out(now, book.submit(now, "m", job, account))
+            job = Job(queued, 9.0, prompt)
+            apply_decisions(now, dispatcher.submit(now, "m", job, account))
         while ends and ends[0][0] <= now:
             _, name = ends.popleft()
-            book.on_request_released(name, listed.get("e0"))
-            carry_out(now, book.on_request_end(now, "m", name))
+            dispatcher.on_request_released(name, listed.get("e0"))
+            apply_decisions(now, dispatcher.on_request_end(now, "m", name))
     assert started["a"] + started["b"] > 50, "the engine was busy"
     assert started["a"] >= 0.5 * started["b"]
