--- a/greengageflow/core/endpoint_choice.py
+++ b/greengageflow/core/endpoint_choice.py
@@ -1,4 +1,4 @@
-"""Which endpoint a request is sent to."""
+"""Endpoint selection by load, prefix cache, health and zone."""
 
 from collections.abc import Callable, Container, Sequence
 from dataclasses import dataclass, field
@@ -10,58 +10,66 @@
 from greengageflow.core.forward_request import Prompt
 from greengageflow.core.prompt_places import PromptPlaces, home_of
 
-FAILING_PENALTY_S = 1.0
-AWAY_PENALTY_S = 0.04
-"""Seconds of wait that a request in another zone is worth: its bytes cross twice."""
-FETCH_PART = 0.3
-"""Engine's time for a token that is fetched, in parts of one that is read."""
-COPY_PART = 0.3
-"""What a copied token takes from others, memory and link, in the same measure.
+FAILURE_PENALTY_S = 1.0
+CROSS_ZONE_PENALTY_S = 0.04
+"""Extra wait, in seconds, that is accepted to stay within the zone.
 
-Copies that seem cheap push each other out of memory.
+The bytes of a request in another zone cross zones twice.
 """
-PLAIN_QUEUE = 3.0
-PLAIN_AWAY = 0.3
-PLAIN_FAILING = 8.0
+FETCH_COST_FRACTION = 0.3
+"""Engine time for a fetched token, relative to a token that is read."""
+COPY_COST_FRACTION = 0.3
+"""Cost of a copied token to other requests, relative to a token that is read.
+
+It accounts for memory and link use. If copies are too cheap they evict each other from
+memory.
+"""
+PLAIN_REQUESTS_PER_SLOT = 3.0
+PLAIN_CROSS_ZONE_PENALTY = 0.3
+PLAIN_FAILURE_PENALTY = 8.0
 HOME_BONUS_S = 0.05
-"""Seconds by which hosts that decide for themselves prefer a part's home, to agree."""
-FILL = 0.92
-LEAST_AHEAD_S = 0.05
-"""Seconds of wait that count as none: a step or two of an engine."""
-SURE_READING = 1.5
-"""Tokens to read, in a prompt's own ones, up to which its time teaches a rate.
-
-Whether shared parts that nobody sent there lately are kept is not known: after a
-restart of all hosts they are, and engines would seem faster than they are.
+"""Preference for a part's home endpoint, in seconds of wait.
+
+It makes hosts that choose independently agree on an endpoint.
+"""
+MAX_FILL_FRACTION = 0.92
+NEGLIGIBLE_WAIT_S = 0.05
+"""Seconds of wait that count as zero: one or two steps of an engine."""
+MAX_RELIABLE_READING_RATIO = 1.5
+"""Maximum tokens to read, relative to a prompt's own tokens, for a rate sample.
+
+It is not known whether an engine keeps shared parts that were not sent to it recently.
+After a restart of all hosts it does, and such samples would make engines seem faster
+than they are.
 """
 
 
 @dataclass(frozen=True, slots=True)
 class Choice:
-    """Where a request goes.
+    """The endpoint selected for a request.
 
     Args:
         endpoint: The endpoint.
-        reading: Prompt tokens that it has to read, by all that is known.
-        wait_s: Predicted seconds to the first event.
-        fetch_from: Engine that keeps shared parts which this one lacks, or None.
-        sure: Whether the endpoint keeps the shared parts is known.
+        reading: Expected number of prompt tokens that it has to read.
+        wait_s: Predicted time to the first event, in seconds.
+        fetch_from: Engine from which missing shared parts are fetched, or None.
+        reliable: The number of tokens to read is reliable.
     """
 
     endpoint: ListedEndpoint
     reading: float = 0.0
     wait_s: float = 0.0
     fetch_from: ListedEndpoint | None = None
-    sure: bool = True
+    reliable: bool = True
 
 
 class EndpointChooser:
-    """Chooses by predicted wait, with a preference for kept prompt parts.
+    """Chooses endpoints by predicted wait, with a preference for cached prompt parts.
 
     Args:
         loads: Returns the load of an endpoint.
-        health: What was seen of the endpoints lately.
-        places: Where prompt parts are kept.
+        health: Recent failures of the endpoints.
+        places: Locations of cached prompt parts.
         zone: Availability zone of this host.
     """
 
@@ -77,109 +85,125 @@
         self._places = places
         self._zone = zone
 
-    def look(self, now: float, endpoints: Sequence[ListedEndpoint]) -> "Look":
-        """Return what all waiting requests have in common to choose from.
+    def find_candidates(
+        self, now: float, endpoints: Sequence[ListedEndpoint]
+    ) -> "Candidates":
+        """Return the candidates that all queued requests can choose from.
 
-        A queue is looked through at each event; while engines are full, to look at all
-        of them for each account's first request would take most of a placer's time.
+        The queue is scanned at each event. Checking all engines again for the first
+        request of each account would take most of a placer's time while they are full.
         """
-        room = [e for e in endpoints if self._loads(e).has_slot(PLAIN_QUEUE)]
-        awake = [e for e in room if not self._health.rests(now, e.id)]
-        loads = [(endpoint, self._loads(endpoint)) for endpoint in awake]
-        return Look(
+        with_free_slot = [
+            e for e in endpoints if self._loads(e).has_slot(PLAIN_REQUESTS_PER_SLOT)
+        ]
+        active = [e for e in with_free_slot if not self._health.is_suspended(now, e.id)]
+        loads = [(endpoint, self._loads(endpoint)) for endpoint in active]
+        return Candidates(
             endpoints=endpoints,
-            room=room,
-            engines=[_Engine(e, load, load.ahead_s(now)) for e, load in loads],
+            with_free_slot=with_free_slot,
+            engines=[
+                _CandidateEngine(e, load, load.queue_wait_s(now)) for e, load in loads
+            ],
         )
 
     def choose(
         self,
         now: float,
-        look: "Look",
+        candidates: "Candidates",
         prompt: Prompt | None,
         *,
-        patience_s: float,
-        first_by_s: float = inf,
+        max_wait_s: float,
+        first_event_within_s: float = inf,
         transfers: bool,
-        fill: float = FILL,
+        fill: float = MAX_FILL_FRACTION,
         avoid: Container[str] = (),
         zone: str = "",
     ) -> Choice | None:
-        """Return the best endpoint, or None when none has room in time.
+        """Return the best endpoint, or None if none has capacity in time.
 
         Args:
             now: The time.
-            look: What there is to choose from, as of ``now``.
-            prompt: Its work, for a model engine.
-            patience_s: Longest wait for the endpoint to begin, in seconds.
-            first_by_s: Seconds from now by which the first event should come. An
-                endpoint that begins in ``LEAST_AHEAD_S`` is taken all the same: none
-                is sooner.
-            transfers: Engines fetch prompt parts from each other.
-            fill: Part of an engine's slots that may be taken.
-            avoid: Endpoints that it may not be sent to; they may keep parts.
-            zone: Availability zone of the host that sends it; empty: this host's.
+            candidates: Endpoints to choose from, as of ``now``.
+            prompt: Prompt, for a model engine.
+            max_wait_s: Maximum wait until the endpoint begins, in seconds.
+            first_event_within_s: Seconds from now by which the first event should come.
+                An endpoint that begins within ``NEGLIGIBLE_WAIT_S`` is accepted anyway,
+                since no other could begin sooner.
+            transfers: Engines can fetch prompt parts from each other.
+            fill: Fraction of an engine's slots that may be used.
+            avoid: Ids of endpoints that must not be chosen; parts may still be fetched
+                from them.
+            zone: Availability zone of the host that sends the request; empty for this
+                host's.
         """
         zone = zone or self._zone
         if prompt is None:
-            awake = [one.endpoint for one in look.engines]
-            found = [e for e in awake or look.room if e.id not in avoid]
-            return self._plain(found, fill, zone)
-        longest_s = max(LEAST_AHEAD_S, min(patience_s, first_by_s))
-        able = [
-            one
-            for one in look.engines
-            if one.ahead_s <= longest_s
-            and one.endpoint.id not in avoid
-            and one.load.fits(prompt.tokens_in, fill)
+            active = [engine.endpoint for engine in candidates.engines]
+            found = [
+                e for e in active or candidates.with_free_slot if e.id not in avoid
+            ]
+            return self._choose_plain(found, fill, zone)
+        wait_limit_s = max(NEGLIGIBLE_WAIT_S, min(max_wait_s, first_event_within_s))
+        eligible = [
+            engine
+            for engine in candidates.engines
+            if engine.queue_wait_s <= wait_limit_s
+            and engine.endpoint.id not in avoid
+            and engine.load.fits(prompt.tokens_in, fill)
         ]
-        if not able:
+        if not eligible:
             return None
-        kept = self._kept(now, prompt, look.endpoints)
-        is_kept = 0 < prompt.shared_tokens == kept.most
-        home = None if is_kept else home_of(prompt.affinity, look.endpoints)
+        cached = self._find_cached(now, prompt, candidates.endpoints)
+        is_cached = 0 < prompt.shared_tokens == cached.longest_tokens
+        home = None if is_cached else home_of(prompt.affinity, candidates.endpoints)
         best: Choice | None = None
         best_s = inf
-        for one in able:
-            plan = _plan(one, kept, prompt, transfers)
-            latest_s = max(LEAST_AHEAD_S, first_by_s - plan.first_s)
-            if one.ahead_s > latest_s:
+        for engine in eligible:
+            estimate = _estimate_cost(engine, cached, prompt, transfers)
+            latest_s = max(NEGLIGIBLE_WAIT_S, first_event_within_s - estimate.first_s)
+            if engine.queue_wait_s > latest_s:
                 continue
-            # To read or move once more what is kept elsewhere takes engines as much
-            # as waiting does those who come next.
-            if one.ahead_s + plan.again_s > max(LEAST_AHEAD_S, patience_s):
+            # Reading or copying parts that another engine keeps delays later requests
+            # as much as waiting does, so it counts towards the maximum wait.
+            if engine.queue_wait_s + estimate.duplicate_s > max(
+                NEGLIGIBLE_WAIT_S, max_wait_s
+            ):
                 continue
-            wait_s = one.ahead_s + plan.first_s
-            cost_s = self._cost_s(one, wait_s, zone) + plan.again_s
-            if home is not None and one.endpoint.id == home.id:
+            wait_s = engine.queue_wait_s + estimate.first_s
+            cost_s = self._cost_s(engine, wait_s, zone) + estimate.duplicate_s
+            if home is not None and engine.endpoint.id == home.id:
                 cost_s -= HOME_BONUS_S
             if cost_s < best_s:
                 best_s = cost_s
                 best = Choice(
-                    one.endpoint, plan.reading, wait_s, plan.source, plan.sure
+                    engine.endpoint,
+                    estimate.reading,
+                    wait_s,
+                    estimate.source,
+                    estimate.reliable,
                 )
         return best
 
-    def _kept(
+    def _find_cached(
         self, now: float, prompt: Prompt, endpoints: Sequence[ListedEndpoint]
-    ) -> "_Kept":
-        kept = _Kept()
+    ) -> "_CachedPrefixes":
+        cached = _CachedPrefixes()
         if not prompt.shared_tokens:
-            return kept
+            return cached
         by_id = {endpoint.id: endpoint for endpoint in endpoints}
         depth = 0
         for part in prompt.parts[:-1]:
             depth += part.tokens
             for holder in self._places.holders(now, part.id):
                 found = by_id.get(holder.endpoint)
-                if found is None or self._health.rests(now, found.id):
+                if found is None or self._health.is_suspended(now, found.id):
                     continue
-                kept.tokens[found.id] = kept.most = depth
-                if holder.has_read and depth > kept.source_tokens:
-                    kept.source, kept.source_tokens = found, depth
-        return kept
+                cached.tokens[found.id] = cached.longest_tokens = depth
+                if holder.has_read and depth > cached.source_tokens:
+                    cached.source, cached.source_tokens = found, depth
+        return cached
 
-    def _plain(
+    def _choose_plain(
         self, endpoints: Sequence[ListedEndpoint], fill: float, zone: str
     ) -> Choice | None:
         """Return the least loaded endpoint of a plain service."""
@@ -187,96 +211,111 @@
         best_cost = float("inf")
         for endpoint in endpoints:
             load = self._loads(endpoint)
-            # Beyond this a replica's own queue is long, and it turns requests away:
-            # each of those is an arrival that the budget of repeats has to bear.
-            if load.running >= PLAIN_QUEUE * fill * load.slots:
+            # Beyond this an endpoint's own queue is full, and it rejects requests;
+            # retries of these would use up the retry budget.
+            if load.running >= PLAIN_REQUESTS_PER_SLOT * fill * load.slots:
                 continue
-            away = PLAIN_AWAY if endpoint.zone != zone else 0.0
-            failing = PLAIN_FAILING * self._health.failing(endpoint.id)
-            cost = load.running + away + failing
+            cross_zone = PLAIN_CROSS_ZONE_PENALTY if endpoint.zone != zone else 0.0
+            failure_cost = PLAIN_FAILURE_PENALTY * self._health.failure_rate(
+                endpoint.id
+            )
+            cost = load.running + cross_zone + failure_cost
             if cost < best_cost:
                 best, best_cost = endpoint, cost
         return Choice(best) if best else None
 
-    def _cost_s(self, one: "_Engine", wait_s: float, zone: str) -> float:
-        endpoint, load = one.endpoint, one.load
-        cost_s = wait_s + FAILING_PENALTY_S * self._health.failing(endpoint.id)
+    def _cost_s(self, engine: "_CandidateEngine", wait_s: float, zone: str) -> float:
+        endpoint, load = engine.endpoint, engine.load
+        cost_s = wait_s + FAILURE_PENALTY_S * self._health.failure_rate(endpoint.id)
         cost_s += 0.1 * load.running / load.slots
-        return cost_s + (AWAY_PENALTY_S if endpoint.zone != zone else 0.0)
+        return cost_s + (CROSS_ZONE_PENALTY_S if endpoint.zone != zone else 0.0)
 
 
 @dataclass(frozen=True, slots=True)
-class _Engine:
+class _CandidateEngine:
     endpoint: ListedEndpoint
     load: EndpointLoad
-    ahead_s: float
+    queue_wait_s: float
 
 
 @dataclass(frozen=True, slots=True)
-class Look:
-    """What requests may choose from at one moment.
+class Candidates:
+    """Candidate endpoints at one moment.
 
     Args:
-        endpoints: All endpoints of the service; they may keep parts.
-        room: Those that may take one more request.
-        engines: Those of them that do not rest, with their waits.
+        endpoints: All endpoints of the service; any may keep prompt parts.
+        with_free_slot: Endpoints with a free slot.
+        engines: Endpoints with a free slot that are not suspended, with their waits.
     """
 
     endpoints: Sequence[ListedEndpoint]
-    room: Sequence[ListedEndpoint]
-    engines: "Sequence[_Engine]"
+    with_free_slot: Sequence[ListedEndpoint]
+    engines: "Sequence[_CandidateEngine]"
 
 
 @dataclass(frozen=True, slots=True)
-class _Plan:
-    """What a request would be for one engine.
+class _CostEstimate:
+    """Predicted cost of a request at one engine.
 
     Args:
         reading: Tokens to read.
-        first_s: Seconds to the first event once it begins to read.
-        again_s: Seconds in which it does what another engine has done.
-        source: Engine that shared parts are fetched from, or None.
-        sure: What is to be read is known.
+        first_s: Seconds from the begin of reading to the first event.
+        duplicate_s: Seconds spent on parts that another engine already keeps.
+        source: Engine from which shared parts are fetched, or None.
+        reliable: The number of tokens to read is reliable.
     """
 
     reading: float
     first_s: float
-    again_s: float
+    duplicate_s: float
     source: ListedEndpoint | None
-    sure: bool
+    reliable: bool
 
 
 @dataclass(slots=True)
-class _Kept:
-    """What engines keep of a prompt's shared parts.
+class _CachedPrefixes:
+    """Cached shared parts of a prompt, by engine.
 
-    An engine that was sent parts just now has them as soon as its turn comes, but
-    nobody can fetch them from it yet.
+    An engine that was sent parts just now will keep them when a new request gets its
+    turn, but other engines can't fetch them until they have been read.
 
     Args:
-        tokens: Tokens from the prompt's begin that an engine keeps, by its id.
-        most: The most that one keeps.
-        source: The engine that has read most of them, the last one used, or None.
-        source_tokens: How many it has read.
+        tokens: Length of the cached prefix, in tokens, by engine id.
+        longest_tokens: Longest cached prefix.
+        source: Engine that has read the longest prefix, the most recently used one of
+            several, or None.
+        source_tokens: Length of the prefix that ``source`` has read.
     """
 
     tokens: dict[str, int] = field(default_factory=dict)
-    most: int = 0
+    longest_tokens: int = 0
     source: ListedEndpoint | None = None
     source_tokens: int = 0
 
 
-def _plan(one: _Engine, kept: _Kept, prompt: Prompt, transfers: bool) -> _Plan:
-    here = kept.tokens.get(one.endpoint.id, 0)
-    fetched = kept.source_tokens - here if transfers else 0
-    model = one.load.model
+def _estimate_cost(
+    engine: _CandidateEngine, cached: _CachedPrefixes, prompt: Prompt, transfers: bool
+) -> _CostEstimate:
+    cached_tokens = cached.tokens.get(engine.endpoint.id, 0)
+    fetched = cached.source_tokens - cached_tokens if transfers else 0
+    model = engine.load.model
     if fetched > 0:
-        reading = prompt.tokens_in - kept.source_tokens + FETCH_PART * fetched
-        again = kept.most - kept.source_tokens + COPY_PART * fetched
+        reading = (
+            prompt.tokens_in - cached.source_tokens + FETCH_COST_FRACTION * fetched
+        )
+        duplicate_tokens = (
+            cached.longest_tokens - cached.source_tokens + COPY_COST_FRACTION * fetched
+        )
         first_s = model.first_event_s(reading)
-        return _Plan(reading, first_s, again / model.rate, kept.source, False)
-    reading = float(prompt.tokens_in - here)
-    again = max(0, kept.most - here)
-    sure = reading <= SURE_READING * (prompt.tokens_in - prompt.shared_tokens)
+        return _CostEstimate(
+            reading, first_s, duplicate_tokens / model.rate, cached.source, False
+        )
+    reading = float(prompt.tokens_in - cached_tokens)
+    duplicate_tokens = max(0, cached.longest_tokens - cached_tokens)
+    reliable = reading <= MAX_RELIABLE_READING_RATIO * (
+        prompt.tokens_in - prompt.shared_tokens
+    )
     first_s = model.first_event_s(reading)
-    return _Plan(reading, first_s, again / model.rate, None, sure)
+    return _CostEstimate(
+        reading, first_s, duplicate_tokens / model.rate, None, reliable
+    )
--- a/greengageflow/core/prompt_places.py
+++ b/greengageflow/core/prompt_places.py
@@ -1,4 +1,4 @@
-"""Where the shared parts of prompts are kept."""
+"""Locations of shared prompt parts in the prefix caches of engines."""
 
 from collections import OrderedDict
 from collections.abc import Iterable
@@ -8,39 +8,43 @@
 
 from greengageflow.core.endpoint_list import ListedEndpoint
 
-_KEPT = 20_000
-_HOMES = 2_000
-"""Parts whose homes are remembered; a hash of each engine for each request adds up."""
+_MAX_PARTS = 20_000
+_MAX_CACHED_HOMES = 2_000
+"""Cache size of ``home_of``; hashing each engine for each request is expensive."""
 
-READ_S = 0.3
+ASSUMED_READ_S = 0.3
 
 
 def home_of(part: str, endpoints: Iterable[ListedEndpoint]) -> ListedEndpoint | None:
-    """Return the endpoint that requests with ``part`` prefer, the same on all hosts.
+    """Return the preferred endpoint of a part, which is the same on all hosts.
 
-    It is the one with the highest hash of part and endpoint, so that an endpoint that
-    comes or goes moves only the parts that are its own.
+    Uses rendezvous hashing, so that adding or removing an endpoint moves only the parts
+    whose home it is.
     """
     rows = tuple(endpoints)
-    return rows[_home_among(part, tuple(one.id for one in rows))] if rows else None
+    return (
+        rows[_home_among(part, tuple(endpoint.id for endpoint in rows))]
+        if rows
+        else None
+    )
 
 
-@lru_cache(maxsize=_HOMES)
+@lru_cache(maxsize=_MAX_CACHED_HOMES)
 def _home_among(part: str, names: tuple[str, ...]) -> int:
-    def weight(at: int) -> bytes:
-        return blake2b(f"{part} {names[at]}".encode(), digest_size=8).digest()
+    def weight(index: int) -> bytes:
+        return blake2b(f"{part} {names[index]}".encode(), digest_size=8).digest()
 
     return max(range(len(names)), key=weight)
 
 
 @dataclass(frozen=True, slots=True)
 class Holder:
-    """An endpoint that was sent a part.
+    """An endpoint that was sent a prompt part.
 
     Args:
-        endpoint: Its id.
-        age_s: Seconds since it was sent the part last.
-        has_read: It has read the part, as far as is known.
+        endpoint: Endpoint id.
+        age_s: Seconds since the part was last sent to it.
+        has_read: It is assumed to have read the part.
     """
 
     endpoint: str
@@ -49,62 +53,69 @@
 
 
 @dataclass(slots=True)
-class _Place:
-    first: float
-    last: float
+class _SentPart:
+    first_sent_at: float
+    last_sent_at: float
     has_read: bool = False
 
 
 class PromptPlaces:
-    """Remembers which endpoints were lately sent a part.
+    """Records which endpoints were recently sent a prompt part.
 
     Args:
-        fresh_s: Seconds for which an endpoint is taken to keep a part, unless it is
-            known to have let go of it.
+        retention_s: Seconds for which an endpoint is assumed to keep a part, unless
+            its eviction is known.
     """
 
-    def __init__(self, fresh_s: float = 40.0) -> None:
-        self._fresh_s = fresh_s
-        self._seen: OrderedDict[str, dict[str, _Place]] = OrderedDict()
+    def __init__(self, retention_s: float = 40.0) -> None:
+        self._retention_s = retention_s
+        self._places: OrderedDict[str, dict[str, _SentPart]] = OrderedDict()
 
-    def note(self, at: float, part: str, endpoint: str) -> None:
-        """Note that a request with ``part`` was sent to an endpoint."""
-        places = self._seen.setdefault(part, {})
+    def on_sent(self, at: float, part: str, endpoint: str) -> None:
+        """Record that a request with ``part`` was sent to an endpoint."""
+        places = self._places.setdefault(part, {})
         place = places.get(endpoint)
-        if place is None or at - place.last > self._fresh_s:
-            places[endpoint] = _Place(at, at)
+        if place is None or at - place.last_sent_at > self._retention_s:
+            places[endpoint] = _SentPart(at, at)
         else:
-            place.last = max(at, place.last)
-        self._seen.move_to_end(part)
-        if len(self._seen) > _KEPT:
-            self._seen.popitem(last=False)
+            place.last_sent_at = max(at, place.last_sent_at)
+        self._places.move_to_end(part)
+        if len(self._places) > _MAX_PARTS:
+            self._places.popitem(last=False)
 
     def on_read(self, part: str, endpoint: str) -> None:
-        """Note that an endpoint has read a part that it was sent."""
-        place = self._seen.get(part, {}).get(endpoint)
+        """Record that an endpoint has read a part that was sent to it."""
+        place = self._places.get(part, {}).get(endpoint)
         if place is not None:
             place.has_read = True
 
-    def forget(self, part: str, endpoint: str) -> None:
-        """Note that an endpoint keeps a part no longer."""
-        self._seen.get(part, {}).pop(endpoint, None)
+    def on_evicted(self, part: str, endpoint: str) -> None:
+        """Remove a part that an endpoint has evicted."""
+        self._places.get(part, {}).pop(endpoint, None)
 
     def forget_endpoint(self, endpoint: str) -> None:
-        """Note that an endpoint keeps nothing any more."""
-        for places in self._seen.values():
+        """Remove all parts of an endpoint."""
+        for places in self._places.values():
             places.pop(endpoint, None)
 
     def holders(self, now: float, part: str) -> list[Holder]:
-        """Return the endpoints that were sent ``part`` lately, the last one first."""
-        places = self._seen.get(part)
+        """Return the endpoints that were recently sent ``part``, latest first."""
+        places = self._places.get(part)
         if not places:
             return []
-        for endpoint in [e for e, p in places.items() if now - p.last > self._fresh_s]:
+        for endpoint in [
+            e for e, p in places.items() if now - p.last_sent_at > self._retention_s
+        ]:
             del places[endpoint]
-        # Counted from the first request on: a part that is asked for all the time would
-        # otherwise seem unread for good, and be read again wherever it goes.
+        # The time counts from the first request. Counted from the last one, a part that
+        # is requested continuously would never count as read, so that every other
+        # engine would read it again.
         found = [
-            Holder(name, now - p.last, p.has_read or now - p.first >= READ_S)
+            Holder(
+                name,
+                now - p.last_sent_at,
+                p.has_read or now - p.first_sent_at >= ASSUMED_READ_S,
+            )
             for name, p in places.items()
         ]
         return sorted(found, key=lambda holder: holder.age_s)
--- a/greengageflow/core/remote_placements.py
+++ b/greengageflow/core/remote_placements.py
@@ -14,9 +14,9 @@
     PlacementSnapshot,
     Verdict,
 )
-from greengageflow.core.service_book import ServiceBook
+from greengageflow.core.service_dispatcher import ServiceDispatcher
 from greengageflow.core.service_scheduler import Decision, Job, RefuseJob, StartJob
-from greengageflow.core.work_queue import Waiter
+from greengageflow.core.work_queue import QueuedRequest
 
 SNAPSHOT_GRACE_S = 0.5
 """Seconds for which a new request may be missing from its host's snapshots."""
@@ -44,7 +44,7 @@
         book: Queues requests and chooses endpoints.
     """
 
-    def __init__(self, host: str, book: ServiceBook) -> None:
+    def __init__(self, host: str, book: ServiceDispatcher) -> None:
         self._host = host
         self._book = book
         self._placements: dict[str, _RemotePlacement] = {}
@@ -72,7 +72,7 @@
             message.host, message.boot, message.request, message.service, now, prompt
         )
         self._placements[key] = placement
-        waiter = Waiter(
+        queued_request = QueuedRequest(
             key,
             message.account,
             prompt.work,
@@ -82,10 +82,14 @@
             now + message.timeout_s,
         )
         job = Job(
-            waiter, message.target_s, prompt, frozenset(message.avoid), message.zone
+            queued_request,
+            message.target_s,
+            prompt,
+            frozenset(message.avoid),
+            message.zone,
         )
         yield from self._book.submit(
-            now, message.service, job, message.account, counted=False
+            now, message.service, job, message.account, count_for_budget=False
         )
 
     def is_waiting(self, message: PlacementRequest) -> bool:
@@ -105,7 +109,9 @@
         match decision:
             case StartJob(choice=choice):
                 placement.endpoint = choice.endpoint
-                self._book.sent(now, decision.request, choice, placement.prompt)
+                self._book.on_request_sent(
+                    now, decision.request, choice, placement.prompt
+                )
                 source = choice.fetch_from
                 return placement.host, PlacementAnswer(
                     host=self._host,
@@ -142,13 +148,13 @@
                 yield from self._end(now, key)
                 return
             case PlacementEventKind.FIRST_EVENT if endpoint is not None:
-                self._book.first_event(now, key, endpoint)
+                self._book.on_first_event(now, key, endpoint)
                 # Its prefill is done: the next prompt may be sent.
                 yield from self._book.pump(now)
             case PlacementEventKind.FAILED if endpoint is not None:
-                self._book.answered(endpoint, False)
+                self._book.on_answer(endpoint, False)
             case PlacementEventKind.SILENT if endpoint is not None:
-                self._book.silent(now, endpoint)
+                self._book.on_no_answer(now, endpoint)
 
     def on_snapshot(
         self, now: float, snapshot: PlacementSnapshot
@@ -178,7 +184,7 @@
     def _adopt(
         self, now: float, key: str, snapshot: PlacementSnapshot, entry: PlacementEntry
     ) -> None:
-        endpoint = self._book.listed(entry.endpoint)
+        endpoint = self._book.get_endpoint(entry.endpoint)
         if key in self._placements or endpoint is None:
             return
         self._placements[key] = _RemotePlacement(
@@ -189,7 +195,7 @@
             now,
             endpoint=endpoint,
         )
-        self._book.adopt(now, key, endpoint, entry.reading, entry.memory)
+        self._book.restore_request(now, key, endpoint, entry.reading, entry.memory)
 
     def drop_silent_hosts(self, now: float) -> Iterator[Decision]:
         """Drop the requests of hosts that have sent nothing for ``HOST_TIMEOUT_S``."""
@@ -203,8 +209,8 @@
         if placement is None:
             return
         if placement.endpoint is not None:
-            self._book.left(key, placement.endpoint)
-        yield from self._book.ended(now, placement.service, key)
+            self._book.on_request_released(key, placement.endpoint)
+        yield from self._book.on_request_end(now, placement.service, key)
 
 
 def _key(host: str, boot: int, request: str) -> str:
@@ -228,17 +234,17 @@
     zone: str,
 ) -> PlacementRequest:
     """Return the message that asks a placer to place a request."""
-    waiter, prompt = job.waiter, job.prompt
+    queued_request, prompt = job.queued_request, job.prompt
     return PlacementRequest(
         host=host,
         boot=boot,
-        request=waiter.id,
+        request=queued_request.id,
         service=service,
         account=account,
-        priority=waiter.priority,
-        waited_s=now - waiter.arrived,
-        slack_s=waiter.target_at - now,
-        timeout_s=max(0.0, waiter.give_up_at - now),
+        priority=queued_request.priority,
+        waited_s=now - queued_request.arrived,
+        slack_s=queued_request.target_at - now,
+        timeout_s=max(0.0, queued_request.expires_at - now),
         target_s=job.target_s,
         parts=tuple((part.id, part.tokens) for part in prompt.parts[:-1]),
         tokens_in=prompt.tokens_in,
--- /dev/null
+++ b/greengageflow/core/service_dispatcher.py
@@ -0,0 +1,509 @@
+"""Scheduling, placement and retry decisions of one host, for all its services."""
+
+from collections import deque
+from collections.abc import Callable, Iterable, Iterator, Mapping, Sequence
+from math import inf
+
+from greengageflow.core.cache_mirror import CacheMirror
+from greengageflow.core.decayed import DecayedSums
+from greengageflow.core.endpoint_choice import (
+    MAX_FILL_FRACTION,
+    Choice,
+    EndpointChooser,
+)
+from greengageflow.core.endpoint_health import EndpointHealth
+from greengageflow.core.endpoint_list import EndpointList, ListedEndpoint
+from greengageflow.core.endpoint_load import EndpointLoad, EndpointLoads, LoadShare
+from greengageflow.core.fleet_demand import divide_capacity
+from greengageflow.core.fleet_retry_budget import BudgetUsage, FleetRetryBudget
+from greengageflow.core.fleet_size import FleetSize
+from greengageflow.core.fleet_sums import FleetTotals
+from greengageflow.core.forward_request import Prompt, PromptPart
+from greengageflow.core.prompt_places import PromptPlaces
+from greengageflow.core.routes import Routing, Service
+from greengageflow.core.service_scheduler import (
+    CapacityShare,
+    Decision,
+    Job,
+    ServiceScheduler,
+    StartJob,
+)
+
+USAGE_DECAY_S = 2.0
+"""Time constant of the decay of recent work, in seconds.
+
+The mean age of the work counted equals that of a plain 4 s window. An account that
+had the engines to itself gets no capacity until its decayed sum has dropped to that
+of the other accounts.
+"""
+DEFAULT_SLOTS = 6
+MIN_RUNNING_REQUESTS = 2.0
+MIN_RECENT_WORK_TOKENS = 25_000.0 * USAGE_DECAY_S
+PREFILL_LOOKAHEAD_S = 0.35
+FAIR_SHARE_TOLERANCE = 1.5
+"""Multiple of its fair share above which an account's requests yield to others'.
+
+Usage decays, so a single large request exceeds the share for a moment.
+"""
+PLACEMENT_REPORT_WINDOW_S = 0.3
+MIN_REPORTED_PREFIX_TOKENS = 300
+
+AccountKey = tuple[str, str]
+"""Service name and client account."""
+
+
+class ServiceDispatcher:
+    """Queues, endpoint loads and retry budgets of all services.
+
+    Combines the state of this host with the reports of the other hosts.
+
+    Args:
+        endpoints: Listed endpoints.
+        zone: Availability zone of this host.
+        budget: Creates the retry budget of one service.
+        min_hosts: Number of hosts assumed at start-up, including this one.
+    """
+
+    def __init__(
+        self,
+        endpoints: EndpointList,
+        zone: str,
+        budget: Callable[[], FleetRetryBudget],
+        *,
+        min_hosts: int = 1,
+    ) -> None:
+        self._endpoints = endpoints
+        self._routing = Routing()
+        self._loads = EndpointLoads()
+        self._health = EndpointHealth()
+        self._places = PromptPlaces()
+        self._chooser = EndpointChooser(self._load, self._health, self._places, zone)
+        self._schedulers: dict[str, ServiceScheduler] = {}
+        self._make_budget = budget
+        self._budgets: dict[str, FleetRetryBudget] = {}
+        self._started_at: float | None = None
+        self._recent_work: DecayedSums[AccountKey] = DecayedSums(USAGE_DECAY_S)
+        self._recent_demand: DecayedSums[AccountKey] = DecayedSums(USAGE_DECAY_S)
+        self._recent_placements: deque[tuple[float, str, str]] = deque()
+        self._shared_parts: dict[str, tuple[str, ...]] = {}
+        self._cache_mirrors: dict[str, CacheMirror] = {}
+        self._totals = FleetTotals()
+        self._fleet_size = FleetSize(min_hosts)
+        self._now = 0.0
+        self._owned_engines: frozenset[str] | None = None
+
+    # Placement on behalf of all hosts.
+
+    def set_owned_engines(self, endpoints: frozenset[str] | None) -> None:
+        """Set the engines that this host places for all hosts.
+
+        Args:
+            endpoints: Ids of the engines, or None if this host is not a placer.
+        """
+        self._owned_engines = endpoints
+
+    def get_endpoint(self, endpoint: str) -> ListedEndpoint | None:
+        """Return an endpoint by id, or None if it is not listed."""
+        return self._endpoints.get(endpoint)
+
+    def is_engine(self, endpoint: ListedEndpoint | None) -> bool:
+        """Whether an endpoint is a model engine."""
+        return endpoint is not None and self.service(endpoint.service).is_engine
+
+    def restore_request(
+        self,
+        now: float,
+        request: str,
+        endpoint: ListedEndpoint,
+        reading: float,
+        memory: float,
+    ) -> None:
+        """Add a request that a previous placer sent to the endpoint's load."""
+        self._load(endpoint).add_request(now, request, reading, memory, reliable=False)
+
+    def on_cached_parts(
+        self, now: float, endpoint: ListedEndpoint, parts: Sequence[PromptPart]
+    ) -> None:
+        """Record the prompt parts that an engine reports in its prefix cache."""
+        if not self._endpoints.is_current(endpoint):
+            return
+        for part in parts:
+            self._places.on_sent(now, part.id, endpoint.id)
+            self._places.on_read(part.id, endpoint.id)
+        self._update_cache_mirror(endpoint, parts)
+
+    def _update_cache_mirror(
+        self, endpoint: ListedEndpoint, parts: Iterable[PromptPart]
+    ) -> None:
+        capacity = self.service(endpoint.service).memory_tokens
+        if not capacity:
+            return
+        mirror = self._cache_mirrors.setdefault(endpoint.id, CacheMirror(capacity))
+        for part in mirror.touch(parts):
+            self._places.on_evicted(part, endpoint.id)
+
+    def _assigned_endpoints(self, service: str) -> Sequence[ListedEndpoint]:
+        """Return the endpoints to which this host sends new requests."""
+        usable = self.available_endpoints(self._now, service)
+        if self._owned_engines is None or not self.service(service).is_engine:
+            return usable
+        return [
+            endpoint for endpoint in usable if endpoint.id in self._owned_engines
+        ] or usable
+
+    # Reports to other hosts.
+
+    @property
+    def waiting(self) -> int:
+        """Number of queued requests of all services."""
+        return sum(scheduler.waiting for scheduler in self._schedulers.values())
+
+    def recent_usage(self, service: str, account: str) -> float:
+        """Return the decayed sum of work that an account got in the whole fleet."""
+        key = (service, account)
+        return self._recent_work.get(self._now, key) + self._totals.served.get(key, 0.0)
+
+    def queue_length(self, service: str) -> int:
+        """Return the number of queued requests of a service."""
+        found = self._schedulers.get(service)
+        return found.waiting if found else 0
+
+    def recent_work(self, now: float) -> dict[AccountKey, float]:
+        """Return the work started here recently, by service and account."""
+        return dict(self._recent_work.items(now, 1.0))
+
+    def recent_demand(self, now: float) -> dict[AccountKey, float]:
+        """Return the work requested here recently, by service and account."""
+        return dict(self._recent_demand.items(now, 1.0))
+
+    def own_loads(self) -> dict[str, LoadShare]:
+        """Return the load that this host puts on each endpoint, by endpoint id."""
+        return self._loads.own_shares()
+
+    def recent_placements(self, now: float) -> tuple[tuple[str, str], ...]:
+        """Return recent placements as pairs of prompt part and endpoint id."""
+        while (
+            self._recent_placements
+            and self._recent_placements[0][0] < now - PLACEMENT_REPORT_WINDOW_S
+        ):
+            self._recent_placements.popleft()
+        return tuple(
+            dict.fromkeys((part, name) for _, part, name in self._recent_placements)
+        )
+
+    # Updates from the store and from other hosts.
+
+    def on_routing(self, routing: Routing) -> None:
+        """Apply a new configuration."""
+        self._routing = routing
+
+    def forget_endpoint(self, endpoint: str) -> None:
+        """Drop all state of an endpoint that is no longer listed."""
+        self._health.forget(endpoint)
+        self._loads.forget(endpoint)
+        self._cache_mirrors.pop(endpoint, None)
+        self._places.forget_endpoint(endpoint)
+
+    def on_loads(self, loads: Mapping[str, LoadShare]) -> None:
+        """Replace the load that all other hosts put on endpoints."""
+        self._loads.set_others(loads)
+
+    def on_placements(self, now: float, placed: Iterable[tuple[str, str]]) -> None:
+        """Record where another host sent prompt parts."""
+        for part, endpoint in placed:
+            self._places.on_sent(now, part, endpoint)
+
+    def on_totals(self, now: float, totals: FleetTotals) -> Iterator[Decision]:
+        """Apply the aggregated reports of the other hosts, and yield what can start."""
+        self._now = now
+        self._totals = totals
+        self._fleet_size.observe(now, totals.hosts + 1)
+        if self._started_at is None:
+            self._started_at = now
+        self._loads.set_others(totals.loads)
+        for name, scheduler in self._schedulers.items():
+            if self.service(name).is_engine:
+                scheduler.capacity_share = self._capacity_share(now, name)
+        yield from self.pump(now)
+
+    def _capacity_share(self, now: float, service: str) -> CapacityShare:
+        own = _work_by_account(service, dict(self._recent_demand.items(now, 1.0)))
+        others = _work_by_account(service, self._totals.offered)
+        started_work = sum(
+            self.recent_usage(service, a) for a in own.keys() | others.keys()
+        )
+        parts = divide_capacity(own, others, self._fair_share_capacity(started_work))
+        loads = [self._load(e) for e in self._assigned_endpoints(service)]
+        slots = sum(load.slots for load in loads)
+        reading = sum(_prefill_lookahead(load) for load in loads)
+        # Engines that a placer owns get requests from this host only.
+        part = parts.own if self._owned_engines is None else 1.0
+        return CapacityShare(
+            running=max(MIN_RUNNING_REQUESTS, MAX_FILL_FRACTION * slots * part),
+            reading=max(1.0, reading * part),
+            usage_limits={
+                a: FAIR_SHARE_TOLERANCE * share for a, share in parts.shares.items()
+            },
+        )
+
+    def _fair_share_capacity(self, started_work: float) -> float:
+        """Return the recent work that is divided into fair shares among accounts.
+
+        The configured capacity takes precedence: work beyond it belongs to no account,
+        and a host that has just started has not observed any work yet.
+
+        Args:
+            started_work: Decayed sum of the work that was started.
+        """
+        return self._routing.tokens_per_s * USAGE_DECAY_S or max(
+            started_work, MIN_RECENT_WORK_TOKENS
+        )
+
+    # Requests.
+
+    def submit(
+        self,
+        now: float,
+        service: str,
+        job: Job,
+        account: str,
+        *,
+        count_for_budget: bool = True,
+    ) -> Iterator[Decision]:
+        """Queue a request, and yield the decisions that are now possible.
+
+        Args:
+            now: The time.
+            service: Service that runs it.
+            job: The request.
+            account: Client account.
+            count_for_budget: The request came from a caller of this host and
+                counts towards the retry budget.
+        """
+        self._now = now
+        if count_for_budget:
+            self.count_request(now, service)
+        self._recent_demand.add(now, (service, account), job.queued_request.work)
+        yield from self._record_starts(
+            service, self._scheduler(service).submit(now, job)
+        )
+
+    def count_request(self, now: float, service: str) -> None:
+        """Count a caller's request towards the retry budget."""
+        self._budget(service).on_request(now)
+
+    def pump(self, now: float) -> Iterator[Decision]:
+        """Yield all starts and refusals that are due."""
+        self._now = now
+        for name, scheduler in list(self._schedulers.items()):
+            if scheduler.waiting:
+                yield from self._record_starts(name, scheduler.pump(now))
+
+    def on_request_end(
+        self, now: float, service: str, request: str
+    ) -> Iterator[Decision]:
+        """Release a request that was answered or whose caller disconnected."""
+        self._now = now
+        scheduler = self._scheduler(service)
+        scheduler.cancel(request)
+        yield from self._record_starts(service, scheduler.release(now, request))
+
+    def _record_starts(
+        self, service: str, decisions: Iterable[Decision]
+    ) -> Iterator[Decision]:
+        for decision in decisions:
+            if isinstance(decision, StartJob):
+                queued_request = decision.queued_request
+                self._recent_work.add(
+                    self._now, (service, queued_request.account), queued_request.work
+                )
+            yield decision
+
+    def choose_retry_endpoint(
+        self, now: float, service: str, prompt: Prompt | None, avoid: set[str]
+    ) -> Choice | None:
+        """Return the endpoint for a retry, or None if there is none.
+
+        Only chooses the endpoint; ``take_retry`` checks the retry budget.
+
+        Args:
+            now: The time.
+            service: Service that runs the request.
+            prompt: Its prompt, for a model engine.
+            avoid: Ids of endpoints that already got the request.
+        """
+        usable = self.available_endpoints(now, service)
+        candidates = self._chooser.find_candidates(
+            now, [e for e in usable if e.id not in avoid]
+        )
+        return self._chooser.choose(
+            now,
+            candidates,
+            prompt,
+            max_wait_s=inf,
+            transfers=self.service(service).transfers,
+        )
+
+    def take_retry(self, now: float, service: str) -> bool:
+        """Take a retry from a service's budget; return False if it is exhausted."""
+        return self._budget(service).take(now, self._fleet_size.hosts)
+
+    def budget_usage(self, now: float, service: str) -> BudgetUsage:
+        """Return the state of a service's retry budget."""
+        return self._budget(service).usage(now, self._fleet_size.hosts)
+
+    def _budget(self, service: str) -> FleetRetryBudget:
+        found = self._budgets.get(service)
+        if found is None:
+            found = self._budgets[service] = self._make_budget()
+            found.refilled_at = self._started_at
+        return found
+
+    def on_request_sent(
+        self, now: float, request: str, choice: Choice, prompt: Prompt | None
+    ) -> None:
+        """Record that a request was sent to an endpoint."""
+        endpoint = choice.endpoint
+        memory = prompt.tokens_in + prompt.tokens_out if prompt else 0
+        self._load(endpoint).add_request(
+            now, request, choice.reading, memory, reliable=choice.reliable
+        )
+        if prompt is not None:
+            shared = tuple(part.id for part in prompt.parts[:-1])
+            for part in shared:
+                self._places.on_sent(now, part, endpoint.id)
+            self._update_cache_mirror(endpoint, _cached_after(request, prompt))
+            self._shared_parts[request] = shared
+            if prompt.shared_tokens >= MIN_REPORTED_PREFIX_TOKENS:
+                self._recent_placements.append((now, prompt.affinity, endpoint.id))
+
+    def on_first_event(
+        self, now: float, request: str, endpoint: ListedEndpoint
+    ) -> None:
+        """Record the first event of a request's answer."""
+        if not self._endpoints.is_current(endpoint):
+            return
+        self._load(endpoint).on_first_event(now, request)
+        for part in self._shared_parts.pop(request, ()):
+            self._places.on_read(part, endpoint.id)
+        self._health.on_answer(endpoint.id, True)
+
+    def on_request_released(self, request: str, endpoint: ListedEndpoint) -> None:
+        """Remove a request from an endpoint's load."""
+        self._shared_parts.pop(request, None)
+        load = self._loads.get(endpoint.id)
+        if load is not None:
+            load.remove_request(request)
+
+    def on_backoff(self, now: float, endpoint: ListedEndpoint, seconds: float) -> bool:
+        """Start a backoff that an endpoint asked for.
+
+        Returns:
+            True if the endpoint was not in backoff before.
+        """
+        if not self._endpoints.is_current(endpoint):
+            return False
+        return self._health.on_backoff(now, endpoint.id, seconds)
+
+    def available_endpoints(self, now: float, service: str) -> Sequence[ListedEndpoint]:
+        """Return the endpoints of a service that accept new work from this host."""
+        usable = self._endpoints.usable(service)
+        backoffs = self._health.backoffs(now)
+        return [e for e in usable if e.id not in backoffs] if backoffs else usable
+
+    def is_available(self, now: float, endpoint: ListedEndpoint) -> bool:
+        """Whether an endpoint accepts new work from this host."""
+        may_use = self._endpoints.may_use(endpoint.id)
+        return may_use and endpoint.id not in self._health.backoffs(now)
+
+    def backoff_s(self, now: float, service: str) -> float:
+        """Return the seconds until the first of a service's endpoints ends its backoff.
+
+        It is 0 if an endpoint accepts work now, or if there are no endpoints.
+        """
+        backoffs = self._health.backoffs(now)
+        if not backoffs:
+            return 0.0
+        usable = self._endpoints.usable(service)
+        return min((backoffs.get(e.id, 0.0) for e in usable), default=0.0)
+
+    def on_answer(self, endpoint: ListedEndpoint, success: bool) -> bool:
+        """Record an endpoint's answer; return True if that ends its suspension."""
+        if not self._endpoints.is_current(endpoint):
+            return False
+        return self._health.on_answer(endpoint.id, success)
+
+    def on_no_answer(self, now: float, endpoint: ListedEndpoint) -> bool:
+        """Record a missing answer; return True if the endpoint becomes suspended."""
+        if not self._endpoints.is_current(endpoint):
+            return False
+        return self._health.on_no_answer(now, endpoint.id)
+
+    def unavailable_endpoints(self, now: float, service: str) -> tuple[str, ...]:
+        """Return the endpoints of a service that are suspended or in backoff."""
+        unavailable = self._health.unavailable_endpoints(now)
+        if not unavailable:
+            return ()
+        return tuple(
+            e.id for e in self._endpoints.usable(service) if e.id in unavailable
+        )
+
+    def consecutive_failures(self, endpoint: ListedEndpoint) -> int:
+        """Return an endpoint's number of consecutive missing answers."""
+        return self._health.consecutive_failures(endpoint.id)
+
+    # Lookups.
+
+    def service(self, name: str) -> Service:
+        """Return a service by name, or a default plain service if not configured."""
+        return self._routing.services.get(name) or Service(name)
+
+    def _load(self, endpoint: ListedEndpoint) -> EndpointLoad:
+        found = self._loads.get(endpoint.id)
+        if found is not None:
+            return found
+        service = self.service(endpoint.service)
+        slots = endpoint.slots or service.slots or DEFAULT_SLOTS
+        return self._loads.add(
+            endpoint.id, endpoint.service, slots, service.memory_tokens
+        )
+
+    def _scheduler(self, service: str) -> ServiceScheduler:
+        found = self._schedulers.get(service)
+        if found is None:
+            found = self._schedulers[service] = ServiceScheduler(
+                lambda: self._assigned_endpoints(service),
+                self._chooser,
+                lambda account: self.recent_usage(service, account),
+                lambda: self._unread_tokens(service),
+                lambda: self.backoff_s(self._now, service),
+                usage_decay_s=USAGE_DECAY_S,
+            )
+        found.transfers = self.service(service).transfers
+        return found
+
+    def _unread_tokens(self, service: str) -> float:
+        usable = self._endpoints.usable(service)
+        return sum(self._load(endpoint).unread_tokens for endpoint in usable)
+
+
+def _prefill_lookahead(load: EndpointLoad) -> float:
+    """Return the prompt tokens that may be queued at an engine for prefill."""
+    model = load.model
+    return (PREFILL_LOOKAHEAD_S + model.fixed_s) * model.rate
+
+
+def _cached_after(request: str, prompt: Prompt) -> Iterator[PromptPart]:
+    """Yield the parts that a request leaves in an engine's memory.
+
+    The last one stands for its private prompt tokens and its answer.
+    """
+    yield from prompt.parts[:-1]
+    own = prompt.tokens_in - prompt.shared_tokens + prompt.tokens_out
+    yield PromptPart(f"own {request}", max(0, own))
+
+
+def _work_by_account(
+    service: str, sums: Mapping[AccountKey, float]
+) -> dict[str, float]:
+    return {account: work for (name, account), work in sums.items() if name == service}
--- a/greengageflow/core/service_scheduler.py
+++ b/greengageflow/core/service_scheduler.py
@@ -1,40 +1,47 @@
-"""Which waiting request of one service is sent next, and where."""
+"""Selection of the next queued request of a service and its endpoint."""
 
 from collections.abc import Callable, Iterator, Mapping, Sequence
 from dataclasses import dataclass, field
 from math import inf, log
 
-from greengageflow.core.endpoint_choice import FILL, Choice, EndpointChooser
+from greengageflow.core.endpoint_choice import (
+    MAX_FILL_FRACTION,
+    Choice,
+    EndpointChooser,
+)
 from greengageflow.core.endpoint_list import ListedEndpoint
 from greengageflow.core.forward_request import Prompt
-from greengageflow.core.work_queue import Waiter, WorkQueue
+from greengageflow.core.work_queue import QueuedRequest, WorkQueue
 from greengageflow.errors import ErrorKind
 
-FIRST_PART = 0.8
-"""Part of a target by which the first event is to be expected."""
-QUEUE_PART = 0.45
-"""Part of a target for which a request waits; after that its answer would be late."""
-SLACK_FILL = 0.5
-"""Part of an engine's slots that work beyond a share may take."""
-LEAST_COME_BACK_S = 1.0
-LONGEST_COME_BACK_S = 5.0
-SLACK_AHEAD_PART = 0.05
-"""Part of a target for which work beyond a share may wait at an engine."""
+FIRST_EVENT_TARGET_FRACTION = 0.8
+"""Fraction of a request's target by which its first event should be expected."""
+QUEUE_TARGET_FRACTION = 0.45
+"""Fraction of a target for which a request is queued.
+
+After that its answer would be late.
+"""
+SPARE_FILL_FRACTION = 0.5
+"""Fraction of an engine's slots that requests beyond a share may fill."""
+MIN_RETRY_AFTER_S = 1.0
+MAX_RETRY_AFTER_S = 5.0
+SPARE_WAIT_TARGET_FRACTION = 0.05
+"""Fraction of a target for which requests beyond a share may wait at an engine."""
 
 
 @dataclass(frozen=True, slots=True)
 class Job:
-    """One request that asks to be sent.
+    """A request that is submitted for scheduling.
 
     Args:
-        waiter: Its place in the queue.
-        target_s: Time from its arrival within which it is worth most, in seconds.
-        prompt: Its work, for a model engine.
-        avoid: Endpoints that it may not be sent to.
-        zone: Availability zone of the host that sends it; empty: this host's.
+        queued_request: Its queue entry.
+        target_s: Target latency, counted from its arrival, in seconds.
+        prompt: Its prompt, for a model engine.
+        avoid: Ids of endpoints that it must not be sent to.
+        zone: Availability zone of the host that sends it; empty for this host's.
     """
 
-    waiter: Waiter
+    queued_request: QueuedRequest
     target_s: float
     prompt: Prompt | None = None
     avoid: frozenset[str] = frozenset()
@@ -42,36 +49,36 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Allowance:
-    """What of a service this host may use while it is busy.
+class CapacityShare:
+    """This host's share of a service's capacity under contention.
 
     Args:
-        running: Requests under way at once.
-        reading: Prompt tokens sent of which no first event has come.
-        levels: Service by client account from which on others go first.
+        running: Concurrent requests.
+        reading: Prompt tokens of requests without a first event.
+        usage_limits: Recent work above which an account yields to others, by account.
     """
 
     running: float = inf
     reading: float = inf
-    levels: Mapping[str, float] = field(default_factory=dict)
+    usage_limits: Mapping[str, float] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
 class StartJob:
-    """A request is to be sent now."""
+    """Decision to send a request now."""
 
-    waiter: Waiter
+    queued_request: QueuedRequest
     choice: Choice
 
     @property
     def request(self) -> str:
         """Id of the request."""
-        return self.waiter.id
+        return self.queued_request.id
 
 
 @dataclass(frozen=True, slots=True)
 class RefuseJob:
-    """A request is to be refused now; it was not sent."""
+    """Decision to refuse a request that was not sent."""
 
     request: str
     kind: ErrorKind
@@ -83,133 +90,140 @@
 
 
 class ServiceScheduler:
-    """Queue, order and admission of one service at this host.
+    """Queueing, fair ordering and admission control of one service at this host.
 
     Args:
-        endpoints: Returns the endpoints that may be used.
+        endpoints: Returns the usable endpoints.
         chooser: Chooses among them.
-        level: Returns an account's service lately, over the whole fleet.
-        reading: Returns the prompt tokens of this host's requests that no endpoint
-            of the service has read yet.
-        backoff_s: Returns the seconds until one of the endpoints wants work again; 0 if
-            one does now, or there is none.
-        fade_s: Time constant of the service lately, in seconds.
-        transfers: Engines fetch prompt parts from each other.
+        recent_usage: Returns an account's recent work in the whole fleet.
+        unread_tokens: Returns the prompt tokens of this host's requests that the
+            service's endpoints have yet to read.
+        backoff_s: Returns the seconds until the first endpoint ends its backoff; 0 if
+            one accepts work now, or if there are none.
+        usage_decay_s: Time constant of the decay of recent work, in seconds.
+        transfers: Engines can fetch prompt parts from each other.
     """
 
     def __init__(
         self,
         endpoints: Callable[[], Sequence[ListedEndpoint]],
         chooser: EndpointChooser,
-        level: Callable[[str], float],
-        reading: Callable[[], float],
+        recent_usage: Callable[[str], float],
+        unread_tokens: Callable[[], float],
         backoff_s: Callable[[], float],
         *,
-        fade_s: float,
+        usage_decay_s: float,
         transfers: bool = False,
     ) -> None:
-        self.allowance = Allowance()
+        self.capacity_share = CapacityShare()
         self.transfers = transfers
         self.running: set[str] = set()
         self._endpoints = endpoints
         self._chooser = chooser
-        self._level = level
-        self._reading = reading
+        self._recent_usage = recent_usage
+        self._unread_tokens = unread_tokens
         self._backoff_s = backoff_s
-        self._fade_s = fade_s
+        self._usage_decay_s = usage_decay_s
         self._queue = WorkQueue()
         self._jobs: dict[str, Job] = {}
 
     @property
     def waiting(self) -> int:
-        """Requests that wait."""
+        """Number of queued requests."""
         return len(self._queue)
 
     def submit(self, now: float, job: Job) -> Iterator[Decision]:
-        """Queue a request and yield what can be decided."""
+        """Queue a request, and yield the decisions that are now possible."""
         if not self._endpoints() and not self._backoff_s():
             text = "no endpoint of the service is known"
-            yield RefuseJob(job.waiter.id, ErrorKind.NO_ENDPOINT, text, 1.0)
+            yield RefuseJob(job.queued_request.id, ErrorKind.NO_ENDPOINT, text, 1.0)
             return
-        self._jobs[job.waiter.id] = job
-        self._queue.put(job.waiter)
+        self._jobs[job.queued_request.id] = job
+        self._queue.put(job.queued_request)
         yield from self.pump(now)
 
     def cancel(self, request: str) -> None:
-        """Forget a request whose caller is gone."""
+        """Remove a request from the queue, if it is still queued."""
         if self._queue.remove(request):
             del self._jobs[request]
 
-    def finished(self, now: float, request: str) -> Iterator[Decision]:
-        """Note that a request needs no place any more."""
+    def release(self, now: float, request: str) -> Iterator[Decision]:
+        """Release a request's slot, and yield the decisions that are now possible."""
         self.running.discard(request)
         yield from self.pump(now)
 
     def pump(self, now: float) -> Iterator[Decision]:
-        """Yield every start and refusal that is due."""
-        yield from self._refuse_hopeless(now)
-        for waiter in list(self._queue.expired(now)):
-            del self._jobs[waiter.id]
+        """Yield all starts and refusals that are due."""
+        yield from self._refuse_during_backoff(now)
+        for queued in list(self._queue.expired(now)):
+            del self._jobs[queued.id]
             text = "no endpoint had room in time"
-            wait_s = self._come_back_s(waiter.account)
-            yield RefuseJob(waiter.id, ErrorKind.QUEUE_FULL, text, wait_s)
+            wait_s = self._retry_after_s(queued.account)
+            yield RefuseJob(queued.id, ErrorKind.QUEUE_FULL, text, wait_s)
         while (start := self._next(now)) is not None:
             self._queue.remove(start.request)
             del self._jobs[start.request]
             self.running.add(start.request)
             yield start
 
-    def _refuse_hopeless(self, now: float) -> Iterator[RefuseJob]:
-        """Refuse what would be given up before any endpoint wants work again."""
+    def _refuse_during_backoff(self, now: float) -> Iterator[RefuseJob]:
+        """Refuse requests that would time out before any endpoint ends its backoff."""
         wait_s = self._backoff_s()
         if not wait_s:
             return
-        for waiter in [job.waiter for job in self._jobs.values()]:
-            if now + wait_s >= waiter.give_up_at:
-                self.cancel(waiter.id)
+        for queued in [job.queued_request for job in self._jobs.values()]:
+            if now + wait_s >= queued.expires_at:
+                self.cancel(queued.id)
                 text = "all endpoints of the service ask for backoff"
-                yield RefuseJob(waiter.id, ErrorKind.NO_ENDPOINT, text, wait_s)
-
-    def _come_back_s(self, account: str) -> float:
-        """Return the seconds until the account is below its share again."""
-        most = self.allowance.levels.get(account, 0.0)
-        level = self._level(account)
-        if not most or level <= most:
-            return LEAST_COME_BACK_S
+                yield RefuseJob(queued.id, ErrorKind.NO_ENDPOINT, text, wait_s)
+
+    def _retry_after_s(self, account: str) -> float:
+        """Return the seconds until the account's usage decays to its share."""
+        limit = self.capacity_share.usage_limits.get(account, 0.0)
+        usage = self._recent_usage(account)
+        if not limit or usage <= limit:
+            return MIN_RETRY_AFTER_S
         return min(
-            LONGEST_COME_BACK_S, LEAST_COME_BACK_S + self._fade_s * log(level / most)
+            MAX_RETRY_AFTER_S,
+            MIN_RETRY_AFTER_S + self._usage_decay_s * log(usage / limit),
         )
 
     def _next(self, now: float) -> StartJob | None:
         if not self._queue:
             return None
-        look = self._chooser.look(now, self._endpoints())
-        if not look.room:
+        candidates = self._chooser.find_candidates(now, self._endpoints())
+        if not candidates.with_free_slot:
             return None
-        allowed = self.allowance
-        within = len(self.running) < allowed.running
-        within = within and self._reading() < allowed.reading
-        for waiter in self._queue.heads(now, self._level):
-            most = allowed.levels.get(waiter.account, inf)
-            busy = not within or self._level(waiter.account) > most
-            job = self._jobs[waiter.id]
-            # Beyond this host's or its account's part a request starts only where
-            # engines have time to spare: no capacity idles, and nobody else waits.
+        share = self.capacity_share
+        within_share = len(self.running) < share.running
+        within_share = within_share and self._unread_tokens() < share.reading
+        for queued in self._queue.next_by_account(now, self._recent_usage):
+            limit = share.usage_limits.get(queued.account, inf)
+            beyond_share = (
+                not within_share or self._recent_usage(queued.account) > limit
+            )
+            job = self._jobs[queued.id]
+            # Beyond the share of this host or its account, a request starts only on
+            # engines with spare capacity. So no capacity idles, and requests within
+            # their share do not have to wait for it.
             choice = self._chooser.choose(
                 now,
-                look,
+                candidates,
                 job.prompt,
                 avoid=job.avoid,
-                patience_s=SLACK_AHEAD_PART * job.target_s if busy else inf,
+                max_wait_s=SPARE_WAIT_TARGET_FRACTION * job.target_s
+                if beyond_share
+                else inf,
                 zone=job.zone,
-                first_by_s=FIRST_PART * job.target_s - (now - waiter.arrived),
+                first_event_within_s=FIRST_EVENT_TARGET_FRACTION * job.target_s
+                - (now - queued.arrived),
                 transfers=self.transfers,
-                fill=SLACK_FILL if busy else FILL,
+                fill=SPARE_FILL_FRACTION if beyond_share else MAX_FILL_FRACTION,
             )
             if choice is not None:
-                return StartJob(waiter, choice)
+                return StartJob(queued, choice)
         return None
 
     def next_due(self) -> float | None:
-        """Return the time by which ``pump`` is to be called, or None."""
+        """Return the time at which ``pump`` must be called next, or None."""
         return self._queue.next_expiry()
--- a/greengageflow/core/work_queue.py
+++ b/greengageflow/core/work_queue.py
@@ -1,4 +1,4 @@
-"""Requests of one service that wait at this host, by client account."""
+"""Queue of one service's requests at this host, by client account."""
 
 from bisect import bisect_left, bisect_right, insort
 from collections.abc import Callable, Iterator
@@ -8,17 +8,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Waiter:
-    """A request that waits.
+class QueuedRequest:
+    """A queued request.
 
     Args:
-        id: Its id here.
+        id: Its id on this host.
         account: Client account.
         work: Cost in the service's unit.
         priority: Rank within its account, 0 is the highest.
-        arrived: Time at which it came.
-        target_at: Time by which its answer is worth most.
-        give_up_at: Time at which it is refused.
+        arrived: Arrival time.
+        target_at: Time by which it should be answered.
+        expires_at: Time at which it is refused.
     """
 
     id: str
@@ -27,100 +27,103 @@
     priority: int
     arrived: float
     target_at: float
-    give_up_at: float
+    expires_at: float
 
 
 class WorkQueue:
-    """Waiting requests; the least-served account's first request comes next.
+    """Priority queue that serves the account with the least recent work first.
 
-    All are kept in order: a queue that is looked through at each arrival and each end
-    takes a host's processor just when it is long.
+    Requests are kept sorted. Scanning the queue at each arrival and each end of a
+    request would use up a host's processor just when the queue is long.
     """
 
     def __init__(self) -> None:
-        self._by_account: dict[str, _Line] = {}
-        self._entries: dict[str, tuple[Waiter, int]] = {}
+        self._by_account: dict[str, _AccountQueue] = {}
+        self._entries: dict[str, tuple[QueuedRequest, int]] = {}
         self._expiries: list[tuple[float, int, str]] = []
-        self._orders = count()
+        self._sequence = count()
 
     def __len__(self) -> int:
-        """Return how many wait."""
+        """Return the number of queued requests."""
         return len(self._entries)
 
     def waiting(self, account: str) -> int:
-        """Return how many requests of an account wait."""
-        line = self._by_account.get(account)
-        return len(line) if line else 0
-
-    def put(self, waiter: Waiter) -> None:
-        """Queue a request."""
-        order = next(self._orders)
-        self._by_account.setdefault(waiter.account, _Line()).put(waiter, order)
-        self._entries[waiter.id] = waiter, order
-        heappush(self._expiries, (waiter.give_up_at, order, waiter.id))
-
-    def remove(self, request: str) -> Waiter | None:
-        """Take a request out; None when it does not wait."""
+        """Return the number of queued requests of an account."""
+        account_queue = self._by_account.get(account)
+        return len(account_queue) if account_queue else 0
+
+    def put(self, queued: QueuedRequest) -> None:
+        """Add a request."""
+        sequence = next(self._sequence)
+        self._by_account.setdefault(queued.account, _AccountQueue()).put(
+            queued, sequence
+        )
+        self._entries[queued.id] = queued, sequence
+        heappush(self._expiries, (queued.expires_at, sequence, queued.id))
+
+    def remove(self, request: str) -> QueuedRequest | None:
+        """Remove and return a request, or return None if it is not queued."""
         entry = self._entries.pop(request, None)
         if entry is None:
             return None
-        waiter, order = entry
-        line = self._by_account[waiter.account]
-        line.remove(waiter, order)
-        if not line:
-            del self._by_account[waiter.account]
-        return waiter
-
-    def heads(self, now: float, level: Callable[[str], float]) -> Iterator[Waiter]:
+        queued, sequence = entry
+        account_queue = self._by_account[queued.account]
+        account_queue.remove(queued, sequence)
+        if not account_queue:
+            del self._by_account[queued.account]
+        return queued
+
+    def next_by_account(
+        self, now: float, recent_usage: Callable[[str], float]
+    ) -> Iterator[QueuedRequest]:
         """Yield the next request of each account, least-served account first.
 
-        Within an account the one whose target is nearest comes first, and those that
-        are late already come last: they are worth less than one that goes late for
-        their sake.
+        Within an account the earliest target comes first. Requests that are already
+        late come last, since serving them first would make other requests late too.
 
         Args:
             now: The time.
-            level: Returns an account's service lately; the lowest comes first.
+            recent_usage: Returns an account's recent work; the lowest comes first.
         """
-        for account in sorted(self._by_account, key=level):
-            yield self._by_account[account].head(now)
+        for account in sorted(self._by_account, key=recent_usage):
+            yield self._by_account[account].first(now)
 
-    def expired(self, now: float) -> Iterator[Waiter]:
-        """Take out and yield the requests whose time to wait is over."""
+    def expired(self, now: float) -> Iterator[QueuedRequest]:
+        """Remove and yield the requests whose ``expires_at`` has passed."""
         while (expiry := self.next_expiry()) is not None and expiry <= now:
             _, _, request = heappop(self._expiries)
             yield self.remove(request)
 
     def next_expiry(self) -> float | None:
-        """Return the time at which the next request is given up, or None."""
+        """Return the time at which the next request expires, or None."""
         while self._expiries:
-            give_up_at, order, request = self._expiries[0]
-            if self._entries.get(request, (None, -1))[1] == order:
-                return give_up_at
+            expires_at, sequence, request = self._expiries[0]
+            if self._entries.get(request, (None, -1))[1] == sequence:
+                return expires_at
             heappop(self._expiries)
         return None
 
 
-class _Line:
-    """The waiting requests of one account, by priority and target."""
+class _AccountQueue:
+    """The queued requests of one account, by priority and target."""
 
     def __init__(self) -> None:
-        self._by_priority: dict[int, list[tuple[float, int, Waiter]]] = {}
+        self._by_priority: dict[int, list[tuple[float, int, QueuedRequest]]] = {}
 
     def __len__(self) -> int:
         return sum(map(len, self._by_priority.values()))
 
-    def put(self, waiter: Waiter, order: int) -> None:
-        line = self._by_priority.setdefault(waiter.priority, [])
-        insort(line, (waiter.target_at, order, waiter))
+    def put(self, queued: QueuedRequest, sequence: int) -> None:
+        entries = self._by_priority.setdefault(queued.priority, [])
+        insort(entries, (queued.target_at, sequence, queued))
 
-    def remove(self, waiter: Waiter, order: int) -> None:
-        line = self._by_priority[waiter.priority]
-        del line[bisect_left(line, (waiter.target_at, order))]
-        if not line:
-            del self._by_priority[waiter.priority]
+    def remove(self, queued: QueuedRequest, sequence: int) -> None:
+        entries = self._by_priority[queued.priority]
+        del entries[bisect_left(entries, (queued.target_at, sequence))]
+        if not entries:
+            del self._by_priority[queued.priority]
 
-    def head(self, now: float) -> Waiter:
-        line = self._by_priority[min(self._by_priority)]
-        in_time = bisect_right(line, now, key=lambda entry: entry[0])
-        return line[in_time if in_time < len(line) else 0][2]
+    def first(self, now: float) -> QueuedRequest:
+        entries = self._by_priority[min(self._by_priority)]
+        first_in_time = bisect_right(entries, now, key=lambda entry: entry[0])
+        return entries[first_in_time if first_in_time < len(entries) else 0][2]
--- a/greengageflow/daemon/fleet_exchange.py
+++ b/greengageflow/daemon/fleet_exchange.py
@@ -14,7 +14,7 @@
 from greengageflow.core.fleet_sums import FleetTotals, SumReport, relay_turns
 from greengageflow.core.hello_cache import HelloCache
 from greengageflow.core.hello_ring import HelloRing
-from greengageflow.core.leaving_signs import LeavingReport
+from greengageflow.core.leaving_report import LeavingReport
 from greengageflow.core.peer_report import LoadNotice, PeerReport, PeerTable
 from greengageflow.core.place_messages import (
     PlacementAnswer,
@@ -26,7 +26,7 @@
 from greengageflow.core.quarantine import CrashRecord, CrashReport
 from greengageflow.core.relay_sums import RelayAggregator, store_state_of
 from greengageflow.core.router_table import RELAYS_PER_ZONE, Hello, RouterTable
-from greengageflow.core.service_book import FADE_S
+from greengageflow.core.service_dispatcher import USAGE_DECAY_S
 from greengageflow.core.store_duty import READER_ZONES, StoreReport, StoreRole
 from greengageflow.core.store_updates import StoreUpdate
 from greengageflow.core.sum_changes import FullSumRequest, SumDelta
@@ -83,7 +83,7 @@
         self._listener = listener
         self._table = RouterTable(own)
         self._book = PeerTable(own.host)
-        self._relayed = RelayAggregator(own, self._table, self._book, FADE_S)
+        self._relayed = RelayAggregator(own, self._table, self._book, USAGE_DECAY_S)
         self._mesh_loads = ZoneLoads()
         self._words: tuple[float, list[StoreReport]] = (float("-inf"), [])
         self._addresses: dict[Address, float] = {}
@@ -421,7 +421,7 @@
         """Return the sums of all other routers."""
         now = self._now
         if not self._is_large:
-            return sum_reports(now, self._book.live(now), FADE_S)
+            return sum_reports(now, self._book.live(now), USAGE_DECAY_S)
         return self._relayed.peer_totals(now, self._quiet_s)
 
     def _relay(self) -> None:
--- a/greengageflow/daemon/forward_admission.py
+++ b/greengageflow/daemon/forward_admission.py
@@ -6,9 +6,9 @@
 
 from greengageflow.core.forward_request import request_fingerprint
 from greengageflow.core.routes import Route, RouteTable, Routing
-from greengageflow.core.service_scheduler import QUEUE_PART, Job
+from greengageflow.core.service_scheduler import QUEUE_TARGET_FRACTION, Job
 from greengageflow.core.trust import KeyTrust
-from greengageflow.core.work_queue import Waiter
+from greengageflow.core.work_queue import QueuedRequest
 from greengageflow.daemon.forward_flight import ForwardFlight
 from greengageflow.errors import ErrorKind, RouterError
 from greengageflow.net.forward_calls import ForwardCall
@@ -54,7 +54,7 @@
         """Return why requests cannot be judged now, or None."""
         if not self._routing.version:
             return RouterError(ErrorKind.NOT_CONFIGURED, "no configuration yet")
-        if not self._trust.holds(self._clock()):
+        if not self._trust.is_trusted(self._clock()):
             return RouterError(ErrorKind.LOG_UNAVAILABLE, "the log is out of reach")
         return None
 
@@ -71,8 +71,8 @@
         account = self._account(route, req.key)
         now = self._timers.now
         wait_s = route.timeout_s
-        if req.patience_s is not None:
-            wait_s = min(wait_s, req.patience_s)
+        if req.max_wait_s is not None:
+            wait_s = min(wait_s, req.max_wait_s)
         return ForwardFlight(
             id=str(next(self._numbers)),
             call_key=id(call),
@@ -97,7 +97,7 @@
     def _account(self, route: Route, key: str) -> str:
         if route.public or not self._routing.keyed:
             return self.account_of(key)
-        if not self._trust.holds(self._clock()):
+        if not self._trust.is_trusted(self._clock()):
             text = "keys cannot be checked, the log is out of reach"
             kind = ErrorKind.LOG_UNAVAILABLE
             raise RouterError(kind, text, retry_after_s=COME_BACK_S)
@@ -119,18 +119,18 @@
         """Return what the queue has to know of a request."""
         return Job(self._waiter(flight), flight.route.target_s, flight.req.prompt)
 
-    def _waiter(self, flight: ForwardFlight) -> Waiter:
+    def _waiter(self, flight: ForwardFlight) -> QueuedRequest:
         prompt = flight.req.prompt
         target_s = flight.route.target_s
-        give_up_at = flight.arrived + QUEUE_PART * target_s
-        return Waiter(
+        expires_at = flight.arrived + QUEUE_TARGET_FRACTION * target_s
+        return QueuedRequest(
             flight.id,
             flight.account,
             prompt.work if prompt else PLAIN_WORK,
             flight.route.priority,
             flight.arrived,
             flight.arrived + target_s - self._age_s(flight),
-            min(give_up_at, flight.deadline),
+            min(expires_at, flight.deadline),
         )
 
     def _age_s(self, flight: ForwardFlight) -> float:
@@ -139,7 +139,7 @@
         A caller that comes back says how long it still waits; the longest that is
         seen on a route is what callers wait in all.
         """
-        patience_s = flight.req.patience_s
+        patience_s = flight.req.max_wait_s
         if patience_s is None:
             return 0.0
         longest_s = max(patience_s, self._patience.get(flight.route.name, 0.0))
--- a/greengageflow/daemon/forward_notes.py
+++ b/greengageflow/daemon/forward_notes.py
@@ -4,7 +4,7 @@
 from greengageflow.core.endpoint_list import ListedEndpoint
 from greengageflow.core.forward_request import ForwardRequest, request_fingerprint
 from greengageflow.core.quarantine import short_digest
-from greengageflow.core.service_book import ServiceBook
+from greengageflow.core.service_dispatcher import ServiceDispatcher
 from greengageflow.daemon.forward_flight import ForwardFlight, Phase
 from greengageflow.errors import Ran, RouterError
 from greengageflow.net.decision_events import DecisionEvent
@@ -27,7 +27,9 @@
         book: Tells what decisions went by.
     """
 
-    def __init__(self, log: DecisionLog, page: MetricsPage, book: ServiceBook) -> None:
+    def __init__(
+        self, log: DecisionLog, page: MetricsPage, book: ServiceDispatcher
+    ) -> None:
         self.config = 0
         self.totals_at = 0.0
         self._log = log
@@ -73,8 +75,8 @@
 
     def _inputs(self, now: float, flight: ForwardFlight) -> dict[str, int]:
         return {
-            "queued": self._book.waiting_at(flight.service),
-            "level": int(self._book.level(flight.service, flight.account)),
+            "queued": self._book.queue_length(flight.service),
+            "level": int(self._book.recent_usage(flight.service, flight.account)),
             "report_age_ms": _ms(now - self.totals_at),
             "config": self.config,
         }
@@ -105,12 +107,12 @@
         if now - before < OUT_OF_BUDGET_EVERY_S:
             return
         self._out_of_budget_at[service] = now
-        use = self._book.budget_use(now, service)
+        use = self._book.budget_usage(now, service)
         self._log.write(
             DecisionEvent.OUT_OF_BUDGET,
             service=service,
             requests=use.requests,
-            repeats=use.repeats,
+            repeats=use.retries,
             hosts=use.hosts,
         )
 
@@ -224,5 +226,5 @@
                 DecisionEvent.ENDPOINT_SUSPECT,
                 endpoint=flight.attempt.endpoint.id,
                 why=why,
-                failures=self._book.failures(flight.attempt.endpoint),
+                failures=self._book.consecutive_failures(flight.attempt.endpoint),
             )
--- a/greengageflow/daemon/forwarder.py
+++ b/greengageflow/daemon/forwarder.py
@@ -6,9 +6,9 @@
 from greengageflow.core.endpoint_list import EndpointList, ListedEndpoint
 from greengageflow.core.quarantine import Fingerprint, Quarantine
 from greengageflow.core.routes import Routing
-from greengageflow.core.service_book import ServiceBook
+from greengageflow.core.service_dispatcher import ServiceDispatcher
 from greengageflow.core.service_scheduler import (
-    QUEUE_PART,
+    QUEUE_TARGET_FRACTION,
     Decision,
     RefuseJob,
     StartJob,
@@ -72,7 +72,7 @@
         pool: HttpPool,
         timers: Timers,
         endpoints: EndpointList,
-        book: ServiceBook,
+        book: ServiceDispatcher,
         admission: ForwardAdmission,
         notes: ForwardNotes,
         quarantine: Quarantine,
@@ -281,7 +281,7 @@
         else:
             flight.avoid.add(endpoint.id)
         if note.replaced:
-            self._endpoints.note_left(endpoint.id, endpoint.born)
+            self._endpoints.mark_leaving(endpoint.id, endpoint.born)
         exc = self._not_taken(flight, note.status)
         if not self._go_on(flight, exc.message) and not self._wait_out(flight, exc):
             self._answer_error(flight, exc)
@@ -290,7 +290,7 @@
         """Send a request again when a backoff ends, if it may wait for so long."""
         now = self._timers.now
         wait_s = self._book.backoff_s(now, flight.service)
-        until = flight.arrived + QUEUE_PART * flight.route.target_s
+        until = flight.arrived + QUEUE_TARGET_FRACTION * flight.route.target_s
         if flight.phase is Phase.STREAMING:
             until = flight.moved_at + STALL_S
         late = now + wait_s > min(until, flight.deadline)
@@ -305,7 +305,7 @@
 
     def _on_backoff(self, endpoint: ListedEndpoint, seconds: float) -> None:
         now = self._timers.now
-        if self._book.ask_backoff(now, endpoint, seconds):
+        if self._book.on_backoff(now, endpoint, seconds):
             self._notes.backoff(endpoint, seconds)
             self.carry_out(self._book.pump(now))
 
@@ -360,7 +360,7 @@
         """Send a request to its endpoint on a new connection, if that is allowed."""
         endpoint = flight.attempt.endpoint
         allowed = flight.repeatable and flight.stale_retry_at != endpoint.id
-        if not allowed or not self._book.is_open(self._timers.now, endpoint):
+        if not allowed or not self._book.is_available(self._timers.now, endpoint):
             return False
         if not self._may_go_on(flight) or not self._take_repeat(flight):
             return False
@@ -399,7 +399,9 @@
         if not self._may_go_on(flight):
             return None
         now = self._timers.now
-        choice = self._book.again(now, flight.service, flight.req.prompt, avoid)
+        choice = self._book.choose_retry_endpoint(
+            now, flight.service, flight.req.prompt, avoid
+        )
         return choice if choice and self._take_repeat(flight) else None
 
     def _may_go_on(self, flight: ForwardFlight) -> bool:
@@ -412,7 +414,7 @@
         if not flight.may_have_arrived:
             return True
         now = self._timers.now
-        if self._book.take_repeat(now, flight.service):
+        if self._book.take_retry(now, flight.service):
             return True
         self._notes.out_of_budget(now, flight.service)
         return False
--- a/greengageflow/daemon/gateway.py
+++ b/greengageflow/daemon/gateway.py
@@ -9,15 +9,15 @@
 
 from greengageflow.core.endpoint_list import EndpointList, ListChange
 from greengageflow.core.endpoint_load import LoadShare
+from greengageflow.core.fleet_retry_budget import FleetRetryBudget
 from greengageflow.core.fleet_sums import FleetTotals
-from greengageflow.core.leaving_signs import LeavingReport
+from greengageflow.core.leaving_report import LeavingReport
 from greengageflow.core.peer_report import PeerReport
 from greengageflow.core.place_messages import PlacementMessage
 from greengageflow.core.quarantine import CrashReport, Quarantine
 from greengageflow.core.router_table import Hello
 from greengageflow.core.routes import Routing
-from greengageflow.core.send_budget import SendBudget
-from greengageflow.core.service_book import ServiceBook
+from greengageflow.core.service_dispatcher import ServiceDispatcher
 from greengageflow.core.store_duty import StoreRole, read_interval_s
 from greengageflow.core.store_updates import StoreUpdate
 from greengageflow.core.trust import KeyTrust
@@ -95,11 +95,11 @@
         self._page = MetricsPage()
         self._trust = KeyTrust(settings.bounds.revoke_s)
         self._endpoints = EndpointList()
-        self._book = ServiceBook(
+        self._book = ServiceDispatcher(
             self._endpoints,
             settings.zone,
             self._budget,
-            least_hosts=len({settings.gossip, *settings.seeds}),
+            min_hosts=len({settings.gossip, *settings.seeds}),
         )
         self._notes = ForwardNotes(self._log, self._page, self._book)
         self._admission = ForwardAdmission(self._timers, self._trust, clock)
@@ -118,9 +118,9 @@
         self._add_fleet()
         self._add_servers()
 
-    def _budget(self) -> SendBudget:
+    def _budget(self) -> FleetRetryBudget:
         bounds = self._settings.bounds
-        return SendBudget(
+        return FleetRetryBudget(
             bounds.budget_ratio, bounds.budget_slack, bounds.budget_window_s
         )
 
@@ -294,14 +294,14 @@
             port=gossip.port,
             zone=self._settings.zone,
             stopping=self._forwarder.stopping,
-            served=self._book.served(now),
-            offered=self._book.offered(now),
+            served=self._book.recent_work(now),
+            offered=self._book.recent_demand(now),
             loads=self._book.own_loads(),
             version=self._store.version,
             list_mark=self._store.list_mark,
             config_age_s=clock() - self._store.confirmed,
             list_age_s=clock() - self._store.list_confirmed,
-            placed=self._book.recently_placed(now),
+            placed=self._book.recent_placements(now),
         )
 
     def loads(self) -> Mapping[str, LoadShare]:
@@ -310,11 +310,11 @@
 
     def placed(self) -> Placed:
         """Return prompt parts and the endpoints that they were sent to lately."""
-        return self._book.recently_placed(self._timers.now)
+        return self._book.recent_placements(self._timers.now)
 
     def on_placed(self, placed: Placed) -> None:
         """Take where other routers sent prompt parts."""
-        self._book.on_placed(self._timers.now, placed)
+        self._book.on_placements(self._timers.now, placed)
 
     def on_loads(self, loads: Mapping[str, LoadShare]) -> None:
         """Take what other routers have under way."""
@@ -337,7 +337,7 @@
 
     def on_leaving_report(self, report: LeavingReport) -> None:
         """Take which endpoints said that they leave."""
-        self._leaving.receive(report.signs)
+        self._leaving.receive(report.endpoints)
 
     def on_place_message(self, message: PlacementMessage) -> None:
         """Take what another router asks or tells of a request's place."""
--- a/greengageflow/lab/_gateway_world.py
+++ b/greengageflow/lab/_gateway_world.py
@@ -11,15 +11,15 @@
 
 from greengageflow.core.decayed import DecayedSums
 from greengageflow.core.endpoint_list import EndpointList
-from greengageflow.core.endpoint_load import LoadBook, LoadShare
+from greengageflow.core.endpoint_load import EndpointLoads, LoadShare
 from greengageflow.core.fleet_demand import divide_capacity
 from greengageflow.core.fleet_sums import FleetTotals
-from greengageflow.core.leaving_signs import LeavingReport
+from greengageflow.core.leaving_report import LeavingReport
 from greengageflow.core.peer_report import PeerReport
 from greengageflow.core.prompt_places import PromptPlaces
 from greengageflow.core.quarantine import CrashReport
 from greengageflow.core.router_table import Hello
-from greengageflow.core.service_book import FADE_S
+from greengageflow.core.service_dispatcher import USAGE_DECAY_S
 from greengageflow.core.store_duty import read_interval_s
 from greengageflow.core.store_updates import StoreUpdate
 from greengageflow.daemon.exchange_listener import Placed
@@ -129,11 +129,11 @@
         self._endpoints, self._accounts = self.shared = names
         self._rate = rate
         self._numbers = count()
-        self._loads = LoadBook()
+        self._loads = EndpointLoads()
         for name in self._endpoints:
             self._loads.add(name, "model", 64, 1_000_000)
-        self._served: DecayedSums[tuple[str, str]] = DecayedSums(FADE_S)
-        self._offered: DecayedSums[tuple[str, str]] = DecayedSums(FADE_S)
+        self._served: DecayedSums[tuple[str, str]] = DecayedSums(USAGE_DECAY_S)
+        self._offered: DecayedSums[tuple[str, str]] = DecayedSums(USAGE_DECAY_S)
         self._placed: list[tuple[float, str, str]] = []
         self._places = PromptPlaces()
         self.exchange = FleetExchange(own, self, self, seeds, self)
@@ -265,12 +265,12 @@
         request = str(next(self._numbers))
         self._served.add(now, key, 1500.0)
         self._offered.add(now, key, 1500.0)
-        load.begin(now, request, 1000.0, 1500.0)
+        load.add_request(now, request, 1000.0, 1500.0)
         if random.random() < 0.5 and not gone_s:
             self._placed.append((now, f"part-{part:07d}", endpoint))
         first_s = max(0.0, FIRST_S - gone_s)
-        self.world.at(now + first_s, lambda: load.first_event(now, request))
-        self.world.at(now + ANSWER_S - gone_s, lambda: load.end(request))
+        self.world.at(now + first_s, lambda: load.on_first_event(now, request))
+        self.world.at(now + ANSWER_S - gone_s, lambda: load.remove_request(request))
 
     # The listener.
 
@@ -295,7 +295,7 @@
 
     def loads(self) -> Mapping[str, LoadShare]:
         """Return what is under way here."""
-        return self._loads.own()
+        return self._loads.own_shares()
 
     def placed(self) -> Placed:
         """Return what was placed lately."""
@@ -306,7 +306,7 @@
     def on_placed(self, placed: Placed) -> None:
         """Take where others sent prompt parts."""
         for part, endpoint in placed:
-            self._places.note(self.now, part, endpoint)
+            self._places.on_sent(self.now, part, endpoint)
 
     def on_loads(self, loads: Mapping[str, LoadShare]) -> None:
         """Take what others have under way."""
--- a/tests/engine_stubs.py
+++ b/tests/engine_stubs.py
@@ -1,16 +1,16 @@
-"""Three engines of a service and what a host knows of them."""
+"""Three engines of a service, with their load, health and prompt places."""
 
 from greengageflow.core.endpoint_choice import EndpointChooser
 from greengageflow.core.endpoint_health import EndpointHealth
 from greengageflow.core.endpoint_list import ListedEndpoint
 from greengageflow.core.endpoint_load import EndpointLoad
 from greengageflow.core.forward_request import Prompt, PromptPart
+from greengageflow.core.prefill_model import PrefillModel
 from greengageflow.core.prompt_places import PromptPlaces
-from greengageflow.core.reading_model import ReadingModel
 
 
 def engine_load(rate=10_000.0, slots=4, memory=1000):
-    return EndpointLoad(slots, memory, ReadingModel(rate, fixed_s=0.0))
+    return EndpointLoad(slots, memory, PrefillModel(rate, fixed_s=0.0))
 
 
 def endpoint(name, zone="z"):
@@ -21,7 +21,7 @@
 
 
 class Engines:
-    """Three engines and what is known of them."""
+    """Three engines with the state that a host keeps of them."""
 
     def __init__(self):
         self.listed = [endpoint("e0"), endpoint("e1"), endpoint("e2")]
@@ -31,8 +31,13 @@
             lambda e: self.loads[e.id], self.health, self.places, "z"
         )
 
-    def choose(self, prompt=PROMPT, patience_s=9.0, transfers=True, zone=""):
-        look = self.chooser.look(1.0, self.listed)
+    def choose(self, prompt=PROMPT, max_wait_s=9.0, transfers=True, zone=""):
+        candidates = self.chooser.find_candidates(1.0, self.listed)
         return self.chooser.choose(
-            1.0, look, prompt, patience_s=patience_s, transfers=transfers, zone=zone
+            1.0,
+            candidates,
+            prompt,
+            max_wait_s=max_wait_s,
+            transfers=transfers,
+            zone=zone,
         )
--- a/tests/test_endpoint_choice.py
+++ b/tests/test_endpoint_choice.py
@@ -1,4 +1,4 @@
-"""Which engine a request is sent to, by load and by the prompt parts that are kept."""
+"""Engine selection by load and cached prompt parts."""
 
 from itertools import accumulate
 
@@ -7,9 +7,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from greengageflow.core.cache_mirror import CacheMirror
 from greengageflow.core.endpoint_load import LoadShare
 from greengageflow.core.forward_request import Prompt, PromptPart
-from greengageflow.core.kept_mirror import KeptMirror
 from greengageflow.core.prompt_places import PromptPlaces, home_of
 
 
@@ -19,8 +19,8 @@
 
 
 @pytest.mark.parametrize("keeper", ["e0", "e1", "e2"])
-def test_requests_keep_to_an_engine_that_has_the_part(engines, keeper):
-    engines.places.note(0.0, "shared", keeper)
+def test_engine_with_cached_part_is_preferred(engines, keeper):
+    engines.places.on_sent(0.0, "shared", keeper)
     choice = engines.choose()
     assert (choice.endpoint.id, choice.reading, choice.fetch_from) == (
         keeper,
@@ -30,25 +30,25 @@
 
 
 def test_parts_are_fetched_only_from_an_engine_that_has_read_them(engines):
-    engines.places.note(0.9, "shared", "e1")
+    engines.places.on_sent(0.9, "shared", "e1")
     engines.loads["e1"].others = LoadShare(1, 90_000.0, 0.0)
-    assert engines.choose().fetch_from is None, "sent there just now"
-    engines.places.note(0.5, "shared", "e2")
+    assert engines.choose().fetch_from is None, "not read yet"
+    engines.places.on_sent(0.5, "shared", "e2")
     engines.loads["e2"].others = LoadShare(1, 90_000.0, 0.0)
     choice = engines.choose()
     assert (choice.endpoint.id, choice.fetch_from.id) == ("e0", "e2")
     assert engines.choose(transfers=False).fetch_from is None
 
 
-def test_resting_engines_get_nothing_and_nobody_fetches_from_them(engines):
-    engines.places.note(0.0, "shared", "e1")
+def test_suspended_engines_get_no_requests_and_no_fetches(engines):
+    engines.places.on_sent(0.0, "shared", "e1")
     for _ in range(2):
-        engines.health.on_silence(1.0, "e1")
+        engines.health.on_no_answer(1.0, "e1")
     choice = engines.choose()
     assert choice.endpoint.id != "e1" and choice.fetch_from is None
     for name in ("e0", "e2"):
         engines.loads[name].others = LoadShare(2, 20_000.0, 0.0)
-    assert engines.choose().endpoint.id != "e1", "though it alone is idle"
+    assert engines.choose().endpoint.id != "e1", "though it is the only idle one"
     assert engines.choose(None).endpoint.id != "e1"
     engines.listed = [endpoint("e1")]
     assert engines.choose() is None
@@ -57,44 +57,50 @@
 def test_no_engine_is_chosen_that_begins_too_late_or_is_full(engines):
     for load in engines.loads.values():
         load.others = LoadShare(1, 5000.0, 0.0)
-    assert engines.choose(patience_s=0.49) is None
-    assert engines.choose(patience_s=0.51) is not None
+    assert engines.choose(max_wait_s=0.49) is None
+    assert engines.choose(max_wait_s=0.51) is not None
     for load in engines.loads.values():
         load.others = LoadShare(4, 0.0, 0.0)
     assert engines.choose() is None
 
 
 @pytest.mark.parametrize("zone", ["a", "b"])
-def test_the_zone_of_the_host_that_sends_counts(engines, zone):
-    """A placer in zone a chose engines in zone a for hosts in zone b: their requests
-    and answers crossed zones though an engine beside them had room."""
+def test_zone_of_the_sending_host_is_preferred(engines, zone):
+    """A placer must prefer the zone of the sending host to its own.
+
+    Otherwise requests and answers cross zones though an engine in the sender's zone has
+    capacity.
+    """
     engines.listed = [endpoint("e0", "a"), endpoint("e1", "b")]
     for keeper in ("e0", "e1"):
-        engines.places.note(0.0, "shared", keeper)
+        engines.places.on_sent(0.0, "shared", keeper)
     assert engines.choose(zone=zone).endpoint.zone == zone
 
 
-def test_work_beyond_a_share_moves_and_reads_again_nothing(engines):
-    """The engine that keeps a part has some work. A request beyond its account's share
-    may not wait there; sent elsewhere it had the part moved, and pushed others out."""
-    engines.places.note(0.0, "shared", "e1")
+def test_requests_beyond_a_share_copy_or_reread_no_parts(engines):
+    """A request beyond its account's share must not copy a part from a busy engine.
+
+    It may not wait for the engine that keeps the part. Sent to another engine, it had
+    the part copied, which evicted other parts.
+    """
+    engines.places.on_sent(0.0, "shared", "e1")
     engines.loads["e1"].others = LoadShare(1, 1500.0, 0.0)
-    assert engines.choose(patience_s=0.1) is None
-    assert engines.choose(patience_s=0.16).endpoint.id == "e1"
+    assert engines.choose(max_wait_s=0.1) is None
+    assert engines.choose(max_wait_s=0.16).endpoint.id == "e1"
     engines.loads["e1"].others = LoadShare(1, 90_000.0, 0.0)
-    assert engines.choose().fetch_from.id == "e1", "what is owed may have it moved"
+    assert engines.choose().fetch_from.id == "e1", "within the share it may"
 
 
 @given(st.lists(st.tuples(st.integers(0, 9), st.integers(1, 40)), max_size=60))
-def test_a_mirror_keeps_what_was_used_last(touched):
-    """Checked against a list that is searched from its newest end."""
-    mirror, kept, lengths = KeptMirror(100), set(), {}
-    for number, tokens in touched:
+def test_cache_mirror_evicts_least_recently_used(accesses):
+    """Compares with a list that is searched from its most recently used end."""
+    mirror, kept, lengths = CacheMirror(100), set(), {}
+    for number, tokens in accesses:
         name = f"p{number}"
         lengths.setdefault(name, tokens)
         kept.add(name)
         kept -= set(mirror.touch([PromptPart(name, lengths[name])]))
-    newest = list(dict.fromkeys(f"p{number}" for number, _ in reversed(touched)))
+    newest = list(dict.fromkeys(f"p{number}" for number, _ in reversed(accesses)))
     sums = accumulate(lengths[name] for name in newest)
     fits = {name for name, total in zip(newest, sums, strict=True) if total <= 100}
     assert kept >= fits and len(mirror) == len(kept)
@@ -106,16 +112,16 @@
     listed = [endpoint(f"e{number}") for number in sorted(numbers)]
     home = home_of(part, listed)
     assert home == home_of(part, reversed(listed))
-    for gone in listed:
-        if gone != home:
-            assert home_of(part, [e for e in listed if e != gone]) == home
+    for removed in listed:
+        if removed != home:
+            assert home_of(part, [e for e in listed if e != removed]) == home
 
 
-def test_places_are_forgotten_with_time_and_newest_come_first():
+def test_places_expire_and_are_sorted_by_age():
     places = PromptPlaces(10.0)
-    places.note(1.0, "p", "e1")
-    places.note(3.0, "p", "e2")
-    places.note(2.0, "p", "e2")
+    places.on_sent(1.0, "p", "e1")
+    places.on_sent(3.0, "p", "e2")
+    places.on_sent(2.0, "p", "e2")
     assert [(h.endpoint, h.age_s) for h in places.holders(4.0, "p")] == [
         ("e2", 1.0),
         ("e1", 3.0),
@@ -124,25 +130,31 @@
     assert not places.holders(14.0, "p") and not places.holders(0.0, "q")
 
 
-def test_a_part_that_is_asked_for_all_the_time_counts_as_read():
-    """Callers ask for a hot prompt part five times a second. Counted from the last of
-    them it would never seem read, and each other engine would read it again."""
+def test_continuously_requested_part_counts_as_read():
+    """Callers request a part five times a second.
+
+    If the time counted from the last request, the part would never count as read, and
+    every other engine would read it again.
+    """
     places = PromptPlaces()
     for step in range(6):
-        places.note(0.2 * step, "hot", "e0")
-    places.note(1.0, "hot", "e1")
-    found = {one.endpoint: one.has_read for one in places.holders(1.1, "hot")}
+        places.on_sent(0.2 * step, "hot", "e0")
+    places.on_sent(1.0, "hot", "e1")
+    found = {holder.endpoint: holder.has_read for holder in places.holders(1.1, "hot")}
     assert found == {"e0": True, "e1": False}
     places.on_read("hot", "e1")
-    assert all(one.has_read for one in places.holders(1.1, "hot"))
+    assert all(holder.has_read for holder in places.holders(1.1, "hot"))
+
 
+def test_common_prefix_of_a_new_prompt_is_fetched(engines):
+    """A common first part is fetched even if no engine has the part that follows it.
 
-def test_a_new_thing_is_fetched_as_far_as_another_engine_has_read_it(engines):
-    """Prompts begin with a part that all of a kind share. The first request for a
-    thing found no engine that has the thing's part, and read the common one again."""
+    The first request with a new second part used to find no engine with that part, and
+    read the common part again.
+    """
     parts = PromptPart("common", 3000), PromptPart("thing", 800), PromptPart("own", 100)
     prompt = Prompt(parts, 3900, 10)
-    engines.places.note(0.0, "common", "e1")
+    engines.places.on_sent(0.0, "common", "e1")
     engines.loads["e1"].others = LoadShare(1, 90_000.0, 0.0)
     choice = engines.choose(prompt)
     assert choice.endpoint.id != "e1" and choice.fetch_from.id == "e1"
--- a/tests/test_service_core.py
+++ b/tests/test_service_core.py
@@ -1,4 +1,4 @@
-"""Parts of the decision where a request is sent, and when."""
+"""Retry budget, queue, endpoint health, load and scheduling of one service."""
 
 import re
 from collections import Counter, deque
@@ -10,24 +10,24 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from greengageflow.core.endpoint_health import FIRST_REST_S, EndpointHealth
+from greengageflow.core.endpoint_health import INITIAL_SUSPENSION_S, EndpointHealth
 from greengageflow.core.endpoint_list import EndpointList
 from greengageflow.core.endpoint_load import LoadShare
+from greengageflow.core.fleet_retry_budget import BURST_S, FleetRetryBudget
 from greengageflow.core.fleet_sums import FleetTotals
 from greengageflow.core.forward_request import Prompt
 from greengageflow.core.max_min import max_min_shares
 from greengageflow.core.routes import Routing, Service
-from greengageflow.core.send_budget import BURST_S, SendBudget
-from greengageflow.core.service_book import ServiceBook
+from greengageflow.core.service_dispatcher import ServiceDispatcher
 from greengageflow.core.service_scheduler import (
-    Allowance,
+    CapacityShare,
     Job,
     RefuseJob,
     ServiceScheduler,
     StartJob,
 )
 from greengageflow.core.trust import KeyTrust
-from greengageflow.core.work_queue import Waiter, WorkQueue
+from greengageflow.core.work_queue import QueuedRequest, WorkQueue
 from greengageflow.errors import ErrorKind
 from greengageflow.net.event_frames import FRAME_LIMIT, EventFrames, FrameTooLarge
 
@@ -40,9 +40,9 @@
     st.sampled_from([0.0, 0.1, 0.5]),
     st.sampled_from([0, 2, 7]),
 )
-def test_no_window_has_more_repeats_than_the_budget(steps, hosts, ratio, slack):
-    """Any window that ends with a repeat, its first moment counted in."""
-    budget = SendBudget(ratio, slack, WINDOW_S)
+def test_no_window_has_more_retries_than_the_budget(steps, hosts, ratio, slack):
+    """Checks every window that ends with a retry, including its first moment."""
+    budget = FleetRetryBudget(ratio, slack, WINDOW_S)
     requests, repeats = [], []
     times = accumulate(step for step, _ in steps)
     for now, (_, is_repeat) in zip(times, steps, strict=True):
@@ -56,13 +56,13 @@
             assert taken <= ratio * asked + slack / hosts
 
 
-def test_budget_lets_repeat_as_often_as_it_may():
-    budget = SendBudget(0.5, 20, WINDOW_S)
+def test_budget_allows_retries_up_to_its_limit():
+    budget = FleetRetryBudget(0.5, 20, WINDOW_S)
     assert not budget.take(0.0, 2)
     for _ in range(10):
         budget.on_request(8.0)
     assert sum(budget.take(8.0, 2) for _ in range(20)) == 8
-    # Half of the host's slack comes evenly, 0.4 a second.
+    # Half of the host's slack is refilled at a constant rate of 0.4 a second.
     assert sum(budget.take(9.0 + i / 10, 2) for i in range(80)) == 3
 
 
@@ -76,9 +76,9 @@
     st.sampled_from([0.1, 0.5]),
     st.sampled_from([2, 4]),
 )
-def test_no_window_has_more_however_often_the_host_starts(steps, hosts, ratio, slack):
-    """A new process knows nothing of what the one before it has repeated."""
-    budget = SendBudget(ratio, slack, WINDOW_S)
+def test_restarts_do_not_exceed_the_budget(steps, hosts, ratio, slack):
+    """A new process does not know how many retries the previous one has used."""
+    budget = FleetRetryBudget(ratio, slack, WINDOW_S)
     requests, repeats = [], []
     times = accumulate(step for step, _ in steps)
     for now, (_, step) in zip(times, steps, strict=True):
@@ -87,7 +87,7 @@
                 budget.on_request(now)
                 requests.append(now)
             case "start":
-                budget = SendBudget(ratio, slack, WINDOW_S)
+                budget = FleetRetryBudget(ratio, slack, WINDOW_S)
             case _ if budget.take(now, hosts):
                 repeats.append(now)
                 asked = sum(now - at <= WINDOW_S + BURST_S for at in requests)
@@ -112,30 +112,32 @@
 
 def test_keys_are_trusted_up_to_the_bound_less_its_margin():
     trust = KeyTrust(5.0, 0.6)
-    assert not trust.holds(0.0)
+    assert not trust.is_trusted(0.0)
     trust.confirm(10.0)
     trust.confirm(8.0)
-    assert trust.holds(14.39) and not trust.holds(14.4)
+    assert trust.is_trusted(14.39) and not trust.is_trusted(14.4)
     short = KeyTrust(1.0, 0.6)
     short.confirm(0.0)
-    assert short.holds(0.79) and not short.holds(0.8)
+    assert short.is_trusted(0.79) and not short.is_trusted(0.8)
 
 
-def waiter(name, account="a", *, priority=0, target_at=5.0, give_up_at=9.0, work=1.0):
-    return Waiter(name, account, work, priority, 0.0, target_at, give_up_at)
+def queued_request(
+    name, account="a", *, priority=0, target_at=5.0, expires_at=9.0, work=1.0
+):
+    return QueuedRequest(name, account, work, priority, 0.0, target_at, expires_at)
 
 
-def test_queue_serves_low_accounts_then_rank_then_what_is_in_time():
+def test_queue_order_is_by_account_usage_priority_and_target():
     queue = WorkQueue()
-    queue.put(waiter("late", target_at=1.0))
-    queue.put(waiter("far", target_at=8.0))
-    queue.put(waiter("near", target_at=4.0))
-    queue.put(waiter("low", priority=1, target_at=3.0))
-    queue.put(waiter("other", "b"))
+    queue.put(queued_request("late", target_at=1.0))
+    queue.put(queued_request("far", target_at=8.0))
+    queue.put(queued_request("near", target_at=4.0))
+    queue.put(queued_request("low", priority=1, target_at=3.0))
+    queue.put(queued_request("other", "b"))
     levels = {"a": 5.0, "b": 3.0}
 
     def order():
-        while heads := [w.id for w in queue.heads(2.0, levels.get)]:
+        while heads := [w.id for w in queue.next_by_account(2.0, levels.get)]:
             queue.remove(heads[0])
             yield heads[0]
 
@@ -143,57 +145,57 @@
     assert not queue and queue.next_expiry() is None
 
 
-def test_queue_gives_up_each_request_at_its_time():
+def test_queue_expires_each_request_at_its_time():
     queue = WorkQueue()
-    queue.put(waiter("one", give_up_at=3.0))
-    queue.put(waiter("two", "b", give_up_at=4.0))
+    queue.put(queued_request("one", expires_at=3.0))
+    queue.put(queued_request("two", "b", expires_at=4.0))
     assert queue.next_expiry() == 3.0
     assert [w.id for w in queue.expired(3.0)] == ["one"]
     assert queue.remove("one") is None and queue.waiting("a") == 0
     assert queue.next_expiry() == 4.0
 
 
-def test_silent_endpoints_rest_longer_each_time_until_they_answer():
+def test_suspension_doubles_until_an_endpoint_answers():
     health = EndpointHealth()
-    assert not health.on_silence(0.0, "e")
+    assert not health.on_no_answer(0.0, "e")
     now = 0.0
-    for rest_s in (0.5, 1.0, 2.0, 4.0, 8.0, 8.0):
-        assert health.on_silence(now, "e")
-        assert health.rests(now + rest_s - 0.01, "e")
-        now += rest_s
-        assert not health.rests(now, "e")
+    for suspension_s in (0.5, 1.0, 2.0, 4.0, 8.0, 8.0):
+        assert health.on_no_answer(now, "e")
+        assert health.is_suspended(now + suspension_s - 0.01, "e")
+        now += suspension_s
+        assert not health.is_suspended(now, "e")
     assert health.on_answer("e", True)
-    assert not health.on_silence(now, "e"), "an answer between them: no row"
-    assert health.on_silence(now, "e")
-    assert not health.rests(now + FIRST_REST_S, "e")
+    assert not health.on_no_answer(now, "e"), "an answer in between resets the count"
+    assert health.on_no_answer(now, "e")
+    assert not health.is_suspended(now + INITIAL_SUSPENSION_S, "e")
 
 
-def test_failures_that_are_answered_rank_and_fade():
+def test_failure_rate_rises_and_decays():
     health = EndpointHealth()
     for _ in range(30):
         health.on_answer("e", False)
-    assert health.failing("e") > 0.9 and not health.rests(0.0, "e")
+    assert health.failure_rate("e") > 0.9 and not health.is_suspended(0.0, "e")
     for _ in range(30):
         health.on_answer("e", True)
-    assert health.failing("e") < 0.1
+    assert health.failure_rate("e") < 0.1
 
 
-def test_load_counts_own_and_others_work():
+def test_load_counts_requests_of_all_hosts():
     load = engine_load()
     load.others = LoadShare(1, 5000.0, 300.0)
-    load.begin(0.0, "r", 1000.0, 400.0)
-    assert load.ahead_s(0.0) == pytest.approx(0.6) and load.running == 2
+    load.add_request(0.0, "r", 1000.0, 400.0)
+    assert load.queue_wait_s(0.0) == pytest.approx(0.6) and load.running == 2
     assert load.fits(300.0, 1.0) and not load.fits(301.0, 1.0)
     assert not load.fits(1.0, 0.5), "half of the slots are taken"
-    load.first_event(0.5, "r")
+    load.on_first_event(0.5, "r")
     assert load.own.reading == 0.0 and load.own.running == 1
-    load.end("r")
-    load.end("r")
+    load.remove_request("r")
+    load.remove_request("r")
     assert load.own == LoadShare()
 
 
 class ServiceStub:
-    """A scheduler over three engines, with levels and reading that tests set."""
+    """A scheduler over three engines; tests set usage levels and unread tokens."""
 
     def __init__(self):
         self.engines = Engines()
@@ -204,11 +206,11 @@
             lambda account: self.levels.get(account, 0.0),
             lambda: self.reading,
             lambda: self.backoff_s,
-            fade_s=4.0,
+            usage_decay_s=4.0,
         )
 
     def submit(self, name, account="a", **options):
-        job = Job(waiter(name, account, **options), 1.0, PROMPT)
+        job = Job(queued_request(name, account, **options), 1.0, PROMPT)
         return list(self.scheduler.submit(0.0, job))
 
     def fill(self, running, reading=0.0):
@@ -222,49 +224,49 @@
 
 
 @pytest.mark.parametrize("beyond", ["running", "reading", "level"])
-def test_beyond_the_allowance_requests_start_only_where_engines_are_slack(
-    service, beyond
-):
-    """Others wait for the room that this host leaves; only what idles may be taken."""
-    service.scheduler.allowance = Allowance(
+def test_beyond_the_share_requests_start_only_on_spare_capacity(service, beyond):
+    """Other hosts and accounts wait for the rest; only idle capacity may be used."""
+    service.scheduler.capacity_share = CapacityShare(
         running=0 if beyond == "running" else 9,
         reading=0 if beyond == "reading" else 9,
-        levels={"a": 10.0},
+        usage_limits={"a": 10.0},
     )
     service.levels["a"] = 11.0 if beyond == "level" else 9.0
     service.fill(2)
-    assert not service.submit("one"), "half of the slots run"
+    assert not service.submit("one"), "half of the slots are busy"
     service.fill(1, 1500.0)
-    assert not list(service.scheduler.pump(0.1)), "0.15 s ahead"
+    assert not list(service.scheduler.pump(0.1)), "0.15 s of unread prompts"
     service.fill(1, 500.0)
     assert [start.request for start in service.scheduler.pump(0.2)] == ["one"]
 
 
-def test_within_the_allowance_requests_start_while_there_is_room(service):
+def test_within_the_share_requests_start_while_there_is_capacity(service):
     service.fill(2, 1500.0)
     assert [type(decision) for decision in service.submit("one")] == [StartJob]
 
 
-def test_accounts_above_their_level_go_after_others(service):
+def test_accounts_above_their_share_yield_to_others(service):
     service.fill(4)
     service.levels.update(a=30.0, b=10.0)
-    service.scheduler.allowance = Allowance(levels={"a": 20.0, "b": 20.0})
+    service.scheduler.capacity_share = CapacityShare(
+        usage_limits={"a": 20.0, "b": 20.0}
+    )
     assert not service.submit("above", "a") and not service.submit("below", "b")
     service.fill(2)
     assert [d.request for d in service.scheduler.pump(0.1)] == ["below"]
     assert service.scheduler.waiting == 1
 
 
-def test_requests_are_refused_when_their_time_is_over(service):
+def test_expired_requests_are_refused(service):
     service.fill(4)
-    service.scheduler.allowance = Allowance(levels={"a": 10.0})
-    service.submit("one", give_up_at=2.0)
+    service.scheduler.capacity_share = CapacityShare(usage_limits={"a": 10.0})
+    service.submit("one", expires_at=2.0)
     service.levels["a"] = 27.0
     assert service.scheduler.next_due() == 2.0
     assert not list(service.scheduler.pump(1.99))
     (refusal,) = service.scheduler.pump(2.0)
     assert isinstance(refusal, RefuseJob) and refusal.kind is ErrorKind.QUEUE_FULL
-    assert 4.9 < refusal.retry_after_s <= 5.0, "1 s and fade_s * ln(2.7)"
+    assert 4.9 < refusal.retry_after_s <= 5.0, "1 s and usage_decay_s * ln(2.7)"
     assert service.scheduler.next_due() is None and not service.scheduler.waiting
 
 
@@ -280,7 +282,7 @@
     assert service.submit("one") == []
     service.backoff_s = 9.5
     refusals = {one.request: one for one in service.submit("two")}
-    assert refusals.keys() == {"one", "two"}, "also those that wait already"
+    assert refusals.keys() == {"one", "two"}, "queued requests are refused as well"
     assert {one.retry_after_s for one in refusals.values()} == {9.5}
     assert {one.kind for one in refusals.values()} == {ErrorKind.NO_ENDPOINT}
     service.backoff_s = 0.1
@@ -297,7 +299,7 @@
 
 
 @given(PIECES, st.lists(st.integers(0, 150), max_size=8))
-def test_frames_are_the_same_however_bytes_are_cut(text, cuts):
+def test_frames_do_not_depend_on_chunk_boundaries(text, cuts):
     whole = EventFrames()
     frames = list(whole.feed(text))
     parts = EventFrames()
@@ -313,7 +315,7 @@
     assert not re.search(rb"\r?\n\r?\n", text[len(raw) :])
 
 
-def test_frames_tell_numbers_and_torn_ends():
+def test_frames_have_event_numbers_and_flag_truncation():
     frames = EventFrames()
     found = list(frames.feed(b"id: 12\r\ndata: x\r\n\r\ndata: id: 3\n\ndata"))
     assert [frame.number for frame in found] == [12, None] and frames.torn
@@ -321,37 +323,42 @@
         list(frames.feed(b"x" * FRAME_LIMIT))
 
 
-def test_an_account_that_had_all_engines_goes_without_for_a_moment_only():
-    """One account asks alone for ten seconds, then a second one asks for as much. The
-    first goes without while its earlier work counts; if that counts for long, it gets
-    less than half of what the second gets in the six seconds after."""
+def test_usage_of_a_formerly_lone_account_decays_quickly():
+    """One account sends requests alone for ten seconds, then a second one as many.
+
+    The first account gets no capacity while its earlier work counts. If the decay is
+    too slow, it gets less than half of the second account's work in the six seconds
+    that follow.
+    """
     listed = EndpointList()
     list(listed.put(replace(endpoint("e0"), service="m", slots=1)))
-    book = ServiceBook(listed, "z", lambda: SendBudget(0, 0, 1))
+    dispatcher = ServiceDispatcher(listed, "z", lambda: FleetRetryBudget(0, 0, 1))
     service = Service("m", slots=1, memory_tokens=1_000_000)
-    book.on_routing(Routing(version=1, services={"m": service}))
+    dispatcher.on_routing(Routing(version=1, services={"m": service}))
     prompt = Prompt((), 1000, 100)
     started, ends = Counter(), deque()
 
-    def carry_out(now, decisions):
+    def apply_decisions(now, decisions):
         for start in decisions:
             if isinstance(start, StartJob):
-                book.sent(now, start.request, start.choice, prompt)
-                book.first_event(now, start.request, start.choice.endpoint)
+                dispatcher.on_request_sent(now, start.request, start.choice, prompt)
+                dispatcher.on_first_event(now, start.request, start.choice.endpoint)
                 ends.append((now + 0.1, start.request))
                 started[start.request[0]] += now >= 10
 
     for step in range(1600):
         now = step / 100
         if step % 25 == 0:
-            carry_out(now, book.on_totals(now, FleetTotals()))
+            apply_decisions(now, dispatcher.on_totals(now, FleetTotals()))
         for account in "ab" if now >= 10 else "a":
-            place = Waiter(f"{account}{step}", account, 1200, 0, now, now + 1, now + 1)
-            job = Job(place, 9.0, prompt)
-            carry_out(now, book.submit(now, "m", job, account))
+            queued = QueuedRequest(
+                f"{account}{step}", account, 1200, 0, now, now + 1, now + 1
+            )
+            job = Job(queued, 9.0, prompt)
+            apply_decisions(now, dispatcher.submit(now, "m", job, account))
         while ends and ends[0][0] <= now:
             _, name = ends.popleft()
-            book.left(name, listed.get("e0"))
-            carry_out(now, book.ended(now, "m", name))
+            dispatcher.on_request_released(name, listed.get("e0"))
+            apply_decisions(now, dispatcher.on_request_end(now, "m", name))
     assert started["a"] + started["b"] > 50, "the engine was busy"
     assert started["a"] >= 0.5 * started["b"]
--- a/tests/test_started_again.py
+++ b/tests/test_started_again.py
@@ -6,10 +6,11 @@
 
 from greengageflow.core.endpoint_choice import Choice
 from greengageflow.core.endpoint_list import (
-    MOST_LEFT,
+    MAX_TOMBSTONES,
     EndpointList,
     ListedEndpoint,
 )
+from greengageflow.core.fleet_retry_budget import FleetRetryBudget
 from greengageflow.core.forward_request import Prompt, PromptPart
 from greengageflow.core.place_messages import (
     PlacementEvent,
@@ -18,10 +19,9 @@
 )
 from greengageflow.core.remote_placements import RemotePlacements
 from greengageflow.core.routes import Routing, Service
-from greengageflow.core.send_budget import SendBudget
-from greengageflow.core.service_book import ServiceBook
+from greengageflow.core.service_dispatcher import ServiceDispatcher
 from greengageflow.core.service_scheduler import Job, StartJob
-from greengageflow.core.work_queue import Waiter
+from greengageflow.core.work_queue import QueuedRequest
 
 SERVICE = Service("m", slots=4, memory_tokens=100_000, transfers=True)
 PROMPT = Prompt((PromptPart("shared", 4000), PromptPart("own", 100)), 4100, 10)
@@ -35,7 +35,9 @@
 
     def __init__(self):
         self.listed = EndpointList()
-        self.book = ServiceBook(self.listed, "z", lambda: SendBudget(0.2, 9, 9.0))
+        self.book = ServiceDispatcher(
+            self.listed, "z", lambda: FleetRetryBudget(0.2, 9, 9.0)
+        )
         self.book.on_routing(Routing(services={"m": SERVICE}))
         self.put(OLD)
         self.put(OTHER)
@@ -46,8 +48,8 @@
                 self.book.forget_endpoint(change.id)
 
     def choice(self, now, prompt=PROMPT):
-        waiter = Waiter(f"r{now}", "a", 1.0, 0, now, now + 1, now + 1)
-        job = Job(waiter, 1.0, prompt)
+        queued_request = QueuedRequest(f"r{now}", "a", 1.0, 0, now, now + 1, now + 1)
+        job = Job(queued_request, 1.0, prompt)
         (start,) = self.book.submit(now, "m", job, "a")
         assert isinstance(start, StartJob)
         return start.choice
@@ -61,9 +63,9 @@
 def test_restart_clears_the_prefix_cache_of_an_endpoint(fleet):
     """A restarted engine has an empty prefix cache and has to prefill again."""
     choice = fleet.choice(0.0)
-    fleet.book.sent(0.0, "r0.0", choice, PROMPT)
-    fleet.book.first_event(0.5, "r0.0", choice.endpoint)
-    fleet.book.left("r0.0", choice.endpoint)
+    fleet.book.on_request_sent(0.0, "r0.0", choice, PROMPT)
+    fleet.book.on_first_event(0.5, "r0.0", choice.endpoint)
+    fleet.book.on_request_released("r0.0", choice.endpoint)
     assert fleet.choice(1.0).reading < 4000
     fleet.put(replace(choice.endpoint, born=choice.endpoint.born + 4))
     assert fleet.choice(2.0).reading >= 4000
@@ -77,23 +79,25 @@
     fleet.put(NEW)
     for _ in range(9):
         if happened == "silent":
-            assert not fleet.book.silent(1.0, OLD)
+            assert not fleet.book.on_no_answer(1.0, OLD)
         else:
-            fleet.book.answered(OLD, False)
-    assert fleet.book.resting(1.0, "m") == ()
-    assert fleet.book.failures(NEW) == 0
-    fleet.book.sent(1.5, "r", Choice(OTHER), None)
+            fleet.book.on_answer(OLD, False)
+    assert fleet.book.unavailable_endpoints(1.0, "m") == ()
+    assert fleet.book.consecutive_failures(NEW) == 0
+    fleet.book.on_request_sent(1.5, "r", Choice(OTHER), None)
     assert fleet.choice(2.0, None).endpoint == NEW, "not ranked behind the other one"
-    fleet.book.silent(3.0, NEW)
-    fleet.book.silent(3.0, NEW)
-    assert fleet.book.resting(3.0, "m") == ("e",), "its own failures count"
+    fleet.book.on_no_answer(3.0, NEW)
+    fleet.book.on_no_answer(3.0, NEW)
+    assert fleet.book.unavailable_endpoints(3.0, "m") == ("e",), (
+        "its own failures count"
+    )
 
 
 def test_cache_report_of_an_earlier_process_does_not_apply_to_the_restarted_one(fleet):
     fleet.put(NEW)
-    fleet.book.keeps(1.0, OLD, PROMPT.parts[:1])
+    fleet.book.on_cached_parts(1.0, OLD, PROMPT.parts[:1])
     assert fleet.choice(2.0).reading >= 4000
-    fleet.book.keeps(2.5, NEW, PROMPT.parts[:1])
+    fleet.book.on_cached_parts(2.5, NEW, PROMPT.parts[:1])
     assert fleet.choice(3.0).reading < 4000
 
 
@@ -101,9 +105,9 @@
     fleet,
 ):
     fleet.put(NEW)
-    assert not fleet.listed.note_left(OLD.id, OLD.born)
+    assert not fleet.listed.mark_leaving(OLD.id, OLD.born)
     assert fleet.listed.may_use("e")
-    assert fleet.listed.note_left(NEW.id, NEW.born)
+    assert fleet.listed.mark_leaving(NEW.id, NEW.born)
     assert not fleet.listed.may_use("e")
     fleet.put(replace(NEW, born=12))
     assert fleet.listed.may_use("e")
@@ -115,9 +119,9 @@
     listed = EndpointList()
     entry = replace(OLD, born=born)
     list(listed.put(entry))
-    assert listed.note_left(entry.id, entry.born)
+    assert listed.mark_leaving(entry.id, entry.born)
     list(listed.drop(entry.id))
-    assert not listed.note_left(entry.id, entry.born), "already recorded"
+    assert not listed.mark_leaving(entry.id, entry.born), "already recorded"
     list(listed.put(entry))
     assert not listed.usable(entry.service)
     assert not listed.may_use(entry.id)
@@ -125,17 +129,17 @@
 
 def test_leaving_notice_applies_to_an_entry_listed_later():
     listed = EndpointList()
-    assert listed.note_left(OLD.id, OLD.born)
+    assert listed.mark_leaving(OLD.id, OLD.born)
     list(listed.put(OLD))
     assert not listed.may_use(OLD.id)
 
 
 def test_leaving_notices_are_bounded():
     listed = EndpointList()
-    for number in range(MOST_LEFT + 9):
-        listed.note_left(f"e{number}", 0)
-    assert listed.note_left("e0", 0), "the oldest one is forgotten"
-    assert not listed.note_left(f"e{MOST_LEFT}", 0)
+    for number in range(MAX_TOMBSTONES + 9):
+        listed.mark_leaving(f"e{number}", 0)
+    assert listed.mark_leaving("e0", 0), "the oldest one is forgotten"
+    assert not listed.mark_leaving(f"e{MAX_TOMBSTONES}", 0)
 
 
 def test_remote_failures_of_an_earlier_process_do_not_apply_to_the_restarted_one(fleet):
@@ -168,4 +172,4 @@
             host="h", boot=1, request=f"q{number}", kind=PlacementEventKind.SILENT
         )
         list(placements.on_event(1.0, note))
-    assert fleet.book.resting(1.0, "m") == ()
+    assert fleet.book.unavailable_endpoints(1.0, "m") == ()
