--- a/greengageflow/core/action_entry.py
+++ b/greengageflow/core/action_entry.py
@@ -1,8 +1,9 @@
-"""The entry router's side of protected actions: ask, send once, report.
+"""Protected actions on the entry router: request a verdict, send once, report.
 
-An attempt goes ``asking`` → ``holding`` (it alone may send) → ``sent`` →
-``reporting`` (until the log has its outcome). An attempt that ends before it was
-sent is released, and never sends after that, whatever arrives late.
+An attempt asks the writer of its key for a verdict, then holds the key (no other
+attempt may send), then is sent. Its outcome is reported until the log has it. An
+attempt that ends before it was sent releases the key; a verdict that arrives later
+doesn't make it send.
 """
 
 from collections.abc import Callable, Iterator
@@ -21,8 +22,10 @@
 )
 from greengageflow.errors import ErrorKind, Ran
 
+# Interval at which unanswered requests and reports are retransmitted.
 ASK_AGAIN_S = 0.5
 VERDICT_WAIT_S = 5.0
+# Most reports kept for retransmission; beyond it, a report is sent once.
 REPORTS_KEPT = 10_000
 
 
@@ -53,16 +56,16 @@
 
 
 class ActionEntry:
-    """Protected actions that entered at this router.
+    """Tracks the protected actions whose callers are connected to this router.
 
     Args:
         own: This router.
-        writer_of: Returns the host that writes a stream of the log.
+        writer_of: Returns the host that writes a given stream of the log.
         holder_lives: Returns whether the router ``{host}:{boot}`` may still be
             running an attempt.
-        verdict_wait_s: Longest wait for the log's verdict, in seconds.
-        report_keep_s: Seconds for which an outcome that the log did not take is
-            offered again.
+        verdict_wait_s: Longest wait for a verdict, in seconds.
+        report_keep_s: Seconds for which an outcome that isn't in the log yet is
+            retransmitted.
     """
 
     def __init__(
@@ -86,19 +89,19 @@
 
     @property
     def unreported(self) -> int:
-        """Number of outcomes and releases that the log does not have yet."""
+        """Number of outcomes and releases not yet confirmed to be in the log."""
         return len(self._reports)
 
     def begin(
         self, now: float, request: str, key: str, digest: str, deadline: float
     ) -> Iterator[Effect]:
-        """Ask whether ``request`` is the first of its key.
+        """Start an attempt: ask whether ``request`` is the first for its key.
 
         Args:
             now: Monotonic time in seconds.
             request: Id of the request.
-            key: Account and idempotency key, joined by a newline.
-            digest: SHA-256 of the request, hexadecimal.
+            key: Client account and idempotency key, joined by a newline.
+            digest: SHA-256 of the request, in hexadecimal.
             deadline: Monotonic time after which it must not be sent.
         """
         nonce = f"{self._own.host}:{self._own.boot}:{next(self._numbers)}"
@@ -124,7 +127,7 @@
     def on_verdict(
         self, now: float, sender: PeerId, verdict: IntentVerdict
     ) -> Iterator[Effect]:
-        """Take the writer's answer."""
+        """Handle the writer's verdict on an attempt."""
         attempt = self._nonces.get(verdict.nonce)
         if attempt is None or attempt.phase in (_Phase.HOLDING, _Phase.SENT):
             return
@@ -156,10 +159,11 @@
                 yield _unavailable(request)
 
     def may_send(self, now: float, request: str) -> bool:
-        """Return whether ``request`` may be sent now, for the only time.
+        """Return whether ``request`` may be sent now; true at most once.
 
-        Call it right before the first byte: a process that was frozen after the
-        verdict wakes here, past the deadline at which its caller was answered.
+        Call it right before sending the first byte. A process that was frozen after
+        the verdict may resume here past the deadline, when its caller has already
+        been refused.
         """
         attempt = self._attempts.get(request)
         if attempt is None or attempt.phase is not _Phase.HOLDING:
@@ -170,7 +174,7 @@
         return True
 
     def give_up(self, now: float, request: str) -> Iterator[Effect]:
-        """End an attempt that was not sent, and free its key."""
+        """End an attempt that was not sent and release its key."""
         attempt = self._attempts.get(request)
         if attempt is None:
             return
@@ -189,7 +193,7 @@
         content_type: str = "",
         body: bytes = b"",
     ) -> Iterator[Effect]:
-        """Record how a sent attempt ended."""
+        """End a sent attempt and report its outcome to the log."""
         attempt = self._attempts.get(request)
         if attempt is None:
             return
@@ -208,7 +212,7 @@
         yield Send(self._writer(attempt.key), report)
 
     def on_stored(self, stored: OutcomeStored) -> None:
-        """Forget an outcome that the log has."""
+        """Stop retransmitting an outcome that is in the log."""
         self._reports.pop(stored.nonce, None)
 
     def _drop(self, attempt: _Attempt) -> None:
@@ -216,7 +220,7 @@
         del self._nonces[attempt.nonce]
 
     def on_tick(self, now: float) -> Iterator[Effect]:
-        """Ask again, report again, and refuse what has waited too long."""
+        """Retransmit requests and reports, and refuse attempts past their deadline."""
         for attempt in list(self._attempts.values()):
             match attempt.phase:
                 case _Phase.ASKING if now >= attempt.give_up:
@@ -241,5 +245,5 @@
 
 
 def _unknown(request: str) -> Refuse:
-    text = "an earlier attempt with this key was sent; how it ended is not known"
+    text = "an earlier attempt with this key was sent; its outcome is unknown"
     return Refuse(request, ErrorKind.OUTCOME_UNKNOWN, text, ran=Ran.UNKNOWN)
--- a/greengageflow/core/action_writer.py
+++ b/greengageflow/core/action_writer.py
@@ -1,9 +1,9 @@
-"""The writer's side of protected actions: group commit and verdicts.
+"""Protected actions on the writer of a log stream: group commit and verdicts.
 
-Each key belongs to one stream of the log and each stream to one router, its
-writer, which appends for all the others, so that the whole fleet costs a bounded
-number of appends. Two writers at once do no harm: a verdict comes only from
-records read back from the log.
+Each key belongs to one stream of the log, and each stream has one writer: a router
+that appends on behalf of all others, which bounds the number of appends of the whole
+fleet. Two concurrent writers are safe, because verdicts derive only from records
+read back from the log.
 """
 
 from collections.abc import Iterator
@@ -41,13 +41,15 @@
 APPEND_INTERVAL_S = 0.1
 BACKOFF_S = 0.25
 BACKOFF_MAX_S = 2.0
+# Most records in one append.
 BATCH = 200
+# Most records per stream that wait to be appended; further ones are not queued.
 OUTBOX_LIMIT = 10_000
 
 
 @dataclass(slots=True)
 class _Asker:
-    """Who waits for a verdict on one intent, until when."""
+    """A router that waits for the verdict on an intent, and its deadline."""
 
     host: str
     intent: Intent
@@ -56,7 +58,11 @@
 
 @dataclass(slots=True)
 class _Stream:
-    """What this router knows of one stream that it writes."""
+    """State of one stream that this router writes.
+
+    ``fold`` covers the records before ``next_offset``; this router's own appends end
+    at ``read_to``. ``stale`` is set when another read is needed in any case.
+    """
 
     name: str
     fold: ActionFold
@@ -75,11 +81,12 @@
 
 
 class ActionWriter:
-    """Appends intents and outcomes, and answers who was first.
+    """Appends intents and outcomes, and sends verdicts to entry routers.
 
     Args:
         expiry_s: Seconds for which a key is remembered.
-        append_interval_s: Least time between two appends to one stream.
+        append_interval_s: Shortest time between two appends to one stream, in
+            seconds.
     """
 
     def __init__(
@@ -96,7 +103,7 @@
 
     @property
     def outbox_size(self) -> int:
-        """Number of records that wait for the log."""
+        """Number of records that wait to be appended."""
         return sum(len(stream.outbox) for stream in self._streams.values())
 
     def _stream(self, now: float, key: str) -> _Stream:
@@ -110,7 +117,7 @@
     def receive(
         self, now: float, sender: PeerId, message: IntentRequest | OutcomeReport
     ) -> Iterator[Effect]:
-        """Take a message from an entry router."""
+        """Handle a message from an entry router."""
         stream = self._stream(now, message.key)
         match message:
             case IntentRequest():
@@ -135,7 +142,7 @@
             _enqueue(stream, intent)
 
     def _settled(self, stream: _Stream, req: IntentRequest) -> IntentVerdict | None:
-        """Return the verdict when the log has said all that it ever will."""
+        """Return the verdict if no later record can change it, else None."""
         state = stream.fold.state(req.key)
         if stream.fold.released(req.nonce):
             return IntentVerdict(req.nonce, "released")
@@ -173,7 +180,7 @@
     def on_append(
         self, now: float, name: str, result: AppendResult
     ) -> Iterator[Effect]:
-        """Take the log's answer to ``AppendRecords``."""
+        """Handle the result of ``AppendRecords``."""
         stream = self._streams[name]
         batch, stream.appending = stream.appending, ()
         match result:
@@ -184,15 +191,15 @@
                 for record in batch:
                     stream.outbox.pop(_outbox_key(record), None)
             case LogFailure(retry_after_s=wait):
-                # The records may be in the log though the answer was lost. They
-                # stay in the outbox and are appended again under the same nonces:
-                # the fold takes the first copy and ignores the others.
+                # The append may have succeeded even though it returned an error.
+                # The records stay in the outbox and are appended again with the
+                # same nonces; the fold ignores duplicates.
                 stream.append_at = now + max(stream.backoff_s, wait or 0.0)
                 stream.backoff_s = min(BACKOFF_MAX_S, stream.backoff_s * 2)
         yield from self._pump(now, stream)
 
     def on_read(self, now: float, name: str, result: ReadResult) -> Iterator[Effect]:
-        """Take the log's answer to ``ReadRecords``."""
+        """Handle the result of ``ReadRecords``."""
         stream = self._streams[name]
         stream.reading = False
         match result:
@@ -233,7 +240,7 @@
                 yield Send(host, OutcomeStored(nonce))
 
     def on_tick(self, now: float) -> Iterator[Effect]:
-        """Go on with what a failure held up, and forget who no longer waits."""
+        """Retry failed appends and reads, and drop requests past their deadline."""
         for stream in list(self._streams.values()):
             for nonce, asker in list(stream.askers.items()):
                 if asker.until <= now:
--- a/greengageflow/core/actions.py
+++ b/greengageflow/core/actions.py
@@ -1,9 +1,10 @@
-"""Protected actions: what the log says about each idempotency key.
+"""Log records of protected actions, and the state of each key folded from them.
 
-Before the one send, an *intent* (key, request digest, nonce) is appended to the
-key's stream. The first intent for a key, in offset order, may send, once. The
-outcome is appended after; a *release* frees a key whose attempt sent nothing.
-Every reader folds the same records, so the log's order alone decides.
+Before a protected action is sent, an *intent* (key, request digest, nonce) is
+appended to the log stream of its idempotency key. The first intent for a key, in
+offset order, may send, once. Its outcome is appended afterwards; a *release* frees
+the key of an attempt that sent nothing. All readers fold the same records in the
+same order and so agree on the result.
 """
 
 import base64
@@ -15,19 +16,21 @@
 
 PARTITIONS = 16
 STREAM_PREFIX = "actions-"
+# Largest response body that is stored in the log for replay.
 BODY_KEPT = 16 * 1024
+# Response bodies that one fold keeps in memory, summed over its keys.
 BODIES_KEPT = 2 * 1024 * 1024
 
 
 @dataclass(frozen=True, slots=True)
 class Intent:
-    """An attempt wants to run the action of ``key``.
+    """An attempt asks for permission to run the action of ``key``.
 
     Args:
-        key: Account and idempotency key, joined by a newline.
+        key: Client account and idempotency key, joined by a newline.
         nonce: Unique id of the attempt.
-        digest: SHA-256 of the request, hexadecimal.
-        holder: ``{host}:{boot}`` of the router that will send.
+        digest: SHA-256 of the request, in hexadecimal.
+        holder: ``{host}:{boot}`` of the router that makes the attempt.
     """
 
     key: str
@@ -38,16 +41,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """The attempt ended.
+    """A sent attempt ended.
 
     Args:
-        key: Account and idempotency key, joined by a newline.
-        nonce: Attempt that it belongs to.
-        ran: ``yes`` or ``unknown``.
-        status: HTTP status of the answer.
-        content_type: Content type of the answer.
-        body: Body of the answer.
-        kept: False when the body was too large to keep.
+        key: Client account and idempotency key, joined by a newline.
+        nonce: Id of the attempt.
+        ran: Whether the action ran: ``yes`` or ``unknown``.
+        status: HTTP status of the response.
+        content_type: Content type of the response.
+        body: Body of the response.
+        kept: False if the body was too large to store.
     """
 
     key: str
@@ -61,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Release:
-    """The attempt sent nothing and never will; the key is free again."""
+    """The attempt sent nothing and never will, so the key is free again."""
 
     key: str
     nonce: str
@@ -98,7 +101,7 @@
 
 
 def from_json(data: Any) -> ActionRecord | None:
-    """Return the record in ``data``, or None when it is not one of ours."""
+    """Return the record in ``data``, or None if it isn't a valid action record."""
     try:
         match data["t"]:
             case "intent":
@@ -122,7 +125,7 @@
 
 
 def bounded(outcome: Outcome) -> Outcome:
-    """Return ``outcome`` without its body when that is too large for the log."""
+    """Return ``outcome``, without its body if that is too large for the log."""
     if len(outcome.body) <= BODY_KEPT:
         return outcome
     return replace(outcome, body=b"", kept=False)
@@ -130,14 +133,14 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyState:
-    """What the log says about one key.
+    """State of one idempotency key.
 
     Args:
-        nonce: Attempt that alone may send.
+        nonce: Id of the attempt that holds the key; only it may send.
         digest: Digest of its request.
-        holder: Router that sends.
-        expires: Unix time at which the key is forgotten, by the log's clock.
-        outcome: How the attempt ended, once known.
+        holder: ``{host}:{boot}`` of the router that makes the attempt.
+        expires: Unix time at which the key expires, by the log's clock.
+        outcome: Outcome of the attempt, once recorded.
     """
 
     nonce: str
@@ -151,16 +154,16 @@
     """Folds the records of one action stream, in offset order.
 
     Args:
-        expiry_s: Seconds for which a key is remembered after its last intent;
-            must be shorter than the log's retention.
+        expiry_s: Seconds from the last intent for a key until the key expires; must
+            be shorter than the retention of the log.
     """
 
     def __init__(self, expiry_s: float) -> None:
         self._expiry_s = expiry_s
         self._keys: dict[str, KeyState] = {}
-        # A copy of an intent can follow its release in the log, when an append
-        # whose answer was lost is repeated. Taken as new, it would hold the key
-        # for an attempt that gave up; so released nonces are remembered.
+        # An append is retried when its response is lost, so a duplicate of an intent
+        # can follow the release of the same attempt. Treated as new, it would hold
+        # the key for an attempt that has ended.
         self._released: dict[str, float] = {}
         self._bodies: deque[str] = deque()
         self._body_bytes = 0
@@ -172,15 +175,15 @@
         return len(self._keys)
 
     def state(self, key: str) -> KeyState | None:
-        """Return what is known of ``key``, or None when it is free."""
+        """Return the state of ``key``, or None if the key is free."""
         return self._keys.get(key)
 
     def released(self, nonce: str) -> bool:
-        """Return whether the attempt was given up."""
+        """Return whether the attempt released its key."""
         return nonce in self._released
 
     def apply(self, time: float, record: ActionRecord) -> None:
-        """Fold one record that the log took at ``time`` (unix seconds)."""
+        """Fold one record that was appended at ``time`` (unix seconds)."""
         time = self._time = max(self._time, time)
         self._sweep(time)
         state = self._keys.get(record.key)
@@ -210,16 +213,17 @@
                 intent.nonce, intent.digest, intent.holder, expires
             )
         else:
-            # Every intent extends the key, the losing ones too: a reader that
-            # starts after the first one lapsed then frees the key at the same
-            # time as one that saw it, and the two never name different firsts.
+            # Every intent extends the key, even one that doesn't get it. A reader
+            # that starts after the first intent was trimmed from the log then
+            # expires the key at the same time as one that read it; otherwise the
+            # two could grant the key to different attempts.
             self._keys[intent.key] = replace(state, expires=expires)
 
     def _bound_bodies(self, outcome: Outcome) -> None:
         self._bodies.append(outcome.key)
         self._body_bytes += len(outcome.body)
-        # Keys that were forgotten leave too: answers short enough never to reach
-        # the bound would else pile up their keys for as long as the process lives.
+        # Expired keys are removed as well. Otherwise the queue would grow without
+        # bound as long as small bodies stay below the limit.
         while self._body_bytes > BODIES_KEPT or self._bodies[0] not in self._keys:
             key = self._bodies.popleft()
             state = self._keys.get(key)
@@ -229,8 +233,9 @@
                 self._keys[key] = replace(state, outcome=bare)
 
     def _sweep(self, time: float) -> None:
-        # Frees memory only: whether a key is free is decided exactly, record by
-        # record, or readers that started at different offsets would differ.
+        # Only frees memory. `apply` checks the expiry of a key exactly, at each of
+        # its records; otherwise readers that started at different offsets could
+        # disagree.
         if time - self._last_sweep < 1.0:
             return
         self._last_sweep = time
--- a/greengageflow/core/log_records.py
+++ b/greengageflow/core/log_records.py
@@ -1,4 +1,4 @@
-"""Records of the platform's log, and what an append or a read came to."""
+"""Records of the platform's log, and the results of appends and reads."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -10,7 +10,7 @@
 
     Args:
         offset: Position in the stream.
-        time: Unix time at which the log took it, in seconds.
+        time: Unix time at which it was appended, in seconds.
         record: The JSON value that was appended.
     """
 
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Records:
-    """Records read, in order of their offsets."""
+    """Records that were read, in offset order."""
 
     records: tuple[LogRecord, ...]
     first_offset: int
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Lapsed:
-    """The offset asked for is older than what the log keeps."""
+    """The requested offset is older than the first retained record."""
 
     first_offset: int
     next_offset: int
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Appended:
-    """Records are in the log from ``first_offset`` on."""
+    """The records were appended, starting at ``first_offset``."""
 
     first_offset: int
     count: int
@@ -46,12 +46,12 @@
 
 @dataclass(frozen=True, slots=True)
 class LogFailure:
-    """The log did not answer as asked.
+    """An append or a read failed.
 
     Args:
-        effect_unknown: True when the records may be in the log all the same.
-        message: What happened.
-        retry_after_s: When the log asked to come back, in seconds.
+        effect_unknown: Whether the records may have been appended anyway.
+        message: Description of the failure.
+        retry_after_s: Delay before the next try that the log asked for, in seconds.
     """
 
     effect_unknown: bool
--- a/greengageflow/core/order_owner.py
+++ b/greengageflow/core/order_owner.py
@@ -1,8 +1,8 @@
-"""Decides what the owner of an endpoint does about its orders; without I/O.
+"""Execution of orders by the owner of their endpoint, without I/O.
 
-An attempt is first *claiming*, until its claim was read back, then *sent*. Endpoints
-that check fencing numbers may get an order again from a later claim; the others get
-it from one claim, once.
+An attempt is *claiming* until its claim has been read back from the log, then *sent*.
+An endpoint that checks fencing tokens may get an order again under a later claim. Any
+other endpoint gets an order at most once, under one claim.
 """
 
 from collections.abc import Callable, Iterable, Iterator
@@ -28,7 +28,10 @@
 
 SEND_WINDOW_S = 5.0
 TAKEOVER_S = 75.0
+# An order for an unknown endpoint is refused only after this time, because the order
+# may arrive before the configuration that adds the endpoint.
 UNKNOWN_ENDPOINT_S = 10.0
+# Interval between records that advance the log's time past an order's expiry.
 NUDGE_S = 5.0
 _BACKOFF_S = 0.5
 _BACKOFF_MAX_S = 15.0
@@ -36,13 +39,13 @@
 
 @dataclass(frozen=True, slots=True)
 class SendOrder:
-    """Send an order to its engine, unless it has become too late.
+    """Effect: send an order to its engine, unless ``not_after`` has passed.
 
     Args:
         order: The order.
-        nonce: Attempt that sends it.
-        fencing: Fencing number.
-        not_after: Monotonic time after which no first byte may leave.
+        nonce: Id of the attempt.
+        fencing: Fencing token.
+        not_after: Monotonic time after which sending must not start.
     """
 
     order: Order
@@ -65,19 +68,20 @@
 
 
 class OrderOwner:
-    """The orders of the endpoints that one router owns.
+    """Executes the orders for the endpoints that this router owns.
 
     Args:
-        own: This life of this router.
+        own: This router process.
         owns: Returns whether this router owns an endpoint.
-        checks_fencing: Returns whether an endpoint checks fencing numbers, or None
-            when there is no such endpoint.
-        holder_lives: Returns whether the router ``{host}:{boot}`` answers.
-        fold: What the log says.
-        send_window_s: Seconds from asking for a claim to the first byte of the
-            order; past it, nothing is sent.
-        takeover_s: Seconds after which a claim without a result is taken over or
-            given up; more than the window and the wait for the engine's answer.
+        checks_fencing: Returns whether an endpoint checks fencing tokens, or None if
+            there is no such endpoint.
+        holder_lives: Returns whether the router ``{host}:{boot}`` is live.
+        fold: State of the orders; a new one by default.
+        send_window_s: Seconds after the claim was queued within which sending must
+            start.
+        takeover_s: Seconds after which a claim without a result is taken over, or
+            its result recorded as unknown. Must exceed the send window plus the
+            timeout of the engine's response.
     """
 
     def __init__(
@@ -111,13 +115,13 @@
 
     @property
     def busy(self) -> bool:
-        """Whether an order is on its way or a record waits for the log."""
+        """Whether an attempt is in progress or a record waits to be appended."""
         return bool(self._attempts or self._outbox)
 
-    # What comes in.
+    # Inputs.
 
     def on_records(self, now: float, rows: Iterable[LogRecord]) -> list[OrderState]:
-        """Fold records read from the log; return the orders that ended."""
+        """Apply records read from the log and return the orders that they ended."""
         ended: list[OrderState] = []
         for row in rows:
             ended += self.fold.apply(row.offset, row.time, from_json(row.record))
@@ -139,7 +143,7 @@
         self._not_before.pop(id_, None)
 
     def on_append(self, now: float, result: AppendResult) -> None:
-        """Take the log's answer to ``AppendRecords``."""
+        """Handle the result of ``AppendRecords``."""
         batch, self._appending = self._appending, ()
         match result:
             case Appended():
@@ -147,38 +151,39 @@
                 for key in batch:
                     self._outbox.pop(key, None)
             case LogFailure(retry_after_s=wait):
-                # The records may be in the log though the answer was lost. They are
-                # appended again; the fold counts each nonce once.
+                # The append may have succeeded even though it returned an error.
+                # The records are appended again; the fold ignores duplicates.
                 self._append_failures += 1
                 delay = _backoff(self._append_failures)
                 self._append_at = now + max(delay, wait or 0.0)
 
     def on_sent(self, now: float, id_: str, nonce: str, result: str, text: str) -> None:
-        """Take how a send ended.
+        """Handle the result of ``SendOrder``.
 
         Args:
             now: Monotonic time in seconds.
-            id_: The order.
-            nonce: Attempt that sent it.
+            id_: Id of the order.
+            nonce: Id of the attempt.
             result: ``done``, ``refused``, ``unknown`` or ``not_sent``.
-            text: What was said.
+            text: Message of the engine or the error.
         """
         attempt = self._attempts.get(id_)
         if attempt is None or attempt.nonce != nonce:
             return
         if result == "unknown" and attempt.fenced:
-            # The engine takes a later claim's number and refuses this one from then
-            # on, so that sending again cannot turn anything back.
+            # Retry under a new claim. Once the engine has seen the later fencing
+            # token, it refuses this one, so a delayed copy of this send can't undo
+            # a later order.
             del self._attempts[id_]
             self._again[id_] = nonce
             self._hold_off(now, id_)
         else:
             self._end(now, id_, nonce, result, text)
 
-    # What is done about it.
+    # Processing.
 
     def on_tick(self, now: float) -> Iterator[AppendRecords | SendOrder]:
-        """Go on with every order that may run."""
+        """Advance every order that may run, and append queued records."""
         for state in self.fold.heads:
             attempt = self._attempts.get(state.order.id)
             if attempt is not None:
@@ -201,8 +206,8 @@
         id_, nonce = state.order.id, attempt.nonce
         holds = state.claim is not None and state.claim.nonce == nonce
         if now >= attempt.not_after:
-            # A process that was frozen after its claim wakes here, when another
-            # owner may have gone on with later orders.
+            # A process that was frozen after its claim resumes here. Another owner
+            # may have executed later orders in the meantime.
             self._outbox.pop((id_, nonce, "claim"), None)
             self._end(now, id_, nonce, "not_sent", "too late to send")
         elif holds:
@@ -226,11 +231,11 @@
             if state.order.op != "load" or id_ in self.fold.next_loads():
                 self._claim(now, state, checks)
         elif waited >= UNKNOWN_ENDPOINT_S:
-            # Not at once: the order may be ahead of the configuration here.
             self._put(Done(id_, "", "refused", "no such endpoint"))
 
     def _nudge(self, now: float, id_: str) -> None:
-        # Orders end by the log's time, which any later record shows.
+        # Orders expire by the log's time, which advances only with new records, so
+        # append one.
         self._put(Done(id_, "", "expired"))
         self._not_before[id_] = now + NUDGE_S
 
@@ -245,8 +250,9 @@
                 self._again.pop(claim.id, None)
                 self._claim(now, state, True)
         elif late:
-            # The holder may have sent it or not, and the engine would run it twice.
-            text = f"{claim.holder} gave no result"
+            # The holder may have sent the order already; sending it again could run
+            # it twice.
+            text = f"no result from {claim.holder}"
             self._put(Done(claim.id, claim.nonce, "unknown", text))
 
     def _claim(self, now: float, state: OrderState, fenced: bool) -> None:
--- a/greengageflow/core/orders.py
+++ b/greengageflow/core/orders.py
@@ -1,9 +1,9 @@
-"""Orders to engines: what the log says about each of them.
+"""Log records of orders to engines, and the state of each order folded from them.
 
-An operator appends an order. Before the owner of its endpoint sends it, it appends a
-*claim*; the claim's offset is the fencing number that goes with the order. After, it
-appends how the order ended. Every reader folds the same records, and nothing but
-their offsets and times decides which claim holds.
+An operator appends an order. Before sending it, the owner of its endpoint appends a
+*claim*, whose offset is the fencing token sent with the order. Afterwards it appends
+the result. All readers fold the same records, and which claim holds depends only on
+the offsets and times of the records.
 """
 
 from collections.abc import Iterator
@@ -12,11 +12,11 @@
 
 ORDER_STREAM = "orders"
 ORDER_EXPIRY_S = 300.0
-"""Seconds after which an order that nobody could send is dropped."""
+"""Seconds after which an order that could not be sent expires."""
 CLAIM_HOLD_S = 90.0
-"""Seconds after which a claim without a result counts as unknown."""
+"""Seconds after which a claim without a result ends its order as unknown."""
 MOST_LOADS = 4
-"""Orders that load weights which may run at once, over the whole fleet."""
+"""Most orders that load weights at a time, across the whole fleet."""
 NO_CLAIM = -1
 OPERATIONS = ("load", "role")
 RESULTS = ("done", "refused", "unknown", "not_sent", "expired")
@@ -24,17 +24,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Order:
-    """What an operator wants an engine to do.
+    """An operator's order to an engine.
 
     Args:
         id: Unique id.
         endpoint: Name of the endpoint.
-        op: ``load`` or ``role``.
+        op: Operation: ``load`` or ``role``.
         model: Model to load.
         adapter: Adapter to load.
         version: Version to load.
-        role: Role to take.
-        author: Who ordered it.
+        role: Role to switch to.
+        author: Operator who gave the order.
     """
 
     id: str
@@ -49,14 +49,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """A router wants to send an order.
+    """A router claims the right to send an order.
 
     Args:
-        id: Order.
+        id: Id of the order.
         nonce: Unique id of the attempt.
-        holder: ``{host}:{boot}`` of the router that will send.
-        over: Offset of the claim that it takes over, or ``NO_CLAIM``.
-        fenced: True when the endpoint refuses old fencing numbers.
+        holder: ``{host}:{boot}`` of the claiming router.
+        over: Offset of the claim that this one replaces, or ``NO_CLAIM``.
+        fenced: Whether the endpoint refuses outdated fencing tokens.
     """
 
     id: str
@@ -68,13 +68,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Done:
-    """An attempt ended.
+    """An attempt to execute an order ended.
 
     Args:
-        id: Order.
-        nonce: Attempt; empty when there was none.
+        id: Id of the order.
+        nonce: Id of the attempt; empty if there was none.
         result: One of ``RESULTS``.
-        text: What the engine or the router said.
+        text: Message of the engine or the router.
     """
 
     id: str
@@ -94,7 +94,7 @@
 
 
 def from_json(data: Any) -> OrderRecord | None:
-    """Return the record in ``data``, or None when it is not one of ours."""
+    """Return the record in ``data``, or None if it isn't a valid order record."""
     try:
         fields = dict(data)
         record = _KINDS[fields.pop("t")](**fields)
@@ -118,19 +118,19 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderState:
-    """What the log says about one order.
+    """State of one order.
 
     Args:
         order: The order.
-        offset: Its offset.
-        time: When the log took it, in unix seconds.
-        claim_by: Unix time after which no claim counts.
+        offset: Offset of its record.
+        time: Unix time at which it was appended, in seconds.
+        claim_by: Unix time from which claims are ignored.
         ends: Unix time at which it ends without a result.
         claim: The claim that holds, if any.
         fencing: Offset of that claim, or ``NO_CLAIM``.
-        tries: Claims that were given back.
-        result: How it ended; empty while it is open.
-        text: What was said about it.
+        tries: Number of attempts that ended without sending.
+        result: One of ``RESULTS``; empty while the order is open.
+        text: Message of the engine or the router.
     """
 
     order: Order
@@ -146,13 +146,13 @@
 
 
 class OrderFold:
-    """Folds the records of the stream of orders, by offset.
+    """Folds the records of the order stream, in offset order.
 
     Args:
         expiry_s: Seconds for which an order may be claimed.
-        hold_s: Seconds after which a claim without a result is over. The log must
-            keep records for longer than both together.
-        most_loads: Loads of weights that may be claimed at once.
+        hold_s: Seconds after which a claim without a result ends its order. The
+            retention of the log must exceed ``expiry_s + hold_s``.
+        most_loads: Most orders that load weights and are claimed at a time.
     """
 
     def __init__(
@@ -166,15 +166,15 @@
         self._most_loads = most_loads
         self._open: dict[str, OrderState] = {}
         self._ended: dict[str, OrderState] = {}
-        # A claim whose append lost its answer is appended again. A copy behind the
-        # end of its attempt would hold the order for one that has given up, so each
-        # nonce counts once.
+        # An append is retried when its response is lost, so a duplicate of a claim
+        # can follow the end of its attempt. Counted again, it would hold the order
+        # for an attempt that has ended, so each nonce counts once.
         self._nonces: dict[str, set[str]] = {}
         self._time = 0.0
 
     @property
     def states(self) -> Iterator[OrderState]:
-        """Orders that are open, then those that ended lately."""
+        """Open orders, followed by recently ended ones."""
         yield from self._open.values()
         yield from self._ended.values()
 
@@ -185,7 +185,7 @@
 
     @property
     def heads(self) -> tuple[OrderState, ...]:
-        """The oldest open order of each endpoint: the one that may run."""
+        """The oldest open order of each endpoint; only these may run."""
         first: dict[str, OrderState] = {}
         for state in self._open.values():
             first.setdefault(state.order.endpoint, state)
@@ -193,23 +193,23 @@
 
     @property
     def free_loads(self) -> int:
-        """Number of further loads that may be claimed now."""
+        """Number of additional loads that may be claimed now."""
         running = (s for s in self._open.values() if s.order.op == "load" and s.claim)
         return self._most_loads - sum(1 for _ in running)
 
     def state(self, id_: str) -> OrderState | None:
-        """Return what is known of an order."""
+        """Return the state of an order, or None if it is unknown."""
         return self._open.get(id_) or self._ended.get(id_)
 
     def saw(self, id_: str, nonce: str) -> bool:
-        """Return whether a claim of this attempt was read, or its end."""
+        """Return whether a claim by this attempt, or its ``not_sent``, was read."""
         return nonce in self._nonces.get(id_, ())
 
     def next_loads(self) -> list[str]:
         """Return the ids of the loads that may be claimed next.
 
-        Orders whose engine could not be reached go behind the others, or four dead
-        engines would hold up every load of the fleet.
+        Orders with fewer failed attempts come first. Otherwise as many unreachable
+        engines as there are load slots would block all loads of the fleet.
         """
         waiting = [s for s in self.heads if s.order.op == "load" and not s.claim]
         waiting.sort(key=lambda state: (state.tries, state.offset))
@@ -218,12 +218,13 @@
     def apply(
         self, offset: int, time: float, record: OrderRecord | None
     ) -> tuple[OrderState, ...]:
-        """Fold one record and return the orders that ended by it.
+        """Fold one record and return the orders that it ended.
 
         Args:
-            offset: Its offset.
-            time: When the log took it, in unix seconds.
-            record: The record; None for one that is not of ours.
+            offset: Offset of the record.
+            time: Unix time at which it was appended, in seconds.
+            record: The record, or None if it isn't a valid order record; its time
+                still counts.
         """
         time = self._time = max(self._time, time)
         ended = list(self._expire(time))
@@ -237,7 +238,7 @@
             case Done() if state:
                 ended.extend(self._finish(record, state))
             case Done(nonce=nonce) if late := self._ended.get(record.id):
-                # The holder that was given up as unknown tells more after all.
+                # The holder reports a result after the order ended as unknown.
                 known = late.claim is not None and late.claim.nonce == nonce
                 if late.result == "unknown" and known:
                     news = replace(late, result=record.result, text=record.text)
@@ -262,11 +263,12 @@
         if time >= state.claim_by or claim.over != state.fencing:
             return False
         if state.claim is not None:
-            # An endpoint that ignores the number would run the order of both.
+            # An endpoint that ignores fencing tokens would run the order twice.
             return state.claim.fenced and claim.fenced
         if state.order.op == "load" and self.free_loads <= 0:
             return False
-        # Its holder may have begun to read behind an earlier order.
+        # The claiming router may have started reading after an earlier order of the
+        # endpoint, and so not know that one.
         return state in self.heads
 
     def _finish(self, done: Done, state: OrderState) -> Iterator[OrderState]:
@@ -300,8 +302,9 @@
             if state.claim is None:
                 yield self._end(state, "expired", state.text or "not sent in time")
             else:
-                yield self._end(state, "unknown", "its sender gave no result")
-        # Ids are remembered past the end, for copies of the order itself.
+                yield self._end(state, "unknown", "no result from its sender")
+        # Ended orders are remembered for a while, so that a duplicate of an order
+        # record doesn't run again.
         forget = time - self._expiry_s
         for id_ in [i for i, s in self._ended.items() if s.ends <= forget]:
             del self._ended[id_]
