--- a/greengageflow/core/_member_table.py
+++ b/greengageflow/core/_member_table.py
@@ -1,4 +1,4 @@
-"""The table of members behind ``membership``: who wins, digest and news."""
+"""Member table of ``membership``: merge rules, view digest and gossip queue."""
 
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, replace
@@ -13,18 +13,19 @@
 DEAD = "dead"
 LEFT = "left"
 
-# Of two statements about one boot and incarnation, the later in this order wins.
+# Of two updates with equal boot and incarnation, the status of higher rank wins.
 RANKS = {ALIVE: 0, STOPPING: 1, SUSPECT: 2, DEAD: 3, LEFT: 4}
+# An update is sent this many times the logarithm of the number of live members.
 REPEAT_FACTOR = 3
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """A member with what this router adds to it.
+    """A member as stored in the table.
 
     Args:
-        member: Newest statement about the member.
-        stopping: The member said in this life that it stops.
+        member: Newest update about the member.
+        stopping: Whether the member has announced since its boot that it drains.
     """
 
     member: Member
@@ -32,7 +33,7 @@
 
     @property
     def live(self) -> bool:
-        """Whether the member counts as live; a suspect does."""
+        """Whether the member is considered live, which includes suspects."""
         return self.member.status not in (DEAD, LEFT)
 
 
@@ -59,11 +60,16 @@
 
 
 class MemberTable:
-    """What one router knows of all members, its own entry included.
+    """All members known to one router, including itself.
 
     Args:
-        own: The member that this router is.
-        suspicion_s: Seconds between a suspicion and the death that follows.
+        own: This router's own entry.
+        suspicion_s: Seconds after which a suspect is declared dead.
+
+    Attributes:
+        digest: Digest of the live members.
+        version: Version of the live members; increases with each change.
+        newer_boot: Higher boot number under which others know this host, or None.
     """
 
     def __init__(self, own: Member, *, suspicion_s: float) -> None:
@@ -90,25 +96,26 @@
 
     @property
     def live_count(self) -> int:
-        """Number of live members, this router included."""
+        """Number of live members, including this router."""
         return self._live_count
 
     @property
     def has_news(self) -> bool:
-        """Whether changes are still to be told."""
+        """Whether updates are queued for gossip."""
         return bool(self._news)
 
     def get(self, host: str) -> Entry | None:
-        """Return the entry of ``host``."""
+        """Return the entry of ``host``, or None if it is unknown."""
         return self._entries.get(host)
 
     def merge(self, member: Member, now: float, *, tell: bool = True) -> bool:
-        """Take in a statement about a member; return whether it was new.
+        """Merge an update about a member; return whether it changed the table.
 
         Args:
-            member: The statement.
-            now: Time in seconds.
-            tell: Whether to pass on that a member lives; all else always is.
+            member: The update.
+            now: Monotonic time in seconds.
+            tell: Whether to gossip an update with status ``alive``; any other status
+                is always gossiped.
         """
         if not _valid(member):
             return False
@@ -116,14 +123,14 @@
             return self._answer(member)
         known = self._entries.get(member.host)
         if known is None:
-            # A dead stranger is no one's concern; taking it in would let routers
-            # hand each other members that all of them have forgotten long ago.
+            # Ignore dead hosts that aren't in the table. Otherwise routers would keep
+            # spreading members that all of them have already forgotten.
             if RANKS[member.status] >= RANKS[DEAD]:
                 return False
         elif known.live and member.status == DEAD and known.member.boot == member.boot:
-            # The other half of a healed partition holds everyone here for dead.
-            # Believed at once, this would empty the view of live members until each
-            # has spoken up. As a suspicion it leaves them the time to do so.
+            # After a partition heals, the other side reports all members on this side
+            # as dead. Accepting that would empty the view until each member has
+            # refuted it. Treating it as a suspicion gives them time to refute.
             member = replace(member, status=SUSPECT)
         if known is not None and _order(member) <= _order(known.member):
             return False
@@ -131,25 +138,25 @@
         return True
 
     def suspect(self, host: str, now: float) -> None:
-        """Note that ``host`` does not answer."""
+        """Mark ``host`` as suspect because it didn't answer."""
         entry = self._entries.get(host)
         if entry is not None and entry.live and entry.member.status != SUSPECT:
             self._take(replace(entry.member, status=SUSPECT), entry, now, True)
 
     def expire(self, now: float) -> Iterator[str]:
-        """Declare suspects dead whose time is up; yield their hosts."""
+        """Declare suspects dead whose deadline has passed, and yield their hosts."""
         for host in [h for h, due in self._deadlines.items() if due <= now]:
             entry = self._entries[host]
             self._take(replace(entry.member, status=DEAD), entry, now, True)
             yield host
 
     def restart_deadlines(self, now: float) -> None:
-        """Give every suspect its whole time again."""
+        """Restart the suspicion timeout of every suspect."""
         for host in self._deadlines:
             self._deadlines[host] = now + self._suspicion_s
 
     def set_own_status(self, status: str) -> None:
-        """State this router's own status, as a newer word than any before."""
+        """Set this router's own status under a new ``incarnation``, so that it wins."""
         self._restate(self.own.incarnation + 1, status)
 
     def forget(self, host: str) -> None:
@@ -160,11 +167,12 @@
             self._news.pop(host, None)
 
     def news_for(self, host: str, limit: int) -> tuple[Member, ...]:
-        """Return what to tell ``host``, and count the changes as told once more.
+        """Return the updates to piggyback on a message to ``host``.
 
-        It is this router's own entry, what is held against the addressee, and up to
-        ``limit`` changes, least told first. A router that is held for dead must hear
-        it to refute it, and those that hold it for dead tell it nothing else.
+        These are this router's own entry, the entry of ``host`` if that is suspect or
+        worse, and up to ``limit`` queued updates, least often sent first; their send
+        counts increase. A router can refute its death only if it learns of it, and
+        routers that consider it dead send it no other messages.
         """
         news = {self._own_host: self.own}
         entry = self._entries.get(host)
@@ -182,7 +190,7 @@
                 del self._news[host]
 
     def _answer(self, member: Member) -> bool:
-        """Refute what others say of this router."""
+        """Refute an update about this router itself; return whether it was refuted."""
         own = self.own
         if member.boot > own.boot:
             self.newer_boot = member.boot
--- a/greengageflow/core/_probes.py
+++ b/greengageflow/core/_probes.py
@@ -1,4 +1,4 @@
-"""The probe under way and the probes made for others, behind ``membership``."""
+"""Direct and indirect probes of ``membership``."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -11,10 +11,10 @@
     """One probe of a neighbour.
 
     Args:
-        host: Who was probed.
-        seq: Number that its answer carries.
-        sent_at: When, in seconds.
-        helped: Others were asked to probe it too.
+        host: Host that is probed.
+        seq: Sequence number, which the ack repeats.
+        sent_at: Monotonic time at which it was sent, in seconds.
+        helped: Whether indirect probes have been requested.
     """
 
     host: str
@@ -25,12 +25,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Relay:
-    """A probe made for another router.
+    """An indirect probe, sent on behalf of another router.
 
     Args:
-        asker: Who asked for it.
-        seq: Number that the asker waits for.
-        sent_at: When, in seconds.
+        asker: Host that requested it.
+        seq: Sequence number of the requesting host's own probe.
+        sent_at: Monotonic time at which it was sent, in seconds.
     """
 
     asker: str
@@ -39,11 +39,14 @@
 
 
 class Probes:
-    """Numbers probes and matches answers to them.
+    """Numbers probes and matches acks to them.
 
     Args:
-        random: Source of the order in which neighbours have their turns.
-        relay_s: Seconds for which an answer is passed on to an asker.
+        random: Random number generator that shuffles the neighbours.
+        relay_s: Seconds for which the ack of an indirect probe is passed on.
+
+    Attributes:
+        current: The probe that waits for its ack, if any.
     """
 
     def __init__(self, random: Random, *, relay_s: float) -> None:
@@ -55,13 +58,13 @@
         self.current: Probe | None = None
 
     def next_seq(self) -> int:
-        """Return a number that no probe has had."""
+        """Return an unused sequence number."""
         return next(self._seqs)
 
     def begin(self, neighbours: Sequence[str], now: float) -> Probe | None:
-        """Start the probe of the next neighbour; None when there is none.
+        """Start a probe of the next neighbour; return None if there is none.
 
-        In one round each has its turn once, in a new order.
+        Each round probes every neighbour once, in a newly shuffled order.
         """
         present = set(neighbours)
         self._turns = [host for host in self._turns if host in present]
@@ -73,12 +76,12 @@
         return self.current
 
     def take_unanswered(self) -> Probe | None:
-        """End the probe under way; return it, as no answer came."""
+        """End the current probe without an ack; return it, or None."""
         probe, self.current = self.current, None
         return probe
 
     def begin_relay(self, asker: str, seq: int, now: float) -> int:
-        """Return the number of a probe made for ``asker``."""
+        """Register an indirect probe for ``asker`` and return its sequence number."""
         old = now - self._relay_s
         self._relays = {n: r for n, r in self._relays.items() if r.sent_at > old}
         number = self.next_seq()
@@ -86,7 +89,7 @@
         return number
 
     def on_answer(self, seq: int) -> Relay | None:
-        """Take an answer; return whom it has to be passed on to."""
+        """Handle an ack; return the indirect probe that it belongs to, if any."""
         if self.current is not None and self.current.seq == seq:
             self.current = None
         return self._relays.pop(seq, None)
--- a/greengageflow/core/_view_sync.py
+++ b/greengageflow/core/_view_sync.py
@@ -1,22 +1,27 @@
-"""When ``membership`` asks another router for its whole view, and gives its own."""
+"""Anti-entropy of ``membership``: pacing of the exchange of whole views."""
 
+# Token bucket for the rows of views that are sent.
 ROWS_PER_S = 200.0
 ROWS_BURST = 200.0
 
 
 class ViewSync:
-    """Paces the exchange of whole views, and tells when the own one may be stale.
+    """Paces the exchange of whole views and tracks whether the own view is stale.
 
-    News alone mends nearly every difference within seconds; a view is asked for when
-    two routers keep differing, or at once by a router that knows nothing yet.
+    Gossip alone resolves nearly all differences within seconds. A whole view is
+    requested when two views keep differing, or at once by a router that hasn't synced
+    with any other yet.
 
     Args:
-        settle_s: Seconds for which a difference must last, and between two requests.
-        stale_s: Seconds after a pause in which the own timers find every death.
+        settle_s: Seconds for which a difference must last before a view is requested,
+            and shortest time between two requests.
+        stale_s: Seconds after a pause within which this router's own timers detect
+            every failure.
 
     Attributes:
-        synced: Another router has had the same view.
-        confirmed: The view is not older than the last pause of this process.
+        synced: Whether any other router has had the same view.
+        confirmed: Whether the view has been confirmed since the last pause of this
+            process.
     """
 
     def __init__(self, settle_s: float, stale_s: float) -> None:
@@ -32,37 +37,38 @@
         self.confirmed = True
 
     def on_equal(self) -> None:
-        """Note that another router has the same view."""
+        """Record that another router has the same view."""
         self.synced = True
         self._differs_since = None
 
     def on_pause(self, now: float, seq: int) -> None:
-        """Note that this process stood still: what was noticed before is stale.
+        """Record a pause of this process, which makes its view stale.
 
         Args:
-            now: The time.
-            seq: Number of a probe that is not sent; answers to later ones count.
+            now: Monotonic time in seconds.
+            seq: Unused sequence number; only acks of later probes confirm the view.
         """
         self._differs_since = None
         self._asked_before = seq
         if self.confirmed:
-            # Kept by a further pause, or a process so slow that each turn of its
-            # loop looks like one would never start anything again.
+            # A further pause doesn't extend this. Otherwise a process so slow that
+            # every turn of its event loop counts as a pause would stay unconfirmed
+            # forever.
             self._stale_until = now + self._stale_s
         self.confirmed = False
 
     def on_answer(self, seq: int) -> None:
-        """Note the same view in the answer to a probe."""
+        """Handle an ack whose sender has the same view."""
         if seq > self._asked_before:
             self.confirmed = True
 
     def on_tick(self, now: float, *, alone: bool) -> None:
-        """Let the doubt end when nobody can end it, or time has done so."""
+        """Confirm the view if there is no peer to do so, or after ``stale_s``."""
         if alone or now >= self._stale_until:
             self.confirmed = True
 
     def asks(self, now: float) -> bool:
-        """Note a differing view; return whether to ask for it."""
+        """Record that a peer's view differs; return whether to request it."""
         if self._differs_since is None:
             self._differs_since = now
         if now - self._asked_at < self._settle_s:
@@ -73,10 +79,10 @@
         return True
 
     def gives(self, now: float, rows: int) -> bool:
-        """Return whether a view of that many rows may be sent now.
+        """Return whether a view of ``rows`` rows may be sent now.
 
-        The rate keeps a router within its traffic while many start together; they
-        ask again, and meanwhile others have views to give.
+        The token bucket bounds this router's traffic while many routers start at the
+        same time. Refused routers request the view again, from any router.
         """
         since = now if self._rows_at is None else self._rows_at
         earned = (now - since) * ROWS_PER_S
--- a/greengageflow/core/hosts.py
+++ b/greengageflow/core/hosts.py
@@ -1,4 +1,4 @@
-"""Hosts as the platform's list tells of them."""
+"""Entries of the platform's host list."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -12,7 +12,7 @@
 
 
 class HostState(StrEnum):
-    """What the platform says of a host."""
+    """State of a host in the host list."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -20,14 +20,14 @@
 
 @dataclass(frozen=True, slots=True)
 class HostEntry:
-    """One host of the list.
+    """One entry of the host list.
 
     Args:
         host: Host name; for an endpoint its name in the configuration.
-        kind: What runs there.
-        state: What the platform says of it.
-        ip: IP number.
-        port: TCP port; for a router that of its peer side.
+        kind: What runs on the host.
+        state: Whether the host is live or leaving.
+        ip: IP address.
+        port: TCP port; for a router that of its peer listener.
         zone: Availability zone.
     """
 
--- a/greengageflow/core/leaving.py
+++ b/greengageflow/core/leaving.py
@@ -1,4 +1,4 @@
-"""Signs that an endpoint is leaving, known to every router."""
+"""Detection of leaving endpoints, and notices about them among routers."""
 
 from collections.abc import Iterable, Iterator
 from math import inf
@@ -10,16 +10,17 @@
 
 
 class LaggingSource:
-    """Tells the signs of one source that are of the present generation.
+    """Filters out outdated leaving reports of a source that lags.
 
-    A source that lags goes on calling a replaced endpoint leaving when the next
-    generation is in force. Taken for a sign of that one, it would hold for good, and
-    the endpoint would get no work. So after a sign of an earlier generation the
-    source must have shown the endpoint staying under the present one, or must have
-    called it leaving more often in a row than its lag explains.
+    Such a source may keep reporting an endpoint as leaving after the endpoint was
+    replaced by a new generation. Applied to the new generation, the report would stay
+    in effect, and the endpoint would get no work. So once an earlier generation has
+    left, a report counts only if the source has also reported the endpoint as staying
+    in its current generation, or has reported it as leaving more times in a row than
+    its lag can explain.
 
     Args:
-        most_late: Statements in a row that the source's lag explains.
+        most_late: Consecutive leaving reports that the lag can explain.
     """
 
     def __init__(self, most_late: float = inf) -> None:
@@ -28,12 +29,12 @@
         self._staying: dict[str, int] = {}
 
     def tells(self, endpoint: Endpoint, left: int, *, leaving: bool) -> bool:
-        """Take one statement; return whether it is a sign of this generation.
+        """Handle one report; return whether the current generation is leaving.
 
         Args:
-            endpoint: The endpoint, as it was when the source was asked.
+            endpoint: The endpoint as configured when the source was queried.
             left: Newest generation of it that is known to have left, or 0.
-            leaving: What the source says.
+            leaving: Whether the source reports it as leaving.
         """
         name, generation = endpoint.name, endpoint.generation
         if not leaving:
@@ -49,12 +50,12 @@
 
 
 class LeavingSigns:
-    """Keeps the signs and passes them on.
+    """Records which endpoints are leaving, and notifies the other routers.
 
-    A sign may reach any router first: a large fleet reads the host list so rarely
-    that the endpoint's owner may read it a minute later than another. Every router
-    keeps every sign, so that whoever owns the endpoint later has it too, also when
-    the platform has taken it back meanwhile.
+    Any router may notice first: in a large fleet the host list is read so rarely that
+    the owner of the endpoint may read it a minute later than another router. Every
+    router keeps all records, so that a later owner of the endpoint has them too, even
+    if the platform no longer reports the endpoint as leaving.
 
     Args:
         own: This router.
@@ -68,7 +69,7 @@
 
     @property
     def signs(self) -> dict[str, int]:
-        """Newest generation of each endpoint that has left."""
+        """Newest generation that has left, by endpoint."""
         return dict(self._left)
 
     def left_generation(self, endpoint: str) -> int:
@@ -76,12 +77,12 @@
         return self._left.get(endpoint, 0)
 
     def has_left(self, endpoint: str) -> bool:
-        """Tell whether an endpoint must get no new work."""
+        """Return whether the endpoint is leaving and must get no new work."""
         known = self._cfg.endpoints.get(endpoint)
         return known is not None and self.left_generation(endpoint) >= known.generation
 
     def note(self, endpoint: str) -> Iterator[Send]:
-        """Take a sign for the present generation of an endpoint; tell the others."""
+        """Record that the current generation of an endpoint leaves; notify others."""
         known = self._cfg.endpoints.get(endpoint)
         if known is None or self.has_left(endpoint):
             return
@@ -90,19 +91,19 @@
             yield from self._tell(self._view.live.keys(), (endpoint,))
 
     def receive(self, notice: LeavingNotice) -> None:
-        """Take a sign that another router saw."""
+        """Handle a notice from another router."""
         known = self.left_generation(notice.endpoint)
         self._left[notice.endpoint] = max(known, notice.generation)
 
     def on_config(self, cfg: FleetConfig) -> None:
-        """Take over a configuration; each router reads the signs in it itself."""
+        """Apply a configuration, with the endpoints that it marks as leaving."""
         self._cfg = cfg
         for endpoint in cfg.endpoints.values():
             if endpoint.leaving:
                 self.receive(LeavingNotice(endpoint.name, endpoint.generation))
 
     def on_view(self, view: FleetView) -> Iterator[Send]:
-        """Tell routers that come, or come back, what left before."""
+        """Notify routers that joined or restarted of the endpoints that left before."""
         before, self._view = self._view, view
         if before is None:
             return
@@ -116,8 +117,8 @@
             yield from self._tell(news, mine)
 
     def _is_mine(self, endpoint: str, before: FleetView, view: FleetView) -> bool:
-        # A newcomer may own the endpoint from now on: its owner so far tells it.
-        # One router suffices, or each newcomer would get a copy from everybody.
+        # A router that just joined may own the endpoint now, so its previous owner
+        # sends a notice too. Notices from all other routers would be redundant.
         return self._own.host in (before.owner_of(endpoint), view.owner_of(endpoint))
 
     def _tell(self, hosts: Iterable[str], endpoints: Iterable[str]) -> Iterator[Send]:
--- a/greengageflow/core/membership.py
+++ b/greengageflow/core/membership.py
@@ -1,9 +1,9 @@
-"""Which routers live: probes, suspicion, and news that rides on the probes.
+"""Gossip-based membership and failure detection among routers, after SWIM.
 
-Each router probes one of its neighbours a period, in shuffled turns, asks a few
-others to probe one that does not answer, and tells changes on the same messages.
-What one router sends in a second, and how many connections that takes, hardly
-depends on the size of the fleet.
+In each period a router probes one of its neighbours, in a shuffled round robin. If
+there is no ack, it asks a few other routers to probe the neighbour for it. Membership
+updates are piggybacked on these messages. The message rate and the number of
+connections of a router hardly depend on the size of the fleet.
 """
 
 from collections.abc import Iterable, Iterator, Mapping
@@ -34,26 +34,35 @@
     ViewRequest,
 )
 
+# Most queued updates piggybacked on one message.
 NEWS_LIMIT = 12
+# Routers asked to probe a neighbour that doesn't answer.
 HELPERS = 3
+# Additional routers pinged per period while updates are queued.
 GOSSIP_FANOUT = 2
+# Routers pinged when this router leaves.
 LEAVE_FANOUT = 6
+# Absent hosts probed at a time by a router that has no live peer; others probe one.
 AWAY_FANOUT = 3
+# Periods between two probes of absent hosts.
 AWAY_EVERY = 5
 TICKS_PER_PERIOD = 4
+# Time between two ticks from which this process counts as having been paused.
 PAUSE_PERIODS = 2.0
+# Time for which two views must differ before the whole view is requested.
 SETTLE_PERIODS = 2.0
+# Time for which the ack of an indirect probe is passed on.
 RELAY_PERIODS = 2.0
 
 
 @dataclass(frozen=True, slots=True)
 class Seed:
-    """Where a router may be found that is not known as a live member.
+    """Peer address at which a router that isn't a member yet may be found.
 
     Args:
         host: Host name.
-        ip: IP number of its peer side.
-        port: TCP port of its peer side.
+        ip: IP address of its peer listener.
+        port: TCP port of its peer listener.
     """
 
     host: str
@@ -63,12 +72,13 @@
 
 @dataclass(frozen=True, slots=True)
 class LiveMember:
-    """A router that counts as live.
+    """A router that is considered live.
 
     Args:
-        peer: Host and life.
+        peer: Host and boot number.
         zone: Availability zone.
-        stopping: It gets no new ownership, and leaves when its work is done.
+        stopping: Whether it is draining: it gets no new ownership, and leaves when
+            its work is done.
     """
 
     peer: PeerId
@@ -77,20 +87,20 @@
 
 
 class Membership:
-    """The fleet as one router sees it.
+    """One router's view of the fleet.
 
     Args:
-        own: The member that this router is; its ``incarnation`` and ``status`` count.
-        seeds: Routers to look for.
+        own: This router's own entry, with its initial ``incarnation`` and ``status``.
+        seeds: Routers to contact.
         period_s: Seconds between two probes.
-        suspicion_s: Seconds from a suspicion to the death that follows.
-        seed: Seed of the random choices.
+        suspicion_s: Seconds after which a suspect is declared dead.
+        seed: Seed of the random number generator.
 
     Attributes:
-        revision: Newest configuration revision of this router, told to others.
-        pauses: How often this process found that it had been paused.
-        long_pause: Others may have held it for dead in a pause since which its view
-            was not confirmed until now.
+        revision: Newest configuration revision of this router, announced to others.
+        pauses: Number of detected pauses of this process.
+        long_pause: Whether the process paused for so long that others may have
+            declared it dead, and its view hasn't been confirmed since.
     """
 
     def __init__(
@@ -124,31 +134,31 @@
 
     @property
     def tick_s(self) -> float:
-        """Seconds after which ``on_tick`` wants to be called again."""
+        """Interval at which ``on_tick`` must be called, in seconds."""
         return self._period_s / TICKS_PER_PERIOD
 
     @property
     def own(self) -> Member:
-        """This router's own entry, with its present incarnation and status."""
+        """This router's own entry, with its current ``incarnation`` and ``status``."""
         return self._table.own
 
     @property
     def newer_boot(self) -> int | None:
-        """A later life of this very host that others know of, if any.
+        """Higher boot number under which others know this host, or None.
 
-        This process is then a left-over, or its boot number came from a clock that
-        ran backwards; others ignore it either way.
+        Either this process is an outdated instance, or its boot number came from a
+        clock that had been set back. Others ignore it in both cases.
         """
         return self._table.newer_boot
 
     @property
     def view_version(self) -> int:
-        """Grows with each change of ``members``."""
+        """Version of ``members``; increases with each change."""
         return self._table.version
 
     @property
     def members(self) -> Mapping[str, LiveMember]:
-        """Live routers by host, this one included until it leaves."""
+        """Live routers by host, including this one until it leaves."""
         if self._live is None or self._live[0] != self._table.version:
             live = {e.member.host: _live(e) for e in self._table.entries if e.live}
             self._live = self._table.version, MappingProxyType(live)
@@ -156,51 +166,51 @@
 
     @property
     def confirmed(self) -> bool:
-        """Whether the view is as new as the others', as far as pauses go.
+        """Whether the view can be trusted after a pause of this process.
 
-        After a pause it is as old as the pause, until a router answers a later probe
-        with the same view, or until this router's own timers must have found the
-        deaths that the others found meanwhile.
+        A pause makes the view stale. It is confirmed again when a router acks a later
+        probe with the same view, or after the time in which this router's own timers
+        detect any failures that the others detected during the pause.
         """
         return self._sync.confirmed
 
     @property
     def suspects(self) -> frozenset[str]:
-        """Hosts that lately did not answer and are not held for dead yet."""
+        """Hosts that are suspected to have failed but not declared dead yet."""
         entries = self._table.entries
         return frozenset(e.member.host for e in entries if e.member.status == SUSPECT)
 
     def newer_revision(self) -> str | None:
-        """Return a host with a newer configuration than ``revision``, or None."""
+        """Return a host that has a newer configuration than this one, or None."""
         revision, host = self._newest
         return host if revision > self.revision else None
 
     @property
     def newest_revision(self) -> int:
-        """Newest configuration revision that this router has heard of."""
+        """Newest configuration revision announced by any router so far."""
         return max(self.revision, self._newest[0])
 
     def set_seeds(self, seeds: Iterable[Seed]) -> None:
-        """Replace the routers to look for: settings and the platform's list."""
+        """Replace the seeds, taken from the settings and the platform's host list."""
         own = self._table.own.host
         self._seeds = {seed.host: seed for seed in seeds if seed.host != own}
 
     def forget(self, host: str) -> None:
-        """Drop a dead host that the platform no longer knows."""
+        """Drop a dead host that the platform no longer lists."""
         self._table.forget(host)
 
     def stop(self) -> None:
-        """Say that this router stops: no new ownership, still live."""
+        """Announce that this router is draining: still live, but no new ownership."""
         self._table.set_own_status(STOPPING)
 
     def leave(self, now: float) -> Iterator[Connect | Send]:
-        """Say good-bye; the last thing that this router does."""
+        """Announce that this router leaves; call it last."""
         self._table.set_own_status(LEFT)
         for host in self._sample(LEAVE_FANOUT):
             yield from self._ping(host)
 
     def on_tick(self, now: float) -> Iterator[Connect | Disconnect | Send]:
-        """Probe, suspect and bury; call every ``tick_s`` seconds."""
+        """Send probes and expire suspects; call every ``tick_s`` seconds."""
         self.notice_pause(now)
         self._last_tick = now
         for host in self._table.expire(now):
@@ -214,7 +224,7 @@
     def receive(
         self, now: float, sender: PeerId, message: Any
     ) -> Iterator[Connect | Disconnect | Send]:
-        """Take in one membership message of another router."""
+        """Handle a membership message from another router."""
         self.notice_pause(now)
         if isinstance(message, Ping | Ack):
             yield from self._merge(message.updates, now)
@@ -233,23 +243,23 @@
                 yield from self._send_view(sender.host, digest, now)
             case View():
                 self._sync.synced = True
-                # Whoever sent the view has told of the live ones; a joiner that
-                # told again of each would fill its messages for a minute.
+                # The sender has spread its live members already. Gossiping them
+                # again would fill a joining router's messages for a minute.
                 yield from self._merge(message.members, now, tell=False)
 
     def _current(self, sender: PeerId) -> bool:
-        """Whether the sender is a known life that has not left."""
+        """Return whether the sender is the known instance of its host, and active."""
         entry = self._table.get(sender.host)
         if entry is None or entry.member.status == LEFT:
             return False
         return entry.member.boot == sender.boot
 
     def notice_pause(self, now: float) -> None:
-        """Excuse the others when it was this process that stood still.
+        """Detect a pause of this process, and then restart probes and deadlines.
 
-        After a pause every probe looks unanswered and every suspect overdue, and
-        a woken router would declare its whole fleet dead. Their answers lie unread
-        in the sockets, so starting probe and deadlines anew is enough.
+        After a pause all probes and suspicions look overdue, and the router would
+        declare the whole fleet dead. The missing acks are still unread in its
+        sockets, so it is enough to start the probe and the deadlines again.
         """
         if self._last_tick is None:
             return
@@ -263,7 +273,7 @@
         self._sync.on_pause(now, self._probes.next_seq())
         self._table.restart_deadlines(now)
 
-    # Time and probes.
+    # Probes.
 
     def _next_period(self, now: float) -> Iterator[Connect | Send]:
         unanswered = self._probes.take_unanswered()
@@ -283,7 +293,7 @@
         yield from self._look_for_absent()
 
     def _look_for_absent(self) -> Iterator[Connect | Send]:
-        """Probe dead members and seeds now and then, so that halves rejoin."""
+        """Probe dead members and seeds periodically, so that partitions heal."""
         alone = self._table.live_count == 1
         if not alone and self._sync.synced and self._periods % AWAY_EVERY:
             return
@@ -299,9 +309,10 @@
         return self._near[1]
 
     def _absent(self) -> list[str]:
-        """Hosts that may be back. Those that left on purpose come by themselves."""
-        # Drawn anew each time: a list worked off in turn kept routers busy with the
-        # hosts of a lost zone for minutes, while a healed partition waited.
+        """Return hosts that may have come back; those that left rejoin on their own."""
+        # Computed afresh for a random sample each time. Working through a list in
+        # turn kept routers probing the hosts of a lost zone for minutes before they
+        # reached those of a healed partition.
         hosts = {e.member.host for e in self._table.entries if _gone(e)}
         hosts.update(host for host in self._seeds if self._table.get(host) is None)
         return sorted(hosts)
@@ -342,7 +353,7 @@
         return Send(host, Ack(seq, self.revision, self._table.digest, news))
 
     def _connect(self, host: str) -> Iterator[Connect]:
-        """Name the address of ``host`` when it is new or has changed."""
+        """Connect to the address of ``host`` if it is new or has changed."""
         entry = self._table.get(host)
         place = entry.member if entry is not None else self._seeds.get(host)
         if place is None:
@@ -365,7 +376,7 @@
                 yield Disconnect(member.host)
 
     def _compare(self, host: str, message: Ping | Ack, now: float) -> Iterator[Send]:
-        """Ask for the peer's view when the two have differed for a while."""
+        """Request the peer's view if it has differed from this one for a while."""
         if message.revision > max(self.revision, self._newest[0]):
             self._newest = message.revision, host
         if message.digest == self._table.digest:
--- a/greengageflow/core/roster.py
+++ b/greengageflow/core/roster.py
@@ -1,8 +1,8 @@
-"""The router hosts that bear slots, whether they answer or not.
+"""The router hosts among which the slots of endpoints are divided, live or not.
 
-During a partition both sides hold the other for dead, and both would use all slots
-of every endpoint. Each side may use the fraction that its live part of the roster
-bears, so the roster must not shrink by what the members think of each other.
+During a partition each side considers the other dead, and both would use all slots of
+every endpoint. A side may therefore use only the fraction of slots that its live hosts
+have in the roster, and membership changes alone must not shrink the roster.
 """
 
 from collections import Counter
@@ -12,15 +12,14 @@
 
 
 class Roster:
-    """Router hosts of the platform's list and of the fleet itself.
+    """Router hosts that are live members or in the platform's host list.
 
-    It grows by live members and by the list. A host leaves it when it is not live
-    and that many successive readings of the list in a row miss it or call it
-    leaving; while the list cannot be read, nobody leaves.
+    A host is removed when it isn't live and ``readings`` consecutive host lists omit
+    it or have it as leaving. While the list can't be read, no host is removed.
 
     Args:
         own_host: This router's host.
-        readings: Successive readings needed to drop a host.
+        readings: Number of consecutive lists needed to remove a host.
     """
 
     def __init__(self, own_host: str, *, readings: int = 3) -> None:
@@ -32,22 +31,22 @@
 
     @property
     def hosts(self) -> frozenset[str]:
-        """Hosts that bear slots, this router's included."""
+        """Hosts in the roster, including this router's own."""
         return self._hosts
 
     def on_members(self, live: Iterable[str]) -> None:
-        """Take over which hosts are live members now."""
+        """Update the live members; new ones join the roster."""
         self._live = frozenset(live) | {self._own_host}
         if not self._live <= self._hosts:
             self._hosts |= self._live
 
     def on_hosts(self, entries: Iterable[HostEntry]) -> frozenset[str]:
-        """Take in one successful reading of the list; return whom it removed."""
+        """Apply one host list that was read, and return the hosts it removed."""
         routers = [entry for entry in entries if entry.kind is HostKind.ROUTER]
         if not routers:
-            # A platform that lost its data answers with an empty list. Counted, it
-            # would drop every host that a partition hides at this moment. A list
-            # without a single router cannot be true while this one runs.
+            # A platform that lost its data answers with an empty list. Applying it
+            # would remove every host that a partition currently hides. A list without
+            # any router can't be right while this router runs.
             return frozenset()
         staying = {e.host for e in routers if e.state is not HostState.LEAVING}
         self._hosts |= staying
