--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -1,4 +1,4 @@
-"""Routers' membership cores joined by an in-memory network, in simulated time."""
+"""Membership cores connected by an in-memory network, in simulated time."""
 
 from heapq import heappop, heappush
 from itertools import count
@@ -55,7 +55,7 @@
         self.run_until(lambda: False, seconds)
 
     def run_until(self, condition, limit_s=60.0):
-        """Run until the condition holds; return the seconds that it took."""
+        """Run until the condition holds; return the seconds taken, or None."""
         start = checked = self.now
         while self._queue and self.now < start + limit_s:
             if self.now >= checked + 0.1:
--- a/tests/test_actions.py
+++ b/tests/test_actions.py
@@ -29,10 +29,11 @@
 
 
 def test_a_released_attempt_does_not_take_the_key_by_a_late_copy():
-    """The caller was told that the action was not run, and tries again later.
+    """A duplicate intent after a release must not block the key.
 
-    The append of its intent lost its answer and was repeated, so a copy stands
-    behind the release. Taken as new, the copy would hold the key for nobody.
+    The append of the intent was retried because its response was lost, so a
+    duplicate follows the release. If it took the key, the caller's next try would
+    be refused, although it was told that the action had not run.
     """
     fold = ActionFold(600)
     fold.apply(1, Intent(KEY, "n1", "d", "r1:1"))
@@ -44,10 +45,11 @@
 
 
 def test_readers_that_start_late_free_a_key_at_the_same_time():
-    """Two writers must never name different firsts for one key.
+    """Two writers must never grant the same key to different attempts.
 
-    The log forgot the first intent before the second writer began to read. If the
-    losing intent did not extend the key, the first writer would free it earlier.
+    The first intent was trimmed from the log before the second writer started to
+    read. If a losing intent did not extend the key, the first writer would expire it
+    earlier than the second.
     """
     rows = [
         (0, Intent(KEY, "n1", "d", "r1:1")),
@@ -75,7 +77,10 @@
 
 
 class ActionMachine(RuleBasedStateMachine):
-    """Entries, writers and a log in memory; messages are lost, copied, reordered."""
+    """Entry routers, writers and an in-memory log.
+
+    Messages are lost, duplicated and reordered.
+    """
 
     def __init__(self):
         super().__init__()
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -37,9 +37,9 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_a_dead_router_is_noticed_by_all_and_its_next_life_too(seed):
-    """A router is killed; a tenth of all messages are lost and a tenth doubled.
-    All others drop it from their view. It comes back with an empty memory and a
-    new boot number, and everyone knows the new life, not the old.
+    """A tenth of all messages are lost and a tenth duplicated. A killed router is
+    dropped from all views. After a restart with a higher boot number and no state, all
+    views have the new instance.
     """
     fleet = settled(seed=seed, loss=0.1, copies=0.1)
     fleet.kill("r5")
@@ -50,8 +50,8 @@
 
 
 def test_nobody_is_dropped_while_messages_are_lost():
-    """A fifth of the messages vanish. Suspicions arise, but the suspects hear of
-    them and refute, so that no live router leaves anyone's view.
+    """A fifth of all messages are lost. Routers are suspected, but refute it in
+    time, so no live router is dropped from any view.
     """
     fleet = settled(loss=0.2)
     fewest = []
@@ -63,9 +63,9 @@
 
 
 def test_halves_rejoin_by_themselves():
-    """A partition lasts until each half holds the other for dead, then heals. Dead
-    members are still probed now and then, each hears that it is held for dead and
-    refutes it, and nobody's own half leaves its view on the way.
+    """A partition lasts until each side has declared the other dead, then heals.
+    Dead members are still probed periodically, so they learn of their death and refute
+    it. No view loses the members of its own side meanwhile.
     """
     fleet = settled()
     half = {"r1", "r2", "r3", "r4"}
@@ -86,9 +86,9 @@
 
 
 def test_a_rumour_of_death_leaves_time_to_refute_it():
-    """After a partition heals, a router of the other half sends its view, in which
-    everyone here is dead. Believed at once, it would empty this router's view and
-    move every endpoint to another owner, and back when the refutations arrive.
+    """After a partition heals, a router of the other side sends its view, in which
+    all members on this side are dead. Accepting it would move every endpoint to
+    another owner, and back when the refutations arrive.
     """
     core = lone()
     meet(core, member("r2"), member("r3"))
@@ -101,9 +101,9 @@
 
 
 def test_a_woken_router_accuses_nobody_and_comes_back():
-    """A router is frozen until the others hold it for dead, then woken. Its probe
-    and its suspicions look long overdue, for it was away itself: it must keep all
-    others in its view, hear that it is held for dead, refute, and be back.
+    """A router is frozen until the others have declared it dead, then resumes. Its
+    own probe and suspicions look overdue. It must keep all others in its view, learn
+    of its death, refute it and rejoin.
     """
     fleet = settled()
     fleet.routers["r3"].paused_until = fleet.now + 60
@@ -150,9 +150,9 @@
 
 
 def test_a_pause_of_this_process_is_no_evidence_against_others():
-    """A router is frozen right after it probed r2 and heard that r3 is suspected.
-    When it wakes, the answers lie unread in its sockets. r2 must not be accused,
-    and r3 gets its whole time again before it is declared dead.
+    """A router is frozen right after it probed r2 and learned that r3 is suspected.
+    When it resumes, the acks are unread in its sockets. It must not suspect r2, and
+    must restart the suspicion timeout of r3.
     """
     core = lone(suspicion_s=3.0)
     meet(core, member("r2"))
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -45,10 +45,10 @@
 
 
 def test_a_copy_of_a_claim_does_not_hold_an_order_that_was_given_back():
-    """The order would be stuck until it expires, and an operator would wait.
+    """A duplicate claim after ``not_sent`` must not block the order until it expires.
 
-    The append of the claim lost its answer and was repeated; the copy stands behind
-    the end of an attempt that sent nothing.
+    The append of the claim was retried because its response was lost, so a duplicate
+    follows the end of an attempt that sent nothing.
     """
     claim = Claim("o1", "n1", "r1:1")
     fold = folded((1, LOAD), (2, claim), (3, Done("o1", "n1", "not_sent")), (4, claim))
@@ -66,9 +66,10 @@
 
 
 def test_a_later_claim_counts_only_where_numbers_are_checked():
-    """An engine that ignores numbers would load twice, or go back to an old version.
+    """An engine that ignores fencing tokens must not get an order from two owners.
 
-    Two owners claim one order, since each takes the other for dead.
+    Two routers claim one order, because each considers the other dead. The engine
+    would load twice, or return to an older version.
     """
     plain = folded((1, LOAD), (2, Claim("o1", "n1", "a:1")))
     plain.apply(2, 9, Claim("o1", "n2", "b:1", 1, True))
@@ -81,7 +82,7 @@
 
 
 def test_loads_are_bounded_over_the_fleet():
-    """The weight store refuses the fleet when all engines load at once."""
+    """The weight store refuses requests when all engines load at once."""
     orders = [Order(f"o{n}", f"e{n}", "load", model="m") for n in range(9)]
     fold = folded(*((1, order) for order in orders))
     assert fold.next_loads() == [order.id for order in orders[:MOST_LOADS]]
@@ -100,10 +101,10 @@
 
 
 def test_two_sides_of_a_partition_do_not_claim_over_each_other_without_end():
-    """Both reach the log and the engine, which takes its time for the order.
+    """Two routers must not replace each other's claims at an unbounded rate.
 
-    Each takes the other for dead, and only the pause after a lost answer bounds how
-    often they claim over each other.
+    Each considers the other dead, both reach the log and the engine, and every send
+    times out. Only the backoff after a time-out bounds the number of claims.
     """
     log, read = [], [0, 0]
     owners = [
@@ -138,9 +139,9 @@
 
 
 class OrderMachine(RuleBasedStateMachine):
-    """Two routers, both taking themselves for the owner at times, and one log.
+    """Two routers, either or both of which own the endpoint, and one log.
 
-    Answers are lost, processes freeze, messages to engines are held back.
+    Responses are lost, processes freeze, and messages to the engine are delayed.
     """
 
     fenced = False
@@ -245,7 +246,7 @@
         self.routers[host].on_append(self.now, result)
 
     def send(self, host, send, fate):
-        # The pool's check right before the first byte.
+        # The connection pool checks this right before sending the first byte.
         if fate == "refused" or self.now >= send.not_after:
             end = self.now, send.order.id, send.nonce, "not_sent", ""
             self.routers[host].on_sent(*end)
@@ -286,7 +287,7 @@
     @invariant()
     def holds(self):
         if self.fenced:
-            # Nothing is ever turned back to an earlier order.
+            # No earlier order is executed after a later one.
             assert self.taken == sorted(self.taken)
         else:
             assert all(count <= 1 for count in self.received.values())
@@ -304,7 +305,7 @@
 
 
 def test_the_machine_gets_orders_through():
-    """Guards the machine above against proving nothing."""
+    """Checks that the state machine executes orders; else it would prove nothing."""
     for machine in (OrderMachine(), FencedMachine()):
         machine.operator_orders()
         machine.operator_orders()
@@ -315,7 +316,7 @@
 
 
 def test_an_append_without_an_answer_is_repeated_under_the_same_id():
-    """The operator's order is in the log, but the command does not know."""
+    """The append of an order succeeded, but its response was lost."""
     log = []
 
     def append(records):
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -17,9 +17,9 @@
 
 
 def test_a_partition_or_an_outage_of_the_list_shrinks_nothing():
-    """A router loses sight of r2 and r3. The platform still lists r2, and nothing
-    is known of r3, since the list is down: both keep bearing their slots, or the
-    two sides of a partition would together use each slot twice.
+    """Membership drops r2 and r3, whether the host list is unavailable or still
+    lists them. They must stay in the roster; otherwise the two sides of a partition
+    would use each slot twice.
     """
     roster = Roster("r1")
     roster.on_members(["r1", "r2", "r3"])
@@ -44,8 +44,8 @@
 
 
 def test_a_list_that_lost_its_data_counts_for_nothing():
-    """The platform restarts with an empty store during a partition and answers
-    with no hosts at all. If that counted, each side would take all slots.
+    """The platform restarts with an empty store during a partition and returns an
+    empty host list. If it were applied, each side would take all slots.
     """
     roster = Roster("r1", readings=1)
     roster.on_hosts(routers("r1", "r2"))
