--- a/greengageflow/core/action_entry.py
+++ b/greengageflow/core/action_entry.py
@@ -23,10 +23,10 @@
 from greengageflow.errors import ErrorKind, Ran
 
 # Interval at which unanswered requests and reports are retransmitted.
-ASK_AGAIN_S = 0.5
-VERDICT_WAIT_S = 5.0
+RETRANSMIT_INTERVAL_S = 0.5
+VERDICT_TIMEOUT_S = 5.0
 # Most reports kept for retransmission; beyond it, a report is sent once.
-REPORTS_KEPT = 10_000
+MAX_PENDING_REPORTS = 10_000
 
 
 class _Phase(Enum):
@@ -43,16 +43,16 @@
     digest: str
     nonce: str
     deadline: float
-    give_up: float
+    verdict_deadline: float
     phase: _Phase = _Phase.ASKING
-    next_ask: float = 0.0
+    next_request_at: float = 0.0
 
 
 @dataclass(slots=True)
 class _Report:
     message: OutcomeReport
-    next_send: float
-    until: float
+    next_send_at: float
+    expires_at: float
 
 
 class ActionEntry:
@@ -72,19 +72,19 @@
         self,
         own: PeerId,
         writer_of: Callable[[str], str],
-        holder_lives: Callable[[str], bool],
+        is_holder_live: Callable[[str], bool],
         *,
-        verdict_wait_s: float = VERDICT_WAIT_S,
-        report_keep_s: float = 600.0,
+        verdict_timeout_s: float = VERDICT_TIMEOUT_S,
+        report_retention_s: float = 600.0,
     ) -> None:
         self._own = own
         self._writer_of = writer_of
-        self._holder_lives = holder_lives
-        self._verdict_wait_s = verdict_wait_s
-        self._report_keep_s = report_keep_s
-        self._numbers = count(1)
+        self._is_holder_live = is_holder_live
+        self._verdict_timeout_s = verdict_timeout_s
+        self._report_retention_s = report_retention_s
+        self._attempt_numbers = count(1)
         self._attempts: dict[str, _Attempt] = {}
-        self._nonces: dict[str, _Attempt] = {}
+        self._attempts_by_nonce: dict[str, _Attempt] = {}
         self._reports: dict[str, _Report] = {}
 
     @property
@@ -104,31 +104,31 @@
             digest: SHA-256 of the request, in hexadecimal.
             deadline: Monotonic time after which it must not be sent.
         """
-        nonce = f"{self._own.host}:{self._own.boot}:{next(self._numbers)}"
-        give_up = min(deadline, now + self._verdict_wait_s)
-        attempt = _Attempt(request, key, digest, nonce, deadline, give_up)
+        nonce = f"{self._own.host}:{self._own.boot}:{next(self._attempt_numbers)}"
+        verdict_deadline = min(deadline, now + self._verdict_timeout_s)
+        attempt = _Attempt(request, key, digest, nonce, deadline, verdict_deadline)
         self._attempts[request] = attempt
-        self._nonces[nonce] = attempt
-        yield self._ask(now, attempt)
+        self._attempts_by_nonce[nonce] = attempt
+        yield self._request_verdict(now, attempt)
 
-    def _ask(self, now: float, attempt: _Attempt) -> Send:
-        attempt.next_ask = now + ASK_AGAIN_S
-        until = attempt.give_up
+    def _request_verdict(self, now: float, attempt: _Attempt) -> Send:
+        attempt.next_request_at = now + RETRANSMIT_INTERVAL_S
+        until = attempt.verdict_deadline
         if attempt.phase is _Phase.WAITING:
             until = attempt.deadline
         message = IntentRequest(
             attempt.nonce, attempt.key, attempt.digest, max(0.0, until - now)
         )
-        return Send(self._writer(attempt.key), message)
+        return Send(self._writer_host(attempt.key), message)
 
-    def _writer(self, key: str) -> str:
+    def _writer_host(self, key: str) -> str:
         return self._writer_of(partition_of(key))
 
     def on_verdict(
         self, now: float, sender: PeerId, verdict: IntentVerdict
     ) -> Iterator[Effect]:
         """Handle the writer's verdict on an attempt."""
-        attempt = self._nonces.get(verdict.nonce)
+        attempt = self._attempts_by_nonce.get(verdict.nonce)
         if attempt is None or attempt.phase in (_Phase.HOLDING, _Phase.SENT):
             return
         request = attempt.request
@@ -136,11 +136,11 @@
             case "first":
                 attempt.phase = _Phase.HOLDING
                 yield MayRun(request)
-            case "taken" if self._holder_lives(verdict.holder):
+            case "taken" if self._is_holder_live(verdict.holder):
                 attempt.phase = _Phase.WAITING
             case "taken" | "unknown":
                 self._drop(attempt)
-                yield _unknown(request)
+                yield _outcome_unknown(request)
             case "done":
                 self._drop(attempt)
                 yield Replay(
@@ -156,9 +156,9 @@
                 yield Refuse(request, ErrorKind.KEY_CONFLICT, text)
             case _:
                 self._drop(attempt)
-                yield _unavailable(request)
+                yield _log_unavailable(request)
 
-    def may_send(self, now: float, request: str) -> bool:
+    def begin_send(self, now: float, request: str) -> bool:
         """Return whether ``request`` may be sent now; true at most once.
 
         Call it right before sending the first byte. A process that was frozen after
@@ -173,17 +173,17 @@
         attempt.phase = _Phase.SENT
         return True
 
-    def give_up(self, now: float, request: str) -> Iterator[Effect]:
+    def cancel(self, now: float, request: str) -> Iterator[Effect]:
         """End an attempt that was not sent and release its key."""
         attempt = self._attempts.get(request)
         if attempt is None:
             return
         self._drop(attempt)
-        yield from self._end(
+        yield from self._send_report(
             now, attempt, OutcomeReport(attempt.nonce, attempt.key, "no")
         )
 
-    def ended(
+    def on_ended(
         self,
         now: float,
         request: str,
@@ -201,15 +201,17 @@
         report = OutcomeReport(
             attempt.nonce, attempt.key, ran.value, status, content_type, body
         )
-        yield from self._end(now, attempt, report)
+        yield from self._send_report(now, attempt, report)
 
-    def _end(
+    def _send_report(
         self, now: float, attempt: _Attempt, report: OutcomeReport
     ) -> Iterator[Effect]:
-        if len(self._reports) < REPORTS_KEPT:
-            until = now + self._report_keep_s
-            self._reports[attempt.nonce] = _Report(report, now + ASK_AGAIN_S, until)
-        yield Send(self._writer(attempt.key), report)
+        if len(self._reports) < MAX_PENDING_REPORTS:
+            until = now + self._report_retention_s
+            self._reports[attempt.nonce] = _Report(
+                report, now + RETRANSMIT_INTERVAL_S, until
+            )
+        yield Send(self._writer_host(attempt.key), report)
 
     def on_stored(self, stored: OutcomeStored) -> None:
         """Stop retransmitting an outcome that is in the log."""
@@ -217,33 +219,33 @@
 
     def _drop(self, attempt: _Attempt) -> None:
         del self._attempts[attempt.request]
-        del self._nonces[attempt.nonce]
+        del self._attempts_by_nonce[attempt.nonce]
 
     def on_tick(self, now: float) -> Iterator[Effect]:
         """Retransmit requests and reports, and refuse attempts past their deadline."""
         for attempt in list(self._attempts.values()):
             match attempt.phase:
-                case _Phase.ASKING if now >= attempt.give_up:
-                    yield from self.give_up(now, attempt.request)
-                    yield _unavailable(attempt.request)
+                case _Phase.ASKING if now >= attempt.verdict_deadline:
+                    yield from self.cancel(now, attempt.request)
+                    yield _log_unavailable(attempt.request)
                 case _Phase.WAITING if now >= attempt.deadline:
                     self._drop(attempt)
-                    yield _unknown(attempt.request)
-                case _Phase.ASKING | _Phase.WAITING if now >= attempt.next_ask:
-                    yield self._ask(now, attempt)
+                    yield _outcome_unknown(attempt.request)
+                case _Phase.ASKING | _Phase.WAITING if now >= attempt.next_request_at:
+                    yield self._request_verdict(now, attempt)
         for nonce, report in list(self._reports.items()):
-            if now >= report.until:
+            if now >= report.expires_at:
                 del self._reports[nonce]
-            elif now >= report.next_send:
-                report.next_send = now + ASK_AGAIN_S
-                yield Send(self._writer(report.message.key), report.message)
+            elif now >= report.next_send_at:
+                report.next_send_at = now + RETRANSMIT_INTERVAL_S
+                yield Send(self._writer_host(report.message.key), report.message)
 
 
-def _unavailable(request: str) -> Refuse:
+def _log_unavailable(request: str) -> Refuse:
     text = "the log did not confirm the action in time; it was not sent"
     return Refuse(request, ErrorKind.LOG_UNAVAILABLE, text)
 
 
-def _unknown(request: str) -> Refuse:
+def _outcome_unknown(request: str) -> Refuse:
     text = "an earlier attempt with this key was sent; its outcome is unknown"
     return Refuse(request, ErrorKind.OUTCOME_UNKNOWN, text, ran=Ran.UNKNOWN)
--- a/greengageflow/core/action_writer.py
+++ b/greengageflow/core/action_writer.py
@@ -16,8 +16,8 @@
     KeyState,
     Outcome,
     Release,
-    bounded,
     from_json,
+    limit_body,
     partition_of,
     to_json,
 )
@@ -25,8 +25,8 @@
 from greengageflow.core.log_records import (
     Appended,
     AppendResult,
-    Lapsed,
     LogFailure,
+    OffsetTrimmed,
     ReadResult,
     Records,
 )
@@ -39,21 +39,21 @@
 )
 
 APPEND_INTERVAL_S = 0.1
-BACKOFF_S = 0.25
-BACKOFF_MAX_S = 2.0
+INITIAL_BACKOFF_S = 0.25
+MAX_BACKOFF_S = 2.0
 # Most records in one append.
-BATCH = 200
+MAX_BATCH_RECORDS = 200
 # Most records per stream that wait to be appended; further ones are not queued.
-OUTBOX_LIMIT = 10_000
+MAX_OUTBOX_RECORDS = 10_000
 
 
 @dataclass(slots=True)
-class _Asker:
+class _Waiter:
     """A router that waits for the verdict on an intent, and its deadline."""
 
     host: str
     intent: Intent
-    until: float
+    deadline: float
 
 
 @dataclass(slots=True)
@@ -61,23 +61,23 @@
     """State of one stream that this router writes.
 
     ``fold`` covers the records before ``next_offset``; this router's own appends end
-    at ``read_to``. ``stale`` is set when another read is needed in any case.
+    at ``target_offset``. ``stale`` is set when another read is needed in any case.
     """
 
     name: str
     fold: ActionFold
     next_offset: int = 0
-    read_to: int = 0
+    target_offset: int = 0
     stale: bool = False
     reading: bool = False
-    appending: tuple[ActionRecord, ...] = ()
+    in_flight: tuple[ActionRecord, ...] = ()
     outbox: dict[tuple[str, str], ActionRecord] = field(default_factory=dict)
-    askers: dict[str, _Asker] = field(default_factory=dict)
-    reporters: dict[str, str] = field(default_factory=dict)
-    append_at: float = 0.0
-    read_at: float = 0.0
-    backoff_s: float = BACKOFF_S
-    used: float = 0.0
+    waiters: dict[str, _Waiter] = field(default_factory=dict)
+    pending_reports: dict[str, str] = field(default_factory=dict)
+    next_append_at: float = 0.0
+    next_read_at: float = 0.0
+    backoff_s: float = INITIAL_BACKOFF_S
+    last_used: float = 0.0
 
 
 class ActionWriter:
@@ -97,7 +97,7 @@
         self._streams: dict[str, _Stream] = {}
 
     @property
-    def keys_known(self) -> int:
+    def key_count(self) -> int:
         """Number of keys held in memory."""
         return sum(len(stream.fold) for stream in self._streams.values())
 
@@ -111,7 +111,7 @@
         stream = self._streams.get(name)
         if stream is None:
             stream = self._streams[name] = _Stream(name, ActionFold(self._expiry_s))
-        stream.used = now
+        stream.last_used = now
         return stream
 
     def receive(
@@ -121,30 +121,32 @@
         stream = self._stream(now, message.key)
         match message:
             case IntentRequest():
-                yield from self._ask(now, stream, sender, message)
+                yield from self._on_intent_request(now, stream, sender, message)
             case OutcomeReport():
-                yield from self._report(stream, sender, message)
+                yield from self._on_outcome_report(stream, sender, message)
         yield from self._pump(now, stream)
 
-    def _ask(
+    def _on_intent_request(
         self, now: float, stream: _Stream, sender: PeerId, req: IntentRequest
     ) -> Iterator[Effect]:
-        verdict = self._settled(stream, req)
+        verdict = self._final_verdict(stream, req)
         if verdict is not None:
             yield Send(sender.host, verdict)
             return
         holder = f"{sender.host}:{sender.boot}"
         intent = Intent(req.key, req.nonce, req.digest, holder)
-        stream.askers[req.nonce] = _Asker(sender.host, intent, now + req.wait_s)
-        if _taken(stream.fold.state(req.key), intent):
+        stream.waiters[req.nonce] = _Waiter(sender.host, intent, now + req.wait_s)
+        if _held_by_other(stream.fold.state(req.key), intent):
             stream.stale = True
         else:
             _enqueue(stream, intent)
 
-    def _settled(self, stream: _Stream, req: IntentRequest) -> IntentVerdict | None:
+    def _final_verdict(
+        self, stream: _Stream, req: IntentRequest
+    ) -> IntentVerdict | None:
         """Return the verdict if no later record can change it, else None."""
         state = stream.fold.state(req.key)
-        if stream.fold.released(req.nonce):
+        if stream.fold.is_released(req.nonce):
             return IntentVerdict(req.nonce, "released")
         if state is None:
             return None
@@ -154,25 +156,25 @@
             return None
         return _verdict(req.nonce, req.digest, state)
 
-    def _report(
+    def _on_outcome_report(
         self, stream: _Stream, sender: PeerId, report: OutcomeReport
     ) -> Iterator[Effect]:
         state = stream.fold.state(report.key)
         ended = state and state.nonce == report.nonce and state.outcome
-        if ended or stream.fold.released(report.nonce):
+        if ended or stream.fold.is_released(report.nonce):
             yield Send(sender.host, OutcomeStored(report.nonce))
             return
-        stream.reporters[report.nonce] = sender.host
+        stream.pending_reports[report.nonce] = sender.host
         _enqueue(stream, _report_record(report))
 
     def _pump(self, now: float, stream: _Stream) -> Iterator[Effect]:
         """Start the next append or read that is due."""
-        if stream.outbox and not stream.appending and now >= stream.append_at:
-            stream.appending = tuple(list(stream.outbox.values())[:BATCH])
-            rows = tuple(to_json(record) for record in stream.appending)
+        if stream.outbox and not stream.in_flight and now >= stream.next_append_at:
+            stream.in_flight = tuple(list(stream.outbox.values())[:MAX_BATCH_RECORDS])
+            rows = tuple(to_json(record) for record in stream.in_flight)
             yield AppendRecords(stream.name, rows)
-        behind = stream.stale or stream.next_offset < stream.read_to
-        if behind and not stream.reading and now >= stream.read_at:
+        behind = stream.stale or stream.next_offset < stream.target_offset
+        if behind and not stream.reading and now >= stream.next_read_at:
             stream.reading = True
             stream.stale = False
             yield ReadRecords(stream.name, stream.next_offset)
@@ -182,20 +184,20 @@
     ) -> Iterator[Effect]:
         """Handle the result of ``AppendRecords``."""
         stream = self._streams[name]
-        batch, stream.appending = stream.appending, ()
+        batch, stream.in_flight = stream.in_flight, ()
         match result:
             case Appended(first_offset, count):
-                stream.read_to = max(stream.read_to, first_offset + count)
-                stream.append_at = now + self._append_interval_s
-                stream.backoff_s = BACKOFF_S
+                stream.target_offset = max(stream.target_offset, first_offset + count)
+                stream.next_append_at = now + self._append_interval_s
+                stream.backoff_s = INITIAL_BACKOFF_S
                 for record in batch:
                     stream.outbox.pop(_outbox_key(record), None)
             case LogFailure(retry_after_s=wait):
                 # The append may have succeeded even though it returned an error.
                 # The records stay in the outbox and are appended again with the
                 # same nonces; the fold ignores duplicates.
-                stream.append_at = now + max(stream.backoff_s, wait or 0.0)
-                stream.backoff_s = min(BACKOFF_MAX_S, stream.backoff_s * 2)
+                stream.next_append_at = now + max(stream.backoff_s, wait or 0.0)
+                stream.backoff_s = min(MAX_BACKOFF_S, stream.backoff_s * 2)
         yield from self._pump(now, stream)
 
     def on_read(self, now: float, name: str, result: ReadResult) -> Iterator[Effect]:
@@ -210,55 +212,59 @@
                         stream.fold.apply(row.time, record)
                     stream.next_offset = row.offset + 1
                 stream.stale = stream.next_offset < end
-            case Lapsed(first_offset):
+            case OffsetTrimmed(first_offset):
                 stream.next_offset = max(stream.next_offset, first_offset)
                 stream.stale = True
             case LogFailure():
-                stream.read_at = now + BACKOFF_S
+                stream.next_read_at = now + INITIAL_BACKOFF_S
                 stream.stale = True
-        if stream.next_offset >= stream.read_to and not stream.stale:
-            yield from self._answer(stream)
+        if stream.next_offset >= stream.target_offset and not stream.stale:
+            yield from self._respond(stream)
         yield from self._pump(now, stream)
 
-    def _answer(self, stream: _Stream) -> Iterator[Effect]:
-        for nonce, asker in list(stream.askers.items()):
+    def _respond(self, stream: _Stream) -> Iterator[Effect]:
+        for nonce, waiter in list(stream.waiters.items()):
             if (nonce, "intent") in stream.outbox:
                 continue
-            state = stream.fold.state(asker.intent.key)
-            if stream.fold.released(nonce):
+            state = stream.fold.state(waiter.intent.key)
+            if stream.fold.is_released(nonce):
                 verdict = IntentVerdict(nonce, "released")
             elif state is None:
-                _enqueue(stream, asker.intent)
+                _enqueue(stream, waiter.intent)
                 continue
             else:
-                verdict = _verdict(nonce, asker.intent.digest, state)
-            del stream.askers[nonce]
-            yield Send(asker.host, verdict)
-        for nonce, host in list(stream.reporters.items()):
+                verdict = _verdict(nonce, waiter.intent.digest, state)
+            del stream.waiters[nonce]
+            yield Send(waiter.host, verdict)
+        for nonce, host in list(stream.pending_reports.items()):
             if (nonce, "end") not in stream.outbox:
-                del stream.reporters[nonce]
+                del stream.pending_reports[nonce]
                 yield Send(host, OutcomeStored(nonce))
 
     def on_tick(self, now: float) -> Iterator[Effect]:
         """Retry failed appends and reads, and drop requests past their deadline."""
         for stream in list(self._streams.values()):
-            for nonce, asker in list(stream.askers.items()):
-                if asker.until <= now:
-                    self._forget(stream, nonce)
+            for nonce, waiter in list(stream.waiters.items()):
+                if waiter.deadline <= now:
+                    self._drop_waiter(stream, nonce)
             yield from self._pump(now, stream)
-            idle = not (stream.outbox or stream.askers or stream.reading)
-            if idle and not stream.appending and now - stream.used > self._expiry_s:
+            idle = not (stream.outbox or stream.waiters or stream.reading)
+            if (
+                idle
+                and not stream.in_flight
+                and now - stream.last_used > self._expiry_s
+            ):
                 del self._streams[stream.name]
 
     @staticmethod
-    def _forget(stream: _Stream, nonce: str) -> None:
-        del stream.askers[nonce]
-        sent = any(record.nonce == nonce for record in stream.appending)
+    def _drop_waiter(stream: _Stream, nonce: str) -> None:
+        del stream.waiters[nonce]
+        sent = any(record.nonce == nonce for record in stream.in_flight)
         if not sent:
             stream.outbox.pop((nonce, "intent"), None)
 
 
-def _taken(state: KeyState | None, intent: Intent) -> bool:
+def _held_by_other(state: KeyState | None, intent: Intent) -> bool:
     """Return whether another attempt at the same request holds the key."""
     if state is None or state.outcome is not None:
         return False
@@ -266,7 +272,7 @@
 
 
 def _enqueue(stream: _Stream, record: ActionRecord) -> None:
-    if len(stream.outbox) < OUTBOX_LIMIT:
+    if len(stream.outbox) < MAX_OUTBOX_RECORDS:
         stream.outbox.setdefault(_outbox_key(record), record)
 
 
@@ -277,7 +283,7 @@
 def _report_record(report: OutcomeReport) -> ActionRecord:
     if report.ran == "no":
         return Release(report.key, report.nonce)
-    return bounded(
+    return limit_body(
         Outcome(
             report.key,
             report.nonce,
--- a/greengageflow/core/actions.py
+++ b/greengageflow/core/actions.py
@@ -17,9 +17,9 @@
 PARTITIONS = 16
 STREAM_PREFIX = "actions-"
 # Largest response body that is stored in the log for replay.
-BODY_KEPT = 16 * 1024
+MAX_STORED_BODY_BYTES = 16 * 1024
 # Response bodies that one fold keeps in memory, summed over its keys.
-BODIES_KEPT = 2 * 1024 * 1024
+MAX_CACHED_BODIES_BYTES = 2 * 1024 * 1024
 
 
 @dataclass(frozen=True, slots=True)
@@ -124,9 +124,9 @@
     return None
 
 
-def bounded(outcome: Outcome) -> Outcome:
+def limit_body(outcome: Outcome) -> Outcome:
     """Return ``outcome``, without its body if that is too large for the log."""
-    if len(outcome.body) <= BODY_KEPT:
+    if len(outcome.body) <= MAX_STORED_BODY_BYTES:
         return outcome
     return replace(outcome, body=b"", kept=False)
 
@@ -146,7 +146,7 @@
     nonce: str
     digest: str
     holder: str
-    expires: float
+    expires_at: float
     outcome: Outcome | None = None
 
 
@@ -165,10 +165,10 @@
         # can follow the release of the same attempt. Treated as new, it would hold
         # the key for an attempt that has ended.
         self._released: dict[str, float] = {}
-        self._bodies: deque[str] = deque()
+        self._body_keys: deque[str] = deque()
         self._body_bytes = 0
         self._time = 0.0
-        self._last_sweep = 0.0
+        self._last_cleanup = 0.0
 
     def __len__(self) -> int:
         """Return the number of keys held."""
@@ -178,17 +178,17 @@
         """Return the state of ``key``, or None if the key is free."""
         return self._keys.get(key)
 
-    def released(self, nonce: str) -> bool:
+    def is_released(self, nonce: str) -> bool:
         """Return whether the attempt released its key."""
         return nonce in self._released
 
     def apply(self, time: float, record: ActionRecord) -> None:
         """Fold one record that was appended at ``time`` (unix seconds)."""
         time = self._time = max(self._time, time)
-        self._sweep(time)
+        self._remove_expired(time)
         state = self._keys.get(record.key)
-        if state and state.expires <= time:
-            self._forget(record.key)
+        if state and state.expires_at <= time:
+            self._remove_key(record.key)
             state = None
         match record:
             case Intent():
@@ -196,7 +196,7 @@
             case Outcome(nonce=nonce) if state and state.nonce == nonce:
                 if state.outcome is None:
                     self._keys[record.key] = replace(state, outcome=record)
-                    self._bound_bodies(record)
+                    self._evict_bodies(record)
             case Release(key, nonce):
                 self._released[nonce] = time + self._expiry_s
                 if state and state.nonce == nonce and state.outcome is None:
@@ -207,49 +207,52 @@
     ) -> None:
         if intent.nonce in self._released:
             return
-        expires = time + self._expiry_s
+        expires_at = time + self._expiry_s
         if state is None:
             self._keys[intent.key] = KeyState(
-                intent.nonce, intent.digest, intent.holder, expires
+                intent.nonce, intent.digest, intent.holder, expires_at
             )
         else:
             # Every intent extends the key, even one that doesn't get it. A reader
             # that starts after the first intent was trimmed from the log then
             # expires the key at the same time as one that read it; otherwise the
             # two could grant the key to different attempts.
-            self._keys[intent.key] = replace(state, expires=expires)
+            self._keys[intent.key] = replace(state, expires_at=expires_at)
 
-    def _bound_bodies(self, outcome: Outcome) -> None:
-        self._bodies.append(outcome.key)
+    def _evict_bodies(self, outcome: Outcome) -> None:
+        self._body_keys.append(outcome.key)
         self._body_bytes += len(outcome.body)
         # Expired keys are removed as well. Otherwise the queue would grow without
         # bound as long as small bodies stay below the limit.
-        while self._body_bytes > BODIES_KEPT or self._bodies[0] not in self._keys:
-            key = self._bodies.popleft()
+        while (
+            self._body_bytes > MAX_CACHED_BODIES_BYTES
+            or self._body_keys[0] not in self._keys
+        ):
+            key = self._body_keys.popleft()
             state = self._keys.get(key)
             if state and state.outcome:
                 self._body_bytes -= len(state.outcome.body)
-                bare = replace(state.outcome, body=b"", kept=False)
-                self._keys[key] = replace(state, outcome=bare)
+                without_body = replace(state.outcome, body=b"", kept=False)
+                self._keys[key] = replace(state, outcome=without_body)
 
-    def _sweep(self, time: float) -> None:
+    def _remove_expired(self, time: float) -> None:
         # Only frees memory. `apply` checks the expiry of a key exactly, at each of
         # its records; otherwise readers that started at different offsets could
         # disagree.
-        if time - self._last_sweep < 1.0:
+        if time - self._last_cleanup < 1.0:
             return
-        self._last_sweep = time
+        self._last_cleanup = time
         for key in list(self._expired(time)):
-            self._forget(key)
+            self._remove_key(key)
         for nonce in [n for n, until in self._released.items() if until <= time]:
             del self._released[nonce]
 
-    def _forget(self, key: str) -> None:
+    def _remove_key(self, key: str) -> None:
         state = self._keys.pop(key)
         if state.outcome:
             self._body_bytes -= len(state.outcome.body)
 
     def _expired(self, time: float) -> Iterator[str]:
         for key, state in self._keys.items():
-            if state.expires <= time:
+            if state.expires_at <= time:
                 yield key
--- a/greengageflow/core/log_records.py
+++ b/greengageflow/core/log_records.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Lapsed:
+class OffsetTrimmed:
     """The requested offset is older than the first retained record."""
 
     first_offset: int
@@ -59,5 +59,5 @@
     retry_after_s: float | None = None
 
 
-ReadResult = Records | Lapsed | LogFailure
+ReadResult = Records | OffsetTrimmed | LogFailure
 AppendResult = Appended | LogFailure
--- a/greengageflow/core/order_owner.py
+++ b/greengageflow/core/order_owner.py
@@ -90,7 +90,7 @@
         *,
         owns: Callable[[str], bool],
         checks_fencing: Callable[[str], bool | None],
-        holder_lives: Callable[[str], bool],
+        is_holder_live: Callable[[str], bool],
         fold: OrderFold | None = None,
         send_window_s: float = SEND_WINDOW_S,
         takeover_s: float = TAKEOVER_S,
@@ -99,7 +99,7 @@
         self._own = f"{own.host}:{own.boot}"
         self._owns = owns
         self._checks_fencing = checks_fencing
-        self._holder_lives = holder_lives
+        self._is_holder_live = is_holder_live
         self._send_window_s = send_window_s
         self._takeover_s = takeover_s
         self._numbers = count(1)
@@ -246,7 +246,7 @@
         late = now - self._seen[claim.id, state.fencing] >= self._takeover_s
         if claim.fenced and checks:
             again = self._again.get(claim.id) == claim.nonce
-            if again or late or not self._holder_lives(claim.holder):
+            if again or late or not self._is_holder_live(claim.holder):
                 self._again.pop(claim.id, None)
                 self._claim(now, state, True)
         elif late:
--- a/greengageflow/daemon/_config_watch.py
+++ b/greengageflow/daemon/_config_watch.py
@@ -21,7 +21,7 @@
     def read(
         self, stream: str, from_offset: int, wait_s: float, on_done: Callable
     ) -> None:
-        """Call ``on_done`` with ``Records``, ``Lapsed`` or ``LogFailure``."""
+        """Call ``on_done`` with ``Records``, ``OffsetTrimmed`` or ``LogFailure``."""
 
     def append(self, stream: str, records: Sequence[Any], on_done: Callable) -> None:
         """Call ``on_done`` with ``Appended`` or ``LogFailure``."""
--- a/greengageflow/daemon/config_follower.py
+++ b/greengageflow/daemon/config_follower.py
@@ -10,9 +10,9 @@
 from greengageflow.core.fold import CONFIG_STREAM, Fold
 from greengageflow.core.log_records import (
     Appended,
-    Lapsed,
     LogFailure,
     LogRecord,
+    OffsetTrimmed,
     Records,
 )
 from greengageflow.core.messages import ConfigRequest, ConfigState
@@ -175,13 +175,13 @@
     def _later(self, delay_s: float) -> None:
         self._timers.after(delay_s, self._read)
 
-    def _on_read(self, result: Records | Lapsed | LogFailure) -> None:
+    def _on_read(self, result: Records | OffsetTrimmed | LogFailure) -> None:
         if not self._live:
             return
         match result:
             case LogFailure():
                 self._on_failure(result)
-            case Lapsed():
+            case OffsetTrimmed():
                 self._on_answer()
                 self._on_lapsed(result)
             case Records():
@@ -203,7 +203,7 @@
             log(Event.LOG_BACK, stream=CONFIG_STREAM, seconds=seconds)
         self._failures = 0
 
-    def _on_lapsed(self, lapsed: Lapsed) -> None:
+    def _on_lapsed(self, lapsed: OffsetTrimmed) -> None:
         self._snapshots.first_offset = lapsed.first_offset
         self._skip_to(lapsed.first_offset)
         self._later(_PAUSE_S)
--- a/greengageflow/daemon/control.py
+++ b/greengageflow/daemon/control.py
@@ -120,7 +120,7 @@
         self.owner = EndpointOwner(own, self.ledger, settle_s=SETTLE_S)
         self.collector = Collector(own, self.ledger)
         self.writer = ActionWriter()
-        self.actions = ActionEntry(own, self._writer_of, self._holder_lives)
+        self.actions = ActionEntry(own, self._writer_of, self._is_holder_live)
         self.membership = membership
         self.roster = roster
         self.requests: RequestSide | None = None
@@ -299,7 +299,7 @@
     def _writer_of(self, stream: str) -> str:
         return self.view.owner_of(stream) or self.own.host
 
-    def _holder_lives(self, holder: str) -> bool:
+    def _is_holder_live(self, holder: str) -> bool:
         host, _, boot = holder.rpartition(":")
         return self.view.is_live(PeerId(host, int(boot)))
 
--- a/greengageflow/daemon/dispatch.py
+++ b/greengageflow/daemon/dispatch.py
@@ -188,7 +188,7 @@
         """Go on with a protected action that is the first of its key."""
         flight = self._flights.get(request)
         if flight is None:
-            give_up = self._control.actions.give_up(monotonic(), request)
+            give_up = self._control.actions.cancel(monotonic(), request)
             self._control.run(give_up)
             return
         self._tracing.finish(flight.hop)
@@ -266,7 +266,7 @@
     def _may_send(self, flight: Flight) -> bool:
         if not flight.protected:
             return True
-        return self._control.actions.may_send(monotonic(), flight.id)
+        return self._control.actions.begin_send(monotonic(), flight.id)
 
     def _send(self, flight: Flight, now: float) -> None:
         flight.phase = Phase.RUNNING
@@ -385,7 +385,7 @@
             self._notes.unknown(flight)
             self._record(flight, exc.ran)
         elif flight.protected:
-            ended = self._control.actions.ended(monotonic(), flight.id, Ran.NO)
+            ended = self._control.actions.on_ended(monotonic(), flight.id, Ran.NO)
             self._control.run(ended)
         self._refuse(flight, exc)
 
@@ -415,7 +415,7 @@
         if not flight.protected:
             return
         self._control.run(
-            self._control.actions.ended(
+            self._control.actions.on_ended(
                 monotonic(),
                 flight.id,
                 ran,
@@ -427,7 +427,7 @@
 
     def _release(self, flight: Flight) -> None:
         if flight.protected:
-            give_up = self._control.actions.give_up(monotonic(), flight.id)
+            give_up = self._control.actions.cancel(monotonic(), flight.id)
             self._control.run(give_up)
 
     def _give_back(
--- a/greengageflow/daemon/endpoint_run.py
+++ b/greengageflow/daemon/endpoint_run.py
@@ -2,7 +2,7 @@
 
 from typing import Protocol
 
-from greengageflow.core.actions import BODY_KEPT
+from greengageflow.core.actions import MAX_STORED_BODY_BYTES
 from greengageflow.daemon.flight import Flight
 from greengageflow.net.callers import ChatCall, ServiceCall
 from greengageflow.net.engine_client import (
@@ -50,7 +50,7 @@
         raw = b"".join(piece.raw for piece in pieces)
         reply.piece(raw)
         flight.pieces += len(pieces)
-        if flight.protected and len(flight.kept) <= BODY_KEPT:
+        if flight.protected and len(flight.kept) <= MAX_STORED_BODY_BYTES:
             flight.kept += raw
         self._listener.on_progress(flight, len(pieces))
         if reply.blocked:
--- a/greengageflow/daemon/order_follower.py
+++ b/greengageflow/daemon/order_follower.py
@@ -14,8 +14,8 @@
 from greengageflow.core.log_records import (
     Appended,
     AppendResult,
-    Lapsed,
     LogFailure,
+    OffsetTrimmed,
     ReadResult,
     Records,
 )
@@ -82,7 +82,7 @@
             own,
             owns=self._owns,
             checks_fencing=self._checks_fencing,
-            holder_lives=self._holder_lives,
+            is_holder_live=self._is_holder_live,
             send_window_s=window_s,
             takeover_s=_MARGIN * (window_s + timeout_s),
         )
@@ -119,7 +119,7 @@
         found = self._endpoints(endpoint)
         return None if found is None else found.checks_fencing
 
-    def _holder_lives(self, holder: str) -> bool:
+    def _is_holder_live(self, holder: str) -> bool:
         host, _, boot = holder.rpartition(":")
         return boot.isdecimal() and self._view().is_live(PeerId(host, int(boot)))
 
@@ -162,7 +162,7 @@
                 self._on_shorter(end)
             case Records():
                 self._on_records(result)
-            case Lapsed(first_offset):
+            case OffsetTrimmed(first_offset):
                 self._next_offset = max(self._next_offset, first_offset)
             case LogFailure(retry_after_s=wait):
                 self._read_at = self._timers.now + max(_READ_BACKOFF_S, wait or 0.0)
--- a/greengageflow/daemon/status.py
+++ b/greengageflow/daemon/status.py
@@ -70,7 +70,7 @@
             "accounts": dict(self._accounts()),
             "actions": {
                 "unreported": control.actions.unreported,
-                "keys": control.writer.keys_known,
+                "keys": control.writer.key_count,
                 "outbox": control.writer.outbox_size,
             },
             "orders": self._orders(),
--- a/greengageflow/lab/_slopes_actions.py
+++ b/greengageflow/lab/_slopes_actions.py
@@ -63,10 +63,10 @@
 
     def _end(self, request: str) -> None:
         entry, cost = self.entry, self.entry_cost
-        cost.run(lambda: entry.may_send(self.now, request))
+        cost.run(lambda: entry.begin_send(self.now, request))
         found = cost.run(
             lambda: list(
-                entry.ended(self.now, request, Ran.YES, status=200, body=_BODY)
+                entry.on_ended(self.now, request, Ran.YES, status=200, body=_BODY)
             )
         )
         self._from_entry(found)
--- a/greengageflow/net/log_client.py
+++ b/greengageflow/net/log_client.py
@@ -7,9 +7,9 @@
 from greengageflow.core.log_records import (
     Appended,
     AppendResult,
-    Lapsed,
     LogFailure,
     LogRecord,
+    OffsetTrimmed,
     ReadResult,
     Records,
 )
@@ -138,7 +138,7 @@
 def _read_body(status: int, data: Any) -> ReadResult:
     first, end = int(data["first_offset"]), int(data["next_offset"])
     if status == 410:
-        return Lapsed(first, end)
+        return OffsetTrimmed(first, end)
     records = tuple(
         LogRecord(int(row["offset"]), float(row["time"]), row["record"])
         for row in data["records"]
--- a/greengageflow/ops/_platform_http.py
+++ b/greengageflow/ops/_platform_http.py
@@ -9,7 +9,7 @@
 from urllib.parse import quote
 
 from greengageflow.core.fold import CONFIG_STREAM
-from greengageflow.core.log_records import Lapsed, LogRecord, Records
+from greengageflow.core.log_records import LogRecord, OffsetTrimmed, Records
 from greengageflow.settings_file import Address
 
 _TIMEOUT_S = 5.0
@@ -107,7 +107,7 @@
         self._address = address
         self._stream = stream
 
-    def read(self, from_offset: int) -> Records | Lapsed:
+    def read(self, from_offset: int) -> Records | OffsetTrimmed:
         """Return some records from ``from_offset`` on.
 
         Raises:
@@ -121,7 +121,7 @@
         try:
             first, end = int(value["first_offset"]), int(value["next_offset"])
             if answer.status == 410:
-                return Lapsed(first, end)
+                return OffsetTrimmed(first, end)
             records = tuple(LogRecord(**item) for item in value["records"])
         except (KeyError, TypeError, ValueError) as exc:
             raise CallError(f"the log's answer is broken: {exc!r}") from None
--- a/greengageflow/ops/ctl_publish.py
+++ b/greengageflow/ops/ctl_publish.py
@@ -8,7 +8,7 @@
 
 from greengageflow.core.decisions import Decision, Reason, Rejected
 from greengageflow.core.fold import Fold
-from greengageflow.core.log_records import Lapsed, LogRecord
+from greengageflow.core.log_records import LogRecord, OffsetTrimmed
 from greengageflow.ops._platform_http import BlockingLog, CallError, router_status
 from greengageflow.settings_file import Address
 
@@ -54,7 +54,7 @@
         while not self.fold.halted:
             page = self._log.read(self.fold.next_offset)
             self.end = page.next_offset
-            if isinstance(page, Lapsed):
+            if isinstance(page, OffsetTrimmed):
                 self.fold.skip_to(page.first_offset)
                 continue
             for record in page.records:
--- a/tests/test_actions.py
+++ b/tests/test_actions.py
@@ -64,7 +64,7 @@
         late.apply(time, record)
     assert early.state(KEY).nonce != "n3"
     assert late.state(KEY).nonce != "n3"
-    assert early.state(KEY).expires == late.state(KEY).expires
+    assert early.state(KEY).expires_at == late.state(KEY).expires_at
 
 
 def test_memory_for_answers_is_bounded_and_says_so():
@@ -102,7 +102,7 @@
         own = PeerId(host, self.boots[host])
         self.writers[host] = ActionWriter(600)
         self.entries[host] = ActionEntry(
-            own, lambda _: self.writer, lambda _: True, verdict_wait_s=3
+            own, lambda _: self.writer, lambda _: True, verdict_timeout_s=3
         )
 
     def run(self, host, effects):
@@ -153,12 +153,12 @@
     def send(self, host, request, fate):
         entry = self.entries[host]
         if fate == "lose":
-            self.run(host, entry.give_up(self.now, request))
+            self.run(host, entry.cancel(self.now, request))
             self.told_not_run.add(request)
-        elif entry.may_send(self.now, request):
+        elif entry.begin_send(self.now, request):
             self.sent[request] += 1
             assert request not in self.told_not_run
-            self.run(host, entry.ended(self.now, request, Ran.YES, status=200))
+            self.run(host, entry.on_ended(self.now, request, Ran.YES, status=200))
 
     def append(self, host, stream, records, fate):
         rows = self.log.setdefault(stream, [])
@@ -168,7 +168,7 @@
         if fate == "lose":
             result = LogFailure(True, "answer lost")
         writer = self.writers[host]
-        if writer._streams.get(stream) and writer._streams[stream].appending:
+        if writer._streams.get(stream) and writer._streams[stream].in_flight:
             self.run(host, writer.on_append(self.now, stream, result))
 
     def deliver(self, sender, to, message):
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -76,4 +76,4 @@
         fold.apply(time, Intent(key, nonce, "d", "r1:1"))
         fold.apply(time, Outcome(key, nonce, "yes", 200, "text/plain", b"done"))
     assert len(fold) <= 62
-    assert len(fold._bodies) <= 62
+    assert len(fold._body_keys) <= 62
--- a/tests/test_config_follower.py
+++ b/tests/test_config_follower.py
@@ -9,9 +9,9 @@
 from greengageflow.core.fold import Fold
 from greengageflow.core.log_records import (
     Appended,
-    Lapsed,
     LogFailure,
     LogRecord,
+    OffsetTrimmed,
     Records,
 )
 from greengageflow.core.messages import ConfigRequest, ConfigState, PeerId
@@ -75,7 +75,7 @@
         if self.down:
             return LogFailure(False, "down")
         if start < self.first:
-            return Lapsed(self.first, len(self.values))
+            return OffsetTrimmed(self.first, len(self.values))
         return Records(tuple(self.values[start:]), self.first, len(self.values))
 
     def append(self, stream, records, on_done):
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -112,7 +112,7 @@
             PeerId(host, 1),
             owns=lambda _: True,
             checks_fencing=lambda _: True,
-            holder_lives=lambda holder, host=host: holder == f"{host}:1",
+            is_holder_live=lambda holder, host=host: holder == f"{host}:1",
         )
         for host in ("r1", "r2")
     ]
@@ -172,7 +172,7 @@
             PeerId(host, self.boots[host]),
             owns=lambda _: host in self.owners,
             checks_fencing=lambda _: self.fenced,
-            holder_lives=self.lives,
+            is_holder_live=self.lives,
             send_window_s=4,
             takeover_s=10,
         )
