--- a/greengageflow/core/order_owner.py
+++ b/greengageflow/core/order_owner.py
@@ -27,14 +27,14 @@
 )
 
 SEND_WINDOW_S = 5.0
-TAKEOVER_S = 75.0
+TAKEOVER_TIMEOUT_S = 75.0
 # An order for an unknown endpoint is refused only after this time, because the order
 # may arrive before the configuration that adds the endpoint.
-UNKNOWN_ENDPOINT_S = 10.0
+UNKNOWN_ENDPOINT_GRACE_S = 10.0
 # Interval between records that advance the log's time past an order's expiry.
-NUDGE_S = 5.0
-_BACKOFF_S = 0.5
-_BACKOFF_MAX_S = 15.0
+EXPIRY_RECORD_INTERVAL_S = 5.0
+_INITIAL_BACKOFF_S = 0.5
+_MAX_BACKOFF_S = 15.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -93,25 +93,25 @@
         is_holder_live: Callable[[str], bool],
         fold: OrderFold | None = None,
         send_window_s: float = SEND_WINDOW_S,
-        takeover_s: float = TAKEOVER_S,
+        takeover_timeout_s: float = TAKEOVER_TIMEOUT_S,
     ) -> None:
         self.fold = fold or OrderFold()
-        self._own = f"{own.host}:{own.boot}"
+        self._holder_id = f"{own.host}:{own.boot}"
         self._owns = owns
         self._checks_fencing = checks_fencing
         self._is_holder_live = is_holder_live
         self._send_window_s = send_window_s
-        self._takeover_s = takeover_s
-        self._numbers = count(1)
+        self._takeover_timeout_s = takeover_timeout_s
+        self._attempt_numbers = count(1)
         self._attempts: dict[str, _Attempt] = {}
         self._outbox: dict[tuple[str, str, str], OrderRecord] = {}
         self._appending: tuple[tuple[str, str, str], ...] = ()
         self._append_at = 0.0
         self._append_failures = 0
-        self._seen: dict[tuple[str, int], float] = {}
+        self._first_seen: dict[tuple[str, int], float] = {}
         self._failures: dict[str, int] = {}
         self._not_before: dict[str, float] = {}
-        self._again: dict[str, str] = {}
+        self._retry_nonces: dict[str, str] = {}
 
     @property
     def busy(self) -> bool:
@@ -128,17 +128,17 @@
         for state in ended:
             self._forget(state.order.id)
         for state in self.fold.open:
-            self._seen.setdefault((state.order.id, NO_CLAIM), now)
-            self._seen.setdefault((state.order.id, state.fencing), now)
+            self._first_seen.setdefault((state.order.id, NO_CLAIM), now)
+            self._first_seen.setdefault((state.order.id, state.fencing), now)
         return ended
 
     def _forget(self, id_: str) -> None:
         attempt = self._attempts.get(id_)
         if attempt is not None and attempt.phase is _Phase.CLAIMING:
             del self._attempts[id_]
-        for key in [key for key in self._seen if key[0] == id_]:
-            del self._seen[key]
-        self._again.pop(id_, None)
+        for key in [key for key in self._first_seen if key[0] == id_]:
+            del self._first_seen[key]
+        self._retry_nonces.pop(id_, None)
         self._failures.pop(id_, None)
         self._not_before.pop(id_, None)
 
@@ -154,10 +154,12 @@
                 # The append may have succeeded even though it returned an error.
                 # The records are appended again; the fold ignores duplicates.
                 self._append_failures += 1
-                delay = _backoff(self._append_failures)
+                delay = _backoff_delay_s(self._append_failures)
                 self._append_at = now + max(delay, wait or 0.0)
 
-    def on_sent(self, now: float, id_: str, nonce: str, result: str, text: str) -> None:
+    def on_send_result(
+        self, now: float, id_: str, nonce: str, result: str, text: str
+    ) -> None:
         """Handle the result of ``SendOrder``.
 
         Args:
@@ -175,19 +177,19 @@
             # token, it refuses this one, so a delayed copy of this send can't undo
             # a later order.
             del self._attempts[id_]
-            self._again[id_] = nonce
-            self._hold_off(now, id_)
+            self._retry_nonces[id_] = nonce
+            self._back_off(now, id_)
         else:
-            self._end(now, id_, nonce, result, text)
+            self._end_attempt(now, id_, nonce, result, text)
 
     # Processing.
 
     def on_tick(self, now: float) -> Iterator[AppendRecords | SendOrder]:
         """Advance every order that may run, and append queued records."""
-        for state in self.fold.heads:
+        for state in self.fold.runnable:
             attempt = self._attempts.get(state.order.id)
             if attempt is not None:
-                yield from self._go_on(now, state, attempt)
+                yield from self._advance(now, state, attempt)
             elif self._owns(state.order.endpoint):
                 self._decide(now, state)
         yield from self._append(now)
@@ -198,83 +200,87 @@
             rows = tuple(to_json(record) for record in self._outbox.values())
             yield AppendRecords(ORDER_STREAM, rows)
 
-    def _go_on(
+    def _advance(
         self, now: float, state: OrderState, attempt: _Attempt
     ) -> Iterator[SendOrder]:
         if attempt.phase is _Phase.SENT:
             return
         id_, nonce = state.order.id, attempt.nonce
-        holds = state.claim is not None and state.claim.nonce == nonce
+        holds_claim = state.claim is not None and state.claim.nonce == nonce
         if now >= attempt.not_after:
             # A process that was frozen after its claim resumes here. Another owner
             # may have executed later orders in the meantime.
             self._outbox.pop((id_, nonce, "claim"), None)
-            self._end(now, id_, nonce, "not_sent", "too late to send")
-        elif holds:
+            self._end_attempt(now, id_, nonce, "not_sent", "too late to send")
+        elif holds_claim:
             attempt.phase = _Phase.SENT
             yield SendOrder(state.order, nonce, state.fencing, attempt.not_after)
-        elif self.fold.saw(id_, nonce):
+        elif self.fold.has_seen(id_, nonce):
             del self._attempts[id_]
-            self._hold_off(now, id_)
+            self._back_off(now, id_)
 
     def _decide(self, now: float, state: OrderState) -> None:
         id_ = state.order.id
-        checks = self._checks_fencing(state.order.endpoint)
-        waited = now - self._seen[id_, NO_CLAIM]
-        if waited >= state.ends - state.time:
-            self._nudge(now, id_)
+        endpoint_fenced = self._checks_fencing(state.order.endpoint)
+        waited = now - self._first_seen[id_, NO_CLAIM]
+        if waited >= state.ends_at - state.time:
+            self._append_expired(now, id_)
         elif now < self._not_before.get(id_, 0.0):
             return
         elif state.claim is not None:
-            self._take_over(now, state, bool(checks))
-        elif checks is not None:
-            if state.order.op != "load" or id_ in self.fold.next_loads():
-                self._claim(now, state, checks)
-        elif waited >= UNKNOWN_ENDPOINT_S:
-            self._put(Done(id_, "", "refused", "no such endpoint"))
-
-    def _nudge(self, now: float, id_: str) -> None:
+            self._take_over(now, state, bool(endpoint_fenced))
+        elif endpoint_fenced is not None:
+            if state.order.op != "load" or id_ in self.fold.claimable_loads():
+                self._claim(now, state, endpoint_fenced)
+        elif waited >= UNKNOWN_ENDPOINT_GRACE_S:
+            self._enqueue(Done(id_, "", "refused", "no such endpoint"))
+
+    def _append_expired(self, now: float, id_: str) -> None:
         # Orders expire by the log's time, which advances only with new records, so
         # append one.
-        self._put(Done(id_, "", "expired"))
-        self._not_before[id_] = now + NUDGE_S
+        self._enqueue(Done(id_, "", "expired"))
+        self._not_before[id_] = now + EXPIRY_RECORD_INTERVAL_S
 
-    def _take_over(self, now: float, state: OrderState, checks: bool) -> None:
+    def _take_over(self, now: float, state: OrderState, endpoint_fenced: bool) -> None:
         claim = state.claim
         if (claim.id, claim.nonce, "done") in self._outbox:
             return
-        late = now - self._seen[claim.id, state.fencing] >= self._takeover_s
-        if claim.fenced and checks:
-            again = self._again.get(claim.id) == claim.nonce
-            if again or late or not self._is_holder_live(claim.holder):
-                self._again.pop(claim.id, None)
+        timed_out = (
+            now - self._first_seen[claim.id, state.fencing] >= self._takeover_timeout_s
+        )
+        if claim.fenced and endpoint_fenced:
+            retry = self._retry_nonces.get(claim.id) == claim.nonce
+            if retry or timed_out or not self._is_holder_live(claim.holder):
+                self._retry_nonces.pop(claim.id, None)
                 self._claim(now, state, True)
-        elif late:
+        elif timed_out:
             # The holder may have sent the order already; sending it again could run
             # it twice.
             text = f"no result from {claim.holder}"
-            self._put(Done(claim.id, claim.nonce, "unknown", text))
+            self._enqueue(Done(claim.id, claim.nonce, "unknown", text))
 
     def _claim(self, now: float, state: OrderState, fenced: bool) -> None:
         id_ = state.order.id
-        nonce = f"{self._own}:{next(self._numbers)}"
+        nonce = f"{self._holder_id}:{next(self._attempt_numbers)}"
         self._attempts[id_] = _Attempt(nonce, fenced, now + self._send_window_s)
-        self._put(Claim(id_, nonce, self._own, state.fencing, fenced))
+        self._enqueue(Claim(id_, nonce, self._holder_id, state.fencing, fenced))
 
-    def _end(self, now: float, id_: str, nonce: str, result: str, text: str) -> None:
+    def _end_attempt(
+        self, now: float, id_: str, nonce: str, result: str, text: str
+    ) -> None:
         del self._attempts[id_]
-        self._put(Done(id_, nonce, result, text))
+        self._enqueue(Done(id_, nonce, result, text))
         if result == "not_sent":
-            self._hold_off(now, id_)
+            self._back_off(now, id_)
 
-    def _hold_off(self, now: float, id_: str) -> None:
+    def _back_off(self, now: float, id_: str) -> None:
         failures = self._failures[id_] = self._failures.get(id_, 0) + 1
-        self._not_before[id_] = now + _backoff(failures)
+        self._not_before[id_] = now + _backoff_delay_s(failures)
 
-    def _put(self, record: Claim | Done) -> None:
+    def _enqueue(self, record: Claim | Done) -> None:
         kind = "claim" if isinstance(record, Claim) else "done"
         self._outbox.setdefault((record.id, record.nonce, kind), record)
 
 
-def _backoff(failures: int) -> float:
-    return min(_BACKOFF_MAX_S, _BACKOFF_S * 2 ** min(failures - 1, 10))
+def _backoff_delay_s(failures: int) -> float:
+    return min(_MAX_BACKOFF_S, _INITIAL_BACKOFF_S * 2 ** min(failures - 1, 10))
--- a/greengageflow/core/orders.py
+++ b/greengageflow/core/orders.py
@@ -13,9 +13,9 @@
 ORDER_STREAM = "orders"
 ORDER_EXPIRY_S = 300.0
 """Seconds after which an order that could not be sent expires."""
-CLAIM_HOLD_S = 90.0
+CLAIM_TIMEOUT_S = 90.0
 """Seconds after which a claim without a result ends its order as unknown."""
-MOST_LOADS = 4
+MAX_CONCURRENT_LOADS = 4
 """Most orders that load weights at a time, across the whole fleet."""
 NO_CLAIM = -1
 OPERATIONS = ("load", "role")
@@ -84,20 +84,20 @@
 
 
 OrderRecord = Order | Claim | Done
-_KINDS = {"order": Order, "claim": Claim, "done": Done}
-_NAMES = {type_: name for name, type_ in _KINDS.items()}
+_TYPES_BY_NAME = {"order": Order, "claim": Claim, "done": Done}
+_NAMES_BY_TYPE = {type_: name for name, type_ in _TYPES_BY_NAME.items()}
 
 
 def to_json(record: OrderRecord) -> dict[str, Any]:
     """Return the JSON form of ``record`` for the log."""
-    return {"t": _NAMES[type(record)], **asdict(record)}
+    return {"t": _NAMES_BY_TYPE[type(record)], **asdict(record)}
 
 
 def from_json(data: Any) -> OrderRecord | None:
     """Return the record in ``data``, or None if it isn't a valid order record."""
     try:
         fields = dict(data)
-        record = _KINDS[fields.pop("t")](**fields)
+        record = _TYPES_BY_NAME[fields.pop("t")](**fields)
     except (KeyError, TypeError, ValueError):
         return None
     return record if _is_valid(record) else None
@@ -136,11 +136,11 @@
     order: Order
     offset: int
     time: float
-    claim_by: float
-    ends: float
+    claimable_until: float
+    ends_at: float
     claim: Claim | None = None
     fencing: int = NO_CLAIM
-    tries: int = 0
+    unsent_attempts: int = 0
     result: str = ""
     text: str = ""
 
@@ -151,19 +151,19 @@
     Args:
         expiry_s: Seconds for which an order may be claimed.
         hold_s: Seconds after which a claim without a result ends its order. The
-            retention of the log must exceed ``expiry_s + hold_s``.
+            retention of the log must exceed ``expiry_s + claim_timeout_s``.
         most_loads: Most orders that load weights and are claimed at a time.
     """
 
     def __init__(
         self,
         expiry_s: float = ORDER_EXPIRY_S,
-        hold_s: float = CLAIM_HOLD_S,
-        most_loads: int = MOST_LOADS,
+        claim_timeout_s: float = CLAIM_TIMEOUT_S,
+        max_concurrent_loads: int = MAX_CONCURRENT_LOADS,
     ) -> None:
         self._expiry_s = expiry_s
-        self._hold_s = hold_s
-        self._most_loads = most_loads
+        self._claim_timeout_s = claim_timeout_s
+        self._max_concurrent_loads = max_concurrent_loads
         self._open: dict[str, OrderState] = {}
         self._ended: dict[str, OrderState] = {}
         # An append is retried when its response is lost, so a duplicate of a claim
@@ -184,36 +184,36 @@
         return tuple(self._open.values())
 
     @property
-    def heads(self) -> tuple[OrderState, ...]:
+    def runnable(self) -> tuple[OrderState, ...]:
         """The oldest open order of each endpoint; only these may run."""
-        first: dict[str, OrderState] = {}
+        oldest: dict[str, OrderState] = {}
         for state in self._open.values():
-            first.setdefault(state.order.endpoint, state)
-        return tuple(first.values())
+            oldest.setdefault(state.order.endpoint, state)
+        return tuple(oldest.values())
 
     @property
-    def free_loads(self) -> int:
+    def free_load_slots(self) -> int:
         """Number of additional loads that may be claimed now."""
         running = (s for s in self._open.values() if s.order.op == "load" and s.claim)
-        return self._most_loads - sum(1 for _ in running)
+        return self._max_concurrent_loads - sum(1 for _ in running)
 
     def state(self, id_: str) -> OrderState | None:
         """Return the state of an order, or None if it is unknown."""
         return self._open.get(id_) or self._ended.get(id_)
 
-    def saw(self, id_: str, nonce: str) -> bool:
+    def has_seen(self, id_: str, nonce: str) -> bool:
         """Return whether a claim by this attempt, or its ``not_sent``, was read."""
         return nonce in self._nonces.get(id_, ())
 
-    def next_loads(self) -> list[str]:
+    def claimable_loads(self) -> list[str]:
         """Return the ids of the loads that may be claimed next.
 
         Orders with fewer failed attempts come first. Otherwise as many unreachable
         engines as there are load slots would block all loads of the fleet.
         """
-        waiting = [s for s in self.heads if s.order.op == "load" and not s.claim]
-        waiting.sort(key=lambda state: (state.tries, state.offset))
-        return [state.order.id for state in waiting[: max(0, self.free_loads)]]
+        waiting = [s for s in self.runnable if s.order.op == "load" and not s.claim]
+        waiting.sort(key=lambda state: (state.unsent_attempts, state.offset))
+        return [state.order.id for state in waiting[: max(0, self.free_load_slots)]]
 
     def apply(
         self, offset: int, time: float, record: OrderRecord | None
@@ -234,44 +234,46 @@
                 until = time + self._expiry_s
                 self._open[record.id] = OrderState(record, offset, time, until, until)
             case Claim() if state:
-                self._claim(offset, time, record, state)
+                self._apply_claim(offset, time, record, state)
             case Done() if state:
-                ended.extend(self._finish(record, state))
-            case Done(nonce=nonce) if late := self._ended.get(record.id):
+                ended.extend(self._apply_done(record, state))
+            case Done(nonce=nonce) if previous := self._ended.get(record.id):
                 # The holder reports a result after the order ended as unknown.
-                known = late.claim is not None and late.claim.nonce == nonce
-                if late.result == "unknown" and known:
-                    news = replace(late, result=record.result, text=record.text)
-                    self._ended[record.id] = news
+                is_holder = previous.claim is not None and previous.claim.nonce == nonce
+                if previous.result == "unknown" and is_holder:
+                    updated = replace(previous, result=record.result, text=record.text)
+                    self._ended[record.id] = updated
         return tuple(ended)
 
-    def _claim(self, offset: int, time: float, claim: Claim, state: OrderState) -> None:
+    def _apply_claim(
+        self, offset: int, time: float, claim: Claim, state: OrderState
+    ) -> None:
         nonces = self._nonces.setdefault(claim.id, set())
         if claim.nonce in nonces:
             return
         nonces.add(claim.nonce)
-        if not self._admits(time, claim, state):
+        if not self._accepts(time, claim, state):
             return
         self._open[claim.id] = replace(
             state,
             claim=claim,
             fencing=offset,
-            ends=max(state.claim_by, time + self._hold_s),
+            ends_at=max(state.claimable_until, time + self._claim_timeout_s),
         )
 
-    def _admits(self, time: float, claim: Claim, state: OrderState) -> bool:
-        if time >= state.claim_by or claim.over != state.fencing:
+    def _accepts(self, time: float, claim: Claim, state: OrderState) -> bool:
+        if time >= state.claimable_until or claim.over != state.fencing:
             return False
         if state.claim is not None:
             # An endpoint that ignores fencing tokens would run the order twice.
             return state.claim.fenced and claim.fenced
-        if state.order.op == "load" and self.free_loads <= 0:
+        if state.order.op == "load" and self.free_load_slots <= 0:
             return False
         # The claiming router may have started reading after an earlier order of the
         # endpoint, and so not know that one.
-        return state in self.heads
+        return state in self.runnable
 
-    def _finish(self, done: Done, state: OrderState) -> Iterator[OrderState]:
+    def _apply_done(self, done: Done, state: OrderState) -> Iterator[OrderState]:
         if done.result == "not_sent":
             self._nonces.setdefault(done.id, set()).add(done.nonce)
         if state.claim is None:
@@ -283,8 +285,8 @@
                     state,
                     claim=None,
                     fencing=NO_CLAIM,
-                    ends=state.claim_by,
-                    tries=state.tries + 1,
+                    ends_at=state.claimable_until,
+                    unsent_attempts=state.unsent_attempts + 1,
                     text=done.text,
                 )
             else:
@@ -298,13 +300,13 @@
         return ended
 
     def _expire(self, time: float) -> Iterator[OrderState]:
-        for state in [s for s in self._open.values() if s.ends <= time]:
+        for state in [s for s in self._open.values() if s.ends_at <= time]:
             if state.claim is None:
                 yield self._end(state, "expired", state.text or "not sent in time")
             else:
                 yield self._end(state, "unknown", "no result from its sender")
         # Ended orders are remembered for a while, so that a duplicate of an order
         # record doesn't run again.
-        forget = time - self._expiry_s
-        for id_ in [i for i, s in self._ended.items() if s.ends <= forget]:
+        forget_until = time - self._expiry_s
+        for id_ in [i for i, s in self._ended.items() if s.ends_at <= forget_until]:
             del self._ended[id_]
--- a/greengageflow/daemon/order_follower.py
+++ b/greengageflow/daemon/order_follower.py
@@ -84,7 +84,7 @@
             checks_fencing=self._checks_fencing,
             is_holder_live=self._is_holder_live,
             send_window_s=window_s,
-            takeover_s=_MARGIN * (window_s + timeout_s),
+            takeover_timeout_s=_MARGIN * (window_s + timeout_s),
         )
         self._next_offset = 0
         self._read_to = 0
@@ -206,7 +206,9 @@
 
         def end(result: str, text: str) -> None:
             now = self._timers.now
-            self._owner.on_sent(now, order.id, send.nonce, result, text[:_TEXT_KEPT])
+            self._owner.on_send_result(
+                now, order.id, send.nonce, result, text[:_TEXT_KEPT]
+            )
 
         def done(answer: Response | Failure) -> None:
             end(*_result(answer))
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -10,7 +10,7 @@
 from greengageflow.core.messages import PeerId
 from greengageflow.core.order_owner import OrderOwner, SendOrder
 from greengageflow.core.orders import (
-    MOST_LOADS,
+    MAX_CONCURRENT_LOADS,
     Claim,
     Done,
     Order,
@@ -85,13 +85,15 @@
     """The weight store refuses requests when all engines load at once."""
     orders = [Order(f"o{n}", f"e{n}", "load", model="m") for n in range(9)]
     fold = folded(*((1, order) for order in orders))
-    assert fold.next_loads() == [order.id for order in orders[:MOST_LOADS]]
+    assert fold.claimable_loads() == [
+        order.id for order in orders[:MAX_CONCURRENT_LOADS]
+    ]
     for n, order in enumerate(orders):
         fold.apply(9 + n, 2, Claim(order.id, f"n{n}", "r1:1"))
-    assert sum(state.claim is not None for state in fold.open) == MOST_LOADS
+    assert sum(state.claim is not None for state in fold.open) == MAX_CONCURRENT_LOADS
     fold.apply(20, 3, Order("role", "e8", "role", role="prefill"))
     fold.apply(21, 3, Done("o0", "n0", "done"))
-    assert fold.next_loads() == ["o4"]
+    assert fold.claimable_loads() == ["o4"]
 
 
 def test_a_stale_order_is_not_sent_after_an_outage():
@@ -130,7 +132,7 @@
                             log.append(LogRecord(len(log), now, row))
                         owner.on_append(now, Appended(first, len(rows)))
                     case SendOrder(order, nonce):
-                        owner.on_sent(now, order.id, nonce, "unknown", "timeout")
+                        owner.on_send_result(now, order.id, nonce, "unknown", "timeout")
     claims = sum(row.record["t"] == "claim" for row in log)
     assert 2 <= claims <= 25
 
@@ -174,7 +176,7 @@
             checks_fencing=lambda _: self.fenced,
             is_holder_live=self.lives,
             send_window_s=4,
-            takeover_s=10,
+            takeover_timeout_s=10,
         )
 
     def lives(self, holder):
@@ -249,7 +251,7 @@
         # The connection pool checks this right before sending the first byte.
         if fate == "refused" or self.now >= send.not_after:
             end = self.now, send.order.id, send.nonce, "not_sent", ""
-            self.routers[host].on_sent(*end)
+            self.routers[host].on_send_result(*end)
         else:
             self.left.append(int(send.order.id[1:]))
             self.mail.append((host, "wire", send, self.boots[host]))
@@ -263,7 +265,7 @@
             self.taken.append(int(id_[1:]))
         if boot == self.boots[host]:
             result = "unknown" if fate == "lost" else "refused" if old else "done"
-            self.routers[host].on_sent(self.now, id_, send.nonce, result, "")
+            self.routers[host].on_send_result(self.now, id_, send.nonce, result, "")
 
     @rule(step=st.sampled_from([0.5, 2.0, 5.0, 12.0]))
     def time_passes(self, step):
