--- a/greengageflow/core/_member_table.py
+++ b/greengageflow/core/_member_table.py
@@ -14,9 +14,9 @@
 LEFT = "left"
 
 # Of two updates with equal boot and incarnation, the status of higher rank wins.
-RANKS = {ALIVE: 0, STOPPING: 1, SUSPECT: 2, DEAD: 3, LEFT: 4}
+STATUS_RANKS = {ALIVE: 0, STOPPING: 1, SUSPECT: 2, DEAD: 3, LEFT: 4}
 # An update is sent this many times the logarithm of the number of live members.
-REPEAT_FACTOR = 3
+RETRANSMIT_FACTOR = 3
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,7 +37,7 @@
         return self.member.status not in (DEAD, LEFT)
 
 
-def _valid(member: Member) -> bool:
+def _is_valid(member: Member) -> bool:
     return (
         isinstance(member.host, str)
         and isinstance(member.boot, int)
@@ -45,15 +45,15 @@
         and isinstance(member.ip, str)
         and isinstance(member.port, int)
         and isinstance(member.zone, str)
-        and member.status in RANKS
+        and member.status in STATUS_RANKS
     )
 
 
-def _order(member: Member) -> tuple[int, int, int]:
-    return member.boot, member.incarnation, RANKS[member.status]
+def _precedence(member: Member) -> tuple[int, int, int]:
+    return member.boot, member.incarnation, STATUS_RANKS[member.status]
 
 
-def _hash(entry: Entry) -> int:
+def _entry_digest(entry: Entry) -> int:
     member = entry.member
     text = f"{member.host}\n{member.boot}\n{entry.stopping}"
     return int.from_bytes(blake2b(text.encode(), digest_size=8).digest())
@@ -77,12 +77,12 @@
         self._suspicion_s = suspicion_s
         self._entries: dict[str, Entry] = {}
         self._deadlines: dict[str, float] = {}
-        self._news: dict[str, int] = {}
+        self._sends: dict[str, int] = {}
         self._live_count = 0
         self.digest = 0
         self.version = 0
         self.newer_boot: int | None = None
-        self._put(Entry(own, False))
+        self._store(Entry(own, False))
 
     @property
     def own(self) -> Member:
@@ -100,15 +100,15 @@
         return self._live_count
 
     @property
-    def has_news(self) -> bool:
+    def has_updates(self) -> bool:
         """Whether updates are queued for gossip."""
-        return bool(self._news)
+        return bool(self._sends)
 
     def get(self, host: str) -> Entry | None:
         """Return the entry of ``host``, or None if it is unknown."""
         return self._entries.get(host)
 
-    def merge(self, member: Member, now: float, *, tell: bool = True) -> bool:
+    def merge(self, member: Member, now: float, *, gossip: bool = True) -> bool:
         """Merge an update about a member; return whether it changed the table.
 
         Args:
@@ -117,37 +117,41 @@
             tell: Whether to gossip an update with status ``alive``; any other status
                 is always gossiped.
         """
-        if not _valid(member):
+        if not _is_valid(member):
             return False
         if member.host == self._own_host:
-            return self._answer(member)
-        known = self._entries.get(member.host)
-        if known is None:
+            return self._refute(member)
+        current = self._entries.get(member.host)
+        if current is None:
             # Ignore dead hosts that aren't in the table. Otherwise routers would keep
             # spreading members that all of them have already forgotten.
-            if RANKS[member.status] >= RANKS[DEAD]:
+            if STATUS_RANKS[member.status] >= STATUS_RANKS[DEAD]:
                 return False
-        elif known.live and member.status == DEAD and known.member.boot == member.boot:
+        elif (
+            current.live
+            and member.status == DEAD
+            and current.member.boot == member.boot
+        ):
             # After a partition heals, the other side reports all members on this side
             # as dead. Accepting that would empty the view until each member has
             # refuted it. Treating it as a suspicion gives them time to refute.
             member = replace(member, status=SUSPECT)
-        if known is not None and _order(member) <= _order(known.member):
+        if current is not None and _precedence(member) <= _precedence(current.member):
             return False
-        self._take(member, known, now, tell or member.status != ALIVE)
+        self._apply(member, current, now, gossip or member.status != ALIVE)
         return True
 
     def suspect(self, host: str, now: float) -> None:
         """Mark ``host`` as suspect because it didn't answer."""
         entry = self._entries.get(host)
         if entry is not None and entry.live and entry.member.status != SUSPECT:
-            self._take(replace(entry.member, status=SUSPECT), entry, now, True)
+            self._apply(replace(entry.member, status=SUSPECT), entry, now, True)
 
     def expire(self, now: float) -> Iterator[str]:
         """Declare suspects dead whose deadline has passed, and yield their hosts."""
         for host in [h for h, due in self._deadlines.items() if due <= now]:
             entry = self._entries[host]
-            self._take(replace(entry.member, status=DEAD), entry, now, True)
+            self._apply(replace(entry.member, status=DEAD), entry, now, True)
             yield host
 
     def restart_deadlines(self, now: float) -> None:
@@ -157,16 +161,16 @@
 
     def set_own_status(self, status: str) -> None:
         """Set this router's own status under a new ``incarnation``, so that it wins."""
-        self._restate(self.own.incarnation + 1, status)
+        self._update_own(self.own.incarnation + 1, status)
 
     def forget(self, host: str) -> None:
         """Drop ``host`` unless it is live."""
         entry = self._entries.get(host)
         if entry is not None and not entry.live:
             del self._entries[host]
-            self._news.pop(host, None)
+            self._sends.pop(host, None)
 
-    def news_for(self, host: str, limit: int) -> tuple[Member, ...]:
+    def updates_for(self, host: str, limit: int) -> tuple[Member, ...]:
         """Return the updates to piggyback on a message to ``host``.
 
         These are this router's own entry, the entry of ``host`` if that is suspect or
@@ -174,55 +178,58 @@
         counts increase. A router can refute its death only if it learns of it, and
         routers that consider it dead send it no other messages.
         """
-        news = {self._own_host: self.own}
+        updates = {self._own_host: self.own}
         entry = self._entries.get(host)
-        if entry is not None and RANKS[entry.member.status] >= RANKS[SUSPECT]:
-            news[host] = entry.member
-        news.update((m.host, m) for m in self._take_news(limit))
-        return tuple(news.values())
-
-    def _take_news(self, limit: int) -> Iterator[Member]:
-        repeats = REPEAT_FACTOR * ceil(log2(self._live_count + 1))
-        for host in sorted(self._news, key=self._news.__getitem__)[:limit]:
+        if (
+            entry is not None
+            and STATUS_RANKS[entry.member.status] >= STATUS_RANKS[SUSPECT]
+        ):
+            updates[host] = entry.member
+        updates.update((m.host, m) for m in self._take_updates(limit))
+        return tuple(updates.values())
+
+    def _take_updates(self, limit: int) -> Iterator[Member]:
+        send_limit = RETRANSMIT_FACTOR * ceil(log2(self._live_count + 1))
+        for host in sorted(self._sends, key=self._sends.__getitem__)[:limit]:
             yield self._entries[host].member
-            self._news[host] += 1
-            if self._news[host] >= repeats:
-                del self._news[host]
+            self._sends[host] += 1
+            if self._sends[host] >= send_limit:
+                del self._sends[host]
 
-    def _answer(self, member: Member) -> bool:
+    def _refute(self, member: Member) -> bool:
         """Refute an update about this router itself; return whether it was refuted."""
         own = self.own
         if member.boot > own.boot:
             self.newer_boot = member.boot
             return False
-        if member.boot < own.boot or _order(member) <= _order(own):
+        if member.boot < own.boot or _precedence(member) <= _precedence(own):
             return False
-        self._restate(member.incarnation + 1, own.status)
+        self._update_own(member.incarnation + 1, own.status)
         return True
 
-    def _restate(self, incarnation: int, status: str) -> None:
+    def _update_own(self, incarnation: int, status: str) -> None:
         member = replace(self.own, incarnation=incarnation, status=status)
-        self._put(Entry(member, status == STOPPING))
-        self._news[self._own_host] = 0
+        self._store(Entry(member, status == STOPPING))
+        self._sends[self._own_host] = 0
 
-    def _take(
-        self, member: Member, known: Entry | None, now: float, tell: bool
+    def _apply(
+        self, member: Member, current: Entry | None, now: float, gossip: bool
     ) -> None:
-        same_life = known is not None and known.member.boot == member.boot
-        stopping = member.status == STOPPING or (same_life and known.stopping)
-        self._put(Entry(member, stopping))
+        same_boot = current is not None and current.member.boot == member.boot
+        stopping = member.status == STOPPING or (same_boot and current.stopping)
+        self._store(Entry(member, stopping))
         if member.status == SUSPECT:
             self._deadlines[member.host] = now + self._suspicion_s
         else:
             self._deadlines.pop(member.host, None)
-        if tell:
-            self._news[member.host] = 0
+        if gossip:
+            self._sends[member.host] = 0
 
-    def _put(self, entry: Entry) -> None:
+    def _store(self, entry: Entry) -> None:
         host = entry.member.host
-        known = self._entries.get(host)
-        old = _hash(known) if known is not None and known.live else 0
-        new = _hash(entry) if entry.live else 0
+        current = self._entries.get(host)
+        old = _entry_digest(current) if current is not None and current.live else 0
+        new = _entry_digest(entry) if entry.live else 0
         self._entries[host] = entry
         self._live_count += bool(new) - bool(old)
         if old != new:
--- a/greengageflow/core/_probes.py
+++ b/greengageflow/core/_probes.py
@@ -20,7 +20,7 @@
     host: str
     seq: int
     sent_at: float
-    helped: bool = False
+    indirect_requested: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,7 +33,7 @@
         sent_at: Monotonic time at which it was sent, in seconds.
     """
 
-    asker: str
+    requester: str
     seq: int
     sent_at: float
 
@@ -53,7 +53,7 @@
         self._random = random
         self._relay_s = relay_s
         self._seqs = count(1)
-        self._turns: list[str] = []
+        self._round: list[str] = []
         self._relays: dict[int, Relay] = {}
         self.current: Probe | None = None
 
@@ -67,28 +67,30 @@
         Each round probes every neighbour once, in a newly shuffled order.
         """
         present = set(neighbours)
-        self._turns = [host for host in self._turns if host in present]
-        if not self._turns:
-            self._turns = list(neighbours)
-            self._random.shuffle(self._turns)
-        if self._turns:
-            self.current = Probe(self._turns.pop(), self.next_seq(), now)
+        self._round = [host for host in self._round if host in present]
+        if not self._round:
+            self._round = list(neighbours)
+            self._random.shuffle(self._round)
+        if self._round:
+            self.current = Probe(self._round.pop(), self.next_seq(), now)
         return self.current
 
-    def take_unanswered(self) -> Probe | None:
+    def end_current(self) -> Probe | None:
         """End the current probe without an ack; return it, or None."""
         probe, self.current = self.current, None
         return probe
 
-    def begin_relay(self, asker: str, seq: int, now: float) -> int:
-        """Register an indirect probe for ``asker`` and return its sequence number."""
-        old = now - self._relay_s
-        self._relays = {n: r for n, r in self._relays.items() if r.sent_at > old}
-        number = self.next_seq()
-        self._relays[number] = Relay(asker, seq, now)
-        return number
-
-    def on_answer(self, seq: int) -> Relay | None:
+    def begin_relay(self, requester: str, seq: int, now: float) -> int:
+        """Register an indirect probe for ``requester`` and return its sequence number."""
+        oldest_valid = now - self._relay_s
+        self._relays = {
+            n: r for n, r in self._relays.items() if r.sent_at > oldest_valid
+        }
+        relay_seq = self.next_seq()
+        self._relays[relay_seq] = Relay(requester, seq, now)
+        return relay_seq
+
+    def on_ack(self, seq: int) -> Relay | None:
         """Handle an ack; return the indirect probe that it belongs to, if any."""
         if self.current is not None and self.current.seq == seq:
             self.current = None
--- a/greengageflow/core/_view_sync.py
+++ b/greengageflow/core/_view_sync.py
@@ -28,15 +28,15 @@
         self._settle_s = settle_s
         self._stale_s = stale_s
         self._stale_until = float("inf")
-        self._asked_before = 0
+        self._paused_at_seq = 0
         self._differs_since: float | None = None
-        self._asked_at = float("-inf")
-        self._rows = ROWS_BURST
-        self._rows_at: float | None = None
+        self._requested_at = float("-inf")
+        self._tokens = ROWS_BURST
+        self._refilled_at: float | None = None
         self.synced = False
         self.confirmed = True
 
-    def on_equal(self) -> None:
+    def on_same_view(self) -> None:
         """Record that another router has the same view."""
         self.synced = True
         self._differs_since = None
@@ -49,7 +49,7 @@
             seq: Unused sequence number; only acks of later probes confirm the view.
         """
         self._differs_since = None
-        self._asked_before = seq
+        self._paused_at_seq = seq
         if self.confirmed:
             # A further pause doesn't extend this. Otherwise a process so slow that
             # every turn of its event loop counts as a pause would stay unconfirmed
@@ -57,9 +57,9 @@
             self._stale_until = now + self._stale_s
         self.confirmed = False
 
-    def on_answer(self, seq: int) -> None:
+    def on_ack(self, seq: int) -> None:
         """Handle an ack whose sender has the same view."""
-        if seq > self._asked_before:
+        if seq > self._paused_at_seq:
             self.confirmed = True
 
     def on_tick(self, now: float, *, alone: bool) -> None:
@@ -67,28 +67,28 @@
         if alone or now >= self._stale_until:
             self.confirmed = True
 
-    def asks(self, now: float) -> bool:
+    def should_request(self, now: float) -> bool:
         """Record that a peer's view differs; return whether to request it."""
         if self._differs_since is None:
             self._differs_since = now
-        if now - self._asked_at < self._settle_s:
+        if now - self._requested_at < self._settle_s:
             return False
         if self.synced and now - self._differs_since < self._settle_s:
             return False
-        self._asked_at = now
+        self._requested_at = now
         return True
 
-    def gives(self, now: float, rows: int) -> bool:
+    def allow_send(self, now: float, rows: int) -> bool:
         """Return whether a view of ``rows`` rows may be sent now.
 
         The token bucket bounds this router's traffic while many routers start at the
         same time. Refused routers request the view again, from any router.
         """
-        since = now if self._rows_at is None else self._rows_at
-        earned = (now - since) * ROWS_PER_S
-        self._rows = min(ROWS_BURST, self._rows + earned)
-        self._rows_at = now
-        if self._rows <= 0:
+        refilled_at = now if self._refilled_at is None else self._refilled_at
+        refill = (now - refilled_at) * ROWS_PER_S
+        self._tokens = min(ROWS_BURST, self._tokens + refill)
+        self._refilled_at = now
+        if self._tokens <= 0:
             return False
-        self._rows -= rows
+        self._tokens -= rows
         return True
--- a/greengageflow/core/leaving.py
+++ b/greengageflow/core/leaving.py
@@ -9,7 +9,7 @@
 from greengageflow.core.placement import FleetView
 
 
-class LaggingSource:
+class LeavingReportFilter:
     """Filters out outdated leaving reports of a source that lags.
 
     Such a source may keep reporting an endpoint as leaving after the endpoint was
@@ -23,12 +23,12 @@
         most_late: Consecutive leaving reports that the lag can explain.
     """
 
-    def __init__(self, most_late: float = inf) -> None:
-        self._most_late = most_late
-        self._late: dict[str, tuple[int, int]] = {}
-        self._staying: dict[str, int] = {}
+    def __init__(self, max_outdated_reports: float = inf) -> None:
+        self._max_outdated_reports = max_outdated_reports
+        self._leaving_counts: dict[str, tuple[int, int]] = {}
+        self._staying_generations: dict[str, int] = {}
 
-    def tells(self, endpoint: Endpoint, left: int, *, leaving: bool) -> bool:
+    def accept(self, endpoint: Endpoint, newest_left: int, *, leaving: bool) -> bool:
         """Handle one report; return whether the current generation is leaving.
 
         Args:
@@ -38,18 +38,18 @@
         """
         name, generation = endpoint.name, endpoint.generation
         if not leaving:
-            self._staying[name] = generation
-            self._late.pop(name, None)
+            self._staying_generations[name] = generation
+            self._leaving_counts.pop(name, None)
             return False
-        if not left or self._staying.get(name) == generation:
+        if not newest_left or self._staying_generations.get(name) == generation:
             return True
-        before, late = self._late.get(name, (generation, 0))
-        late = late + 1 if before == generation else 1
-        self._late[name] = generation, late
-        return late > self._most_late
+        counted_generation, count = self._leaving_counts.get(name, (generation, 0))
+        count = count + 1 if counted_generation == generation else 1
+        self._leaving_counts[name] = generation, count
+        return count > self._max_outdated_reports
 
 
-class LeavingSigns:
+class LeavingEndpoints:
     """Records which endpoints are leaving, and notifies the other routers.
 
     Any router may notice first: in a large fleet the host list is read so rarely that
@@ -65,35 +65,38 @@
         self._own = own
         self._cfg = FleetConfig()
         self._view: FleetView | None = None
-        self._left: dict[str, int] = {}
+        self._left_generations: dict[str, int] = {}
 
     @property
-    def signs(self) -> dict[str, int]:
+    def left_generations(self) -> dict[str, int]:
         """Newest generation that has left, by endpoint."""
-        return dict(self._left)
+        return dict(self._left_generations)
 
     def left_generation(self, endpoint: str) -> int:
         """Return the newest generation of an endpoint that has left, or 0."""
-        return self._left.get(endpoint, 0)
+        return self._left_generations.get(endpoint, 0)
 
     def has_left(self, endpoint: str) -> bool:
         """Return whether the endpoint is leaving and must get no new work."""
-        known = self._cfg.endpoints.get(endpoint)
-        return known is not None and self.left_generation(endpoint) >= known.generation
+        configured = self._cfg.endpoints.get(endpoint)
+        return (
+            configured is not None
+            and self.left_generation(endpoint) >= configured.generation
+        )
 
-    def note(self, endpoint: str) -> Iterator[Send]:
+    def record(self, endpoint: str) -> Iterator[Send]:
         """Record that the current generation of an endpoint leaves; notify others."""
-        known = self._cfg.endpoints.get(endpoint)
-        if known is None or self.has_left(endpoint):
+        configured = self._cfg.endpoints.get(endpoint)
+        if configured is None or self.has_left(endpoint):
             return
-        self._left[endpoint] = known.generation
+        self._left_generations[endpoint] = configured.generation
         if self._view is not None:
-            yield from self._tell(self._view.live.keys(), (endpoint,))
+            yield from self._notify(self._view.live.keys(), (endpoint,))
 
     def receive(self, notice: LeavingNotice) -> None:
         """Handle a notice from another router."""
-        known = self.left_generation(notice.endpoint)
-        self._left[notice.endpoint] = max(known, notice.generation)
+        previous = self.left_generation(notice.endpoint)
+        self._left_generations[notice.endpoint] = max(previous, notice.generation)
 
     def on_config(self, cfg: FleetConfig) -> None:
         """Apply a configuration, with the endpoints that it marks as leaving."""
@@ -107,23 +110,27 @@
         before, self._view = self._view, view
         if before is None:
             return
-        news = [
+        joined = [
             host
             for host, member in view.live.items()
             if not before.is_live(PeerId(host, member.boot))
         ]
-        if news:
-            mine = [name for name in self._left if self._is_mine(name, before, view)]
-            yield from self._tell(news, mine)
-
-    def _is_mine(self, endpoint: str, before: FleetView, view: FleetView) -> bool:
+        if joined:
+            owned = [
+                name
+                for name in self._left_generations
+                if self._announces(name, before, view)
+            ]
+            yield from self._notify(joined, owned)
+
+    def _announces(self, endpoint: str, before: FleetView, view: FleetView) -> bool:
         # A router that just joined may own the endpoint now, so its previous owner
         # sends a notice too. Notices from all other routers would be redundant.
         return self._own.host in (before.owner_of(endpoint), view.owner_of(endpoint))
 
-    def _tell(self, hosts: Iterable[str], endpoints: Iterable[str]) -> Iterator[Send]:
+    def _notify(self, hosts: Iterable[str], endpoints: Iterable[str]) -> Iterator[Send]:
         for endpoint in endpoints:
-            notice = LeavingNotice(endpoint, self._left[endpoint])
+            notice = LeavingNotice(endpoint, self._left_generations[endpoint])
             for host in sorted(hosts):
                 if host != self._own.host:
                     yield Send(host, notice)
--- a/greengageflow/core/roster.py
+++ b/greengageflow/core/roster.py
@@ -14,7 +14,7 @@
 class Roster:
     """Router hosts that are live members or in the platform's host list.
 
-    A host is removed when it isn't live and ``readings`` consecutive host lists omit
+    A host is removed when it isn't live and ``lists_to_remove`` consecutive host lists omit
     it or have it as leaving. While the list can't be read, no host is removed.
 
     Args:
@@ -22,9 +22,9 @@
         readings: Number of consecutive lists needed to remove a host.
     """
 
-    def __init__(self, own_host: str, *, readings: int = 3) -> None:
+    def __init__(self, own_host: str, *, lists_to_remove: int = 3) -> None:
         self._own_host = own_host
-        self._readings = readings
+        self._lists_to_remove = lists_to_remove
         self._hosts = frozenset({own_host})
         self._live = self._hosts
         self._misses: Counter[str] = Counter()
@@ -48,15 +48,15 @@
             # would remove every host that a partition currently hides. A list without
             # any router can't be right while this router runs.
             return frozenset()
-        staying = {e.host for e in routers if e.state is not HostState.LEAVING}
-        self._hosts |= staying
+        present = {e.host for e in routers if e.state is not HostState.LEAVING}
+        self._hosts |= present
         for host in self._hosts:
-            self._misses[host] = 0 if host in staying else self._misses[host] + 1
-        gone = frozenset(filter(self._is_gone, self._hosts))
-        self._hosts -= gone
-        for host in gone:
+            self._misses[host] = 0 if host in present else self._misses[host] + 1
+        removed = frozenset(filter(self._is_removable, self._hosts))
+        self._hosts -= removed
+        for host in removed:
             del self._misses[host]
-        return gone
+        return removed
 
-    def _is_gone(self, host: str) -> bool:
-        return host not in self._live and self._misses[host] >= self._readings
+    def _is_removable(self, host: str) -> bool:
+        return host not in self._live and self._misses[host] >= self._lists_to_remove
--- a/greengageflow/daemon/control.py
+++ b/greengageflow/daemon/control.py
@@ -23,7 +23,7 @@
     Start,
 )
 from greengageflow.core.entry import EntryQueue
-from greengageflow.core.leaving import LeavingSigns
+from greengageflow.core.leaving import LeavingEndpoints
 from greengageflow.core.log_records import AppendResult, ReadResult
 from greengageflow.core.membership import Membership
 from greengageflow.core.messages import (
@@ -115,7 +115,7 @@
     ) -> None:
         self.own = own
         self.ledger = ServiceLedger(own, local_only=sharing == "local")
-        self.leaving = LeavingSigns(own)
+        self.leaving = LeavingEndpoints(own)
         self.entry = EntryQueue(own, self.ledger, is_leaving=self.leaving.has_left)
         self.owner = EndpointOwner(own, self.ledger, settle_s=SETTLE_S)
         self.collector = Collector(own, self.ledger)
@@ -164,7 +164,7 @@
         self.run(self.entry.on_config(now, cfg))
         # Before it grants: an endpoint that comes back under its old generation is
         # new to the owner, whose mark went with the old one.
-        self.run(self.owner.on_config(now, cfg, self.leaving.signs))
+        self.run(self.owner.on_config(now, cfg, self.leaving.left_generations))
         self._policy_share_s = cfg.policy.share_interval_s
         self._pace_shares()
 
@@ -187,7 +187,7 @@
         """Take a message of a router, this one included."""
         now = monotonic()
         # What lies in the socket after a pause may come before the next tick.
-        self.membership.notice_pause(now)
+        self.membership.detect_pause(now)
         self._follow_pause(now)
         match message:
             case Demand() | GrantTaken() | GrantReturned():
@@ -288,10 +288,10 @@
         """Take a sign that an endpoint leaves; return whether it is news."""
         if self.leaving.has_left(endpoint):
             return False
-        self.run(self.leaving.note(endpoint))
+        self.run(self.leaving.record(endpoint))
         if not self.leaving.has_left(endpoint):
             return False
-        self.owner.mark_leaving(endpoint, self.leaving.signs[endpoint])
+        self.owner.mark_leaving(endpoint, self.leaving.left_generations[endpoint])
         return True
 
     # Protected actions.
@@ -310,7 +310,7 @@
         self._after_membership()
 
     def _after_membership(self) -> None:
-        newer = self.membership.newer_revision()
+        newer = self.membership.newer_revision_host()
         if newer is not None:
             self._on_newer_revision(newer, self.membership.revision + 1)
         self.refresh_view()
--- a/greengageflow/daemon/endpoint_watch.py
+++ b/greengageflow/daemon/endpoint_watch.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from greengageflow.core.catalog import Endpoint, FleetConfig, PoolKind
-from greengageflow.core.leaving import LaggingSource
+from greengageflow.core.leaving import LeavingReportFilter
 from greengageflow.core.owner import EndpointOwner
 from greengageflow.net.http_pool import Failure, HttpPool, HttpRequest, Response
 from greengageflow.net.timers import Timers
@@ -57,7 +57,7 @@
         self._owner = owner
         self._owns = owns
         self._left = left
-        self._reports = LaggingSource(MOST_LATE)
+        self._reports = LeavingReportFilter(MOST_LATE)
         self._on_leaving = on_leaving
         self._interval_s = interval_s
         self._cfg = FleetConfig()
@@ -81,7 +81,7 @@
         present = self._cfg.endpoints.get(asked.name)
         if present is None or present.generation != asked.generation:
             return False
-        return self._reports.tells(present, self._left(asked.name), leaving=leaving)
+        return self._reports.accept(present, self._left(asked.name), leaving=leaving)
 
     def _round(self) -> None:
         for name, endpoint in self._cfg.endpoints.items():
--- a/greengageflow/daemon/router.py
+++ b/greengageflow/daemon/router.py
@@ -14,7 +14,7 @@
 from greengageflow.core.config_roles import config_roles
 from greengageflow.core.file_budget import FileBudget
 from greengageflow.core.hosts import HostEntry, HostKind, HostState
-from greengageflow.core.leaving import LaggingSource
+from greengageflow.core.leaving import LeavingReportFilter
 from greengageflow.core.membership import Membership, Seed
 from greengageflow.core.messages import Member, OrderNotice, PeerId
 from greengageflow.core.quarantine import Quarantine
@@ -124,7 +124,7 @@
             self._on_leaving,
         )
         self._host_list: HostList | None = None
-        self._listed = LaggingSource()
+        self._listed = LeavingReportFilter()
         self._observer = Observer(
             self._control,
             self._link,
@@ -217,7 +217,7 @@
             left = self._control.leaving.left_generation(entry.host)
             endpoint = self._follower.config.endpoints[entry.host]
             leaving = entry.state is HostState.LEAVING
-            if self._listed.tells(endpoint, left, leaving=leaving):
+            if self._listed.accept(endpoint, left, leaving=leaving):
                 self._on_leaving(entry.host, "host list")
 
     def _is_configured(self, entry: HostEntry) -> bool:
--- a/greengageflow/lab/_slopes_members.py
+++ b/greengageflow/lab/_slopes_members.py
@@ -99,7 +99,7 @@
 
     def _adopt(self, core: Membership) -> None:
         name = core.own.host
-        if core.newer_revision() is not None and name not in self._adopting:
+        if core.newer_revision_host() is not None and name not in self._adopting:
             self._adopting.add(name)
             self._at(self.now + _ADOPT_S, self._adopted, core)
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -144,9 +144,9 @@
 def test_a_newer_configuration_at_a_peer_is_noticed():
     fleet = settled()
     fleet.core("r7").revision = 12
-    assert fleet.run_until(lambda: fleet.core("r1").newer_revision())
+    assert fleet.run_until(lambda: fleet.core("r1").newer_revision_host())
     fleet.core("r1").revision = 12
-    assert fleet.core("r1").newer_revision() is None
+    assert fleet.core("r1").newer_revision_host() is None
 
 
 def test_a_pause_of_this_process_is_no_evidence_against_others():
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -31,7 +31,7 @@
 
 
 def test_only_successive_readings_drop_a_host_and_only_when_it_is_not_live():
-    roster = Roster("r1", readings=3)
+    roster = Roster("r1", lists_to_remove=3)
     roster.on_members(["r1", "r2", "r3"])
     roster.on_members(["r1", "r3"])
     roster.on_hosts(routers("r1"))
@@ -47,7 +47,7 @@
     """The platform restarts with an empty store during a partition and returns an
     empty host list. If it were applied, each side would take all slots.
     """
-    roster = Roster("r1", readings=1)
+    roster = Roster("r1", lists_to_remove=1)
     roster.on_hosts(routers("r1", "r2"))
     assert roster.on_hosts(()) == frozenset()
     assert roster.hosts == {"r1", "r2"}
