--- a/greengageflow/core/_member_table.py
+++ b/greengageflow/core/_member_table.py
@@ -114,7 +114,7 @@
         Args:
             member: The update.
             now: Monotonic time in seconds.
-            tell: Whether to gossip an update with status ``alive``; any other status
+            gossip: Whether to gossip an update with status ``alive``; any other status
                 is always gossiped.
         """
         if not _is_valid(member):
--- a/greengageflow/core/_probes.py
+++ b/greengageflow/core/_probes.py
@@ -14,7 +14,7 @@
         host: Host that is probed.
         seq: Sequence number, which the ack repeats.
         sent_at: Monotonic time at which it was sent, in seconds.
-        helped: Whether indirect probes have been requested.
+        indirect_requested: Whether indirect probes have been requested.
     """
 
     host: str
@@ -28,7 +28,7 @@
     """An indirect probe, sent on behalf of another router.
 
     Args:
-        asker: Host that requested it.
+        requester: Host that requested it.
         seq: Sequence number of the requesting host's own probe.
         sent_at: Monotonic time at which it was sent, in seconds.
     """
@@ -81,7 +81,7 @@
         return probe
 
     def begin_relay(self, requester: str, seq: int, now: float) -> int:
-        """Register an indirect probe for ``requester`` and return its sequence number."""
+        """Register an indirect probe and return its sequence number."""
         oldest_valid = now - self._relay_s
         self._relays = {
             n: r for n, r in self._relays.items() if r.sent_at > oldest_valid
--- a/greengageflow/core/action_entry.py
+++ b/greengageflow/core/action_entry.py
@@ -61,10 +61,10 @@
     Args:
         own: This router.
         writer_of: Returns the host that writes a given stream of the log.
-        holder_lives: Returns whether the router ``{host}:{boot}`` may still be
+        is_holder_live: Returns whether the router ``{host}:{boot}`` may still be
             running an attempt.
-        verdict_wait_s: Longest wait for a verdict, in seconds.
-        report_keep_s: Seconds for which an outcome that isn't in the log yet is
+        verdict_timeout_s: Longest wait for a verdict, in seconds.
+        report_retention_s: Seconds for which an outcome that isn't in the log yet is
             retransmitted.
     """
 
--- a/greengageflow/core/actions.py
+++ b/greengageflow/core/actions.py
@@ -139,7 +139,7 @@
         nonce: Id of the attempt that holds the key; only it may send.
         digest: Digest of its request.
         holder: ``{host}:{boot}`` of the router that makes the attempt.
-        expires: Unix time at which the key expires, by the log's clock.
+        expires_at: Unix time at which the key expires, by the log's clock.
         outcome: Outcome of the attempt, once recorded.
     """
 
--- a/greengageflow/core/leaving.py
+++ b/greengageflow/core/leaving.py
@@ -20,7 +20,7 @@
     its lag can explain.
 
     Args:
-        most_late: Consecutive leaving reports that the lag can explain.
+        max_outdated_reports: Consecutive leaving reports that the lag can explain.
     """
 
     def __init__(self, max_outdated_reports: float = inf) -> None:
@@ -33,7 +33,7 @@
 
         Args:
             endpoint: The endpoint as configured when the source was queried.
-            left: Newest generation of it that is known to have left, or 0.
+            newest_left: Newest generation of it that is known to have left, or 0.
             leaving: Whether the source reports it as leaving.
         """
         name, generation = endpoint.name, endpoint.generation
--- a/greengageflow/core/order_owner.py
+++ b/greengageflow/core/order_owner.py
@@ -75,13 +75,13 @@
         owns: Returns whether this router owns an endpoint.
         checks_fencing: Returns whether an endpoint checks fencing tokens, or None if
             there is no such endpoint.
-        holder_lives: Returns whether the router ``{host}:{boot}`` is live.
+        is_holder_live: Returns whether the router ``{host}:{boot}`` is live.
         fold: State of the orders; a new one by default.
         send_window_s: Seconds after the claim was queued within which sending must
             start.
-        takeover_s: Seconds after which a claim without a result is taken over, or
-            its result recorded as unknown. Must exceed the send window plus the
-            timeout of the engine's response.
+        takeover_timeout_s: Seconds after which a claim without a result is taken
+            over, or its result recorded as unknown. Must exceed the send window plus
+            the timeout of the engine's response.
     """
 
     def __init__(
--- a/greengageflow/core/orders.py
+++ b/greengageflow/core/orders.py
@@ -124,11 +124,11 @@
         order: The order.
         offset: Offset of its record.
         time: Unix time at which it was appended, in seconds.
-        claim_by: Unix time from which claims are ignored.
-        ends: Unix time at which it ends without a result.
+        claimable_until: Unix time from which claims are ignored.
+        ends_at: Unix time at which it ends without a result.
         claim: The claim that holds, if any.
         fencing: Offset of that claim, or ``NO_CLAIM``.
-        tries: Number of attempts that ended without sending.
+        unsent_attempts: Number of attempts that ended without sending.
         result: One of ``RESULTS``; empty while the order is open.
         text: Message of the engine or the router.
     """
@@ -150,9 +150,9 @@
 
     Args:
         expiry_s: Seconds for which an order may be claimed.
-        hold_s: Seconds after which a claim without a result ends its order. The
-            retention of the log must exceed ``expiry_s + claim_timeout_s``.
-        most_loads: Most orders that load weights and are claimed at a time.
+        claim_timeout_s: Seconds after which a claim without a result ends its order.
+            The log's retention must exceed ``expiry_s + claim_timeout_s``.
+        max_concurrent_loads: Most orders that load weights and are claimed at a time.
     """
 
     def __init__(
--- a/greengageflow/core/roster.py
+++ b/greengageflow/core/roster.py
@@ -14,12 +14,12 @@
 class Roster:
     """Router hosts that are live members or in the platform's host list.
 
-    A host is removed when it isn't live and ``lists_to_remove`` consecutive host lists omit
-    it or have it as leaving. While the list can't be read, no host is removed.
+    A host is removed when it isn't live and ``lists_to_remove`` consecutive host lists
+    omit it or have it as leaving. While the list can't be read, no host is removed.
 
     Args:
         own_host: This router's host.
-        readings: Number of consecutive lists needed to remove a host.
+        lists_to_remove: Number of consecutive lists needed to remove a host.
     """
 
     def __init__(self, own_host: str, *, lists_to_remove: int = 3) -> None:
