--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -13,7 +13,7 @@
 class Router:
     def __init__(self, fleet, name, boot, seeds):
         self.peer = PeerId(name, boot)
-        self.contacts = {}
+        self.addresses = {}
         self.paused_until = 0.0
         self.inbox = []
         own = Member(name, boot, 0, "alive", "127.0.0.1", int(name[1:]), "z1")
@@ -25,17 +25,17 @@
 
 
 class Fleet:
-    def __init__(self, size, *, seed=1, loss=0.0, copies=0.0, seeds=2):
+    def __init__(self, size, *, seed=1, loss=0.0, duplication=0.0, seeds=2):
         self.random = Random(seed)
         self.now = 1000.0
         self.loss = loss
-        self.copies = copies
-        self.cut = lambda a, b: False
+        self.duplication = duplication
+        self.is_cut = lambda a, b: False
         self.routers = {}
         self.bytes_out = 0
         self.messages_out = 0
         self._queue = []
-        self._order = count()
+        self._sequence = count()
         self._seeds = [f"r{n}" for n in range(1, seeds + 1)]
         for number in range(1, size + 1):
             self.start(f"r{number}")
@@ -56,32 +56,32 @@
 
     def run_until(self, condition, limit_s=60.0):
         """Run until the condition holds; return the seconds taken, or None."""
-        start = checked = self.now
+        start = last_check = self.now
         while self._queue and self.now < start + limit_s:
-            if self.now >= checked + 0.1:
-                checked = self.now
+            if self.now >= last_check + 0.1:
+                last_check = self.now
                 if condition():
                     return self.now - start
-            self.now, _, call, args = heappop(self._queue)
-            call(*args)
+            self.now, _, callback, args = heappop(self._queue)
+            callback(*args)
         return None
 
-    def agreed(self):
+    def views_agree(self):
         live = set(self.routers)
         return all(set(r.core.members) == live for r in self.routers.values())
 
-    def carry_out(self, router, effects):
+    def run_effects(self, router, effects):
         for effect in effects:
             match effect:
                 case Connect(host, _, port):
-                    router.contacts[host] = port
+                    router.addresses[host] = port
                 case Disconnect():
                     pass
                 case Send(to, message):
                     self._send(router, to, message)
 
-    def _at(self, when, call, *args):
-        heappush(self._queue, (when, next(self._order), call, args))
+    def _at(self, when, callback, *args):
+        heappush(self._queue, (when, next(self._sequence), callback, args))
 
     def _tick(self, router):
         if self.routers.get(router.peer.host) is not router:
@@ -89,24 +89,24 @@
         if router.paused_until > self.now:
             self._at(router.paused_until, self._tick, router)
             return
-        self.carry_out(router, router.core.on_tick(self.now))
+        self.run_effects(router, router.core.on_tick(self.now))
         self._at(self.now + router.core.tick_s, self._tick, router)
 
     def _send(self, router, to, message):
-        assert to in router.contacts, "no address was given for the peer"
+        assert to in router.addresses, "no address was given for the peer"
         data = encode(router.peer, message)
         self.bytes_out += len(data)
         self.messages_out += 1
-        for _ in range(1 + (self.random.random() < self.copies)):
+        for _ in range(1 + (self.random.random() < self.duplication)):
             if self.random.random() >= self.loss:
                 delay = self.random.uniform(0.0005, 0.003)
-                self._at(self.now + delay, self._arrive, router.peer.host, to, data)
+                self._at(self.now + delay, self._deliver, router.peer.host, to, data)
 
-    def _arrive(self, host, to, data):
+    def _deliver(self, host, to, data):
         router = self.routers.get(to)
-        if router is None or self.cut(host, to):
+        if router is None or self.is_cut(host, to):
             return
         if router.paused_until > self.now:
-            self._at(router.paused_until, self._arrive, host, to, data)
+            self._at(router.paused_until, self._deliver, host, to, data)
             return
-        self.carry_out(router, router.core.receive(self.now, *decode(data)))
+        self.run_effects(router, router.core.receive(self.now, *decode(data)))
--- a/tests/test_actions.py
+++ b/tests/test_actions.py
@@ -28,7 +28,7 @@
 KEY = "acme\nvisit-1"
 
 
-def test_a_released_attempt_does_not_take_the_key_by_a_late_copy():
+def test_a_duplicate_intent_after_its_release_does_not_take_the_key():
     """A duplicate intent after a release must not block the key.
 
     The append of the intent was retried because its response was lost, so a
@@ -44,7 +44,7 @@
     assert fold.state(KEY).nonce == "n2"
 
 
-def test_readers_that_start_late_free_a_key_at_the_same_time():
+def test_readers_with_different_start_offsets_expire_a_key_at_the_same_time():
     """Two writers must never grant the same key to different attempts.
 
     The first intent was trimmed from the log before the second writer started to
@@ -67,7 +67,7 @@
     assert early.state(KEY).expires_at == late.state(KEY).expires_at
 
 
-def test_memory_for_answers_is_bounded_and_says_so():
+def test_memory_for_bodies_is_bounded_and_dropped_bodies_are_marked():
     fold = ActionFold(600)
     for n in range(300):
         fold.apply(1, Intent(f"k{n}", f"n{n}", "d", "r1:1"))
@@ -86,13 +86,13 @@
         super().__init__()
         self.now = 0.0
         self.log = {}
-        self.mail = []
+        self.pending = []
         self.writers = {}
         self.entries = {}
         self.boots = Counter()
-        self.sent = Counter()
-        self.told_not_run = set()
-        self.number = 0
+        self.send_counts = Counter()
+        self.reported_not_run = set()
+        self.request_count = 0
         self.writer = "r1"
         for host in ("r1", "r2", "r3"):
             self.restart_host(host)
@@ -110,62 +110,64 @@
             match effect:
                 case Send(to, message):
                     sender = PeerId(host, self.boots[host])
-                    self.mail.append((sender, to, message))
+                    self.pending.append((sender, to, message))
                 case AppendRecords(stream, records):
-                    self.mail.append((host, "append", stream, records))
+                    self.pending.append((host, "append", stream, records))
                 case ReadRecords(stream, start):
                     rows = self.log.get(stream, [])
                     result = Records(tuple(rows[start:]), 0, len(rows))
                     self.run(host, self.writers[host].on_read(self.now, stream, result))
                 case MayRun(request):
-                    self.mail.append((host, "send", request))
+                    self.pending.append((host, "send", request))
                 case Refuse(request, ran=None):
-                    self.told_not_run.add(request)
+                    self.reported_not_run.add(request)
 
     @rule(host=st.sampled_from(["r1", "r2", "r3"]))
-    def caller_asks(self, host):
-        self.number += 1
-        request = f"q{self.number}"
+    def caller_sends_request(self, host):
+        self.request_count += 1
+        request = f"q{self.request_count}"
         entry = self.entries[host]
         self.run(host, entry.begin(self.now, request, KEY, "d", self.now + 20))
 
-    @rule(pick=st.integers(0, 99), fate=st.sampled_from(["ok", "ok", "lose", "copy"]))
-    def something_happens(self, pick, fate):
-        if not self.mail:
+    @rule(
+        pick=st.integers(0, 99), delivery=st.sampled_from(["ok", "ok", "lose", "copy"])
+    )
+    def process_pending(self, pick, delivery):
+        if not self.pending:
             return
-        index = pick % len(self.mail)
-        item = self.mail[index] if fate == "copy" else self.mail.pop(index)
+        index = pick % len(self.pending)
+        item = self.pending[index] if delivery == "copy" else self.pending.pop(index)
         match item:
             case host, "send", request:
-                if fate != "copy":
-                    self.send(host, request, fate)
+                if delivery != "copy":
+                    self.send(host, request, delivery)
             case host, "append", stream, records:
-                if fate != "copy":
-                    self.append(host, stream, records, fate)
-            case sender, to, message if fate != "lose":
+                if delivery != "copy":
+                    self.append(host, stream, records, delivery)
+            case sender, to, message if delivery != "lose":
                 self.deliver(sender, to, message)
 
     @rule(count=st.integers(1, 8))
-    def all_goes_well(self, count):
+    def process_in_order(self, count):
         for _ in range(count):
-            self.something_happens(0, "ok")
+            self.process_pending(0, "ok")
 
-    def send(self, host, request, fate):
+    def send(self, host, request, delivery):
         entry = self.entries[host]
-        if fate == "lose":
+        if delivery == "lose":
             self.run(host, entry.cancel(self.now, request))
-            self.told_not_run.add(request)
+            self.reported_not_run.add(request)
         elif entry.begin_send(self.now, request):
-            self.sent[request] += 1
-            assert request not in self.told_not_run
+            self.send_counts[request] += 1
+            assert request not in self.reported_not_run
             self.run(host, entry.on_ended(self.now, request, Ran.YES, status=200))
 
-    def append(self, host, stream, records, fate):
+    def append(self, host, stream, records, delivery):
         rows = self.log.setdefault(stream, [])
         result = Appended(len(rows), len(records))
         for record in records:
             rows.append(LogRecord(len(rows), self.now, record))
-        if fate == "lose":
+        if delivery == "lose":
             result = LogFailure(True, "answer lost")
         writer = self.writers[host]
         if writer._streams.get(stream) and writer._streams[stream].in_flight:
@@ -181,7 +183,7 @@
                 self.entries[to].on_stored(message)
 
     @rule(step=st.sampled_from([0.2, 1.0, 4.0]))
-    def time_passes(self, step):
+    def advance_time(self, step):
         self.now += step
         for host in self.entries:
             self.run(host, self.entries[host].on_tick(self.now))
@@ -189,7 +191,7 @@
 
     @rule(host=st.sampled_from(["r1", "r2", "r3"]))
     def host_restarts(self, host):
-        self.mail = [m for m in self.mail if m[0] != host]
+        self.pending = [m for m in self.pending if m[0] != host]
         self.restart_host(host)
 
     @rule(host=st.sampled_from(["r1", "r2", "r3"]))
@@ -198,14 +200,14 @@
 
     @invariant()
     def at_most_once(self):
-        assert sum(self.sent.values()) <= 1
+        assert sum(self.send_counts.values()) <= 1
 
 
 TestActionMachine = ActionMachine.TestCase
 TestActionMachine.settings = settings(max_examples=200, stateful_step_count=50)
 
 
-def test_records_survive_the_log():
+def test_records_round_trip_through_json():
     for record in (
         Intent(KEY, "n", "d", "r1:1"),
         Release(KEY, "n"),
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -23,17 +23,17 @@
 LOAD = Order("o1", "e1", "load", model="scribe", version="2")
 
 
-def folded(*rows):
+def fold_of(*rows):
     fold = OrderFold()
     for offset, (time, record) in enumerate(rows):
         fold.apply(offset, time, record)
     return fold
 
 
-def test_records_survive_the_log_and_others_are_ignored():
+def test_records_round_trip_and_invalid_ones_are_ignored():
     for record in (LOAD, Claim("o1", "n", "r1:1", 4, True), Done("o1", "n", "done")):
         assert from_json(to_json(record)) == record
-    for odd in (
+    for invalid in (
         {"t": "order", "id": "o", "endpoint": "e", "op": "format"},
         {"t": "claim", "id": "o", "nonce": "n", "holder": "h", "over": True},
         {"t": "done", "id": "o", "nonce": 1, "result": "done"},
@@ -41,40 +41,40 @@
         [],
         None,
     ):
-        assert from_json(odd) is None
+        assert from_json(invalid) is None
 
 
-def test_a_copy_of_a_claim_does_not_hold_an_order_that_was_given_back():
+def test_a_duplicate_claim_does_not_hold_an_order_that_was_not_sent():
     """A duplicate claim after ``not_sent`` must not block the order until it expires.
 
     The append of the claim was retried because its response was lost, so a duplicate
     follows the end of an attempt that sent nothing.
     """
     claim = Claim("o1", "n1", "r1:1")
-    fold = folded((1, LOAD), (2, claim), (3, Done("o1", "n1", "not_sent")), (4, claim))
+    fold = fold_of((1, LOAD), (2, claim), (3, Done("o1", "n1", "not_sent")), (4, claim))
     assert fold.state("o1").claim is None
     fold.apply(4, 5, Claim("o1", "n2", "r2:1"))
     assert fold.state("o1").fencing == 4
 
 
-def test_a_copy_of_an_order_that_ended_does_not_run_again():
-    fold = folded(
+def test_a_duplicate_of_an_ended_order_does_not_run_again():
+    fold = fold_of(
         (1, LOAD), (2, Claim("o1", "n1", "r1:1")), (3, Done("o1", "n1", "done"))
     )
     fold.apply(3, 4, LOAD)
     assert fold.open == ()
 
 
-def test_a_later_claim_counts_only_where_numbers_are_checked():
+def test_a_later_claim_counts_only_with_fencing():
     """An engine that ignores fencing tokens must not get an order from two owners.
 
     Two routers claim one order, because each considers the other dead. The engine
     would load twice, or return to an older version.
     """
-    plain = folded((1, LOAD), (2, Claim("o1", "n1", "a:1")))
+    plain = fold_of((1, LOAD), (2, Claim("o1", "n1", "a:1")))
     plain.apply(2, 9, Claim("o1", "n2", "b:1", 1, True))
     assert plain.state("o1").claim.nonce == "n1"
-    fenced = folded((1, LOAD), (2, Claim("o1", "n1", "a:1", fenced=True)))
+    fenced = fold_of((1, LOAD), (2, Claim("o1", "n1", "a:1", fenced=True)))
     fenced.apply(2, 9, Claim("o1", "n2", "b:1", fenced=True))
     assert fenced.state("o1").claim.nonce == "n1"
     fenced.apply(3, 9, Claim("o1", "n3", "b:1", 1, True))
@@ -84,7 +84,7 @@
 def test_loads_are_bounded_over_the_fleet():
     """The weight store refuses requests when all engines load at once."""
     orders = [Order(f"o{n}", f"e{n}", "load", model="m") for n in range(9)]
-    fold = folded(*((1, order) for order in orders))
+    fold = fold_of(*((1, order) for order in orders))
     assert fold.claimable_loads() == [
         order.id for order in orders[:MAX_CONCURRENT_LOADS]
     ]
@@ -97,12 +97,12 @@
 
 
 def test_a_stale_order_is_not_sent_after_an_outage():
-    fold = folded((0, LOAD))
+    fold = fold_of((0, LOAD))
     fold.apply(1, 300, Claim("o1", "n1", "r1:1"))
     assert fold.state("o1").result == "expired"
 
 
-def test_two_sides_of_a_partition_do_not_claim_over_each_other_without_end():
+def test_two_sides_of_a_partition_replace_claims_at_a_bounded_rate():
     """Two routers must not replace each other's claims at an unbounded rate.
 
     Each considers the other dead, both reach the log and the engine, and every send
@@ -152,15 +152,15 @@
         super().__init__()
         self.now = 0.0
         self.log = []
-        self.mail = []
+        self.pending = []
         self.routers = {}
         self.read = {}
         self.boots = Counter()
         self.owners = {"r1"}
         self.frozen = set()
         self.received = Counter()
-        self.taken = []
-        self.left = []
+        self.executed = []
+        self.sent_orders = []
         self.engine_fencing = -1
         self.number = 0
         for host in ("r1", "r2"):
@@ -169,17 +169,19 @@
     def restart(self, host):
         self.boots[host] += 1
         self.read[host] = 0
-        self.mail = [item for item in self.mail if item[0] != host or item[1] == "wire"]
+        self.pending = [
+            item for item in self.pending if item[0] != host or item[1] == "wire"
+        ]
         self.routers[host] = OrderOwner(
             PeerId(host, self.boots[host]),
             owns=lambda _: host in self.owners,
             checks_fencing=lambda _: self.fenced,
-            is_holder_live=self.lives,
+            is_holder_live=self.is_holder_live_now,
             send_window_s=4,
             takeover_timeout_s=10,
         )
 
-    def lives(self, holder):
+    def is_holder_live_now(self, holder):
         host, _, boot = holder.partition(":")
         return host not in self.frozen and int(boot) == self.boots[host]
 
@@ -187,94 +189,100 @@
         for effect in self.routers[host].on_tick(self.now):
             match effect:
                 case AppendRecords(records=rows):
-                    self.mail.append((host, "append", rows, 0))
+                    self.pending.append((host, "append", rows, 0))
                 case SendOrder():
-                    self.mail.append((host, "send", effect, 0))
+                    self.pending.append((host, "send", effect, 0))
 
     @rule()
-    def operator_orders(self):
+    def operator_gives_order(self):
         if self.number < 3:
             self.number += 1
             order = Order(f"o{self.number}", "e1", "role", role="prefill")
             self.log.append(LogRecord(len(self.log), self.now, to_json(order)))
 
-    def reads(self, host):
+    def read_log(self, host):
         rows = self.log[self.read[host] :]
         self.read[host] = len(self.log)
         self.routers[host].on_records(self.now, rows)
         self.run(host)
 
-    @rule(host=HOSTS, steps=st.integers(1, 6), wire=st.booleans())
-    def works(self, host, steps, wire):
-        for _ in range(steps):
+    @rule(host=HOSTS, step_count=st.integers(1, 6), wire=st.booleans())
+    def process(self, host, step_count, wire):
+        for _ in range(step_count):
             if host not in self.frozen:
-                self.reads(host)
-            self.happens(host, ("append", "send", *(["wire"] if wire else [])), "ok")
+                self.read_log(host)
+            self.process_next(
+                host, ("append", "send", *(["wire"] if wire else [])), "ok"
+            )
 
     @rule(
-        host=HOSTS, fate=st.sampled_from(["lost", "refused"]), only_wire=st.booleans()
+        host=HOSTS,
+        delivery=st.sampled_from(["lost", "refused"]),
+        wire_only=st.booleans(),
     )
-    def fails(self, host, fate, only_wire):
-        kinds = ("wire",) if only_wire else ("append", "send")
-        self.happens(host, kinds, fate)
+    def fail_next(self, host, delivery, wire_only):
+        kinds = ("wire",) if wire_only else ("append", "send")
+        self.process_next(host, kinds, delivery)
 
-    def happens(self, host, kinds, fate):
-        for item in self.mail:
+    def process_next(self, host, kinds, delivery):
+        for item in self.pending:
             if item[0] == host and item[1] in kinds:
                 break
         else:
             return
-        _, kind, what, boot = item
+        _, kind, payload, boot = item
         if host in self.frozen and kind != "wire":
             return
-        self.mail.remove(item)
+        self.pending.remove(item)
         match kind:
             case "append":
-                self.append(host, what, fate)
+                self.append(host, payload, delivery)
             case "send":
-                self.send(host, what, fate)
+                self.send(host, payload, delivery)
             case "wire":
-                self.arrive(host, what, fate, boot)
+                self.deliver(host, payload, delivery, boot)
 
-    def append(self, host, rows, fate):
+    def append(self, host, rows, delivery):
         result = Appended(len(self.log), len(rows))
-        if fate == "refused":
+        if delivery == "refused":
             result = LogFailure(False, "down")
         else:
             for row in rows:
                 self.log.append(LogRecord(len(self.log), self.now, row))
-            if fate == "lost":
+            if delivery == "lost":
                 result = LogFailure(True, "answer lost")
         self.routers[host].on_append(self.now, result)
 
-    def send(self, host, send, fate):
+    def send(self, host, send, delivery):
         # The connection pool checks this right before sending the first byte.
-        if fate == "refused" or self.now >= send.not_after:
+        if delivery == "refused" or self.now >= send.not_after:
             end = self.now, send.order.id, send.nonce, "not_sent", ""
             self.routers[host].on_send_result(*end)
         else:
-            self.left.append(int(send.order.id[1:]))
-            self.mail.append((host, "wire", send, self.boots[host]))
+            self.sent_orders.append(int(send.order.id[1:]))
+            self.pending.append((host, "wire", send, self.boots[host]))
 
-    def arrive(self, host, send, fate, boot):
+    def deliver(self, host, send, delivery, boot):
         id_ = send.order.id
         self.received[id_] += 1
-        old = self.fenced and send.fencing < self.engine_fencing
-        if not old:
+        outdated = self.fenced and send.fencing < self.engine_fencing
+        if not outdated:
             self.engine_fencing = max(self.engine_fencing, send.fencing)
-            self.taken.append(int(id_[1:]))
+            self.executed.append(int(id_[1:]))
         if boot == self.boots[host]:
-            result = "unknown" if fate == "lost" else "refused" if old else "done"
+            result = (
+                "unknown" if delivery == "lost" else "refused" if outdated else "done"
+            )
             self.routers[host].on_send_result(self.now, id_, send.nonce, result, "")
 
     @rule(step=st.sampled_from([0.5, 2.0, 5.0, 12.0]))
-    def time_passes(self, step):
+    def advance_time(self, step):
         self.now += step
         for host in self.routers.keys() - self.frozen:
             self.run(host)
 
     @rule(host=HOSTS)
-    def freezes_or_wakes(self, host):
+    def toggle_frozen(self, host):
         self.frozen ^= {host}
 
     @rule(host=HOSTS)
@@ -283,17 +291,17 @@
         self.restart(host)
 
     @rule(owners=st.sets(HOSTS, min_size=1))
-    def owners_change(self, owners):
+    def change_owners(self, owners):
         self.owners = owners
 
     @invariant()
-    def holds(self):
+    def orders_run_safely(self):
         if self.fenced:
             # No earlier order is executed after a later one.
-            assert self.taken == sorted(self.taken)
+            assert self.executed == sorted(self.executed)
         else:
             assert all(count <= 1 for count in self.received.values())
-            assert self.left == sorted(self.left)
+            assert self.sent_orders == sorted(self.sent_orders)
 
 
 class FencedMachine(OrderMachine):
@@ -306,15 +314,15 @@
     case.settings = settings(max_examples=250, stateful_step_count=40)
 
 
-def test_the_machine_gets_orders_through():
+def test_the_state_machine_executes_orders():
     """Checks that the state machine executes orders; else it would prove nothing."""
     for machine in (OrderMachine(), FencedMachine()):
-        machine.operator_orders()
-        machine.operator_orders()
+        machine.operator_gives_order()
+        machine.operator_gives_order()
         for _ in range(4):
-            machine.works("r1", 4, True)
-            machine.time_passes(0.5)
-        assert machine.taken == [1, 2]
+            machine.process("r1", 4, True)
+            machine.advance_time(0.5)
+        assert machine.executed == [1, 2]
 
 
 def test_an_append_without_an_answer_is_repeated_under_the_same_id():
@@ -333,7 +341,7 @@
     assert from_json(log[0]) == from_json(log[2])
 
 
-def test_orders_that_make_no_sense_are_not_given():
+def test_inconsistent_orders_are_rejected():
     for args in (
         {"op": "load"},
         {"op": "load", "model": "m", "role": "r"},
@@ -345,10 +353,10 @@
             make_order("e1", **args)
 
 
-def test_the_router_that_knows_more_is_believed():
+def test_the_most_advanced_status_wins():
     row = {"id": "o", "offset": 1, "fencing": 2, "result": "", "text": ""}
     late = {**row, "fencing": -1}
     done = {**row, "result": "done"}
     unknown = {**row, "result": "unknown"}
-    views = ({"orders": [one]} for one in (late, unknown, done, row))
+    views = ({"orders": [status]} for status in (late, unknown, done, row))
     assert merged(views) == [done]
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -16,7 +16,7 @@
     )
 
 
-def test_a_partition_or_an_outage_of_the_list_shrinks_nothing():
+def test_a_partition_does_not_shrink_the_roster():
     """Membership drops r2 and r3, whether the host list is unavailable or still
     lists them. They must stay in the roster; otherwise the two sides of a partition
     would use each slot twice.
@@ -30,7 +30,7 @@
     assert roster.hosts == {"r1", "r2", "r3"}
 
 
-def test_only_successive_readings_drop_a_host_and_only_when_it_is_not_live():
+def test_a_host_is_removed_only_by_consecutive_lists_and_only_if_not_live():
     roster = Roster("r1", lists_to_remove=3)
     roster.on_members(["r1", "r2", "r3"])
     roster.on_members(["r1", "r3"])
@@ -43,7 +43,7 @@
     assert roster.hosts == {"r1", "r3"}
 
 
-def test_a_list_that_lost_its_data_counts_for_nothing():
+def test_an_empty_host_list_is_ignored():
     """The platform restarts with an empty store during a partition and returns an
     empty host list. If it were applied, each side would take all slots.
     """
@@ -54,12 +54,12 @@
 
 
 class FakePool:
-    def __init__(self, answers):
-        self.answers = answers
+    def __init__(self, responses):
+        self.responses = responses
 
     def fetch(self, request, on_done):
         assert (request.method, request.path) == ("GET", "/hosts")
-        on_done(self.answers.pop(0))
+        on_done(self.responses.pop(0))
 
 
 class FakeTimers:
@@ -71,7 +71,7 @@
         self.call = call
 
 
-def row(name, kind="router", state="live"):
+def entry(name, kind="router", state="live"):
     return {
         "host": name,
         "kind": kind,
@@ -82,30 +82,37 @@
     }
 
 
-def answer(*rows, status=200):
+def response(*rows, status=200):
     return Response(status, (), json.dumps({"hosts": rows}).encode())
 
 
-def test_failures_and_broken_lists_are_not_handed_over():
-    timers, got = FakeTimers(), []
-    answers = [
-        answer(row("r1"), row("e1", "endpoint", "leaving"), row("x", "printer")),
+def test_failures_and_invalid_lists_are_not_passed_on():
+    timers, received = FakeTimers(), []
+    responses = [
+        response(
+            entry("r1"), entry("e1", "endpoint", "leaving"), entry("x", "printer")
+        ),
         Failure(FailureKind.TIMEOUT, True, "nothing moved"),
-        answer(status=503),
-        answer(row("r1"), {"host": "r2", "kind": "router"}),
-        answer(*(row(f"r{n}") for n in range(360))),
+        response(status=503),
+        response(entry("r1"), {"host": "r2", "kind": "router"}),
+        response(*(entry(f"r{n}") for n in range(360))),
     ]
-    hosts = HostList(FakePool(answers), timers, "127.0.0.9", 1, got.append, seed=1)
+    hosts = HostList(
+        FakePool(responses), timers, "127.0.0.9", 1, received.append, seed=1
+    )
     hosts.start()
-    assert [(e.host, e.state) for e in got[0]] == [("r1", "live"), ("e1", "leaving")]
+    assert [(e.host, e.state) for e in received[0]] == [
+        ("r1", "live"),
+        ("e1", "leaving"),
+    ]
     for _ in range(3):
         timers.call()
-    assert (len(got), hosts.failures) == (1, 3)
+    assert (len(received), hosts.failures) == (1, 3)
     timers.call()
-    assert (len(got), hosts.failures, hosts.interval_s) == (2, 0, 72.0)
+    assert (len(received), hosts.failures, hosts.interval_s) == (2, 0, 72.0)
 
 
 @pytest.mark.parametrize("body", [b"", b"[]", b"{}", b'{"hosts": [1]}'])
-def test_what_is_no_host_list_is_refused_whole(body):
+def test_an_invalid_host_list_is_rejected(body):
     with pytest.raises(HostListError):
         parse_hosts(body)
