--- a/greengageflow/core/membership.py
+++ b/greengageflow/core/membership.py
@@ -201,7 +201,7 @@
         """Drop a dead host that the platform no longer lists."""
         self._table.forget(host)
 
-    def stop(self) -> None:
+    def set_stopping(self) -> None:
         """Announce that this router is draining: still live, but no new ownership."""
         self._table.set_own_status(STOPPING)
 
--- a/greengageflow/daemon/dispatch.py
+++ b/greengageflow/daemon/dispatch.py
@@ -188,8 +188,8 @@
         """Go on with a protected action that is the first of its key."""
         flight = self._flights.get(request)
         if flight is None:
-            give_up = self._control.actions.cancel(monotonic(), request)
-            self._control.run(give_up)
+            cancel_effects = self._control.actions.cancel(monotonic(), request)
+            self._control.run(cancel_effects)
             return
         self._tracing.finish(flight.hop)
         if (exc := self._quarantine_error(flight)) is not None:
@@ -427,8 +427,8 @@
 
     def _release(self, flight: Flight) -> None:
         if flight.protected:
-            give_up = self._control.actions.cancel(monotonic(), flight.id)
-            self._control.run(give_up)
+            cancel_effects = self._control.actions.cancel(monotonic(), flight.id)
+            self._control.run(cancel_effects)
 
     def _give_back(
         self,
--- a/greengageflow/daemon/router.py
+++ b/greengageflow/daemon/router.py
@@ -286,7 +286,7 @@
             return
         log(LogEvent.STOPPING, running=self._requests.flights)
         self._requests.stopping = True
-        self._control.membership.stop()
+        self._control.membership.set_stopping()
         self._control.refresh_view()
         self._timers.after(self._settings.timing.stop_grace_s, self._refuse_new)
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -124,7 +124,7 @@
 
 def test_a_stopping_router_stays_live_and_a_leaving_one_is_removed_at_once():
     fleet = settled_fleet()
-    fleet.core("r4").stop()
+    fleet.core("r4").set_stopping()
     assert fleet.run_until(
         lambda: all(r.core.members["r4"].stopping for r in fleet.routers.values())
     )
