--- a/greengageflow/core/leaving.py
+++ b/greengageflow/core/leaving.py
@@ -76,7 +76,7 @@
         """Return the newest generation of an endpoint that has left, or 0."""
         return self._left_generations.get(endpoint, 0)
 
-    def has_left(self, endpoint: str) -> bool:
+    def is_leaving(self, endpoint: str) -> bool:
         """Return whether the endpoint is leaving and must get no new work."""
         configured = self._cfg.endpoints.get(endpoint)
         return (
@@ -87,7 +87,7 @@
     def record(self, endpoint: str) -> Iterator[Send]:
         """Record that the current generation of an endpoint leaves; notify others."""
         configured = self._cfg.endpoints.get(endpoint)
-        if configured is None or self.has_left(endpoint):
+        if configured is None or self.is_leaving(endpoint):
             return
         self._left_generations[endpoint] = configured.generation
         if self._view is not None:
--- a/greengageflow/daemon/control.py
+++ b/greengageflow/daemon/control.py
@@ -116,7 +116,7 @@
         self.own = own
         self.ledger = ServiceLedger(own, local_only=sharing == "local")
         self.leaving = LeavingEndpoints(own)
-        self.entry = EntryQueue(own, self.ledger, is_leaving=self.leaving.has_left)
+        self.entry = EntryQueue(own, self.ledger, is_leaving=self.leaving.is_leaving)
         self.owner = EndpointOwner(own, self.ledger, settle_s=SETTLE_S)
         self.collector = Collector(own, self.ledger)
         self.writer = ActionWriter()
@@ -286,10 +286,10 @@
 
     def note_leaving(self, endpoint: str) -> bool:
         """Take a sign that an endpoint leaves; return whether it is news."""
-        if self.leaving.has_left(endpoint):
+        if self.leaving.is_leaving(endpoint):
             return False
         self.run(self.leaving.record(endpoint))
-        if not self.leaving.has_left(endpoint):
+        if not self.leaving.is_leaving(endpoint):
             return False
         self.owner.mark_leaving(endpoint, self.leaving.left_generations[endpoint])
         return True
--- a/greengageflow/daemon/status.py
+++ b/greengageflow/daemon/status.py
@@ -63,7 +63,7 @@
             "leaving": [
                 name
                 for name in self._follower.config.endpoints
-                if control.leaving.has_left(name)
+                if control.leaving.is_leaving(name)
             ],
             "waiting": control.entry.waiting,
             "running": control.entry.running,
