--- a/greengageflow/core/_probes.py
+++ b/greengageflow/core/_probes.py
@@ -1,4 +1,4 @@
-"""The probe under way and the probes made for others, behind ``membership``."""
+"""Direct and indirect probes of ``membership``."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -11,82 +11,87 @@
     """One probe of a neighbour.
 
     Args:
-        host: Who was probed.
-        seq: Number that its answer carries.
-        sent_at: When, in seconds.
-        helped: Others were asked to probe it too.
+        host: Host that is probed.
+        seq: Sequence number, which the ack repeats.
+        sent_at: Monotonic time at which it was sent, in seconds.
+        indirect_requested: Whether indirect probes have been requested.
     """
 
     host: str
     seq: int
     sent_at: float
-    helped: bool = False
+    indirect_requested: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Relay:
-    """A probe made for another router.
+    """An indirect probe, sent on behalf of another router.
 
     Args:
-        asker: Who asked for it.
-        seq: Number that the asker waits for.
-        sent_at: When, in seconds.
+        requester: Host that requested it.
+        seq: Sequence number of the requesting host's own probe.
+        sent_at: Monotonic time at which it was sent, in seconds.
     """
 
-    asker: str
+    requester: str
     seq: int
     sent_at: float
 
 
 class Probes:
-    """Numbers probes and matches answers to them.
+    """Numbers probes and matches acks to them.
 
     Args:
-        random: Source of the order in which neighbours have their turns.
-        relay_s: Seconds for which an answer is passed on to an asker.
+        random: Random number generator that shuffles the neighbours.
+        relay_s: Seconds for which the ack of an indirect probe is passed on.
+
+    Attributes:
+        current: The probe that waits for its ack, if any.
     """
 
     def __init__(self, random: Random, *, relay_s: float) -> None:
         self._random = random
         self._relay_s = relay_s
         self._seqs = count(1)
-        self._turns: list[str] = []
+        self._round: list[str] = []
         self._relays: dict[int, Relay] = {}
         self.current: Probe | None = None
 
     def next_seq(self) -> int:
-        """Return a number that no probe has had."""
+        """Return an unused sequence number."""
         return next(self._seqs)
 
     def begin(self, neighbours: Sequence[str], now: float) -> Probe | None:
-        """Start the probe of the next neighbour; None when there is none.
+        """Start a probe of the next neighbour; return None if there is none.
 
-        In one round each has its turn once, in a new order.
+        Each round probes every neighbour once, in a newly shuffled order.
         """
         present = set(neighbours)
-        self._turns = [host for host in self._turns if host in present]
-        if not self._turns:
-            self._turns = list(neighbours)
-            self._random.shuffle(self._turns)
-        if self._turns:
-            self.current = Probe(self._turns.pop(), self.next_seq(), now)
+        self._round = [host for host in self._round if host in present]
+        if not self._round:
+            self._round = list(neighbours)
+            self._random.shuffle(self._round)
+        if self._round:
+            self.current = Probe(self._round.pop(), self.next_seq(), now)
         return self.current
 
-    def take_unanswered(self) -> Probe | None:
-        """End the probe under way; return it, as no answer came."""
+    def end_current(self) -> Probe | None:
+        """End the current probe without an ack; return it, or None."""
         probe, self.current = self.current, None
         return probe
 
-    def begin_relay(self, asker: str, seq: int, now: float) -> int:
-        """Return the number of a probe made for ``asker``."""
-        old = now - self._relay_s
-        self._relays = {n: r for n, r in self._relays.items() if r.sent_at > old}
-        number = self.next_seq()
-        self._relays[number] = Relay(asker, seq, now)
-        return number
-
-    def on_answer(self, seq: int) -> Relay | None:
-        """Take an answer; return whom it has to be passed on to."""
+    def begin_relay(self, requester: str, seq: int, now: float) -> int:
+        """Register an indirect probe and return its sequence number."""
+        oldest_valid = now - self._relay_s
+        self._relays = {
+            n: r for n, r in self._relays.items() if r.sent_at > oldest_valid
+        }
+        relay_seq = self.next_seq()
+        self._relays[relay_seq] = Relay(requester, seq, now)
+        return relay_seq
+
+    def on_ack(self, seq: int) -> Relay | None:
+        """Handle an ack; return the indirect probe that it belongs to, if any."""
         if self.current is not None and self.current.seq == seq:
             self.current = None
         return self._relays.pop(seq, None)
--- a/greengageflow/daemon/status.py
+++ b/greengageflow/daemon/status.py
@@ -63,14 +63,14 @@
             "leaving": [
                 name
                 for name in self._follower.config.endpoints
-                if control.leaving.has_left(name)
+                if control.leaving.is_leaving(name)
             ],
             "waiting": control.entry.waiting,
             "running": control.entry.running,
             "accounts": dict(self._accounts()),
             "actions": {
                 "unreported": control.actions.unreported,
-                "keys": control.writer.keys_known,
+                "keys": control.writer.key_count,
                 "outbox": control.writer.outbox_size,
             },
             "orders": self._orders(),
