--- a/greengageflow/net/_columns.py
+++ b/greengageflow/net/_columns.py
@@ -1,7 +1,7 @@
-"""Tables of names and amounts as columns, for messages between routers.
+"""Column encoding of tables of names and amounts in messages between routers.
 
-A column is checked and taken over at once. One call for each value made up half of
-what a relay of a large fleet spent.
+A column is validated and copied as a whole. One call per value took half of the CPU
+time of a relay in a large fleet.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -25,12 +25,13 @@
 def work_columns(
     served: AccountSums, offered: AccountSums, *, ordered: bool = False
 ) -> list[tuple[Any, ...]]:
-    """Return service, accounts, work begun and work asked for, as columns.
+    """Return rows of a service, its accounts and their columns of work.
 
     Args:
-        served: Work begun.
-        offered: Work asked for.
-        ordered: Put all accounts of a service together; else keys keep their order.
+        served: Work started.
+        offered: Work requested.
+        ordered: Group all accounts of a service into one row. Otherwise the order
+            of the keys is kept, and a service may have several rows.
     """
     keys = dict.fromkeys([*served, *offered])
     rows = []
@@ -54,17 +55,17 @@
 
 
 def read_work(rows: Iterable[Any]) -> tuple[AccountSums, AccountSums]:
-    """Return work begun and work asked for by service and account.
+    """Return work started and work requested, each by service and account.
 
     Raises:
-        ValueError: It is no such table.
+        ValueError: The rows are malformed.
     """
     served: dict[tuple[str, str], float] = {}
     offered: dict[tuple[str, str], float] = {}
     for service, accounts, begun, asked in rows:
         check_names((service, *accounts))
         if not len(accounts) == len(begun) == len(asked):
-            raise ValueError("columns of several lengths")
+            raise ValueError("columns differ in length")
         keys = list(zip(repeat(service), accounts))
         for sums, column in ((served, begun), (offered, asked)):
             check_amounts(column, least=_NONE)
@@ -76,7 +77,7 @@
 
 
 def load_columns(loads: Mapping[str, LoadShare]) -> tuple[list[Any], ...]:
-    """Return endpoints, requests, tokens to read and tokens kept as columns."""
+    """Return columns of endpoints, requests, prefill tokens and memory tokens."""
     shares = loads.values()
     return (
         list(loads),
@@ -90,11 +91,11 @@
     """Return loads by endpoint.
 
     Raises:
-        ValueError: They are no such columns.
+        ValueError: The columns are malformed.
     """
     names, *amounts = columns
     if len(amounts) != 3:
-        raise ValueError("no loads")
+        raise ValueError("wrong number of load columns")
     check_names(names)
     check_amounts([*chain(*amounts)])
     shares = load_shares(zip(*amounts, strict=True))
@@ -104,19 +105,19 @@
 def change_columns(
     rows: Mapping[int, tuple[int, ...]], width: int
 ) -> tuple[list[int], ...]:
-    """Return places, and the values there as ``width`` columns."""
+    """Return a column of row indexes and ``width`` columns of values."""
     columns = zip(*rows.values(), strict=True) if rows else repeat((), width)
     return (list(rows), *map(list, columns))
 
 
 def read_changes(columns: Sequence[Any], width: int) -> dict[int, tuple[int, ...]]:
-    """Return rows of ``width`` counts by place.
+    """Return rows of ``width`` counts by row index.
 
     Raises:
-        ValueError: They are no such columns.
+        ValueError: The columns are malformed.
     """
     if len(columns) != width + 1:
-        raise ValueError("no changes")
+        raise ValueError("wrong number of delta columns")
     for column in columns:
         check_amounts(column)
     places, *values = columns
@@ -132,7 +133,7 @@
     """Return pairs of names.
 
     Raises:
-        ValueError: They are no such columns.
+        ValueError: The columns are malformed.
     """
     parts, endpoints = columns
     check_names([*parts, *endpoints])
@@ -140,10 +141,10 @@
 
 
 def read_places(columns: Sequence[Any]) -> tuple[tuple[str, int], ...]:
-    """Return pairs of a name and a place.
+    """Return pairs of a name and an index.
 
     Raises:
-        ValueError: They are no such columns.
+        ValueError: The columns are malformed.
     """
     parts, places = columns
     check_names(parts)
@@ -152,35 +153,36 @@
 
 
 def pack_addresses(addresses: Iterable[Address]) -> bytes:
-    """Return IP numbers and ports, six bytes each."""
+    """Return IPv4 addresses and ports packed into six bytes each."""
     return b"".join(_ADDRESS.pack(inet_aton(ip), port) for ip, port in addresses)
 
 
 def read_addresses(data: bytes) -> tuple[Address, ...]:
-    """Return IP numbers and ports; names cannot be written this way.
+    """Return the IPv4 addresses and ports in packed data.
 
     Raises:
-        ValueError: There is a port 0.
-        struct.error: Some bytes are too many.
+        ValueError: A port is 0.
+        struct.error: The length is not a multiple of six bytes.
     """
     found = tuple((inet_ntoa(ip), port) for ip, port in _ADDRESS.iter_unpack(data))
     if any(not port for _, port in found):
-        raise ValueError("no port: 0")
+        raise ValueError("port is 0")
     return found
 
 
 def check_names(names: Iterable[Any]) -> None:
-    """Raise ``ValueError`` unless all are text."""
+    """Raise ``ValueError`` unless all are strings."""
     if not set(map(type, names)) <= {str}:
-        raise ValueError("no names")
+        raise ValueError("names are not strings")
 
 
 def check_amounts(column: Sequence[Any], least: int = 0) -> None:
-    """Raise ``ValueError`` unless all are counts.
+    """Raise ``ValueError`` unless all are integers within the bounds.
 
-    Sums that hold NaN or text would end each later round of this router.
+    A sum with a NaN or a string in it would make every later round of this router
+    fail.
     """
     if not set(map(type, column)) <= {int}:
-        raise ValueError("no counts")
+        raise ValueError("counts are not integers")
     if column and not (least <= min(column) and max(column) <= _MOST):
-        raise ValueError("counts out of bounds")
+        raise ValueError("counts are out of bounds")
--- a/greengageflow/net/_peer_sockets.py
+++ b/greengageflow/net/_peer_sockets.py
@@ -1,4 +1,4 @@
-"""The ZeroMQ sockets behind ``peers``, with their options."""
+"""ZeroMQ sockets of ``peers`` and their options."""
 
 import zmq
 
@@ -12,16 +12,16 @@
 
 
 def open_inbox(context: zmq.Context, ip: str, port: int, limit: int) -> zmq.Socket:
-    """Return a socket that receives at ``ip`` and ``port``.
+    """Return a socket that listens on ``ip`` and ``port``.
 
     Args:
         context: ZeroMQ context.
         ip: IP number to listen on.
-        port: TCP port to listen on; 0 for any free one.
-        limit: Messages that may wait here from one peer.
+        port: TCP port to listen on; 0 selects a free one.
+        limit: Maximum number of received messages queued per peer.
 
     Raises:
-        zmq.ZMQError: The address cannot be listened on.
+        zmq.ZMQError: The address cannot be bound.
     """
     sock = context.socket(zmq.PULL)
     sock.setsockopt(zmq.LINGER, 0)
@@ -32,7 +32,7 @@
 
 
 def bound_port(sock: zmq.Socket) -> int:
-    """Return the TCP port that a listening socket got."""
+    """Return the TCP port that a listening socket is bound to."""
     endpoint: bytes = sock.getsockopt(zmq.LAST_ENDPOINT)
     return int(endpoint.rstrip(b"\0").rpartition(b":")[2])
 
@@ -40,28 +40,28 @@
 def open_outlet(
     context: zmq.Context, source_ip: str, ip: str, port: int, limit: int
 ) -> zmq.Socket:
-    """Return a socket that connects to ``ip`` and ``port``, and again after a cut.
+    """Return a socket that connects to ``ip`` and ``port`` and reconnects.
 
     Args:
         context: ZeroMQ context.
         source_ip: Local address of the connection.
         ip: IP number of the peer.
         port: TCP port of the peer.
-        limit: Messages that may wait for the peer.
+        limit: Maximum number of messages queued for the peer.
     """
     sock = context.socket(zmq.PUSH)
     sock.setsockopt(zmq.LINGER, 0)
     sock.setsockopt(zmq.SNDHWM, limit)
-    # Without IMMEDIATE, ZeroMQ keeps its queue over a cut and delivers it when the
-    # connection is back: a grant would arrive minutes after it was taken back. With
-    # it the queue dies with the connection.
+    # Without IMMEDIATE, ZeroMQ keeps its queue while the connection is down and
+    # delivers it after reconnecting: a grant could arrive minutes after it was
+    # revoked. With IMMEDIATE, the queue is discarded with the connection.
     sock.setsockopt(zmq.IMMEDIATE, 1)
     sock.setsockopt(zmq.RECONNECT_IVL, RECONNECT_MS)
     sock.setsockopt(zmq.RECONNECT_IVL_MAX, RECONNECT_MAX_MS)
     sock.setsockopt(zmq.CONNECT_TIMEOUT, CONNECT_TIMEOUT_MS)
     sock.setsockopt(zmq.HANDSHAKE_IVL, HANDSHAKE_MS)
-    # A peer that froze or lost its network answers no heartbeat; else TCP would go
-    # on retrying for a quarter of an hour, and longer each time.
+    # Detects a peer that is frozen or has lost its network. Without heartbeats, TCP
+    # would retransmit for a quarter of an hour, at growing intervals.
     sock.setsockopt(zmq.HEARTBEAT_IVL, HEARTBEAT_MS)
     sock.setsockopt(zmq.HEARTBEAT_TIMEOUT, HEARTBEAT_TIMEOUT_MS)
     sock.setsockopt(zmq.HEARTBEAT_TTL, HEARTBEAT_TTL_MS)
--- a/greengageflow/net/config_exchange.py
+++ b/greengageflow/net/config_exchange.py
@@ -1,4 +1,4 @@
-"""How routers get the configuration from each other."""
+"""Exchange of configuration snapshots between routers."""
 
 import json
 import zlib
@@ -14,45 +14,45 @@
 
 _ASK_INTERVAL_S = 1.0
 _MISSING_RECORDS = -1
-"""Revision in a ``ConfigRequest`` of a router that any complete state helps."""
+"""Revision in a ``ConfigRequest`` that asks for any complete snapshot."""
 _LONGEST_DOCUMENT = 64 * 1024 * 1024
 
 
 def pack_document(value: Any) -> bytes:
-    """Return a JSON value as it goes to a peer.
+    """Return a JSON value, compressed for sending to a peer.
 
-    Uncompressed, one state at the size designed for would take a router's control
-    traffic of several seconds.
+    An uncompressed snapshot of design size would use up several seconds of a router's
+    control traffic.
     """
     return zlib.compress(json.dumps(value, separators=(",", ":")).encode())
 
 
 def unpack_document(data: bytes) -> Any:
-    """Return the JSON value in ``data``.
+    """Return the JSON value in compressed ``data``.
 
     Raises:
-        ExceptionGroup: It is broken or longer than any configuration.
+        ExceptionGroup: The data is malformed or exceeds the size limit.
     """
     try:
         stream = zlib.decompressobj()
         text = stream.decompress(data, _LONGEST_DOCUMENT)
         if not stream.eof:
-            raise ValueError("cut short or too long")
+            raise ValueError("truncated or too large")
         return json.loads(text)
     except (ValueError, TypeError, RecursionError, zlib.error) as exc:
-        raise ExceptionGroup("state of a peer", [exc]) from None
+        raise ExceptionGroup("configuration snapshot of a peer", [exc]) from None
 
 
 class StateExchange:
-    """Asks peers for newer states and answers them.
+    """Requests newer configuration snapshots from peers and answers their requests.
 
     Args:
         host: Host of this router.
-        fold: Fold that states are taken from and restored into.
+        fold: Fold that snapshots are taken from and restored into.
         send: Sends a message to a host.
-        peers: Returns hosts that may be asked.
-        on_restored: Called when a peer's state was taken over.
-        rng: Chooses whom to ask.
+        peers: Returns the hosts that may be asked.
+        on_restored: Called after a peer's snapshot was restored.
+        rng: Chooses the peer to ask.
         now: Monotonic clock, in seconds.
     """
 
@@ -83,21 +83,21 @@
         return self._fold.config.revision
 
     def peer_revision(self, host: str, revision: int) -> None:
-        """Ask a peer for its state when it is ahead."""
+        """Request a peer's snapshot if its revision is newer."""
         if revision > max(self._revision, self._unreadable):
             self._ask(host)
 
     def ask_anyone(self) -> None:
-        """Ask any one peer for its state."""
+        """Request the snapshot of a random peer."""
         hosts = [host for host in self._peers() if host != self._host]
         if hosts:
             self._ask(self._rng.choice(hosts))
 
     def received(self, host: str, message: ConfigRequest | ConfigState) -> None:
-        """Answer a peer, or take over its state."""
+        """Answer a peer's request, or restore its snapshot."""
         match message:
             case ConfigRequest(revision):
-                # One that misses records is not helped by another that does.
+                # An incomplete snapshot does not help a router that misses records.
                 missing = revision == _MISSING_RECORDS and not self._fold.complete
                 if self._revision > revision and not missing:
                     self._send(host, self._state())
@@ -105,7 +105,7 @@
                 self._restore(host, message)
 
     def _ask(self, host: str) -> None:
-        # Every ping of a fleet that is ahead would otherwise fetch the same state.
+        # Otherwise each ping of a newer peer would fetch the same snapshot.
         now = self._now()
         if now - self._asked_at < _ASK_INTERVAL_S:
             return
@@ -124,11 +124,15 @@
         try:
             newer = self._fold.restore(unpack_document(message.document))
         except ExceptionGroup as exc:
-            log(Event.INTERNAL, error=f"state of {host}: {exc.exceptions[0]}")
+            log(
+                Event.INTERNAL,
+                error=f"configuration snapshot of {host}: {exc.exceptions[0]}",
+            )
             return
         if newer:
             log(Event.CONFIG_ADOPTED, revision=self._revision, source=host)
             self._on_restored()
         elif message.revision > self._revision:
-            # Of a schema that only newer releases read; each ping would fetch it.
+            # Its schema is readable only by newer releases. Remembered, because each
+            # ping would fetch it again.
             self._unreadable = message.revision
--- a/greengageflow/net/crash_codec.py
+++ b/greengageflow/net/crash_codec.py
@@ -11,7 +11,7 @@
 
 
 def crash_values(report: CrashReport) -> tuple[Any, ...]:
-    """Return the values of a report, its kind first."""
+    """Return the values of a report, its type number first."""
     rows = [
         (one.fingerprint, one.crashed, one.cleared, round(one.age_s, 3))
         for one in report.records
@@ -20,17 +20,22 @@
 
 
 def crashes_of(values: list[Any]) -> CrashReport:
-    """Return a report; raises ValueError, TypeError for what is none."""
+    """Return a crash report.
+
+    Raises:
+        ValueError: A value is out of range.
+        TypeError: A value has the wrong type.
+    """
     (rows,) = values
     return CrashReport(tuple(_record(*row) for row in rows))
 
 
 def _record(fingerprint: Any, crashed: Any, cleared: Any, age_s: Any) -> CrashRecord:
     if not isinstance(fingerprint, bytes) or len(fingerprint) != FINGERPRINT_BYTES:
-        raise ValueError(f"no fingerprint: {fingerprint!r}")
+        raise ValueError(f"invalid fingerprint: {fingerprint!r}")
     age_s = float(age_s)
     if not isfinite(age_s) or age_s < 0:
-        raise ValueError(f"no age: {age_s!r}")
+        raise ValueError(f"age is negative or not finite: {age_s!r}")
     return CrashRecord(fingerprint, _names(crashed), _names(cleared), age_s)
 
 
--- a/greengageflow/net/decision_events.py
+++ b/greengageflow/net/decision_events.py
@@ -1,10 +1,10 @@
-"""Events of the decision log, one closed table; ``docs/EVENTS.md`` describes them."""
+"""Complete table of decision log events; ``docs/EVENTS.md`` describes them."""
 
 from enum import Enum, IntEnum
 
 
 class Level(IntEnum):
-    """How long a line is kept under pressure; lower levels go first."""
+    """Priority of a line when the log is over budget; lowest are dropped first."""
 
     ROUTINE = 0
     NOTABLE = 1
@@ -15,15 +15,15 @@
 class DecisionEvent(Enum):
     """Every event of the decision log.
 
-    GG70 is a request, GG71 endpoints, GG72 the configuration, GG73 the store and the
-    peers, GG74 the process, GG75 the log itself, GG76 the quarantine, GG77 backoff,
-    GG78 the store's eras, GG79 the budget of repeats. Times in fields are whole
-    milliseconds and end in ``_ms``; ``config`` is the version that decided.
+    The number prefixes are GG70 for requests, GG71 endpoints, GG72 configuration, GG73
+    store and peers, GG74 process, GG75 the log itself, GG76 quarantine, GG77 backoff,
+    GG78 store eras and GG79 retry budget. Fields with times are in whole milliseconds
+    and end in ``_ms``; ``config`` is the configuration version of the decision.
 
     Attributes:
-        number: Its number, never used again.
-        level: What it gives way to under pressure.
-        fields: Names of the fields that its line carries.
+        number: Event number; never reused.
+        level: Priority of its lines when the log is over budget.
+        fields: Names of the fields in its lines.
     """
 
     SENT = (
@@ -97,8 +97,8 @@
     OUT_OF_BUDGET = ("GG791", Level.STATE, "service requests repeats hosts")
 
     def __init__(self, number: str, level: Level, fields: str) -> None:
-        # Plain attributes: Enum.value is a descriptor in Python code, too slow for
-        # a lookup on each line.
+        # Plain attributes, since Enum.value is a descriptor in Python code and too
+        # slow to look up for each line.
         self.number = number
         self.level = level
         self.fields = tuple(fields.split())
--- a/greengageflow/net/decision_log.py
+++ b/greengageflow/net/decision_log.py
@@ -1,4 +1,4 @@
-"""One JSON line for each decision, written without ever blocking the loop."""
+"""Log of decisions as JSON lines, written without blocking the event loop."""
 
 from collections import Counter, deque
 from collections.abc import Iterator
@@ -15,7 +15,7 @@
 from greengageflow.net.decision_events import DecisionEvent, Level
 
 FLUSH_INTERVAL_S = 0.2
-"""How often ``flush`` is meant to be called, in seconds."""
+"""Interval at which the owner calls ``flush``, in seconds."""
 
 _REPORT_INTERVAL_S = 1.0
 _FILE_CHUNK = 65536
@@ -25,13 +25,13 @@
 _SHARES = 1024
 _AIM = 0.9
 _RESERVES = (0.5, 0.25, 0.1, 0.0)
-"""Part of budget and buffer that each level leaves to the levels above it."""
+"""Fraction of budget and buffer that each level leaves to the levels above it."""
 
 _encode = JSONEncoder(separators=(",", ":"), allow_nan=False).encode
 
 
 class Drop(StrEnum):
-    """Why a line was dropped."""
+    """Reason for which a line was dropped."""
 
     SAMPLED = "sampled"
     BUDGET = "budget"
@@ -40,25 +40,26 @@
 
 
 class DecisionLog:
-    """Writes decisions to a descriptor; ``docs/OPERATIONS.md`` tells how to read them.
+    """Writes decisions to a descriptor; ``docs/OPERATIONS.md`` describes the lines.
 
-    ``write`` only encodes; ``flush``, called by the owner's timer, hands whole lines
-    to the descriptor. A descriptor that takes nothing fills the buffer, then lines
-    are dropped, counted, and reported by a ``LINES_DROPPED`` line.
+    ``write`` only encodes and queues. ``flush``, called by a timer of the owner, writes
+    whole lines to the descriptor. While the descriptor is not writable, the buffer
+    fills; after that, lines are dropped, counted, and reported by a ``LINES_DROPPED``
+    line.
 
     The descriptor keeps its flags: O_NONBLOCK belongs to the open file description,
-    which standard output may share with the standard error and with other processes,
-    and their writes would then fail. Instead each write follows a poll that says
-    writable and is at most PIPE_BUF long, which a pipe then takes whole. So a reader
-    that has stopped cannot block the loop; only another process that fills the same
-    pipe between poll and write could, until that reader goes on. A terminal stopped
-    by hand may block too. A regular file is always writable and gets longer writes.
+    which standard output may share with standard error and with other processes, whose
+    writes would then fail. Instead, each write follows a poll that reports the
+    descriptor writable and is at most PIPE_BUF long, which a pipe then accepts without
+    blocking. A stalled reader therefore cannot block the event loop, unless another
+    process fills the same pipe between poll and write. A terminal that the user has
+    stopped may block as well. A regular file is always writable and gets larger writes.
 
     Args:
         fd: Descriptor to write to.
         host: Host of this router; part of each line.
-        limit_lines_per_s: Budget of lines, and the largest burst.
-        buffer_bytes: Most bytes that wait for the descriptor.
+        limit_lines_per_s: Rate limit of lines, and the largest burst.
+        buffer_bytes: Maximum number of bytes queued for the descriptor.
     """
 
     def __init__(
@@ -94,11 +95,11 @@
         self.dropped: Counter[Drop] = Counter()
 
     def write(self, event: DecisionEvent, **fields: Any) -> None:
-        """Queue one line; it does no input or output.
+        """Queue one line, without any I/O.
 
         Args:
-            event: What was decided.
-            **fields: JSON values, named by ``event.fields``.
+            event: The event.
+            **fields: JSON values for the names in ``event.fields``.
         """
         up = clock_gettime(CLOCK_BOOTTIME)
         if reason := self._refusal(event.level, fields.get("request"), up):
@@ -108,7 +109,7 @@
         self._append(self._line(event, fields, up))
 
     def flush(self) -> None:
-        """Hand queued lines to the descriptor as far as it takes them now."""
+        """Write queued lines as far as the descriptor accepts them now."""
         if self._unreported:
             self._report()
         for _ in range(_CHUNKS_PER_FLUSH):
@@ -133,12 +134,14 @@
         return None
 
     def _turn_window(self, up: float) -> None:
-        """Choose the share of requests whose routine lines fit beside the rest.
-
-        Without it the budget would end in the middle of each request's lines: many
-        begun stories and few whole ones. Aiming a little below the budget leaves room
-        for ids that come in clusters. The choice goes by the id, so it is the same
-        for all lines of a request, on all hosts under the same pressure.
+        """Start a one-second window and set the sampling rate of routine lines.
+
+        The rate is the fraction of requests whose routine lines fit into the budget
+        beside the other lines. Without sampling, the budget would run out in the middle
+        of a request's lines, and most requests would be logged incompletely. The target
+        is slightly below the budget to leave room for clusters of sampled ids. Sampling
+        is by a hash of the id, so it is the same for all lines of a request, and on all
+        hosts with the same rate.
         """
         routine = self._offered[Level.ROUTINE]
         others = sum(self._offered) - routine
@@ -157,7 +160,7 @@
         try:
             line = _joined(head, fields)
         except (TypeError, ValueError):
-            # A field that is no JSON value must not end the request it tells of.
+            # An invalid field must not fail the request that the line is about.
             line = _short_line(head, fields)
         return line if len(line) <= _LONGEST_LINE else _short_line(head, fields)
 
@@ -202,7 +205,7 @@
         except BlockingIOError:
             written = 0
         except OSError:
-            # The reader is gone or the file is full; later lines may fare better.
+            # The reader has closed or the disk is full; later writes may succeed.
             self._count_drop(Drop.SINK, len(lines))
             written = len(chunk)
         self._bytes -= written
@@ -211,7 +214,7 @@
         return not rest
 
     def _chunk(self) -> Iterator[bytes]:
-        """Take whole lines, so that other writers' lines come only between them."""
+        """Take whole lines only, so that lines of other writers do not split them."""
         room = _FILE_CHUNK if self._is_file else PIPE_BUF
         while self._pending and len(self._pending[0]) <= room:
             line = self._pending.popleft()
@@ -220,7 +223,7 @@
 
 
 def _joined(head: str, fields: dict[str, Any]) -> bytes:
-    # By hand for the usual types: an encoder call takes nearly twice as long.
+    # Common types are formatted directly: the encoder takes nearly twice as long.
     parts = [head]
     for name, value in fields.items():
         if type(value) is int:
@@ -234,7 +237,7 @@
 
 
 def _short_line(head: str, fields: dict[str, Any]) -> bytes:
-    """Return a line of bounded length whose fields are short texts."""
+    """Return a line of bounded length with fields converted to short strings."""
     texts = {name: str(value)[:_LONGEST_TEXT] for name, value in fields.items()}
     line = _joined(head, texts)
     if len(line) <= _LONGEST_LINE:
--- a/greengageflow/net/gossip_link.py
+++ b/greengageflow/net/gossip_link.py
@@ -1,8 +1,8 @@
-"""Datagrams between routers.
+"""Messages between routers as UDP datagrams.
 
-A report stands for itself, and the next one replaces it. Over TCP a link that was cut
-would bring seconds of old reports in a row when it heals, and each peer would cost a
-connection; a datagram that is lost is made good by the next one.
+Each report is self-contained and replaces the one before, so a lost datagram is made
+up for by the next. With TCP, each peer would need a connection, and a restored
+connection would first deliver seconds of outdated reports.
 """
 
 from collections.abc import Callable
@@ -23,8 +23,8 @@
 
     Args:
         ip: IP number to bind to.
-        port: UDP port, or 0 for a free one.
-        on_datagram: Takes what arrives.
+        port: UDP port; 0 selects a free one.
+        on_datagram: Called with each complete message, reassembled from fragments.
 
     Raises:
         OSError: The address cannot be bound.
@@ -49,16 +49,16 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """IP number and UDP port."""
+        """IP number and UDP port of the socket."""
         return self._sock.getsockname()
 
     def start(self) -> None:
-        """Begin to listen, once the poller is there."""
+        """Start to receive; the component has to be registered before."""
         self._poller = findcmp(self.root, BasePoller) or EPoll().register(self)
         self._poller.addReader(self, self._sock)
 
     def send(self, address: tuple[str, int], data: bytes) -> None:
-        """Send a message, at best effort."""
+        """Send a message, best effort; one that is too long is counted and dropped."""
         self._number += 1
         try:
             datagrams = list(split(self._number, data))
@@ -72,7 +72,7 @@
 
     @handler("_read")
     def on_readable(self, sock: socket) -> None:
-        """Take what has arrived; called by the poller, or as its event."""
+        """Receive pending datagrams; called by the poller or through its event."""
         if sock is not self._sock:
             return
         for _ in range(MOST_IN_A_ROW):
--- a/greengageflow/net/host_list.py
+++ b/greengageflow/net/host_list.py
@@ -1,4 +1,4 @@
-"""The platform's lagging list of live and leaving hosts."""
+"""Polls the platform's list of live and leaving hosts, which may be outdated."""
 
 import json
 from collections.abc import Callable, Iterator
@@ -16,16 +16,16 @@
 
 
 class HostListError(ValueError):
-    """An answer of the platform is not a host list."""
+    """A response of the platform is not a host list."""
 
 
 class Fetcher(Protocol):
-    """The part of ``HttpPool`` that is used here."""
+    """Subset of ``HttpPool`` that is used here."""
 
     def fetch(
         self, request: HttpRequest, on_done: Callable[[Response | Failure], None]
     ) -> Any:
-        """Send a request and call ``on_done`` once with the whole answer."""
+        """Send a request and call ``on_done`` once with the complete response."""
 
 
 def _entries(rows: list[dict[str, Any]]) -> Iterator[HostEntry]:
@@ -45,11 +45,11 @@
 
 
 def parse_hosts(body: bytes) -> tuple[HostEntry, ...]:
-    """Return the hosts of an answer's body; hosts of other kinds are left out.
+    """Return the hosts in a response body; hosts of unknown kinds are skipped.
 
     Raises:
-        HostListError: The body is not a host list; a part of one is never
-            returned, since a missing host counts as a sign that it left.
+        HostListError: The body is not a host list. A partial list is never
+            returned, since a missing host is taken as one that has left.
     """
     try:
         return tuple(_entries(json.loads(body)["hosts"]))
@@ -58,20 +58,20 @@
 
 
 class HostList:
-    """Reads the list again and again and hands over what it says.
+    """Polls the host list and passes on each result.
 
-    The whole fleet reads it at most ``FLEET_READS_PER_S`` times a second, so that
-    neither the platform nor a router's traffic suffers when the fleet grows: the
-    interval becomes longer with the number of routers listed.
+    The interval grows with the number of listed routers, so that the fleet as a whole
+    sends at most ``FLEET_READS_PER_S`` requests per second. This bounds the load on the
+    platform and the traffic of each router in a large fleet.
 
     Args:
         pool: Outbound connections.
         timers: Timer service.
         ip: IP number of the platform's list.
         port: TCP port of the platform's list.
-        on_hosts: Gets each list that was read; not called for failures.
-        interval_s: Seconds between two readings, at least.
-        seed: Seed of the jitter that keeps routers from reading in step.
+        on_hosts: Called with each list that was read; not called on failures.
+        interval_s: Minimum seconds between two reads.
+        seed: Seed of the jitter that keeps routers from polling in step.
     """
 
     def __init__(
@@ -103,11 +103,11 @@
 
     @property
     def interval_s(self) -> float:
-        """Seconds between two readings at the present size of the fleet."""
+        """Seconds between two reads at the current size of the fleet."""
         return max(self._interval_s, self._routers / FLEET_READS_PER_S)
 
     def start(self) -> None:
-        """Read the list now, and go on."""
+        """Read the list now and at intervals from then on."""
         self._pool.fetch(self._request, self._on_done)
 
     def _on_done(self, answer: Response | Failure) -> None:
--- a/greengageflow/net/leaving_codec.py
+++ b/greengageflow/net/leaving_codec.py
@@ -1,4 +1,4 @@
-"""Endpoints' signs of leaving as values for msgpack."""
+"""Leaving signs of endpoints as values for msgpack."""
 
 from typing import Any
 
@@ -11,12 +11,17 @@
 
 
 def leaving_values(report: LeavingReport) -> tuple[Any, ...]:
-    """Return the values of a report, its kind first."""
+    """Return the values of a report, its type number first."""
     return LEAVING, [(sign.endpoint, sign.born) for sign in report.signs]
 
 
 def leaving_of(values: list[Any]) -> LeavingReport:
-    """Return a report; raises ValueError, TypeError for what is none."""
+    """Return a leaving report.
+
+    Raises:
+        ValueError: A value is out of range.
+        TypeError: A value has the wrong type.
+    """
     (rows,) = values
     return LeavingReport(tuple(_sign(*row) for row in rows))
 
@@ -24,5 +29,5 @@
 def _sign(endpoint: Any, born: Any) -> LeavingSign:
     check_names((endpoint,))
     if type(born) is not int or not 0 <= born <= _LATEST:
-        raise ValueError(f"no start: {born!r}")
+        raise ValueError(f"invalid start time: {born!r}")
     return LeavingSign(endpoint, born)
--- a/greengageflow/net/log_client.py
+++ b/greengageflow/net/log_client.py
@@ -1,4 +1,4 @@
-"""The platform's log service, over the outbound HTTP pool."""
+"""Client of the platform's log service."""
 
 import json
 from collections.abc import Callable, Sequence
@@ -17,7 +17,8 @@
 
 READ_LIMIT = 200
 READ_LIMITS = {"config": 20}
-"""Records asked for at once; one configuration of the design size has 140 kB."""
+"""Maximum records per read, by stream. A configuration record of design size is 140 kB,
+so fewer of them fit into a response."""
 READ_BYTES = 8 * 1024 * 1024
 ANSWER_TIMEOUT_S = 5.0
 JSON_HEADERS = (("Content-Type", "application/json"),)
@@ -31,11 +32,13 @@
 
 
 def _refusal(response: Response) -> LogFailure:
-    return LogFailure(False, f"log answered {response.status}", _retry_after(response))
+    return LogFailure(
+        False, f"log responded with status {response.status}", _retry_after(response)
+    )
 
 
 class LogClient:
-    """Appends to and reads from streams of the log.
+    """Appends to and reads from log streams.
 
     Args:
         pool: Outbound HTTP connections.
@@ -57,15 +60,15 @@
         records: Sequence[Any],
         on_done: Callable[[AppendResult], None],
     ) -> None:
-        """Append ``records`` as one append, all or nothing."""
+        """Append ``records`` atomically."""
 
         def done(answer: Response | Failure) -> None:
             on_done(self._counted(_append_result(answer)))
 
         self.appends += 1
         body = json.dumps({"records": list(records)}).encode()
-        # A reused connection that dies leaves the effect unknown; the caller
-        # appends again under the same nonce, so the pool must not do it unseen.
+        # If a reused connection is lost, the append may have taken effect. The caller
+        # retries with the same nonce, so the pool must not retry by itself.
         req = HttpRequest(
             "POST",
             self._ip,
@@ -89,7 +92,7 @@
         wait_s: float,
         on_done: Callable[[ReadResult], None],
     ) -> None:
-        """Read records from ``from_offset``, waiting up to ``wait_s`` for one."""
+        """Read records from ``from_offset``, waiting up to ``wait_s`` for the first."""
 
         def done(answer: Response | Failure) -> None:
             on_done(self._counted(_read_result(answer)))
@@ -119,7 +122,7 @@
                 data = answer.json()
                 return Appended(int(data["first_offset"]), int(data["count"]))
             except (ValueError, KeyError, TypeError) as exc:
-                return LogFailure(True, f"log answered nonsense: {exc!r}")
+                return LogFailure(True, f"log sent a malformed response: {exc!r}")
     return _refusal(answer)
 
 
@@ -131,7 +134,7 @@
             try:
                 return _read_body(answer.status, answer.json())
             except (ValueError, KeyError, TypeError) as exc:
-                return LogFailure(False, f"log answered nonsense: {exc!r}")
+                return LogFailure(False, f"log sent a malformed response: {exc!r}")
     return _refusal(answer)
 
 
--- a/greengageflow/net/metrics_page.py
+++ b/greengageflow/net/metrics_page.py
@@ -1,7 +1,7 @@
-"""Metrics as a page of text, one closed table; ``docs/METRICS.md`` describes them.
+"""Metrics in the Prometheus text format; ``docs/METRICS.md`` describes them.
 
-The page is made when it is asked for and served by the daemon's own listener. The
-library's server, its threads and its process-wide registry stay unused.
+The page is rendered on request and served by the daemon's own listener. The HTTP
+server, the threads and the global registry of the Prometheus library are not used.
 """
 
 from collections import defaultdict
@@ -19,7 +19,7 @@
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
 
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
-"""Content type of the page."""
+"""Content type of the rendered page."""
 
 _PREFIX = "greengage_"
 _MOST_PARTS = 64
@@ -32,7 +32,7 @@
 
 
 class PageKind(StrEnum):
-    """What a metric of the page is."""
+    """Prometheus type of a metric."""
 
     COUNTER = "counter"
     GAUGE = "gauge"
@@ -41,13 +41,13 @@
 
 @dataclass(frozen=True, slots=True)
 class PageMetricType:
-    """What is fixed of one metric.
+    """Definition of one metric.
 
     Args:
-        name: Its name behind the prefix; counters get ``_total`` at the end.
-        kind: What it is.
-        part: What its one label tells apart, or empty.
-        buckets: Upper bounds of a histogram, in seconds.
+        name: Name without the prefix; counters get the suffix ``_total``.
+        kind: Type of the metric.
+        part: Name of its only label, or empty.
+        buckets: Upper bounds of a histogram's buckets, in seconds.
     """
 
     name: str
@@ -57,7 +57,7 @@
 
 
 class PageMetric(Enum):
-    """Every metric of the page."""
+    """All metrics of the page."""
 
     REQUESTS = PageMetricType("requests", PageKind.COUNTER, "outcome")
     REFUSALS = PageMetricType("refusals", PageKind.COUNTER, "kind")
@@ -102,14 +102,14 @@
 
 
 Values = float | Mapping[str, float]
-"""One value, or one for each part."""
+"""One value, or one by label value."""
 
 
 class MetricsPage:
-    """Counts, times and reads what the page shows.
+    """Collects metrics and renders them.
 
-    Counters and histograms are written as things happen. What has a present value
-    anyway is read by a function when the page is made, so that a change costs nothing.
+    Counters and histograms are updated as events happen. Values that are kept elsewhere
+    anyway are read by a callback at rendering, so that a change of them costs nothing.
     """
 
     def __init__(self) -> None:
@@ -125,19 +125,19 @@
         self._child(metric, part).inc(count)
 
     def observe(self, metric: PageMetric, seconds: float, part: str = "") -> None:
-        """Record a time in seconds in a histogram."""
+        """Add a duration in seconds to a histogram."""
         self._child(metric, part).observe(seconds)
 
     def read(self, metric: PageMetric, reader: Callable[[], Values]) -> None:
-        """Let a gauge, or a counter kept elsewhere, be read when the page is made."""
+        """Register a callback that reads a gauge, or a counter kept elsewhere."""
         self._readers[metric] = reader
 
     def render(self) -> bytes:
-        """Return the page, as ``CONTENT_TYPE`` says."""
+        """Return the page in the format of ``CONTENT_TYPE``."""
         return generate_latest(self._registry)
 
     def collect(self) -> Iterator[CounterMetricFamily | GaugeMetricFamily]:
-        """Yield what the readers tell; the registry calls this."""
+        """Yield the values of the callbacks; called by the registry."""
         for metric, reader in self._readers.items():
             yield _family(metric.value, reader())
 
@@ -170,7 +170,7 @@
                 name, text, labels, registry=registry, buckets=metric.buckets
             )
         case kind:
-            raise ValueError(f"{metric.name} is a {kind} and can only be read")
+            raise ValueError(f"{metric.name} is a {kind} and needs a callback")
 
 
 def _family(
--- a/greengageflow/net/peers.py
+++ b/greengageflow/net/peers.py
@@ -1,8 +1,8 @@
 """Messages between routers over ZeroMQ.
 
-Each router binds one PULL socket, and opens a PUSH socket to another router when it
-first has something to say to it. Delivery is best effort: a message for a router
-that is slow, cut off or unknown is dropped and counted, and never blocks the loop.
+Each router binds one PULL socket and opens a PUSH socket to another router with the
+first message to it. Delivery is best effort: messages to a router that is slow,
+unreachable or unknown are dropped and counted, and never block the event loop.
 """
 
 from collections import Counter, OrderedDict, deque
@@ -26,21 +26,22 @@
 
 
 class Drain(Event):
-    """Messages may still wait in the inbox; read on."""
+    """Continues to read the inbox, which may still hold messages."""
 
 
 @dataclass(slots=True)
 class PeerCounters:
-    """Control traffic of one router since it started.
+    """Counters of one router's control traffic since it started.
 
     Args:
         messages_in: Messages received and decoded.
         messages_out: Messages handed to ZeroMQ.
-        bytes_in: Bytes received, without the framing of ZeroMQ and TCP.
-        bytes_out: Bytes handed to ZeroMQ, counted likewise.
-        dropped: Messages dropped: no address, peer slow or cut off.
-        broken: Messages received that could not be decoded.
-        out_by_type: Bytes handed to ZeroMQ for each message type's name.
+        bytes_in: Bytes received, without ZeroMQ and TCP framing.
+        bytes_out: Bytes handed to ZeroMQ, without framing.
+        dropped: Messages dropped because the peer has no address, is slow or is
+            unreachable.
+        broken: Messages received that failed to decode.
+        out_by_type: Bytes handed to ZeroMQ, by name of the message type.
     """
 
     messages_in: int = 0
@@ -54,7 +55,7 @@
 
 @dataclass(slots=True)
 class _Outlet:
-    """One outgoing socket and what waits until its connection stands."""
+    """One outgoing socket and the messages queued until it is connected."""
 
     sock: zmq.Socket
     fd: int
@@ -64,17 +65,17 @@
 
 
 class PeerLink(BaseComponent):
-    """Sends messages to other routers and hands over those that arrive.
+    """Sends messages to other routers and dispatches received ones.
 
     Args:
-        identity: This life of this router, named in each message.
+        identity: Host and boot time of this router; sent with each message.
         ip: IP number to listen on.
-        port: TCP port to listen on; 0 takes a free one, see ``port``.
-        on_message: Called with the sender and the message, on the loop.
+        port: TCP port to listen on; 0 selects a free one (see ``port``).
+        on_message: Called on the event loop with the sender and the message.
         source_ip: Local address of outgoing connections; ``ip`` by default.
-        queue_limit: Messages that may wait in ZeroMQ for one peer.
-        wait_limit: Messages that may wait for a connection to one peer.
-        wait_s: Seconds that a message may wait for a connection.
+        queue_limit: Maximum number of messages queued in ZeroMQ per peer.
+        wait_limit: Maximum number of messages that wait for a connection, per peer.
+        wait_s: Maximum seconds that a message waits for a connection.
         idle_s: Seconds after which an unused outgoing connection is closed.
 
     Example:
@@ -120,29 +121,29 @@
 
     @property
     def port(self) -> int:
-        """TCP port that the link listens on."""
+        """TCP port of the listening socket."""
         return bound_port(self._inbox)
 
     @property
     def connections(self) -> int:
-        """Outgoing sockets that are open."""
+        """Number of open outgoing sockets."""
         return len(self._outlets)
 
     def set_address(self, host: str, ip: str, port: int) -> None:
-        """Say where ``host`` listens; a connection to another place is closed."""
+        """Set the address of ``host``; a connection to its old address is closed."""
         if self._addresses.get(host) != (ip, port):
             self._close_outlet(host)
             self._addresses[host] = (ip, port)
 
     def forget(self, host: str) -> None:
-        """Close the connection to ``host`` and drop what waits for it.
+        """Close the connection to ``host`` and drop its queued messages.
 
-        The address stays, so that a later message opens a new connection.
+        The address is kept, so that a later message opens a new connection.
         """
         self._close_outlet(host)
 
     def send(self, to_host: str, message: Any) -> None:
-        """Send ``message`` to the router on ``to_host``, at best effort."""
+        """Send ``message`` to the router on ``to_host``, best effort."""
         now = monotonic()
         self._close_idle(now)
         outlet = self._outlet(to_host, now)
@@ -157,8 +158,8 @@
         """Close all sockets.
 
         Args:
-            linger_s: Seconds that last messages may take to leave; this call
-                blocks that long at most.
+            linger_s: Seconds for which to wait until queued messages are sent; an
+                upper bound on how long this call blocks.
         """
         if self._context.closed:
             return
@@ -202,7 +203,7 @@
             self._close_outlet(host)
 
     def _flush(self, outlet: _Outlet, now: float) -> None:
-        """Send what waits, in order, as far as ZeroMQ takes it."""
+        """Send queued messages in order until ZeroMQ accepts no more."""
         waiting = outlet.waiting
         while waiting:
             since, kind, data = waiting[0]
@@ -224,10 +225,11 @@
         self.counters.out_by_type[kind] += size
 
     def _poll_outlet(self, outlet: _Outlet, wanted: bool) -> None:
-        """Poll an outgoing socket only while messages wait for it.
+        """Poll an outgoing socket only while messages are queued for it.
 
-        Its descriptor turns readable for each internal event of ZeroMQ and stays
-        so until the socket is used; polled always, it would spin the loop.
+        Its descriptor becomes readable on each internal ZeroMQ event and stays
+        readable until the socket is used. Polled all the time, it would make the
+        event loop spin.
         """
         if self._poller is None or outlet.polled == wanted:
             return
@@ -274,11 +276,11 @@
             self.fire(Drain(), self)
 
     def _drain(self) -> None:
-        """Read the inbox until it is empty, or read on after the loop's next turn.
+        """Read up to ``DRAIN_LIMIT`` messages; schedule another pass if more may wait.
 
-        ZeroMQ's descriptor tells of a change, not of a state: after one message is
-        read, the others wait in silence until the next arrives. So an unread rest
-        has to be scheduled here, also when a handler of a message fails.
+        ZeroMQ's descriptor is edge-triggered: after one message has been read, it
+        signals no others until the next arrives. Remaining messages have to be
+        scheduled here, also when a message handler fails.
         """
         errors = []
         for _ in range(DRAIN_LIMIT):
--- a/greengageflow/net/place_codec.py
+++ b/greengageflow/net/place_codec.py
@@ -1,4 +1,4 @@
-"""Messages about the places of requests, as values for msgpack."""
+"""Placement messages as values for msgpack."""
 
 from math import isfinite
 from typing import Any
@@ -21,7 +21,7 @@
 
 
 def place_values(message: PlacementMessage) -> tuple[Any, ...]:
-    """Return the values of a message, its kind first."""
+    """Return the values of a message, its type number first."""
     match message:
         case PlacementRequest():
             return (
@@ -69,7 +69,12 @@
 
 
 def ask_of(values: list[Any]) -> PlacementRequest:
-    """Return an ask; raises ValueError, TypeError for what is none."""
+    """Return a placement request.
+
+    Raises:
+        ValueError: A value is out of range.
+        TypeError: A value has the wrong type.
+    """
     host, boot, request, service, account, priority, *rest = values
     waited_s, left_s, patience_s, target_s, *rest = rest
     parts, tokens_in, tokens_out, avoid, zone = rest
@@ -93,7 +98,12 @@
 
 
 def answer_of(values: list[Any]) -> PlacementAnswer:
-    """Return an answer; raises ValueError, TypeError for what is none."""
+    """Return a placement answer.
+
+    Raises:
+        ValueError: A value is out of range.
+        TypeError: A value has the wrong type.
+    """
     host, boot, request, verdict, endpoint, fetch_from, *rest = values
     reading, wait_s, kind, text, retry_after_s = rest
     if int(verdict) == Verdict.REFUSE:
@@ -114,7 +124,12 @@
 
 
 def note_of(values: list[Any]) -> PlacementEvent:
-    """Return a note; raises ValueError, TypeError for what is none."""
+    """Return a placement event.
+
+    Raises:
+        ValueError: A value is out of range.
+        TypeError: A value has the wrong type.
+    """
     host, boot, request, happened = values
     return PlacementEvent(
         host=str(host),
@@ -125,7 +140,12 @@
 
 
 def roll_of(values: list[Any]) -> PlacementSnapshot:
-    """Return a roll; raises ValueError, TypeError for what is none."""
+    """Return a placement snapshot.
+
+    Raises:
+        ValueError: A value is out of range.
+        TypeError: A value has the wrong type.
+    """
     host, boot, runs = values
     rows = (
         PlacementEntry(str(request), str(endpoint), _amount(reading), _amount(memory))
@@ -137,14 +157,14 @@
 def _finite(value: Any) -> float:
     number = float(value)
     if not isfinite(number):
-        raise ValueError(f"no time: {value!r}")
+        raise ValueError(f"time is not finite: {value!r}")
     return number
 
 
 def _amount(value: Any) -> float:
     number = float(value)
     if not 0 <= number <= _MOST:
-        raise ValueError(f"no amount: {value!r}")
+        raise ValueError(f"amount is out of bounds: {value!r}")
     return number
 
 
--- a/greengageflow/net/report_codec.py
+++ b/greengageflow/net/report_codec.py
@@ -1,4 +1,4 @@
-"""Messages between routers as bytes (msgpack)."""
+"""Encoding of the datagrams between routers (msgpack)."""
 
 from collections.abc import Callable, Mapping
 from typing import Any
@@ -45,7 +45,7 @@
 )
 
 REPORT, NOTICE, HELLO, SUM, CHANGES, WANTED, UPDATE = 21, 22, 23, 24, 25, 26, 27
-"""First value of a message: its kind and the format that it is written in."""
+"""First value of a message: the number of its type and format version."""
 
 _NEVER = -1.0
 
@@ -64,11 +64,11 @@
 
 
 class ReportError(ValueError):
-    """A datagram is no message of these formats."""
+    """A datagram is not a message of a known type and format."""
 
 
 def encode(message: Message) -> bytes:
-    """Return a message as bytes."""
+    """Return the encoded message."""
     match message:
         case PeerReport():
             return packb((REPORT, *_report_values(message)))
@@ -93,15 +93,15 @@
 
 
 def decode(data: bytes) -> Message:
-    """Return the message in a datagram.
+    """Return the message encoded in a datagram.
 
     Raises:
-        ReportError: It is none; those of another version are none, too.
+        ReportError: It is malformed, or its format version is not supported.
     """
     try:
         kind, *values = unpackb(data)
         return _MAKERS[kind](values)
-    except Exception as exc:  # msgpack raises many kinds for bytes that are no message
+    except Exception as exc:  # msgpack raises many types for malformed data
         raise ReportError(repr(exc)) from exc
 
 
@@ -333,7 +333,7 @@
 
 def _place(value: Any) -> int:
     if int(value) < 0:
-        raise ValueError(f"no place: {value!r}")
+        raise ValueError(f"negative index or offset: {value!r}")
     return int(value)
 
 
@@ -360,7 +360,7 @@
 def _record(key: Any, value: Any, offset: Any) -> KeyedRecord:
     check_names((key,))
     if not isinstance(value, bytes | None):
-        raise ValueError(f"no value: {value!r}")
+        raise ValueError(f"record value is neither bytes nor None: {value!r}")
     return KeyedRecord(key, value, _place(offset))
 
 
--- a/greengageflow/net/wire.py
+++ b/greengageflow/net/wire.py
@@ -1,8 +1,9 @@
-"""Wire form of the messages between routers.
+"""Wire format of the messages between routers.
 
-A message is a msgpack array: host and life of its sender, the type's number, then the
-fields in order, nested dataclasses as arrays again. Numbers are never reused. Whole
-floats go as integers, and trailing fields that have their default are left out.
+A message is a msgpack array: host and boot time of its sender, the number of the
+message type, then the fields in order; nested dataclasses are arrays, too. Type numbers
+are never reused. Small whole floats are sent as integers, and trailing fields that have
+their default value are omitted.
 """
 
 from collections.abc import Mapping
@@ -88,13 +89,13 @@
 
 
 class MessageError(ValueError):
-    """Bytes from a peer are not a known message."""
+    """Bytes from a peer are not a message of a known type."""
 
 
 def _row(item: Any) -> list[Any]:
     type_ = type(item)
     row = [_short(getattr(item, name)) for name in _FIELDS[type_]]
-    # ``decode`` fills in the defaults of what is left out at the end.
+    # ``decode`` fills in the defaults of omitted trailing fields.
     for default in reversed(_DEFAULTS[type_]):
         if default is MISSING or row[-1] != default:
             break
@@ -103,7 +104,7 @@
 
 
 def _short(value: Any) -> Any:
-    """Return a small whole number as an integer: 1 to 5 bytes instead of 9."""
+    """Return a small whole float as an integer: 1 to 5 bytes instead of 9."""
     small = type(value) is float and abs(value) < _SMALL and value.is_integer()
     return int(value) if small else value
 
@@ -119,16 +120,16 @@
 
 
 def encode(sender: PeerId, message: Any) -> bytes:
-    """Return the wire form of ``message`` from ``sender``."""
+    """Return the encoded ``message`` from ``sender``."""
     row = [_plain(value) for value in _row(message)]
     return msgpack.packb([sender.host, sender.boot, _NUMBERS[type(message)], *row])
 
 
 def decode(data: bytes) -> tuple[PeerId, Any]:
-    """Return the sender and the message in ``data``.
+    """Return the sender and the message encoded in ``data``.
 
     Raises:
-        MessageError: The bytes are broken or of an unknown type.
+        MessageError: The data is malformed or its message type is unknown.
     """
     try:
         host, boot, number, *row = msgpack.unpackb(data)
@@ -142,4 +143,4 @@
         ]
         return PeerId(host, boot), type_(*args)
     except (ValueError, TypeError, KeyError, msgpack.UnpackException) as exc:
-        raise MessageError(f"not a message of ours: {exc}") from exc
+        raise MessageError(f"malformed peer message: {exc}") from exc
--- a/greengageflow/platform/__init__.py
+++ b/greengageflow/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Translates between the product and the users' platform, and does nothing else."""
+"""Adapters between the router's types and the formats of the users' platform."""
--- a/greengageflow/platform/answers.py
+++ b/greengageflow/platform/answers.py
@@ -1,4 +1,4 @@
-"""Answers of the platform's endpoints."""
+"""Interpretation of responses from the platform's endpoints."""
 
 from greengageflow.core.forward_request import Header
 from greengageflow.net.endpoint_answer import AnswerNote
@@ -17,7 +17,7 @@
 
 
 def note_of(head: Head, request_id: str) -> AnswerNote:
-    """Return what an answer's head says of the request ``request_id``."""
+    """Return what a response head says about the request ``request_id``."""
     echoed = head.header(REQUEST_ID)
     misdirected = head.status == MISDIRECTED
     not_run = misdirected or bool(head.header(NOT_EXECUTED))
@@ -30,14 +30,14 @@
         replaced=misdirected and bool(head.header(REPLICA_ID)),
         closing="close" in head.header("connection").lower(),
         encoded=bool(head.header("content-encoding")),
-        # Another endpoint that has the address now speaks for itself.
+        # A misdirected answer comes from another endpoint that has this address now.
         leaving=not misdirected and says_leaving(head),
         backoff_s=retry_after_s(head.header(RETRY_AFTER)) if turned_away else 0.0,
     )
 
 
 def headers_for_caller(head: Head) -> tuple[Header, ...]:
-    """Return the headers of an answer that the caller gets."""
+    """Return the response headers that are passed on to the caller."""
     return tuple(
         (name, value)
         for name, value in head.headers
--- a/greengageflow/platform/interfaces.py
+++ b/greengageflow/platform/interfaces.py
@@ -1,4 +1,4 @@
-"""How callers and the balancer of the platform speak to a router."""
+"""HTTP interfaces of a router for callers and for the platform's load balancer."""
 
 from typing import TYPE_CHECKING
 
@@ -23,29 +23,29 @@
 
 
 class CallerInterface:
-    """Callers; every path may be a route's."""
+    """Interface for callers; any path may belong to a route."""
 
     def allowed_methods(self, _path: str) -> frozenset[str]:
         """Return the methods that are forwarded."""
         return _METHODS
 
     def check_target(self, _method: str, _path: str) -> None:
-        """Let every target pass; the configuration decides."""
+        """Accept every target; the configuration decides."""
 
     def parse_call(self, request: CallerRequest, reply: "Reply") -> ForwardCall:
         """Return the call in a request.
 
         Raises:
-            RouterError: It has no id, or says a thing twice.
+            RouterError: It has no id, or repeats a header that must be unique.
         """
         return ForwardCall(request=parse_request(request), reply=reply)
 
     def retry_after(self, seconds: float) -> str:
-        """Return a time to come back; fractions are allowed."""
+        """Return a ``Retry-After`` value; fractions of a second are allowed."""
         return _seconds(seconds)
 
     def key(self, data: bytes) -> str:
-        """Return the key in the first bytes of a request, unparsed; empty if none."""
+        """Return the account key in the start of an unparsed request, or empty."""
         head = data[:_HEAD_BYTES]
         at = head.lower().find(_KEY_LINE)
         if at < 0:
@@ -55,14 +55,14 @@
 
 
 class ReadyInterface:
-    """The balancer, and who reads metrics."""
+    """Interface for the load balancer's readiness check and for metrics scrapers."""
 
     def allowed_methods(self, path: str) -> frozenset[str]:
-        """Return the methods that ``path`` takes; none for an unknown path."""
+        """Return the methods allowed for ``path``; none for an unknown path."""
         return _READS if path in (READY_PATH, METRICS_PATH) else frozenset()
 
     def check_target(self, method: str, path: str) -> None:
-        """Refuse what is not served here.
+        """Reject methods and paths that are not served.
 
         Raises:
             RouterError: Unknown path or method.
@@ -79,5 +79,5 @@
         return PageCall(path=request.path, reply=reply)
 
     def retry_after(self, seconds: float) -> str:
-        """Return a time to come back; fractions are allowed."""
+        """Return a ``Retry-After`` value; fractions of a second are allowed."""
         return _seconds(seconds)
--- a/greengageflow/platform/names.py
+++ b/greengageflow/platform/names.py
@@ -1,4 +1,4 @@
-"""The platform's words: headers, paths, topics, fields and words of its records."""
+"""Names of the platform: headers, paths, topics, record fields and their values."""
 
 REQUEST_ID = "x-greengageflow-request-id"
 DEADLINE_MS = "x-greengageflow-deadline-ms"
--- a/greengageflow/platform/records.py
+++ b/greengageflow/platform/records.py
@@ -1,4 +1,4 @@
-"""Records of the platform's store: its configuration and its list of endpoints."""
+"""Parsers for configuration and endpoint records of the platform's store."""
 
 import json
 from collections.abc import Iterator
@@ -29,15 +29,15 @@
     OverflowError,
     RecursionError,
 )
-"""What comes of bytes that are not what they should be, however deeply nested."""
+"""Exceptions that parsing malformed or deeply nested records raises."""
 
 
 class RecordError(ValueError):
-    """A record of the store cannot be read."""
+    """A record of the store is malformed."""
 
 
 def parse_config(value: bytes) -> Routing:
-    """Return a configuration record in the product's words.
+    """Return the routing configuration in a configuration record.
 
     Raises:
         RecordError: The record is not a configuration.
@@ -107,17 +107,17 @@
 
 
 def parse_endpoint(key: str, value: bytes) -> ListedEndpoint:
-    """Return a record of the list of endpoints in the product's words.
+    """Return the endpoint in a record of the endpoint list.
 
     Raises:
-        RecordError: The record is not an endpoint's.
+        RecordError: The record does not describe an endpoint.
     """
     try:
         doc = json.loads(value)
         ip, port = _address(_text(doc, "address"))
         state = _text(doc, "state")
         if state not in (READY, DRAINING):
-            raise ValueError(f"state {state!r}")
+            raise ValueError(f"unknown state {state!r}")
         return ListedEndpoint(
             id=key,
             service=_text(doc, "service"),
@@ -135,14 +135,14 @@
 def _text(doc: dict[str, Any], name: str) -> str:
     value = doc[name]
     if not isinstance(value, str) or not value:
-        raise ValueError(f"{name} {value!r}")
+        raise ValueError(f"invalid {name} {value!r}")
     return value
 
 
 def _whole(doc: dict[str, Any], name: str) -> int:
     value = doc[name]
     if type(value) is not int or value < 0:
-        raise ValueError(f"{name} {value!r}")
+        raise ValueError(f"invalid {name} {value!r}")
     return value
 
 
@@ -150,28 +150,28 @@
     ip, _, port = text.rpartition(":")
     number = int(port) if port.isascii() and port.isdigit() else 0
     if not 0 < number < 65_536:
-        raise ValueError(f"port {port!r}")
+        raise ValueError(f"invalid port {port!r}")
     return str(IPv4Address(ip)), number
 
 
 def parse_kept(response: Response) -> tuple[PromptPart, ...]:
-    """Return the prompt parts that an engine says it keeps.
+    """Return the prompt parts that an engine reports in its prefix cache.
 
     Raises:
-        RecordError: The answer is no list of them.
+        RecordError: The response is not a list of prompt parts.
     """
     if response.status != 200:
-        raise RecordError(f"status {response.status}")
+        raise RecordError(f"unexpected status {response.status}")
     try:
         held = json.loads(response.body)["held"]
         return tuple(map(_kept_part, held))
     except _UNREADABLE as exc:
-        raise RecordError(f"kept parts: {exc!r}") from exc
+        raise RecordError(f"cached prompt parts: {exc!r}") from exc
 
 
 def _kept_part(entry: list[Any]) -> PromptPart:
-    # An entry is an empty text, the part's id, its tokens and the model.
+    # An entry has an empty string, the part's id, its tokens and the model.
     _, name, tokens, _ = entry
     if not isinstance(name, str) or not isinstance(tokens, int) or tokens < 0:
-        raise ValueError(f"part {entry!r}")
+        raise ValueError(f"invalid prompt part {entry!r}")
     return PromptPart(name, tokens)
--- a/greengageflow/platform/requests.py
+++ b/greengageflow/platform/requests.py
@@ -1,4 +1,4 @@
-"""Callers' requests of the platform, in and out."""
+"""Translation of the platform's requests, from callers and to endpoints."""
 
 from greengageflow.core.endpoint_list import ListedEndpoint
 from greengageflow.core.forward_request import (
@@ -47,14 +47,14 @@
 
 
 def parse_request(req: CallerRequest) -> ForwardRequest:
-    """Return a caller's request in the product's words.
+    """Return a caller's request as a ``ForwardRequest``.
 
     Raises:
-        RouterError: It has no id, or a header came twice that counts once.
+        RouterError: It has no id, or repeats a header that must be unique.
     """
     request_id = req.header(REQUEST_ID)
     if not request_id:
-        raise RouterError(ErrorKind.BAD_REQUEST, "the request has no id")
+        raise RouterError(ErrorKind.BAD_REQUEST, "request id header is missing")
     return ForwardRequest(
         id=request_id,
         method=req.method,
@@ -109,15 +109,15 @@
     last_event: int | None,
     fetch_from: ListedEndpoint | None,
 ) -> HttpRequest:
-    """Return the request as an endpoint gets it.
+    """Return the request to send to an endpoint.
 
     Args:
         req: The caller's request.
-        endpoint: Where it goes.
+        endpoint: Endpoint to send it to.
         account: Client account of the key, or empty.
-        left_s: Seconds that the endpoint may take.
-        last_event: Number of the last event that is known, or None.
-        fetch_from: Engine that keeps parts of the prompt, or None.
+        left_s: Seconds until the deadline.
+        last_event: Number of the last event received so far, or None.
+        fetch_from: Engine to fetch cached prompt parts from, or None.
     """
     extra: list[Header] = [
         (EXPECT_REPLICA, endpoint.id),
@@ -140,5 +140,5 @@
 
 
 def kept_call(engine: ListedEndpoint) -> HttpRequest:
-    """Return the request that asks an engine which prompt parts it keeps."""
+    """Return the request for an engine's list of cached prompt parts."""
     return HttpRequest("GET", engine.ip, engine.port, KV_LIST)
--- a/greengageflow/platform/store.py
+++ b/greengageflow/platform/store.py
@@ -1,4 +1,4 @@
-"""Calls of the platform's store: how they are written and how answers are read."""
+"""Requests to the platform's store, and parsers for its responses."""
 
 import json
 from base64 import b64decode
@@ -17,17 +17,17 @@
 
 
 class StoreAnswerError(ValueError):
-    """The store's answer is not what its page says."""
+    """A response of the store does not follow its specification."""
 
 
 @dataclass(frozen=True, slots=True)
 class Batch:
-    """Records that were read.
+    """Records of one read.
 
     Args:
-        records: In the order of the log.
-        end: Offset at which the next read begins.
-        after: Key to go on with when a page was full, or empty.
+        records: Records in log order.
+        end: Offset at which the next read starts.
+        after: Key after which the next page starts, or empty after the last page.
     """
 
     records: tuple[KeyedRecord, ...]
@@ -36,7 +36,7 @@
 
 
 def read_call(topic: str, offset: int, wait_s: float) -> tuple[str, str]:
-    """Return method and target that read records from ``offset`` on."""
+    """Return method and target for reading records from ``offset`` on."""
     query = {"topic": topic, "part": 0, "from": offset}
     if wait_s > 0:
         query["wait_ms"] = int(wait_s * 1000)
@@ -44,7 +44,7 @@
 
 
 def newest_call(topic: str, after: str) -> tuple[str, str]:
-    """Return method and target that read the newest record of each key."""
+    """Return method and target for reading the newest record of each key."""
     query = f"topic={quote(topic)}&part=0"
     if after:
         query += f"&after={quote(after)}"
@@ -52,7 +52,7 @@
 
 
 def put_call(topic: str, key: str, value: bytes) -> tuple[str, str, bytes]:
-    """Return method, target and body that set the value of a key."""
+    """Return method, target and body for setting the value of a key."""
     record = bytes([len(key.encode())]) + key.encode() + value
     body = _LENGTH.pack(len(record)) + record
     return "POST", f"{LOG_APPEND}?{urlencode({'topic': topic, 'part': 0})}", body
@@ -61,7 +61,7 @@
 def request(
     address: tuple[str, int], method: str, target: str, body: bytes, timeout_s: float
 ) -> HttpRequest:
-    """Return a call of the store as an HTTP request."""
+    """Return the HTTP request for a call of the store."""
     return HttpRequest(
         method,
         *address,
@@ -74,7 +74,7 @@
 
 
 def era_of_answer(response: Response) -> int:
-    """Return the era of the store that answered; 0 where it does not say."""
+    """Return the era of the store that responded, or 0 if it sent none."""
     text = response.header(STORE_ERA).strip()
     if not (text.isascii() and text.isdigit()):
         return 0
@@ -82,7 +82,7 @@
 
 
 def is_forgotten(response: Response) -> bool:
-    """Whether the records that were asked for are deleted."""
+    """Return whether the requested records have been deleted."""
     return response.status == GONE
 
 
@@ -90,19 +90,19 @@
     """Return the records of a read from ``offset`` on.
 
     Raises:
-        StoreAnswerError: The answer is not a read's.
+        StoreAnswerError: The response is malformed.
     """
     _check(response)
     data = response.body
     if len(data) < _ENDS.size:
-        raise StoreAnswerError("answer too short")
+        raise StoreAnswerError("response is too short")
     at = _ENDS.size
     records = []
     while at + _LENGTH.size <= len(data):
         (length,) = _LENGTH.unpack_from(data, at)
         at += _LENGTH.size
         if at + length > len(data):
-            raise StoreAnswerError("record cut short")
+            raise StoreAnswerError("record is truncated")
         records.append(_keyed(data[at : at + length], offset + len(records)))
         at += length
     return Batch(tuple(records), offset + len(records))
@@ -110,7 +110,7 @@
 
 def _keyed(record: bytes, offset: int) -> KeyedRecord:
     if not record or len(record) < 1 + record[0]:
-        raise StoreAnswerError("record without a key")
+        raise StoreAnswerError("record has no key")
     value = record[1 + record[0] :]
     key = record[1 : 1 + record[0]].decode("utf-8", "replace")
     return KeyedRecord(key, value or None, offset)
@@ -120,7 +120,7 @@
     """Return the newest record of each key.
 
     Raises:
-        StoreAnswerError: The answer is not a list of records.
+        StoreAnswerError: The response is not a list of records.
     """
     _check(response)
     try:
@@ -137,4 +137,4 @@
 
 def _check(response: Response) -> None:
     if response.status != 200:
-        raise StoreAnswerError(f"status {response.status}")
+        raise StoreAnswerError(f"unexpected status {response.status}")
