--- a/tests/test_decision_log.py
+++ b/tests/test_decision_log.py
@@ -30,11 +30,11 @@
 
 @contextmanager
 def not_blocked_for_ever():
-    """Turn a write that waits for the stopped reader into a failure of the test."""
+    """Fail the test if a write blocks on the stopped reader."""
 
     def fail(*_):
-        # No OSError, since the log takes those for faults of the descriptor.
-        pytest.fail("the log waits for its reader")
+        # Not an OSError, since the log handles those as descriptor errors.
+        pytest.fail("write blocked on the reader")
 
     before = signal.signal(signal.SIGALRM, fail)
     signal.alarm(60)
@@ -58,9 +58,9 @@
 
 
 def test_a_reader_that_has_stopped_costs_lines_and_never_blocks(pipe, clock):
-    """The collector behind standard output stops reading. The pipe fills, then the
-    buffer, and lines are dropped, ordinary ones first. Callers notice nothing. When the
-    collector reads on, it gets whole lines and the number of those that are missing.
+    """The log collector stops reading. The pipe fills, then the buffer, and lines are
+    dropped, routine ones first, without blocking. When the collector reads again, it
+    gets complete lines and the number of dropped ones.
     """
     read_fd, write_fd = pipe
     log = DecisionLog(write_fd, "r1", limit_lines_per_s=1e6, buffer_bytes=65536)
@@ -82,9 +82,9 @@
 
 
 def test_pressure_takes_routine_lines_first_and_whole_requests(pipe, clock):
-    """A flood of 1,000 requests a second meets a budget of 200 lines. All failures and
-    changes of state are kept. From the second second on, routine lines are kept for a
-    share of the ids only, and such an id has all of its lines.
+    """1,000 requests per second exceed the budget of 200 lines per second. All failures
+    and state changes are kept. After the first second, routine lines are sampled by
+    request id, and a sampled id has all of its lines.
     """
     read_fd, write_fd = pipe
     log = DecisionLog(write_fd, "r1", limit_lines_per_s=200, buffer_bytes=1 << 20)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -13,7 +13,7 @@
 
 
 class Script(Component):
-    """Runs a generator on the loop; each condition it yields is waited for."""
+    """Runs a generator on the event loop and waits for each condition it yields."""
 
     def __init__(self, steps):
         super().__init__()
@@ -61,7 +61,7 @@
     app.run()
     if script.error is not None:
         raise script.error
-    assert script.done, "a condition was not met"
+    assert script.done, "timed out while waiting for a condition"
 
 
 def introduce(*nodes):
@@ -71,9 +71,9 @@
 
 
 def test_a_flood_both_ways_arrives_whole_and_in_order():
-    """Each of two routers sends the other far more messages than one wake-up of
-    the loop reads. The descriptor of ZeroMQ only tells of changes, so a link that
-    does not read on by itself leaves the rest lying and the routers wait for ever.
+    """Two routers send each other far more messages than one wake-up of the event loop
+    reads. ZeroMQ's descriptor is edge-triggered: a link that does not schedule another
+    pass leaves messages unread, and the routers wait for ever.
     """
     app = Component()
     one, two = (Node(app, host, queue_limit=10_000) for host in ("r1", "r2"))
@@ -95,9 +95,9 @@
 
 
 def test_a_peer_that_restarts_on_its_port_is_reached_again_without_old_messages():
-    """A router is killed, others go on sending, and its next life listens on the
-    same port. What was sent meanwhile is dropped after a second and counted, not
-    kept, since a grant that arrives late hands out a slot twice.
+    """A router is killed while others go on sending, and restarts on the same port.
+    Messages sent meanwhile have to be dropped and counted: a grant that arrives late
+    would grant a slot twice.
     """
     app = Component()
     one, two = Node(app, "r1", wait_s=0.1), Node(app, "r2")
@@ -123,8 +123,8 @@
 
 
 def test_a_peer_that_accepts_and_never_answers_costs_only_a_bounded_queue():
-    """A frozen router's kernel still accepts connections, so each send seems to
-    go well. Messages to it are dropped beyond the bound and the loop goes on.
+    """The kernel of a frozen router still accepts connections, so sends appear to
+    succeed. Messages beyond the queue limit are dropped and the event loop goes on.
     """
     app = Component()
     one, two = Node(app, "r1", wait_limit=50), Node(app, "r2")
@@ -161,7 +161,7 @@
     def fail_on_first(sender, message):
         receive(sender, message)
         if message.free == 1:
-            raise RuntimeError("a bug in a handler")
+            raise RuntimeError("simulated handler failure")
 
     two.link._on_message = fail_on_first
 
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -1,4 +1,4 @@
-"""Records of the platform's store that are spoiled, or tell of another start."""
+"""Parsing of store records: malformed ones, and those of a restarted endpoint."""
 
 import json
 
@@ -92,7 +92,8 @@
 
 @pytest.mark.parametrize("value", SPOILED)
 def test_deep_nesting_and_huge_figures_are_errors_and_go_no_further(value):
-    """Anything else would end the read, and with it all that the store says."""
+    """Another exception would end the read, and the router would get no more updates
+    from the store."""
     with pytest.raises(RecordError):
         parse_endpoint("e", value)
     with pytest.raises(RecordError):
@@ -104,14 +105,16 @@
 
 
 def test_an_endpoint_that_starts_again_under_its_id_is_gone_and_new():
-    """A replica crashes and starts again under the id that it had. Taken for the same
-    one, it was sent prompts whose parts it no longer kept, and stayed marked as leaving
-    from its earlier life."""
+    """A replica crashes and restarts under the same id. When it was taken for the same
+    instance, it got prompts whose parts were no longer in its prefix cache, and it kept
+    the leaving mark of the old instance."""
     listed = EndpointList()
     assert [change.what for change in listed.put(entry(born=5))] == ["new"]
     listed.note_left(entry(born=5).id, 5)
     assert not listed.may_use("e")
     assert [change.what for change in listed.put(entry(born=9))] == ["gone", "new"]
     assert listed.may_use("e")
-    assert not list(listed.put(entry(born=5, state="draining"))), "an older start"
+    assert not list(listed.put(entry(born=5, state="draining"))), (
+        "records of an earlier start are ignored"
+    )
     assert listed.may_use("e")
--- a/tests/test_report_codec.py
+++ b/tests/test_report_codec.py
@@ -1,4 +1,4 @@
-"""Messages between routers: what is sent comes back, what is spoiled is told apart."""
+"""Round trip of messages between routers, and rejection of malformed ones."""
 
 from math import inf
 from socket import AF_INET, inet_pton
@@ -25,7 +25,7 @@
 from greengageflow.core.sum_changes import FullSumRequest, SumDelta, TableDelta
 from greengageflow.net.report_codec import ReportError, decode, encode
 
-# Bytes of messages.
+# Strategies for messages and their parts.
 
 NAMES = st.text(max_size=8)
 COUNTS = st.integers(0, 2**53)
@@ -129,7 +129,7 @@
 
 
 def places(values):
-    """Yield each container within a message with each of its keys."""
+    """Yield every container in a message with each of its keys."""
     keys = range(len(values)) if isinstance(values, list) else values
     for key in keys:
         yield values, key
@@ -151,8 +151,8 @@
 @settings(max_examples=400, deadline=None)
 @given(MESSAGES, VALUES, st.data())
 def test_wrong_values_give_report_error_or_a_message_that_can_be_used(message, x, data):
-    """A value of another kind, deep in a message, would end a round at the router
-    that hears it: no address to send to, no number to add up."""
+    """A value of the wrong type deep inside a message would make a round of the
+    receiving router fail, when it sends to an address or adds up amounts."""
     values = unpackb(encode(message))
     holder, key = data.draw(st.sampled_from(list(places(values))))
     holder[key] = x
