--- a/greengageflow/net/host_list.py
+++ b/greengageflow/net/host_list.py
@@ -127,5 +127,5 @@
         if isinstance(answer, Failure):
             raise HostListError(answer.message)
         if answer.status != 200:
-            raise HostListError(f"status {answer.status}")
+            raise HostListError(f"unexpected status {answer.status}")
         return parse_hosts(answer.body)
--- a/greengageflow/net/metrics_page.py
+++ b/greengageflow/net/metrics_page.py
@@ -145,7 +145,7 @@
         children = self._children[metric]
         if child := children.get(part):
             return child
-        # Names of endpoints or services that come and go would add up for ever.
+        # Bounds memory: names of former endpoints and services stay label values.
         part = part if len(children) < _MOST_PARTS else _OTHER
         if part not in children:
             series = self._series.get(metric) or self._add_series(metric)
