--- a/greengageflow/net/decision_log.py
+++ b/greengageflow/net/decision_log.py
@@ -52,8 +52,9 @@
     writes would then fail. Instead, each write follows a poll that reports the
     descriptor writable and is at most PIPE_BUF long, which a pipe then accepts without
     blocking. A stalled reader therefore cannot block the event loop, unless another
-    process fills the same pipe between poll and write. A terminal that the user has
-    stopped may block as well. A regular file is always writable and gets larger writes.
+    process fills the same pipe between poll and write; the loop then blocks until the
+    reader continues. A terminal that the user has stopped may block as well. A regular
+    file is always writable and gets larger writes.
 
     Args:
         fd: Descriptor to write to.
@@ -139,7 +140,7 @@
         The rate is the fraction of requests whose routine lines fit into the budget
         beside the other lines. Without sampling, the budget would run out in the middle
         of a request's lines, and most requests would be logged incompletely. The target
-        is slightly below the budget to leave room for clusters of sampled ids. Sampling
+        is slightly below the budget to allow for clusters of sampled ids. Sampling
         is by a hash of the id, so it is the same for all lines of a request, and on all
         hosts with the same rate.
         """
