--- a/greengageflow/daemon/control.py
+++ b/greengageflow/daemon/control.py
@@ -254,7 +254,7 @@
             case Connect(host, ip, port):
                 self._link.set_address(host, ip, port)
             case Disconnect(host):
-                self._link.forget(host)
+                self._link.disconnect(host)
 
     def _append_taker(self, stream: str) -> Callable[[AppendResult], None]:
         def take(result: AppendResult) -> None:
--- a/greengageflow/daemon/gateway.py
+++ b/greengageflow/daemon/gateway.py
@@ -243,7 +243,7 @@
             version=lambda: self._store.version,
             unheard=lambda: self._trust.age_s(clock()),
             control_bytes=lambda: (self._link.bytes_in, self._link.bytes_out),
-            control_too_long=lambda: self._link.too_long,
+            control_too_long=lambda: self._link.oversized_messages,
             store_calls=lambda: (
                 self._store.calls + self._registry.calls + self._kept.calls
             ),
--- a/greengageflow/net/gossip_link.py
+++ b/greengageflow/net/gossip_link.py
@@ -15,7 +15,7 @@
 
 from greengageflow.net._fragments import LARGEST, Fragments, split
 
-MOST_IN_A_ROW = 64
+MAX_DATAGRAMS_PER_READ = 64
 
 
 class GossipLink(BaseComponent):
@@ -24,7 +24,7 @@
     Args:
         ip: IP number to bind to.
         port: UDP port; 0 selects a free one.
-        on_datagram: Called with each complete message, reassembled from fragments.
+        on_message: Called with each complete message, reassembled from fragments.
 
     Raises:
         OSError: The address cannot be bound.
@@ -32,16 +32,14 @@
 
     channel = "gossip"
 
-    def __init__(
-        self, ip: str, port: int, on_datagram: Callable[[bytes], None]
-    ) -> None:
+    def __init__(self, ip: str, port: int, on_message: Callable[[bytes], None]) -> None:
         super().__init__()
         self.bytes_out = 0
         self.bytes_in = 0
-        self.too_long = 0
-        self._number = 0
+        self.oversized_messages = 0
+        self._message_id = 0
         self._fragments = Fragments()
-        self._on_datagram = on_datagram
+        self._on_message = on_message
         self._sock = socket(AF_INET, SOCK_DGRAM)
         self._sock.setblocking(False)
         self._sock.bind((ip, port))
@@ -59,11 +57,11 @@
 
     def send(self, address: tuple[str, int], data: bytes) -> None:
         """Send a message, best effort; one that is too long is counted and dropped."""
-        self._number += 1
+        self._message_id += 1
         try:
-            datagrams = list(split(self._number, data))
+            datagrams = list(split(self._message_id, data))
         except ValueError:
-            self.too_long += 1
+            self.oversized_messages += 1
             return
         with suppress(OSError):
             for datagram in datagrams:
@@ -75,7 +73,7 @@
         """Receive pending datagrams; called by the poller or through its event."""
         if sock is not self._sock:
             return
-        for _ in range(MOST_IN_A_ROW):
+        for _ in range(MAX_DATAGRAMS_PER_READ):
             try:
                 data, sender = sock.recvfrom(LARGEST)
             except OSError:
@@ -83,4 +81,4 @@
             self.bytes_in += len(data)
             message = self._fragments.take(sender, data)
             if message is not None:
-                self._on_datagram(message)
+                self._on_message(message)
--- a/greengageflow/net/peers.py
+++ b/greengageflow/net/peers.py
@@ -17,10 +17,14 @@
 from circuits.core.utils import findcmp
 
 from greengageflow.core.messages import PeerId
-from greengageflow.net._peer_sockets import bound_port, open_inbox, open_outlet
+from greengageflow.net._peer_sockets import (
+    bound_port,
+    open_pull_socket,
+    open_push_socket,
+)
 from greengageflow.net.wire import MessageError, decode, encode
 
-DRAIN_LIMIT = 500
+MAX_MESSAGES_PER_DRAIN = 500
 
 OnMessage = Callable[[PeerId, Any], None]
 
@@ -54,14 +58,14 @@
 
 
 @dataclass(slots=True)
-class _Outlet:
+class _Outbound:
     """One outgoing socket and the messages queued until it is connected."""
 
     sock: zmq.Socket
     fd: int
     used_at: float
-    waiting: deque[tuple[float, str, bytes]] = field(default_factory=deque)
-    polled: bool = False
+    queue: deque[tuple[float, str, bytes]] = field(default_factory=deque)
+    is_polled: bool = False
 
 
 class PeerLink(BaseComponent):
@@ -111,12 +115,12 @@
         self._wait_s = wait_s
         self._idle_s = idle_s
         self._addresses: dict[str, tuple[str, int]] = {}
-        self._outlets: OrderedDict[str, _Outlet] = OrderedDict()
-        self._outlet_hosts: dict[int, str] = {}
+        self._outbounds: OrderedDict[str, _Outbound] = OrderedDict()
+        self._hosts_by_fd: dict[int, str] = {}
         self._poller: BasePoller | None = None
-        self._drain_fired = False
+        self._drain_scheduled = False
         self._context = zmq.Context()
-        self._inbox = open_inbox(self._context, ip, port, queue_limit)
+        self._inbox = open_pull_socket(self._context, ip, port, queue_limit)
         self._inbox_fd: int = self._inbox.getsockopt(zmq.FD)
 
     @property
@@ -127,32 +131,32 @@
     @property
     def connections(self) -> int:
         """Number of open outgoing sockets."""
-        return len(self._outlets)
+        return len(self._outbounds)
 
     def set_address(self, host: str, ip: str, port: int) -> None:
         """Set the address of ``host``; a connection to its old address is closed."""
         if self._addresses.get(host) != (ip, port):
-            self._close_outlet(host)
+            self._close_outbound(host)
             self._addresses[host] = (ip, port)
 
-    def forget(self, host: str) -> None:
+    def disconnect(self, host: str) -> None:
         """Close the connection to ``host`` and drop its queued messages.
 
         The address is kept, so that a later message opens a new connection.
         """
-        self._close_outlet(host)
+        self._close_outbound(host)
 
     def send(self, to_host: str, message: Any) -> None:
         """Send ``message`` to the router on ``to_host``, best effort."""
         now = monotonic()
         self._close_idle(now)
-        outlet = self._outlet(to_host, now)
-        if outlet is None:
+        outbound = self._get_outbound(to_host, now)
+        if outbound is None:
             self.counters.dropped += 1
             return
         kind = type(message).__name__
-        outlet.waiting.append((now, kind, encode(self.identity, message)))
-        self._flush(outlet, now)
+        outbound.queue.append((now, kind, encode(self.identity, message)))
+        self._flush(outbound, now)
 
     def close(self, *, linger_s: float = 0.0) -> None:
         """Close all sockets.
@@ -163,81 +167,83 @@
         """
         if self._context.closed:
             return
-        for host in list(self._outlets):
-            self._close_outlet(host, linger_s)
+        for host in list(self._outbounds):
+            self._close_outbound(host, linger_s)
         if self._poller is not None:
             self._poller.discard(self._inbox_fd)
         self._inbox.close(linger=0)
         self._context.term()
 
-    def _outlet(self, host: str, now: float) -> _Outlet | None:
-        outlet = self._outlets.get(host)
-        if outlet is None:
+    def _get_outbound(self, host: str, now: float) -> _Outbound | None:
+        outbound = self._outbounds.get(host)
+        if outbound is None:
             address = self._addresses.get(host)
             if address is None:
                 return None
-            outlet = self._outlets[host] = self._open_outlet(*address, now)
-            self._outlet_hosts[outlet.fd] = host
-        outlet.used_at = now
-        self._outlets.move_to_end(host)
-        return outlet
-
-    def _open_outlet(self, ip: str, port: int, now: float) -> _Outlet:
-        sock = open_outlet(self._context, self._source_ip, ip, port, self._queue_limit)
-        return _Outlet(sock, sock.getsockopt(zmq.FD), now)
-
-    def _close_outlet(self, host: str, linger_s: float = 0.0) -> None:
-        outlet = self._outlets.pop(host, None)
-        if outlet is None:
+            outbound = self._outbounds[host] = self._open_outbound(*address, now)
+            self._hosts_by_fd[outbound.fd] = host
+        outbound.used_at = now
+        self._outbounds.move_to_end(host)
+        return outbound
+
+    def _open_outbound(self, ip: str, port: int, now: float) -> _Outbound:
+        sock = open_push_socket(
+            self._context, self._source_ip, ip, port, self._queue_limit
+        )
+        return _Outbound(sock, sock.getsockopt(zmq.FD), now)
+
+    def _close_outbound(self, host: str, linger_s: float = 0.0) -> None:
+        outbound = self._outbounds.pop(host, None)
+        if outbound is None:
             return
-        del self._outlet_hosts[outlet.fd]
-        self._poll_outlet(outlet, False)
-        self.counters.dropped += len(outlet.waiting)
-        outlet.sock.close(linger=int(linger_s * 1000))
+        del self._hosts_by_fd[outbound.fd]
+        self._poll_outbound(outbound, False)
+        self.counters.dropped += len(outbound.queue)
+        outbound.sock.close(linger=int(linger_s * 1000))
 
     def _close_idle(self, now: float) -> None:
-        while self._outlets:
-            host, outlet = next(iter(self._outlets.items()))
-            if now - outlet.used_at < self._idle_s:
+        while self._outbounds:
+            host, outbound = next(iter(self._outbounds.items()))
+            if now - outbound.used_at < self._idle_s:
                 return
-            self._close_outlet(host)
+            self._close_outbound(host)
 
-    def _flush(self, outlet: _Outlet, now: float) -> None:
+    def _flush(self, outbound: _Outbound, now: float) -> None:
         """Send queued messages in order until ZeroMQ accepts no more."""
-        waiting = outlet.waiting
-        while waiting:
-            since, kind, data = waiting[0]
-            if now - since > self._wait_s or len(waiting) > self._wait_limit:
-                waiting.popleft()
+        queue = outbound.queue
+        while queue:
+            queued_at, kind, data = queue[0]
+            if now - queued_at > self._wait_s or len(queue) > self._wait_limit:
+                queue.popleft()
                 self.counters.dropped += 1
                 continue
             try:
-                outlet.sock.send(data, zmq.NOBLOCK)
+                outbound.sock.send(data, zmq.NOBLOCK)
             except zmq.Again:
                 break
-            waiting.popleft()
-            self._count_out(kind, len(data))
-        self._poll_outlet(outlet, bool(waiting))
+            queue.popleft()
+            self._count_sent(kind, len(data))
+        self._poll_outbound(outbound, bool(queue))
 
-    def _count_out(self, kind: str, size: int) -> None:
+    def _count_sent(self, kind: str, size: int) -> None:
         self.counters.messages_out += 1
         self.counters.bytes_out += size
         self.counters.out_by_type[kind] += size
 
-    def _poll_outlet(self, outlet: _Outlet, wanted: bool) -> None:
+    def _poll_outbound(self, outbound: _Outbound, wanted: bool) -> None:
         """Poll an outgoing socket only while messages are queued for it.
 
         Its descriptor becomes readable on each internal ZeroMQ event and stays
         readable until the socket is used. Polled all the time, it would make the
         event loop spin.
         """
-        if self._poller is None or outlet.polled == wanted:
+        if self._poller is None or outbound.is_polled == wanted:
             return
-        outlet.polled = wanted
+        outbound.is_polled = wanted
         if wanted:
-            self._poller.addReader(self, outlet.fd)
+            self._poller.addReader(self, outbound.fd)
         else:
-            self._poller.discard(outlet.fd)
+            self._poller.discard(outbound.fd)
 
     @handler("registered", "started", channel="*")
     def _on_registered(self, component: Any, *_: Any) -> None:
@@ -250,9 +256,9 @@
             poller = Poller().register(self)
         self._poller = poller
         poller.addReader(self, self._inbox_fd)
-        self._drain_later()
-        for outlet in self._outlets.values():
-            self._flush(outlet, monotonic())
+        self._schedule_drain()
+        for outbound in self._outbounds.values():
+            self._flush(outbound, monotonic())
 
     @handler("stopped", channel="*")
     def _on_stopped(self, *_: Any) -> None:
@@ -262,39 +268,39 @@
     def _on_readable(self, fd: int) -> None:
         if fd == self._inbox_fd:
             self._drain()
-        elif (host := self._outlet_hosts.get(fd)) is not None:
-            self._flush(self._outlets[host], monotonic())
+        elif (host := self._hosts_by_fd.get(fd)) is not None:
+            self._flush(self._outbounds[host], monotonic())
 
     @handler("Drain")
     def _on_drain(self) -> None:
-        self._drain_fired = False
+        self._drain_scheduled = False
         self._drain()
 
-    def _drain_later(self) -> None:
-        if not self._drain_fired:
-            self._drain_fired = True
+    def _schedule_drain(self) -> None:
+        if not self._drain_scheduled:
+            self._drain_scheduled = True
             self.fire(Drain(), self)
 
     def _drain(self) -> None:
-        """Read up to ``DRAIN_LIMIT`` messages; schedule another pass if more may wait.
+        """Read a bounded number of messages; schedule another pass if more may wait.
 
         ZeroMQ's descriptor is edge-triggered: after one message has been read, it
         signals no others until the next arrives. Remaining messages have to be
         scheduled here, also when a message handler fails.
         """
         errors = []
-        for _ in range(DRAIN_LIMIT):
+        for _ in range(MAX_MESSAGES_PER_DRAIN):
             try:
-                if not self._take_one():
+                if not self._receive_one():
                     break
             except Exception as exc:
                 errors.append(exc)
         else:
-            self._drain_later()
+            self._schedule_drain()
         if errors:
             raise ExceptionGroup("handling peer messages failed", errors)
 
-    def _take_one(self) -> bool:
+    def _receive_one(self) -> bool:
         if self._context.closed:
             return False
         try:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -138,7 +138,7 @@
         assert one.link.counters.dropped == 450
         one.link.send("r2", WorkCall("p", 1))
         yield lambda: two.got
-        one.link.forget("frozen")
+        one.link.disconnect("frozen")
         assert one.link.counters.dropped == 500
 
     run(app, steps())
