--- a/greengageflow/net/_columns.py
+++ b/greengageflow/net/_columns.py
@@ -17,8 +17,8 @@
 Address = tuple[str, int]
 Pairs = tuple[tuple[str, str], ...]
 
-_MOST = 2**53
-_NONE = -1
+_MAX_COUNT = 2**53
+_ABSENT = -1
 _ADDRESS = Struct("!4sH")
 
 
@@ -38,10 +38,17 @@
     groups: Iterable[tuple[str, Iterable[tuple[str, str]]]]
     groups = _by_service(keys) if ordered else groupby(keys, itemgetter(0))
     for service, group in groups:
-        found = list(group)
-        begun = [int(served.get(key, _NONE)) for key in found]
-        asked = [int(offered.get(key, _NONE)) for key in found]
-        rows.append((service, [account for _, account in found], begun, asked))
+        group_keys = list(group)
+        served_column = [int(served.get(key, _ABSENT)) for key in group_keys]
+        offered_column = [int(offered.get(key, _ABSENT)) for key in group_keys]
+        rows.append(
+            (
+                service,
+                [account for _, account in group_keys],
+                served_column,
+                offered_column,
+            )
+        )
     return rows
 
 
@@ -62,16 +69,16 @@
     """
     served: dict[tuple[str, str], float] = {}
     offered: dict[tuple[str, str], float] = {}
-    for service, accounts, begun, asked in rows:
+    for service, accounts, served_column, offered_column in rows:
         check_names((service, *accounts))
-        if not len(accounts) == len(begun) == len(asked):
+        if not len(accounts) == len(served_column) == len(offered_column):
             raise ValueError("columns differ in length")
         keys = list(zip(repeat(service), accounts))
-        for sums, column in ((served, begun), (offered, asked)):
-            check_amounts(column, least=_NONE)
+        for sums, column in ((served, served_column), (offered, offered_column)):
+            check_counts(column, minimum=_ABSENT)
             cells = zip(keys, column, strict=True)
-            if _NONE in column:
-                cells = (cell for cell in cells if cell[1] != _NONE)
+            if _ABSENT in column:
+                cells = (cell for cell in cells if cell[1] != _ABSENT)
             sums.update(cells)
     return served, offered
 
@@ -97,12 +104,12 @@
     if len(amounts) != 3:
         raise ValueError("wrong number of load columns")
     check_names(names)
-    check_amounts([*chain(*amounts)])
+    check_counts([*chain(*amounts)])
     shares = load_shares(zip(*amounts, strict=True))
     return dict(zip(names, shares, strict=True))
 
 
-def change_columns(
+def delta_columns(
     rows: Mapping[int, tuple[int, ...]], width: int
 ) -> tuple[list[int], ...]:
     """Return a column of row indexes and ``width`` columns of values."""
@@ -110,7 +117,7 @@
     return (list(rows), *map(list, columns))
 
 
-def read_changes(columns: Sequence[Any], width: int) -> dict[int, tuple[int, ...]]:
+def read_delta(columns: Sequence[Any], width: int) -> dict[int, tuple[int, ...]]:
     """Return rows of ``width`` counts by row index.
 
     Raises:
@@ -119,9 +126,9 @@
     if len(columns) != width + 1:
         raise ValueError("wrong number of delta columns")
     for column in columns:
-        check_amounts(column)
-    places, *values = columns
-    return dict(zip(places, zip(*values, strict=True), strict=True))
+        check_counts(column)
+    indexes, *values = columns
+    return dict(zip(indexes, zip(*values, strict=True), strict=True))
 
 
 def pair_columns(pairs: Iterable[tuple[str, Any]]) -> list[list[Any]]:
@@ -140,16 +147,16 @@
     return tuple(zip(parts, endpoints, strict=True))
 
 
-def read_places(columns: Sequence[Any]) -> tuple[tuple[str, int], ...]:
+def read_index_pairs(columns: Sequence[Any]) -> tuple[tuple[str, int], ...]:
     """Return pairs of a name and an index.
 
     Raises:
         ValueError: The columns are malformed.
     """
-    parts, places = columns
+    parts, indexes = columns
     check_names(parts)
-    check_amounts(places)
-    return tuple(zip(parts, places, strict=True))
+    check_counts(indexes)
+    return tuple(zip(parts, indexes, strict=True))
 
 
 def pack_addresses(addresses: Iterable[Address]) -> bytes:
@@ -164,10 +171,10 @@
         ValueError: A port is 0.
         struct.error: The length is not a multiple of six bytes.
     """
-    found = tuple((inet_ntoa(ip), port) for ip, port in _ADDRESS.iter_unpack(data))
-    if any(not port for _, port in found):
+    addresses = tuple((inet_ntoa(ip), port) for ip, port in _ADDRESS.iter_unpack(data))
+    if any(not port for _, port in addresses):
         raise ValueError("port is 0")
-    return found
+    return addresses
 
 
 def check_names(names: Iterable[Any]) -> None:
@@ -176,7 +183,7 @@
         raise ValueError("names are not strings")
 
 
-def check_amounts(column: Sequence[Any], least: int = 0) -> None:
+def check_counts(column: Sequence[Any], minimum: int = 0) -> None:
     """Raise ``ValueError`` unless all are integers within the bounds.
 
     A sum with a NaN or a string in it would make every later round of this router
@@ -184,5 +191,5 @@
     """
     if not set(map(type, column)) <= {int}:
         raise ValueError("counts are not integers")
-    if column and not (least <= min(column) and max(column) <= _MOST):
+    if column and not (minimum <= min(column) and max(column) <= _MAX_COUNT):
         raise ValueError("counts are out of bounds")
--- a/greengageflow/net/leaving_codec.py
+++ b/greengageflow/net/leaving_codec.py
@@ -5,17 +5,17 @@
 from greengageflow.core.leaving_signs import LeavingReport, LeavingSign
 from greengageflow.net._columns import check_names
 
-LEAVING = 29
+LEAVING_REPORT = 29
 
-_LATEST = 2**53
+_MAX_START = 2**53
 
 
-def leaving_values(report: LeavingReport) -> tuple[Any, ...]:
+def leaving_report_values(report: LeavingReport) -> tuple[Any, ...]:
     """Return the values of a report, its type number first."""
-    return LEAVING, [(sign.endpoint, sign.born) for sign in report.signs]
+    return LEAVING_REPORT, [(sign.endpoint, sign.born) for sign in report.signs]
 
 
-def leaving_of(values: list[Any]) -> LeavingReport:
+def parse_leaving_report(values: list[Any]) -> LeavingReport:
     """Return a leaving report.
 
     Raises:
@@ -23,11 +23,11 @@
         TypeError: A value has the wrong type.
     """
     (rows,) = values
-    return LeavingReport(tuple(_sign(*row) for row in rows))
+    return LeavingReport(tuple(_parse_sign(*row) for row in rows))
 
 
-def _sign(endpoint: Any, born: Any) -> LeavingSign:
+def _parse_sign(endpoint: Any, born: Any) -> LeavingSign:
     check_names((endpoint,))
-    if type(born) is not int or not 0 <= born <= _LATEST:
+    if type(born) is not int or not 0 <= born <= _MAX_START:
         raise ValueError(f"invalid start time: {born!r}")
     return LeavingSign(endpoint, born)
--- a/greengageflow/net/place_codec.py
+++ b/greengageflow/net/placement_codec.py
@@ -15,17 +15,22 @@
 )
 from greengageflow.errors import ErrorKind
 
-ASK, ANSWER, NOTE, ROLL = 15, 16, 17, 18
+PLACEMENT_REQUEST, PLACEMENT_ANSWER, PLACEMENT_EVENT, PLACEMENT_SNAPSHOT = (
+    15,
+    16,
+    17,
+    18,
+)
 
-_MOST = 2.0**53
+_MAX_AMOUNT = 2.0**53
 
 
-def place_values(message: PlacementMessage) -> tuple[Any, ...]:
+def placement_values(message: PlacementMessage) -> tuple[Any, ...]:
     """Return the values of a message, its type number first."""
     match message:
         case PlacementRequest():
             return (
-                ASK,
+                PLACEMENT_REQUEST,
                 message.host,
                 message.boot,
                 message.request,
@@ -44,7 +49,7 @@
             )
         case PlacementAnswer():
             return (
-                ANSWER,
+                PLACEMENT_ANSWER,
                 message.host,
                 message.boot,
                 message.request,
@@ -58,17 +63,23 @@
                 round(message.retry_after_s, 3),
             )
         case PlacementEvent():
-            what = int(message.kind)
-            return (NOTE, message.host, message.boot, message.request, what)
+            kind_number = int(message.kind)
+            return (
+                PLACEMENT_EVENT,
+                message.host,
+                message.boot,
+                message.request,
+                kind_number,
+            )
         case PlacementSnapshot():
-            runs = tuple(
-                (run.request, run.endpoint, int(run.reading), int(run.memory))
-                for run in message.entries
+            entries = tuple(
+                (entry.request, entry.endpoint, int(entry.reading), int(entry.memory))
+                for entry in message.entries
             )
-            return (ROLL, message.host, message.boot, runs)
+            return (PLACEMENT_SNAPSHOT, message.host, message.boot, entries)
 
 
-def ask_of(values: list[Any]) -> PlacementRequest:
+def parse_placement_request(values: list[Any]) -> PlacementRequest:
     """Return a placement request.
 
     Raises:
@@ -76,7 +87,7 @@
         TypeError: A value has the wrong type.
     """
     host, boot, request, service, account, priority, *rest = values
-    waited_s, left_s, patience_s, target_s, *rest = rest
+    waited_s, slack_s, timeout_s, target_s, *rest = rest
     parts, tokens_in, tokens_out, avoid, zone = rest
     return PlacementRequest(
         host=str(host),
@@ -86,8 +97,8 @@
         account=str(account),
         priority=int(priority),
         waited_s=_amount(waited_s),
-        slack_s=_finite(left_s),
-        timeout_s=_amount(patience_s),
+        slack_s=_finite(slack_s),
+        timeout_s=_amount(timeout_s),
         target_s=_amount(target_s),
         parts=tuple((str(name), _count(tokens)) for name, tokens in parts),
         tokens_in=_count(tokens_in),
@@ -97,7 +108,7 @@
     )
 
 
-def answer_of(values: list[Any]) -> PlacementAnswer:
+def parse_placement_answer(values: list[Any]) -> PlacementAnswer:
     """Return a placement answer.
 
     Raises:
@@ -105,7 +116,7 @@
         TypeError: A value has the wrong type.
     """
     host, boot, request, verdict, endpoint, fetch_from, *rest = values
-    reading, wait_s, kind, text, retry_after_s = rest
+    reading, wait_s, kind, message_text, retry_after_s = rest
     if int(verdict) == Verdict.REFUSE:
         ErrorKind(kind)
     return PlacementAnswer(
@@ -118,38 +129,38 @@
         reading=_amount(reading),
         wait_s=_amount(wait_s),
         kind=str(kind),
-        message=str(text),
+        message=str(message_text),
         retry_after_s=_amount(retry_after_s),
     )
 
 
-def note_of(values: list[Any]) -> PlacementEvent:
+def parse_placement_event(values: list[Any]) -> PlacementEvent:
     """Return a placement event.
 
     Raises:
         ValueError: A value is out of range.
         TypeError: A value has the wrong type.
     """
-    host, boot, request, happened = values
+    host, boot, request, kind = values
     return PlacementEvent(
         host=str(host),
         boot=int(boot),
         request=str(request),
-        kind=PlacementEventKind(happened),
+        kind=PlacementEventKind(kind),
     )
 
 
-def roll_of(values: list[Any]) -> PlacementSnapshot:
+def parse_placement_snapshot(values: list[Any]) -> PlacementSnapshot:
     """Return a placement snapshot.
 
     Raises:
         ValueError: A value is out of range.
         TypeError: A value has the wrong type.
     """
-    host, boot, runs = values
+    host, boot, entries = values
     rows = (
         PlacementEntry(str(request), str(endpoint), _amount(reading), _amount(memory))
-        for request, endpoint, reading, memory in runs
+        for request, endpoint, reading, memory in entries
     )
     return PlacementSnapshot(host=str(host), boot=int(boot), entries=tuple(rows))
 
@@ -163,7 +174,7 @@
 
 def _amount(value: Any) -> float:
     number = float(value)
-    if not 0 <= number <= _MOST:
+    if not 0 <= number <= _MAX_AMOUNT:
         raise ValueError(f"amount is out of bounds: {value!r}")
     return number
 
--- a/greengageflow/net/report_codec.py
+++ b/greengageflow/net/report_codec.py
@@ -16,38 +16,54 @@
 from greengageflow.core.store_updates import StoreTopic, StoreUpdate
 from greengageflow.core.sum_changes import FullSumRequest, SumDelta, TableDelta, Work
 from greengageflow.net._columns import (
-    change_columns,
-    check_amounts,
+    check_counts,
     check_names,
+    delta_columns,
     load_columns,
     pack_addresses,
     pair_columns,
     read_addresses,
-    read_changes,
+    read_delta,
+    read_index_pairs,
     read_loads,
     read_pairs,
-    read_places,
     read_work,
     work_columns,
 )
-from greengageflow.net.crash_codec import CRASHES, crash_values, crashes_of
-from greengageflow.net.leaving_codec import LEAVING, leaving_of, leaving_values
-from greengageflow.net.place_codec import (
-    ANSWER,
-    ASK,
-    NOTE,
-    ROLL,
-    answer_of,
-    ask_of,
-    note_of,
-    place_values,
-    roll_of,
+from greengageflow.net.crash_codec import (
+    CRASH_REPORT,
+    crash_report_values,
+    parse_crash_report,
+)
+from greengageflow.net.leaving_codec import (
+    LEAVING_REPORT,
+    leaving_report_values,
+    parse_leaving_report,
+)
+from greengageflow.net.placement_codec import (
+    PLACEMENT_ANSWER,
+    PLACEMENT_EVENT,
+    PLACEMENT_REQUEST,
+    PLACEMENT_SNAPSHOT,
+    parse_placement_answer,
+    parse_placement_event,
+    parse_placement_request,
+    parse_placement_snapshot,
+    placement_values,
 )
 
-REPORT, NOTICE, HELLO, SUM, CHANGES, WANTED, UPDATE = 21, 22, 23, 24, 25, 26, 27
+(
+    PEER_REPORT,
+    LOAD_NOTICE,
+    HELLO,
+    SUM_REPORT,
+    SUM_DELTA,
+    FULL_SUM_REQUEST,
+    STORE_UPDATE,
+) = 21, 22, 23, 24, 25, 26, 27
 """First value of a message: the number of its type and format version."""
 
-_NEVER = -1.0
+_INFINITE_AGE = -1.0
 
 Message = (
     PeerReport
@@ -71,25 +87,25 @@
     """Return the encoded message."""
     match message:
         case PeerReport():
-            return packb((REPORT, *_report_values(message)))
+            return packb((PEER_REPORT, *_report_values(message)))
         case LoadNotice():
-            return packb((NOTICE, *_notice_values(message)))
+            return packb((LOAD_NOTICE, *_notice_values(message)))
         case Hello():
             return packb((HELLO, *_hello_values(message)))
         case SumReport():
-            return packb((SUM, *_sum_values(message)))
+            return packb((SUM_REPORT, *_sum_values(message)))
         case SumDelta():
-            return packb((CHANGES, *_changes_values(message)))
+            return packb((SUM_DELTA, *_delta_values(message)))
         case FullSumRequest():
-            return packb((WANTED, message.fleet_wide))
+            return packb((FULL_SUM_REQUEST, message.fleet_wide))
         case StoreUpdate():
-            return packb((UPDATE, *_update_values(message)))
+            return packb((STORE_UPDATE, *_update_values(message)))
         case CrashReport():
-            return packb(crash_values(message))
+            return packb(crash_report_values(message))
         case LeavingReport():
-            return packb(leaving_values(message))
+            return packb(leaving_report_values(message))
         case _:
-            return packb(place_values(message))
+            return packb(placement_values(message))
 
 
 def decode(data: bytes) -> Message:
@@ -99,8 +115,8 @@
         ReportError: It is malformed, or its format version is not supported.
     """
     try:
-        kind, *values = unpackb(data)
-        return _MAKERS[kind](values)
+        type_number, *values = unpackb(data)
+        return _PARSERS[type_number](values)
     except Exception as exc:  # msgpack raises many types for malformed data
         raise ReportError(repr(exc)) from exc
 
@@ -118,16 +134,16 @@
         load_columns(report.loads),
         report.version,
         report.list_mark,
-        _age(report.config_age_s),
-        _age(report.list_age_s),
+        _pack_age(report.config_age_s),
+        _pack_age(report.list_age_s),
         pair_columns(report.placed),
         pack_addresses(report.peers),
     )
 
 
-def _report(values: list[Any]) -> PeerReport:
+def _parse_report(values: list[Any]) -> PeerReport:
     (host, boot, number, sequence, address, zone, stopping, work, *rest) = values
-    (loads, version, mark, heard_s, list_heard_s, placed, peers) = rest
+    (loads, version, list_mark, config_age_s, list_age_s, placed, peers) = rest
     ((ip, port),) = read_addresses(address)
     served, offered = read_work(work)
     return PeerReport(
@@ -143,9 +159,9 @@
         offered=offered,
         loads=read_loads(loads),
         version=int(version),
-        list_mark=int(mark),
-        config_age_s=_seconds(heard_s),
-        list_age_s=_seconds(list_heard_s),
+        list_mark=int(list_mark),
+        config_age_s=_unpack_age(config_age_s),
+        list_age_s=_unpack_age(list_age_s),
         placed=read_pairs(placed),
         peers=read_addresses(peers),
     )
@@ -162,7 +178,7 @@
     )
 
 
-def _notice(values: list[Any]) -> LoadNotice:
+def _parse_notice(values: list[Any]) -> LoadNotice:
     host, boot, number, sequence, loads, placed = values
     return LoadNotice(
         host=str(host),
@@ -185,7 +201,7 @@
     )
 
 
-def _hello(values: list[Any]) -> Hello:
+def _parse_hello(values: list[Any]) -> Hello:
     host, boot, address, zone, stopping, peers = values
     ((ip, port),) = read_addresses(address)
     return Hello(
@@ -214,62 +230,74 @@
         dict(report.included),
         report.version,
         report.list_mark,
-        _age(report.config_age_s),
-        _age(report.list_age_s),
+        _pack_age(report.config_age_s),
+        _pack_age(report.list_age_s),
         pair_columns(report.placed),
     )
 
 
-def _sum(values: list[Any]) -> SumReport:
-    (host, boot, number, base, zone, whole, work, loads, hosts, counted, *rest) = values
-    (version, mark, heard_s, list_heard_s, placed) = rest
-    check_names(counted)
-    check_amounts(list(counted.values()))
+def _parse_sum(values: list[Any]) -> SumReport:
+    (
+        host,
+        boot,
+        number,
+        base,
+        zone,
+        fleet_wide,
+        work,
+        loads,
+        hosts,
+        included,
+        *rest,
+    ) = values
+    (version, list_mark, config_age_s, list_age_s, placed) = rest
+    check_names(included)
+    check_counts(list(included.values()))
     return SumReport(
         host=str(host),
         boot=int(boot),
         number=int(number),
         base=int(base),
         zone=str(zone),
-        fleet_wide=bool(whole),
+        fleet_wide=bool(fleet_wide),
         totals=FleetTotals(*read_work(work), read_loads(loads), int(hosts)),
-        included=counted,
+        included=included,
         version=int(version),
-        list_mark=int(mark),
-        config_age_s=_seconds(heard_s),
-        list_age_s=_seconds(list_heard_s),
+        list_mark=int(list_mark),
+        config_age_s=_unpack_age(config_age_s),
+        list_age_s=_unpack_age(list_age_s),
         placed=read_pairs(placed),
     )
 
 
-def _changes_values(changes: SumDelta) -> tuple[Any, ...]:
-    loads, counted, work = changes.loads, changes.included, changes.work
+def _delta_values(delta: SumDelta) -> tuple[Any, ...]:
+    loads, included, work = delta.loads, delta.included, delta.work
     return (
-        changes.host,
-        changes.boot,
-        changes.number,
-        changes.fleet_wide,
-        changes.base,
+        delta.host,
+        delta.boot,
+        delta.number,
+        delta.fleet_wide,
+        delta.base,
         (
             loads.since,
             loads.first_index,
             loads.new_keys,
-            *change_columns(loads.values, 3),
+            *delta_columns(loads.values, 3),
         ),
         (
-            counted.since,
-            counted.first_index,
-            counted.new_keys,
-            list(counted.values),
-            list(counted.values.values()),
+            included.since,
+            included.first_index,
+            included.new_keys,
+            list(included.values),
+            list(included.values.values()),
         ),
-        work and _work_values(work),
-        changes.hosts,
-        changes.version,
-        changes.list_mark,
-        _age(changes.config_age_s),
-        _age(changes.list_age_s),
-        pair_columns(changes.placed),
+        work and _work_delta_values(work),
+        delta.hosts,
+        delta.version,
+        delta.list_mark,
+        _pack_age(delta.config_age_s),
+        _pack_age(delta.list_age_s),
+        pair_columns(delta.placed),
     )
 
 
@@ -277,69 +305,78 @@
     return list(values), list(values.values())
 
 
-def _work_values(work: TableDelta[AccountKey, Work]) -> tuple[Any, ...]:
-    columns = change_columns(work.values, 2)
+def _work_delta_values(work: TableDelta[AccountKey, Work]) -> tuple[Any, ...]:
+    columns = delta_columns(work.values, 2)
     return (work.since, work.first_index, pair_columns(work.new_keys), *columns)
 
 
-def _changes(values: list[Any]) -> SumDelta:
-    (host, boot, number, whole, base, loads, counted, work, hosts, *rest) = values
-    (version, mark, heard_s, list_heard_s, placed) = rest
+def _parse_delta(values: list[Any]) -> SumDelta:
+    (host, boot, number, fleet_wide, base, loads, included, work, hosts, *rest) = values
+    (version, list_mark, config_age_s, list_age_s, placed) = rest
     return SumDelta(
         host=str(host),
         boot=int(boot),
         number=int(number),
-        fleet_wide=bool(whole),
+        fleet_wide=bool(fleet_wide),
         base=int(base),
-        loads=_load_changes(*loads),
-        included=_counted_changes(*counted),
-        work=None if work is None else _work_changes(*work),
+        loads=_parse_load_delta(*loads),
+        included=_parse_included_delta(*included),
+        work=None if work is None else _parse_work_delta(*work),
         hosts=int(hosts),
         version=int(version),
-        list_mark=int(mark),
-        config_age_s=_seconds(heard_s),
-        list_age_s=_seconds(list_heard_s),
-        placed=read_places(placed),
+        list_mark=int(list_mark),
+        config_age_s=_unpack_age(config_age_s),
+        list_age_s=_unpack_age(list_age_s),
+        placed=read_index_pairs(placed),
     )
 
 
-def _load_changes(*values: Any) -> TableDelta[str, LoadShare]:
-    after, start, new, *columns = values
-    check_names(new)
-    changed = read_changes(columns, 3)
+def _parse_load_delta(*values: Any) -> TableDelta[str, LoadShare]:
+    since, first_index, new_keys, *columns = values
+    check_names(new_keys)
+    changed = read_delta(columns, 3)
     rows = dict(zip(changed, load_shares(changed.values()), strict=True))
     return TableDelta(
-        since=int(after), first_index=_place(start), new_keys=tuple(new), values=rows
+        since=int(since),
+        first_index=_non_negative(first_index),
+        new_keys=tuple(new_keys),
+        values=rows,
     )
 
 
-def _counted_changes(*values: Any) -> TableDelta[str, int]:
-    after, start, new, *columns = values
-    check_names(new)
-    rows = {place: row[0] for place, row in read_changes(columns, 1).items()}
+def _parse_included_delta(*values: Any) -> TableDelta[str, int]:
+    since, first_index, new_keys, *columns = values
+    check_names(new_keys)
+    rows = {index: row[0] for index, row in read_delta(columns, 1).items()}
     return TableDelta(
-        since=int(after), first_index=_place(start), new_keys=tuple(new), values=rows
+        since=int(since),
+        first_index=_non_negative(first_index),
+        new_keys=tuple(new_keys),
+        values=rows,
     )
 
 
-def _work_changes(*values: Any) -> TableDelta[AccountKey, Work]:
-    after, start, new, *columns = values
-    rows = read_changes(columns, 2)
-    new = read_pairs(new)
+def _parse_work_delta(*values: Any) -> TableDelta[AccountKey, Work]:
+    since, first_index, new_keys, *columns = values
+    rows = read_delta(columns, 2)
+    new_keys = read_pairs(new_keys)
     return TableDelta(
-        since=int(after), first_index=_place(start), new_keys=new, values=rows
+        since=int(since),
+        first_index=_non_negative(first_index),
+        new_keys=new_keys,
+        values=rows,
     )
 
 
-def _place(value: Any) -> int:
+def _non_negative(value: Any) -> int:
     if int(value) < 0:
         raise ValueError(f"negative index or offset: {value!r}")
     return int(value)
 
 
-def _wanted(values: list[Any]) -> FullSumRequest:
-    (whole,) = values
-    return FullSumRequest(fleet_wide=bool(whole))
+def _parse_full_sum_request(values: list[Any]) -> FullSumRequest:
+    (fleet_wide,) = values
+    return FullSumRequest(fleet_wide=bool(fleet_wide))
 
 
 def _update_values(update: StoreUpdate) -> tuple[Any, ...]:
@@ -347,43 +384,43 @@
     return (int(update.topic), update.since, update.end, records)
 
 
-def _update(values: list[Any]) -> StoreUpdate:
+def _parse_update(values: list[Any]) -> StoreUpdate:
     topic, since, end, records = values
     return StoreUpdate(
         topic=StoreTopic(topic),
-        since=_place(since),
-        end=_place(end),
-        records=tuple(_record(*row) for row in records),
+        since=_non_negative(since),
+        end=_non_negative(end),
+        records=tuple(_parse_record(*row) for row in records),
     )
 
 
-def _record(key: Any, value: Any, offset: Any) -> KeyedRecord:
+def _parse_record(key: Any, value: Any, offset: Any) -> KeyedRecord:
     check_names((key,))
     if not isinstance(value, bytes | None):
         raise ValueError(f"record value is neither bytes nor None: {value!r}")
-    return KeyedRecord(key, value, _place(offset))
+    return KeyedRecord(key, value, _non_negative(offset))
 
 
-def _age(seconds: float) -> float:
-    return _NEVER if seconds == float("inf") else round(seconds, 3)
+def _pack_age(seconds: float) -> float:
+    return _INFINITE_AGE if seconds == float("inf") else round(seconds, 3)
 
 
-def _seconds(age: float) -> float:
+def _unpack_age(age: float) -> float:
     return float("inf") if age < 0 else float(age)
 
 
-_MAKERS: dict[int, Callable[[list[Any]], Message]] = {
-    REPORT: _report,
-    NOTICE: _notice,
-    HELLO: _hello,
-    SUM: _sum,
-    CHANGES: _changes,
-    WANTED: _wanted,
-    UPDATE: _update,
-    CRASHES: crashes_of,
-    LEAVING: leaving_of,
-    ASK: ask_of,
-    ANSWER: answer_of,
-    NOTE: note_of,
-    ROLL: roll_of,
+_PARSERS: dict[int, Callable[[list[Any]], Message]] = {
+    PEER_REPORT: _parse_report,
+    LOAD_NOTICE: _parse_notice,
+    HELLO: _parse_hello,
+    SUM_REPORT: _parse_sum,
+    SUM_DELTA: _parse_delta,
+    FULL_SUM_REQUEST: _parse_full_sum_request,
+    STORE_UPDATE: _parse_update,
+    CRASH_REPORT: parse_crash_report,
+    LEAVING_REPORT: parse_leaving_report,
+    PLACEMENT_REQUEST: parse_placement_request,
+    PLACEMENT_ANSWER: parse_placement_answer,
+    PLACEMENT_EVENT: parse_placement_event,
+    PLACEMENT_SNAPSHOT: parse_placement_snapshot,
 }
--- a/greengageflow/net/wire.py
+++ b/greengageflow/net/wire.py
@@ -41,7 +41,7 @@
 )
 from greengageflow.core.quarantine import CrashRecord, CrashReport
 
-_SMALL = 2**32
+_COMPACT_INT_LIMIT = 2**32
 
 TYPES: Mapping[int, type] = MappingProxyType(
     {
@@ -69,7 +69,7 @@
         63: OutcomeStored,
     }
 )
-_NUMBERS = {type_: number for number, type_ in TYPES.items()}
+_TYPE_NUMBERS = {type_: number for number, type_ in TYPES.items()}
 _FIELDS = {
     type_: tuple(field.name for field in fields(type_))
     for type_ in (*TYPES.values(), AccountService, Member, CrashRecord)
@@ -92,9 +92,9 @@
     """Bytes from a peer are not a message of a known type."""
 
 
-def _row(item: Any) -> list[Any]:
+def _to_row(item: Any) -> list[Any]:
     type_ = type(item)
-    row = [_short(getattr(item, name)) for name in _FIELDS[type_]]
+    row = [_compact(getattr(item, name)) for name in _FIELDS[type_]]
     # ``decode`` fills in the defaults of omitted trailing fields.
     for default in reversed(_DEFAULTS[type_]):
         if default is MISSING or row[-1] != default:
@@ -103,26 +103,28 @@
     return row
 
 
-def _short(value: Any) -> Any:
+def _compact(value: Any) -> Any:
     """Return a small whole float as an integer: 1 to 5 bytes instead of 9."""
-    small = type(value) is float and abs(value) < _SMALL and value.is_integer()
+    small = (
+        type(value) is float and abs(value) < _COMPACT_INT_LIMIT and value.is_integer()
+    )
     return int(value) if small else value
 
 
-def _plain(value: Any) -> Any:
+def _to_rows(value: Any) -> Any:
     if isinstance(value, tuple):
-        return [_row(item) for item in value]
+        return [_to_row(item) for item in value]
     return value
 
 
-def _frozen(value: Any) -> Any:
+def _to_tuple(value: Any) -> Any:
     return tuple(value) if isinstance(value, list) else value
 
 
 def encode(sender: PeerId, message: Any) -> bytes:
     """Return the encoded ``message`` from ``sender``."""
-    row = [_plain(value) for value in _row(message)]
-    return msgpack.packb([sender.host, sender.boot, _NUMBERS[type(message)], *row])
+    row = [_to_rows(value) for value in _to_row(message)]
+    return msgpack.packb([sender.host, sender.boot, _TYPE_NUMBERS[type(message)], *row])
 
 
 def decode(data: bytes) -> tuple[PeerId, Any]:
@@ -136,7 +138,7 @@
         type_ = TYPES[number]
         names = _FIELDS[type_]
         args = [
-            tuple(nested(*map(_frozen, part)) for part in value)
+            tuple(nested(*map(_to_tuple, item)) for item in value)
             if (nested := _NESTED.get((type_, name)))
             else value
             for name, value in zip(names, row, strict=False)
