--- a/greengageflow/daemon/config_follower.py
+++ b/greengageflow/daemon/config_follower.py
@@ -22,7 +22,7 @@
     log_outcome,
 )
 from greengageflow.events import Event, log
-from greengageflow.net.config_exchange import StateExchange
+from greengageflow.net.config_exchange import ConfigExchange
 from greengageflow.net.timers import Subscription, Timers
 
 _PAUSE_S = 0.1
@@ -35,7 +35,7 @@
     """Follows the configuration stream.
 
     Readers poll the log without pause; the others learn of a new revision by
-    ``peer_revision`` and ask that peer for it, and poll the log now and then in
+    ``on_peer_revision`` and ask that peer for it, and poll the log now and then in
     case no peer tells them. What is in force never goes back.
 
     Args:
@@ -91,7 +91,7 @@
         self._given = 0
         self._failures = 0
         self._outage_start = 0.0
-        self._exchange = StateExchange(
+        self._exchange = ConfigExchange(
             host,
             self.fold,
             send=send,
@@ -137,7 +137,7 @@
     def start(self) -> None:
         """Ask peers and begin to read."""
         self._live = True
-        self._exchange.ask_anyone()
+        self._exchange.request_from_random_peer()
         self._read()
         self._snapshot_timer = self._timers.every(
             _SNAPSHOT_CHECK_S, self._check_snapshot
@@ -149,13 +149,13 @@
         if self._snapshot_timer is not None:
             self._snapshot_timer.cancel()
 
-    def peer_revision(self, host: str, revision: int) -> None:
+    def on_peer_revision(self, host: str, revision: int) -> None:
         """Take note of the revision that a peer has in force."""
-        self._exchange.peer_revision(host, revision)
+        self._exchange.on_peer_revision(host, revision)
 
     def received(self, host: str, message: ConfigRequest | ConfigState) -> None:
         """Take a message of a peer."""
-        self._exchange.received(host, message)
+        self._exchange.on_message(host, message)
 
     def _give(self) -> None:
         if self.revision > self._given:
@@ -214,7 +214,7 @@
         if first_offset > offset:
             log(Event.CONFIG_LAPSED, offset=offset, first_offset=first_offset)
             self.fold.skip_to(first_offset)
-            self._exchange.ask_anyone()
+            self._exchange.request_from_random_peer()
 
     def _on_records(self, result: Records) -> None:
         self._snapshots.first_offset = result.first_offset
@@ -231,7 +231,7 @@
                 break
             self._apply(record)
         if not self.fold.complete:
-            self._exchange.ask_anyone()
+            self._exchange.request_from_random_peer()
         # Before the rest of the router hears of it: a fault there must not end this.
         self._schedule(result)
         self._give()
--- a/greengageflow/daemon/router.py
+++ b/greengageflow/daemon/router.py
@@ -240,7 +240,7 @@
         self._orders.received(notice)
 
     def _on_newer_revision(self, host: str, revision: int) -> None:
-        self._follower.peer_revision(host, revision)
+        self._follower.on_peer_revision(host, revision)
 
     def _on_config(self, cfg: FleetConfig) -> None:
         self._requests.on_config(cfg)
--- a/greengageflow/net/config_exchange.py
+++ b/greengageflow/net/config_exchange.py
@@ -12,10 +12,10 @@
 from greengageflow.core.messages import ConfigRequest, ConfigState
 from greengageflow.events import Event, log
 
-_ASK_INTERVAL_S = 1.0
+_REQUEST_INTERVAL_S = 1.0
 _MISSING_RECORDS = -1
 """Revision in a ``ConfigRequest`` that asks for any complete snapshot."""
-_LONGEST_DOCUMENT = 64 * 1024 * 1024
+_MAX_DOCUMENT_BYTES = 64 * 1024 * 1024
 
 
 def pack_document(value: Any) -> bytes:
@@ -35,7 +35,7 @@
     """
     try:
         stream = zlib.decompressobj()
-        text = stream.decompress(data, _LONGEST_DOCUMENT)
+        text = stream.decompress(data, _MAX_DOCUMENT_BYTES)
         if not stream.eof:
             raise ValueError("truncated or too large")
         return json.loads(text)
@@ -43,7 +43,7 @@
         raise ExceptionGroup("configuration snapshot of a peer", [exc]) from None
 
 
-class StateExchange:
+class ConfigExchange:
     """Requests newer configuration snapshots from peers and answers their requests.
 
     Args:
@@ -74,51 +74,51 @@
         self._on_restored = on_restored
         self._rng = rng
         self._now = now
-        self._asked_at = -inf
-        self._unreadable = 0
-        self._document: ConfigState | None = None
+        self._requested_at = -inf
+        self._unreadable_revision = 0
+        self._cached_state: ConfigState | None = None
 
     @property
     def _revision(self) -> int:
         return self._fold.config.revision
 
-    def peer_revision(self, host: str, revision: int) -> None:
+    def on_peer_revision(self, host: str, revision: int) -> None:
         """Request a peer's snapshot if its revision is newer."""
-        if revision > max(self._revision, self._unreadable):
-            self._ask(host)
+        if revision > max(self._revision, self._unreadable_revision):
+            self._request_snapshot(host)
 
-    def ask_anyone(self) -> None:
+    def request_from_random_peer(self) -> None:
         """Request the snapshot of a random peer."""
         hosts = [host for host in self._peers() if host != self._host]
         if hosts:
-            self._ask(self._rng.choice(hosts))
+            self._request_snapshot(self._rng.choice(hosts))
 
-    def received(self, host: str, message: ConfigRequest | ConfigState) -> None:
+    def on_message(self, host: str, message: ConfigRequest | ConfigState) -> None:
         """Answer a peer's request, or restore its snapshot."""
         match message:
             case ConfigRequest(revision):
                 # An incomplete snapshot does not help a router that misses records.
                 missing = revision == _MISSING_RECORDS and not self._fold.complete
                 if self._revision > revision and not missing:
-                    self._send(host, self._state())
+                    self._send(host, self._current_state())
             case ConfigState():
                 self._restore(host, message)
 
-    def _ask(self, host: str) -> None:
+    def _request_snapshot(self, host: str) -> None:
         # Otherwise each ping of a newer peer would fetch the same snapshot.
         now = self._now()
-        if now - self._asked_at < _ASK_INTERVAL_S:
+        if now - self._requested_at < _REQUEST_INTERVAL_S:
             return
-        self._asked_at = now
+        self._requested_at = now
         missing = self._revision and not self._fold.complete
         self._send(host, ConfigRequest(_MISSING_RECORDS if missing else self._revision))
 
-    def _state(self) -> ConfigState:
+    def _current_state(self) -> ConfigState:
         fold = self._fold
-        if self._document is None or self._document.offset != fold.offset:
+        if self._cached_state is None or self._cached_state.offset != fold.offset:
             document = pack_document(fold.snapshot(self._host))
-            self._document = ConfigState(self._revision, fold.offset, document)
-        return self._document
+            self._cached_state = ConfigState(self._revision, fold.offset, document)
+        return self._cached_state
 
     def _restore(self, host: str, message: ConfigState) -> None:
         try:
@@ -135,4 +135,4 @@
         elif message.revision > self._revision:
             # Its schema is readable only by newer releases. Remembered, because each
             # ping would fetch it again.
-            self._unreadable = message.revision
+            self._unreadable_revision = message.revision
--- a/greengageflow/net/host_list.py
+++ b/greengageflow/net/host_list.py
@@ -9,10 +9,10 @@
 from greengageflow.net.http_pool import Failure, HttpRequest, Response
 from greengageflow.net.timers import Timers
 
-PATH = "/hosts"
-TIMEOUT_S = 2.0
+HOSTS_PATH = "/hosts"
+REQUEST_TIMEOUT_S = 2.0
 FLEET_READS_PER_S = 5.0
-JITTER = 0.1
+JITTER_FRACTION = 0.1
 
 
 class HostListError(ValueError):
@@ -28,7 +28,7 @@
         """Send a request and call ``on_done`` once with the complete response."""
 
 
-def _entries(rows: list[dict[str, Any]]) -> Iterator[HostEntry]:
+def _parse_entries(rows: list[dict[str, Any]]) -> Iterator[HostEntry]:
     kinds = {kind.value for kind in HostKind}
     for row in rows:
         if row["kind"] not in kinds:
@@ -52,7 +52,7 @@
             returned, since a missing host is taken as one that has left.
     """
     try:
-        return tuple(_entries(json.loads(body)["hosts"]))
+        return tuple(_parse_entries(json.loads(body)["hosts"]))
     except (ValueError, KeyError, TypeError, AttributeError) as exc:
         raise HostListError(f"not a host list: {exc!r}") from exc
 
@@ -91,9 +91,9 @@
             "GET",
             ip,
             port,
-            PATH,
-            connect_timeout_s=TIMEOUT_S,
-            idle_timeout_s=TIMEOUT_S,
+            HOSTS_PATH,
+            connect_timeout_s=REQUEST_TIMEOUT_S,
+            idle_timeout_s=REQUEST_TIMEOUT_S,
         )
         self._on_hosts = on_hosts
         self._interval_s = interval_s
@@ -110,11 +110,11 @@
         """Read the list now and at intervals from then on."""
         self._pool.fetch(self._request, self._on_done)
 
-    def _on_done(self, answer: Response | Failure) -> None:
-        jitter = self._random.uniform(1 - JITTER, 1 + JITTER)
+    def _on_done(self, result: Response | Failure) -> None:
+        jitter = self._random.uniform(1 - JITTER_FRACTION, 1 + JITTER_FRACTION)
         self._timers.after(self.interval_s * jitter, self.start)
         try:
-            entries = self._parse(answer)
+            entries = self._parse(result)
         except HostListError:
             self.failures += 1
             return
@@ -123,9 +123,9 @@
         self._on_hosts(entries)
 
     @staticmethod
-    def _parse(answer: Response | Failure) -> tuple[HostEntry, ...]:
-        if isinstance(answer, Failure):
-            raise HostListError(answer.message)
-        if answer.status != 200:
-            raise HostListError(f"unexpected status {answer.status}")
-        return parse_hosts(answer.body)
+    def _parse(result: Response | Failure) -> tuple[HostEntry, ...]:
+        if isinstance(result, Failure):
+            raise HostListError(result.message)
+        if result.status != 200:
+            raise HostListError(f"unexpected status {result.status}")
+        return parse_hosts(result.body)
--- a/greengageflow/net/log_client.py
+++ b/greengageflow/net/log_client.py
@@ -15,12 +15,12 @@
 )
 from greengageflow.net.http_pool import Failure, HttpPool, HttpRequest, Response
 
-READ_LIMIT = 200
-READ_LIMITS = {"config": 20}
+MAX_RECORDS_PER_READ = 200
+MAX_RECORDS_PER_READ_BY_STREAM = {"config": 20}
 """Maximum records per read, by stream. A configuration record of design size is 140 kB,
 so fewer of them fit into a response."""
-READ_BYTES = 8 * 1024 * 1024
-ANSWER_TIMEOUT_S = 5.0
+MAX_READ_BYTES = 8 * 1024 * 1024
+RESPONSE_TIMEOUT_S = 5.0
 JSON_HEADERS = (("Content-Type", "application/json"),)
 
 
@@ -31,7 +31,7 @@
     return None
 
 
-def _refusal(response: Response) -> LogFailure:
+def _status_failure(response: Response) -> LogFailure:
     return LogFailure(
         False, f"log responded with status {response.status}", _retry_after(response)
     )
@@ -62,8 +62,8 @@
     ) -> None:
         """Append ``records`` atomically."""
 
-        def done(answer: Response | Failure) -> None:
-            on_done(self._counted(_append_result(answer)))
+        def on_response(outcome: Response | Failure) -> None:
+            on_done(self._count_failure(_append_result(outcome)))
 
         self.appends += 1
         body = json.dumps({"records": list(records)}).encode()
@@ -76,12 +76,14 @@
             f"/streams/{stream}/records",
             JSON_HEADERS,
             body,
-            idle_timeout_s=ANSWER_TIMEOUT_S,
+            idle_timeout_s=RESPONSE_TIMEOUT_S,
             retry_stale=False,
         )
-        self._pool.fetch(req, done)
+        self._pool.fetch(req, on_response)
 
-    def _counted(self, result: AppendResult | ReadResult) -> AppendResult | ReadResult:
+    def _count_failure(
+        self, result: AppendResult | ReadResult
+    ) -> AppendResult | ReadResult:
         self.failures += isinstance(result, LogFailure)
         return result
 
@@ -94,11 +96,11 @@
     ) -> None:
         """Read records from ``from_offset``, waiting up to ``wait_s`` for the first."""
 
-        def done(answer: Response | Failure) -> None:
-            on_done(self._counted(_read_result(answer)))
+        def on_response(outcome: Response | Failure) -> None:
+            on_done(self._count_failure(_read_result(outcome)))
 
         self.reads += 1
-        limit = READ_LIMITS.get(stream, READ_LIMIT)
+        limit = MAX_RECORDS_PER_READ_BY_STREAM.get(stream, MAX_RECORDS_PER_READ)
         path = (
             f"/streams/{stream}/records?from={from_offset}"
             f"&limit={limit}&wait_s={wait_s:g}"
@@ -108,34 +110,34 @@
             self._ip,
             self._port,
             path,
-            idle_timeout_s=wait_s + ANSWER_TIMEOUT_S,
+            idle_timeout_s=wait_s + RESPONSE_TIMEOUT_S,
         )
-        self._pool.fetch(req, done, limit=READ_BYTES)
+        self._pool.fetch(req, on_response, limit=MAX_READ_BYTES)
 
 
-def _append_result(answer: Response | Failure) -> AppendResult:
-    match answer:
+def _append_result(outcome: Response | Failure) -> AppendResult:
+    match outcome:
         case Failure(sent=sent, message=message):
             return LogFailure(sent, message)
         case Response(status=200):
             try:
-                data = answer.json()
+                data = outcome.json()
                 return Appended(int(data["first_offset"]), int(data["count"]))
             except (ValueError, KeyError, TypeError) as exc:
                 return LogFailure(True, f"log sent a malformed response: {exc!r}")
-    return _refusal(answer)
+    return _status_failure(outcome)
 
 
-def _read_result(answer: Response | Failure) -> ReadResult:
-    match answer:
+def _read_result(outcome: Response | Failure) -> ReadResult:
+    match outcome:
         case Failure(message=message):
             return LogFailure(False, message)
         case Response(status=200 | 410):
             try:
-                return _read_body(answer.status, answer.json())
+                return _read_body(outcome.status, outcome.json())
             except (ValueError, KeyError, TypeError) as exc:
                 return LogFailure(False, f"log sent a malformed response: {exc!r}")
-    return _refusal(answer)
+    return _status_failure(outcome)
 
 
 def _read_body(status: int, data: Any) -> ReadResult:
--- a/tests/test_config_follower.py
+++ b/tests/test_config_follower.py
@@ -147,8 +147,8 @@
         for host, follower in self.followers.items():
             other = self.rng.choice(list(self.members))
             if other != host and not self.cut & {host, other}:
-                self.followers[other].peer_revision(host, follower.revision)
-                follower.peer_revision(other, self.followers[other].revision)
+                self.followers[other].on_peer_revision(host, follower.revision)
+                follower.on_peer_revision(other, self.followers[other].revision)
 
     def publish(self, name, schema=1):
         revision = max(one.revision for one in self.followers.values())
