--- a/greengageflow/daemon/gateway_pages.py
+++ b/greengageflow/daemon/gateway_pages.py
@@ -52,26 +52,26 @@
     ) -> None:
         self.unready = unready
         self._page = page
-        page.read(PageMetric.WAITING, waiting)
-        page.read(PageMetric.RUNNING, running)
-        page.read(PageMetric.CONNECTIONS, lambda: callers.connections)
-        page.read(PageMetric.CONNECTIONS_TAKEN, lambda: callers.taken)
-        page.read(PageMetric.ABANDONED, lambda: callers.abandoned)
-        page.read(PageMetric.CONNECTIONS_WAITING, lambda: callers.unaccepted)
-        page.read(PageMetric.LOOP_LATE, late)
-        page.read(PageMetric.PEERS_LIVE, peers)
-        page.read(PageMetric.CONFIG_VERSION, version)
-        page.read(PageMetric.STORE_ERA, era)
-        page.read(PageMetric.QUARANTINED, quarantined)
-        page.read(PageMetric.STALE_RETRIES, stale_retries)
-        page.read(PageMetric.STORE_UNHEARD, unheard)
-        page.read(PageMetric.STORE_CALLS, lambda: {"sent": store_calls()})
-        page.read(
+        page.register_reader(PageMetric.WAITING, waiting)
+        page.register_reader(PageMetric.RUNNING, running)
+        page.register_reader(PageMetric.CONNECTIONS, lambda: callers.connections)
+        page.register_reader(PageMetric.CONNECTIONS_TAKEN, lambda: callers.taken)
+        page.register_reader(PageMetric.ABANDONED, lambda: callers.abandoned)
+        page.register_reader(PageMetric.CONNECTIONS_WAITING, lambda: callers.unaccepted)
+        page.register_reader(PageMetric.LOOP_LATE, late)
+        page.register_reader(PageMetric.PEERS_LIVE, peers)
+        page.register_reader(PageMetric.CONFIG_VERSION, version)
+        page.register_reader(PageMetric.STORE_ERA, era)
+        page.register_reader(PageMetric.QUARANTINED, quarantined)
+        page.register_reader(PageMetric.STALE_RETRIES, stale_retries)
+        page.register_reader(PageMetric.STORE_UNHEARD, unheard)
+        page.register_reader(PageMetric.STORE_CALLS, lambda: {"sent": store_calls()})
+        page.register_reader(
             PageMetric.CONTROL_BYTES,
             lambda: dict(zip(("in", "out"), control_bytes(), strict=True)),
         )
-        page.read(PageMetric.CONTROL_TOO_LONG, control_too_long)
-        page.read(PageMetric.LOG_LINES_DROPPED, lambda: dict(dropped()))
+        page.register_reader(PageMetric.CONTROL_TOO_LONG, control_too_long)
+        page.register_reader(PageMetric.LOG_LINES_DROPPED, lambda: dict(dropped()))
 
     def on_call(self, call: PageCall) -> None:
         """Answer with the metrics page."""
--- a/greengageflow/net/decision_log.py
+++ b/greengageflow/net/decision_log.py
@@ -18,13 +18,13 @@
 """Interval at which the owner calls ``flush``, in seconds."""
 
 _REPORT_INTERVAL_S = 1.0
-_FILE_CHUNK = 65536
-_CHUNKS_PER_FLUSH = 16
-_LONGEST_LINE = 2048
-_LONGEST_TEXT = 200
-_SHARES = 1024
-_AIM = 0.9
-_RESERVES = (0.5, 0.25, 0.1, 0.0)
+_FILE_CHUNK_BYTES = 65536
+_MAX_CHUNKS_PER_FLUSH = 16
+_MAX_LINE_BYTES = 2048
+_MAX_TEXT_CHARS = 200
+_SAMPLE_BUCKETS = 1024
+_TARGET_FRACTION = 0.9
+_RESERVED_FRACTIONS = (0.5, 0.25, 0.1, 0.0)
 """Fraction of budget and buffer that each level leaves to the levels above it."""
 
 _encode = JSONEncoder(separators=(",", ":"), allow_nan=False).encode
@@ -71,27 +71,29 @@
         buffer_bytes: int = 262144,
     ) -> None:
         self._fd = fd
-        self._limit = limit_lines_per_s
-        self._room = buffer_bytes
-        self._byte_limits = [buffer_bytes * (1 - part) for part in _RESERVES]
-        self._token_floors = [limit_lines_per_s * part + 1 for part in _RESERVES]
+        self._limit_lines_per_s = limit_lines_per_s
+        self._buffer_bytes = buffer_bytes
+        self._byte_limits = [buffer_bytes * (1 - part) for part in _RESERVED_FRACTIONS]
+        self._token_floors = [
+            limit_lines_per_s * part + 1 for part in _RESERVED_FRACTIONS
+        ]
         self._is_file = S_ISREG(fstat(fd).st_mode)
         self._poll = poll()
         if not self._is_file:
             self._poll.register(fd, POLLOUT)
         tags = f'"host":{dumps(host)},"boot":"{urandom(3).hex()}"'
-        self._heads = {
+        self._prefixes = {
             event.number: f'{tags},"event":"{event.number}","name":"{event.name}"'
             for event in DecisionEvent
         }
         self._pending: deque[bytes] = deque()
-        self._bytes = 0
+        self._pending_bytes = 0
         self._lines = 0
         self._tokens = limit_lines_per_s
-        self._refilled = self._window_end = self._report_at = 0.0
+        self._refilled_at = self._window_end = self._next_report_at = 0.0
         self._second, self._date = -1, ""
-        self._offered = [0] * len(Level)
-        self._share = _SHARES
+        self._lines_by_level = [0] * len(Level)
+        self._sampled_buckets = _SAMPLE_BUCKETS
         self._unreported: Counter[Drop] = Counter()
         self.dropped: Counter[Drop] = Counter()
 
@@ -102,31 +104,33 @@
             event: The event.
             **fields: JSON values for the names in ``event.fields``.
         """
-        up = clock_gettime(CLOCK_BOOTTIME)
-        if reason := self._refusal(event.level, fields.get("request"), up):
+        uptime_s = clock_gettime(CLOCK_BOOTTIME)
+        if reason := self._drop_reason(event.level, fields.get("request"), uptime_s):
             self._count_drop(reason)
             return
         self._tokens -= 1
-        self._append(self._line(event, fields, up))
+        self._append(self._line(event, fields, uptime_s))
 
     def flush(self) -> None:
         """Write queued lines as far as the descriptor accepts them now."""
         if self._unreported:
             self._report()
-        for _ in range(_CHUNKS_PER_FLUSH):
+        for _ in range(_MAX_CHUNKS_PER_FLUSH):
             if not self._pending or not self._is_writable():
                 return
             if not self._write_chunk():
                 return
 
-    def _refusal(self, level: Level, request: str | None, up: float) -> Drop | None:
-        if up >= self._window_end:
-            self._turn_window(up)
-        self._offered[level] += 1
-        earned = (up - self._refilled) * self._limit
-        self._tokens = min(self._limit, self._tokens + earned)
-        self._refilled = up
-        if self._bytes >= self._byte_limits[level]:
+    def _drop_reason(
+        self, level: Level, request: str | None, uptime_s: float
+    ) -> Drop | None:
+        if uptime_s >= self._window_end:
+            self._start_window(uptime_s)
+        self._lines_by_level[level] += 1
+        refill = (uptime_s - self._refilled_at) * self._limit_lines_per_s
+        self._tokens = min(self._limit_lines_per_s, self._tokens + refill)
+        self._refilled_at = uptime_s
+        if self._pending_bytes >= self._byte_limits[level]:
             return Drop.BUFFER
         if level is Level.ROUTINE and not self._is_sampled(request):
             return Drop.SAMPLED
@@ -134,7 +138,7 @@
             return Drop.BUDGET
         return None
 
-    def _turn_window(self, up: float) -> None:
+    def _start_window(self, uptime_s: float) -> None:
         """Start a one-second window and set the sampling rate of routine lines.
 
         The rate is the fraction of requests whose routine lines fit into the budget
@@ -144,28 +148,34 @@
         is by a hash of the id, so it is the same for all lines of a request, and on all
         hosts with the same rate.
         """
-        routine = self._offered[Level.ROUTINE]
-        others = sum(self._offered) - routine
-        room = max(0.0, self._limit * _AIM - others)
-        self._share = _SHARES if routine <= room else int(_SHARES * room / routine)
-        self._offered = [0] * len(Level)
-        self._window_end = up + 1
+        routine = self._lines_by_level[Level.ROUTINE]
+        others = sum(self._lines_by_level) - routine
+        routine_budget = max(0.0, self._limit_lines_per_s * _TARGET_FRACTION - others)
+        self._sampled_buckets = (
+            _SAMPLE_BUCKETS
+            if routine <= routine_budget
+            else int(_SAMPLE_BUCKETS * routine_budget / routine)
+        )
+        self._lines_by_level = [0] * len(Level)
+        self._window_end = uptime_s + 1
 
     def _is_sampled(self, request: str | None) -> bool:
-        if self._share == _SHARES or request is None:
+        if self._sampled_buckets == _SAMPLE_BUCKETS or request is None:
             return True
-        return crc32(str(request).encode()) % _SHARES < self._share
+        return crc32(str(request).encode()) % _SAMPLE_BUCKETS < self._sampled_buckets
 
-    def _line(self, event: DecisionEvent, fields: dict[str, Any], up: float) -> bytes:
-        head = self._head(event, up)
+    def _line(
+        self, event: DecisionEvent, fields: dict[str, Any], uptime_s: float
+    ) -> bytes:
+        prefix = self._prefix(event, uptime_s)
         try:
-            line = _joined(head, fields)
+            line = _format_line(prefix, fields)
         except (TypeError, ValueError):
             # An invalid field must not fail the request that the line is about.
-            line = _short_line(head, fields)
-        return line if len(line) <= _LONGEST_LINE else _short_line(head, fields)
+            line = _short_line(prefix, fields)
+        return line if len(line) <= _MAX_LINE_BYTES else _short_line(prefix, fields)
 
-    def _head(self, event: DecisionEvent, up: float) -> str:
+    def _prefix(self, event: DecisionEvent, uptime_s: float) -> str:
         now = time()
         second = int(now)
         if second != self._second:
@@ -174,26 +184,26 @@
         self._lines += 1
         millis = int((now - second) * 1000)
         return (
-            f'{{"time":"{self._date}.{millis:03d}Z","up":{up:.3f},'
-            f'"line":{self._lines},{self._heads[event.number]}'
+            f'{{"time":"{self._date}.{millis:03d}Z","up":{uptime_s:.3f},'
+            f'"line":{self._lines},{self._prefixes[event.number]}'
         )
 
     def _append(self, line: bytes) -> None:
         self._pending.append(line)
-        self._bytes += len(line)
+        self._pending_bytes += len(line)
 
     def _count_drop(self, reason: Drop, lines: int = 1) -> None:
         self.dropped[reason] += lines
         self._unreported[reason] += lines
 
     def _report(self) -> None:
-        up = clock_gettime(CLOCK_BOOTTIME)
-        if up < self._report_at or self._bytes >= self._room:
+        uptime_s = clock_gettime(CLOCK_BOOTTIME)
+        if uptime_s < self._next_report_at or self._pending_bytes >= self._buffer_bytes:
             return
-        self._report_at = up + _REPORT_INTERVAL_S
+        self._next_report_at = uptime_s + _REPORT_INTERVAL_S
         counts = {reason.value: self._unreported[reason] for reason in Drop}
         self._unreported.clear()
-        self._append(self._line(DecisionEvent.LINES_DROPPED, counts, up))
+        self._append(self._line(DecisionEvent.LINES_DROPPED, counts, uptime_s))
 
     def _is_writable(self) -> bool:
         return self._is_file or bool(self._poll.poll(0))
@@ -209,23 +219,23 @@
             # The reader has closed or the disk is full; later writes may succeed.
             self._count_drop(Drop.SINK, len(lines))
             written = len(chunk)
-        self._bytes -= written
-        if rest := chunk[written:]:
-            self._pending.appendleft(rest)
-        return not rest
+        self._pending_bytes -= written
+        if remainder := chunk[written:]:
+            self._pending.appendleft(remainder)
+        return not remainder
 
     def _chunk(self) -> Iterator[bytes]:
         """Take whole lines only, so that lines of other writers do not split them."""
-        room = _FILE_CHUNK if self._is_file else PIPE_BUF
-        while self._pending and len(self._pending[0]) <= room:
+        free_bytes = _FILE_CHUNK_BYTES if self._is_file else PIPE_BUF
+        while self._pending and len(self._pending[0]) <= free_bytes:
             line = self._pending.popleft()
-            room -= len(line)
+            free_bytes -= len(line)
             yield line
 
 
-def _joined(head: str, fields: dict[str, Any]) -> bytes:
+def _format_line(prefix: str, fields: dict[str, Any]) -> bytes:
     # Common types are formatted directly: the encoder takes nearly twice as long.
-    parts = [head]
+    parts = [prefix]
     for name, value in fields.items():
         if type(value) is int:
             parts.append(f',"{name}":{value}')
@@ -237,10 +247,10 @@
     return "".join(parts).encode()
 
 
-def _short_line(head: str, fields: dict[str, Any]) -> bytes:
+def _short_line(prefix: str, fields: dict[str, Any]) -> bytes:
     """Return a line of bounded length with fields converted to short strings."""
-    texts = {name: str(value)[:_LONGEST_TEXT] for name, value in fields.items()}
-    line = _joined(head, texts)
-    if len(line) <= _LONGEST_LINE:
+    texts = {name: str(value)[:_MAX_TEXT_CHARS] for name, value in fields.items()}
+    line = _format_line(prefix, texts)
+    if len(line) <= _MAX_LINE_BYTES:
         return line
-    return _joined(head, {"request": texts.get("request", "")})
+    return _format_line(prefix, {"request": texts.get("request", "")})
--- a/greengageflow/net/metrics_page.py
+++ b/greengageflow/net/metrics_page.py
@@ -22,11 +22,11 @@
 """Content type of the rendered page."""
 
 _PREFIX = "greengage_"
-_MOST_PARTS = 64
-_OTHER = "other"
-_REQUEST_S = (0.01, 0.03, 0.1, 0.3, 1.0, 3.0, 10.0, 30.0)
-_PAUSE_S = (0.02, 0.05, 0.12, 0.3, 1.0, 3.0)
-_STORE_S = (0.003, 0.01, 0.03, 0.1, 0.3, 1.0, 3.0)
+_MAX_LABEL_VALUES = 64
+_OVERFLOW_LABEL_VALUE = "other"
+_REQUEST_BUCKETS_S = (0.01, 0.03, 0.1, 0.3, 1.0, 3.0, 10.0, 30.0)
+_PAUSE_BUCKETS_S = (0.02, 0.05, 0.12, 0.3, 1.0, 3.0)
+_STORE_BUCKETS_S = (0.003, 0.01, 0.03, 0.1, 0.3, 1.0, 3.0)
 
 disable_created_metrics()
 
@@ -40,65 +40,65 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PageMetricType:
+class PageMetricSpec:
     """Definition of one metric.
 
     Args:
         name: Name without the prefix; counters get the suffix ``_total``.
         kind: Type of the metric.
-        part: Name of its only label, or empty.
+        label: Name of its only label, or empty.
         buckets: Upper bounds of a histogram's buckets, in seconds.
     """
 
     name: str
     kind: PageKind
-    part: str = ""
+    label: str = ""
     buckets: tuple[float, ...] = ()
 
 
 class PageMetric(Enum):
     """All metrics of the page."""
 
-    REQUESTS = PageMetricType("requests", PageKind.COUNTER, "outcome")
-    REFUSALS = PageMetricType("refusals", PageKind.COUNTER, "kind")
-    RETRIES = PageMetricType("retries", PageKind.COUNTER, "service")
-    RESUMED = PageMetricType("streams_resumed", PageKind.COUNTER, "service")
-    REPEATS_REFUSED = PageMetricType("repeats_refused", PageKind.COUNTER, "service")
-    STALE_RETRIES = PageMetricType("stale_retries", PageKind.COUNTER)
-    CANCELLED = PageMetricType("cancelled", PageKind.COUNTER, "service")
-    ENDPOINT_FAILURES = PageMetricType("endpoint_failures", PageKind.COUNTER, "service")
-    BACKOFFS = PageMetricType("endpoint_backoffs", PageKind.COUNTER, "service")
-    ENDPOINT_CRASHES = PageMetricType("endpoint_crashes", PageKind.COUNTER, "service")
-    CONTROL_BYTES = PageMetricType("control_bytes", PageKind.COUNTER, "direction")
-    CONTROL_TOO_LONG = PageMetricType("control_too_long", PageKind.COUNTER)
-    STORE_CALLS = PageMetricType("store_calls", PageKind.COUNTER, "result")
-    CONNECTIONS_TAKEN = PageMetricType("connections_taken", PageKind.COUNTER)
-    ABANDONED = PageMetricType("abandoned", PageKind.COUNTER)
-    LOG_LINES_DROPPED = PageMetricType("log_lines_dropped", PageKind.COUNTER, "cause")
-
-    WAITING_TIME = PageMetricType(
-        "waiting_seconds", PageKind.HISTOGRAM, "service", _REQUEST_S
+    REQUESTS = PageMetricSpec("requests", PageKind.COUNTER, "outcome")
+    REFUSALS = PageMetricSpec("refusals", PageKind.COUNTER, "kind")
+    RETRIES = PageMetricSpec("retries", PageKind.COUNTER, "service")
+    RESUMED = PageMetricSpec("streams_resumed", PageKind.COUNTER, "service")
+    REPEATS_REFUSED = PageMetricSpec("repeats_refused", PageKind.COUNTER, "service")
+    STALE_RETRIES = PageMetricSpec("stale_retries", PageKind.COUNTER)
+    CANCELLED = PageMetricSpec("cancelled", PageKind.COUNTER, "service")
+    ENDPOINT_FAILURES = PageMetricSpec("endpoint_failures", PageKind.COUNTER, "service")
+    BACKOFFS = PageMetricSpec("endpoint_backoffs", PageKind.COUNTER, "service")
+    ENDPOINT_CRASHES = PageMetricSpec("endpoint_crashes", PageKind.COUNTER, "service")
+    CONTROL_BYTES = PageMetricSpec("control_bytes", PageKind.COUNTER, "direction")
+    CONTROL_TOO_LONG = PageMetricSpec("control_too_long", PageKind.COUNTER)
+    STORE_CALLS = PageMetricSpec("store_calls", PageKind.COUNTER, "result")
+    CONNECTIONS_TAKEN = PageMetricSpec("connections_taken", PageKind.COUNTER)
+    ABANDONED = PageMetricSpec("abandoned", PageKind.COUNTER)
+    LOG_LINES_DROPPED = PageMetricSpec("log_lines_dropped", PageKind.COUNTER, "cause")
+
+    WAITING_TIME = PageMetricSpec(
+        "waiting_seconds", PageKind.HISTOGRAM, "service", _REQUEST_BUCKETS_S
     )
-    FIRST_EVENT_TIME = PageMetricType(
-        "first_event_seconds", PageKind.HISTOGRAM, "service", _REQUEST_S
+    FIRST_EVENT_TIME = PageMetricSpec(
+        "first_event_seconds", PageKind.HISTOGRAM, "service", _REQUEST_BUCKETS_S
     )
-    PAUSE_TIME = PageMetricType(
-        "pause_seconds", PageKind.HISTOGRAM, "service", _PAUSE_S
+    PAUSE_TIME = PageMetricSpec(
+        "pause_seconds", PageKind.HISTOGRAM, "service", _PAUSE_BUCKETS_S
     )
-    STORE_TIME = PageMetricType(
-        "store_call_seconds", PageKind.HISTOGRAM, "call", _STORE_S
+    STORE_TIME = PageMetricSpec(
+        "store_call_seconds", PageKind.HISTOGRAM, "call", _STORE_BUCKETS_S
     )
 
-    RUNNING = PageMetricType("running", PageKind.GAUGE)
-    WAITING = PageMetricType("waiting", PageKind.GAUGE)
-    CONNECTIONS = PageMetricType("connections", PageKind.GAUGE)
-    CONNECTIONS_WAITING = PageMetricType("connections_waiting", PageKind.GAUGE)
-    LOOP_LATE = PageMetricType("loop_late_seconds", PageKind.GAUGE)
-    PEERS_LIVE = PageMetricType("peers_live", PageKind.GAUGE)
-    QUARANTINED = PageMetricType("quarantined", PageKind.GAUGE)
-    CONFIG_VERSION = PageMetricType("config_version", PageKind.GAUGE)
-    STORE_ERA = PageMetricType("store_era", PageKind.GAUGE)
-    STORE_UNHEARD = PageMetricType("store_unheard_seconds", PageKind.GAUGE)
+    RUNNING = PageMetricSpec("running", PageKind.GAUGE)
+    WAITING = PageMetricSpec("waiting", PageKind.GAUGE)
+    CONNECTIONS = PageMetricSpec("connections", PageKind.GAUGE)
+    CONNECTIONS_WAITING = PageMetricSpec("connections_waiting", PageKind.GAUGE)
+    LOOP_LATE = PageMetricSpec("loop_late_seconds", PageKind.GAUGE)
+    PEERS_LIVE = PageMetricSpec("peers_live", PageKind.GAUGE)
+    QUARANTINED = PageMetricSpec("quarantined", PageKind.GAUGE)
+    CONFIG_VERSION = PageMetricSpec("config_version", PageKind.GAUGE)
+    STORE_ERA = PageMetricSpec("store_era", PageKind.GAUGE)
+    STORE_UNHEARD = PageMetricSpec("store_unheard_seconds", PageKind.GAUGE)
 
 
 Values = float | Mapping[str, float]
@@ -120,15 +120,19 @@
         self._readers: dict[PageMetric, Callable[[], Values]] = {}
         self._registry.register(self)
 
-    def count(self, metric: PageMetric, part: str = "", count: float = 1) -> None:
+    def count(
+        self, metric: PageMetric, label_value: str = "", count: float = 1
+    ) -> None:
         """Add ``count`` to a counter."""
-        self._child(metric, part).inc(count)
+        self._child(metric, label_value).inc(count)
 
-    def observe(self, metric: PageMetric, seconds: float, part: str = "") -> None:
+    def observe(
+        self, metric: PageMetric, seconds: float, label_value: str = ""
+    ) -> None:
         """Add a duration in seconds to a histogram."""
-        self._child(metric, part).observe(seconds)
+        self._child(metric, label_value).observe(seconds)
 
-    def read(self, metric: PageMetric, reader: Callable[[], Values]) -> None:
+    def register_reader(self, metric: PageMetric, reader: Callable[[], Values]) -> None:
         """Register a callback that reads a gauge, or a counter kept elsewhere."""
         self._readers[metric] = reader
 
@@ -141,16 +145,20 @@
         for metric, reader in self._readers.items():
             yield _family(metric.value, reader())
 
-    def _child(self, metric: PageMetric, part: str) -> Counter | Histogram:
+    def _child(self, metric: PageMetric, label_value: str) -> Counter | Histogram:
         children = self._children[metric]
-        if child := children.get(part):
+        if child := children.get(label_value):
             return child
         # Bounds memory: names of former endpoints and services stay label values.
-        part = part if len(children) < _MOST_PARTS else _OTHER
-        if part not in children:
+        label_value = (
+            label_value if len(children) < _MAX_LABEL_VALUES else _OVERFLOW_LABEL_VALUE
+        )
+        if label_value not in children:
             series = self._series.get(metric) or self._add_series(metric)
-            children[part] = series.labels(part) if metric.value.part else series
-        return children[part]
+            children[label_value] = (
+                series.labels(label_value) if metric.value.label else series
+            )
+        return children[label_value]
 
     def _add_series(self, metric: PageMetric) -> Counter | Histogram:
         series = _series(metric.value, self._registry)
@@ -158,10 +166,10 @@
         return series
 
 
-def _series(metric: PageMetricType, registry: CollectorRegistry) -> Counter | Histogram:
+def _series(metric: PageMetricSpec, registry: CollectorRegistry) -> Counter | Histogram:
     name = _PREFIX + metric.name
     text = metric.name.replace("_", " ")
-    labels = (metric.part,) if metric.part else ()
+    labels = (metric.label,) if metric.label else ()
     match metric.kind:
         case PageKind.COUNTER:
             return Counter(name, text, labels, registry=registry)
@@ -174,16 +182,16 @@
 
 
 def _family(
-    metric: PageMetricType, values: Values
+    metric: PageMetricSpec, values: Values
 ) -> CounterMetricFamily | GaugeMetricFamily:
     kinds = {
         PageKind.COUNTER: CounterMetricFamily,
         PageKind.GAUGE: GaugeMetricFamily,
     }
-    labels = (metric.part,) if metric.part else ()
+    labels = (metric.label,) if metric.label else ()
     text = metric.name.replace("_", " ")
     family = kinds[metric.kind](_PREFIX + metric.name, text, labels=labels)
     rows = values if isinstance(values, Mapping) else {"": values}
-    for part, value in rows.items():
-        family.add_metric((part,) if labels else (), value)
+    for label_value, value in rows.items():
+        family.add_metric((label_value,) if labels else (), value)
     return family
--- a/tests/test_decision_log.py
+++ b/tests/test_decision_log.py
@@ -47,7 +47,7 @@
 
 def drained(read_fd, log):
     text = b""
-    while log._bytes:
+    while log._pending_bytes:
         log.flush()
         text += os.read(read_fd, 1 << 20)
     return [json.loads(line) for line in text.splitlines()]
@@ -71,7 +71,7 @@
         log.write(Event.CUT, request="broken", endpoint="e1")
         log.write(Event.STORE_LOST, why="timeout")
         assert 0 < log.dropped[decision_log.Drop.BUFFER] < 3000
-        assert log._bytes < 65536 + 512
+        assert log._pending_bytes < 65536 + 512
         assert os.get_blocking(write_fd)
         clock.now += 2
         lines = drained(read_fd, log)
@@ -129,7 +129,7 @@
     os.close(read_fd)
     log.write(Event.STARTED, zone="marousi")
     log.flush()
-    assert (log.dropped["sink"], log._bytes) == (1, 0)
+    assert (log.dropped["sink"], log._pending_bytes) == (1, 0)
 
 
 def test_a_file_gets_the_lines_as_they_are(tmp_path):
--- a/tests/test_metrics_page.py
+++ b/tests/test_metrics_page.py
@@ -13,8 +13,10 @@
     page.count(PageMetric.REFUSALS, "deadline")
     page.count(PageMetric.REFUSALS, "deadline", 2)
     page.observe(PageMetric.WAITING_TIME, 0.2, "scribe")
-    page.read(PageMetric.RUNNING, lambda: 7)
-    page.read(PageMetric.LOG_LINES_DROPPED, lambda: {"sampled": 4, "buffer": 1})
+    page.register_reader(PageMetric.RUNNING, lambda: 7)
+    page.register_reader(
+        PageMetric.LOG_LINES_DROPPED, lambda: {"sampled": 4, "buffer": 1}
+    )
     lines = page.render().decode().splitlines()
     assert 'greengage_refusals_total{kind="deadline"} 3.0' in lines
     bucket = 'greengage_waiting_seconds_bucket{le="%s",service="scribe"} %s'
