--- a/greengageflow/daemon/forwarder.py
+++ b/greengageflow/daemon/forwarder.py
@@ -35,8 +35,8 @@
 from greengageflow.net.http_messages import Failure, FailureKind
 from greengageflow.net.http_pool import HttpPool
 from greengageflow.net.timers import Timers
-from greengageflow.platform.answers import headers_for_caller, note_of
-from greengageflow.platform.requests import outgoing
+from greengageflow.platform.answers import headers_for_caller, interpret_answer
+from greengageflow.platform.requests import endpoint_request
 
 MOST_SENDINGS = 4
 NEW_RUN_S = 1.0
@@ -199,11 +199,11 @@
         flight.moved_at = now
         flight.run_began_at = None
         self.placement.sent(now, flight.id, choice, flight.req.prompt)
-        request = outgoing(
+        request = endpoint_request(
             flight.req,
             choice.endpoint,
             account=flight.account,
-            left_s=flight.deadline - now,
+            remaining_s=flight.deadline - now,
             last_event=flight.last_event,
             fetch_from=choice.fetch_from,
         )
@@ -211,7 +211,7 @@
             self._pool,
             bounded(request, flight, now),
             choice.endpoint,
-            lambda head: note_of(head, flight.req.id),
+            lambda head: interpret_answer(head, flight.req.id),
             stream=flight.route.stream,
             listener=_FlightListener(self, flight),
         )
--- a/greengageflow/daemon/kept_parts.py
+++ b/greengageflow/daemon/kept_parts.py
@@ -15,8 +15,8 @@
 )
 from greengageflow.net.http_pool import HttpPool
 from greengageflow.net.timers import Timers
-from greengageflow.platform.records import RecordError, parse_kept
-from greengageflow.platform.requests import kept_call
+from greengageflow.platform.records import RecordError, parse_cached_parts
+from greengageflow.platform.requests import cached_parts_request
 
 ANSWER_S = 1.0
 """Seconds for an answer."""
@@ -74,7 +74,7 @@
         def done(result: Response | Failure) -> None:
             self._take(engine, number, result)
 
-        self._pool.fetch(_bounded(kept_call(engine)), done, LARGEST)
+        self._pool.fetch(_bounded(cached_parts_request(engine)), done, LARGEST)
 
     def _take(
         self, engine: ListedEndpoint, number: int, result: Response | Failure
@@ -84,7 +84,7 @@
         try:
             if isinstance(result, Failure):
                 raise RecordError(result.message)
-            parts = parse_kept(result)
+            parts = parse_cached_parts(result)
         except RecordError as exc:
             if number < MOST_TRIES:
                 self._timers.after(AGAIN_S, lambda: self._try(engine, number + 1))
--- a/greengageflow/daemon/topic_follower.py
+++ b/greengageflow/daemon/topic_follower.py
@@ -11,8 +11,8 @@
 from greengageflow.net.timers import Timers
 from greengageflow.platform.store import (
     StoreAnswerError,
-    era_of_answer,
-    is_forgotten,
+    era_of_response,
+    is_expired,
     newest_call,
     parse_newest,
     parse_read,
@@ -176,10 +176,10 @@
     ) -> None:
         if isinstance(result, Failure):
             self._again(f"{result.kind}: {result.message}")
-        elif era_of_answer(result) < self.era:
+        elif era_of_response(result) < self.era:
             # It was on its way when the store came back: what it says is lost there.
             self._asking = False
-        elif is_forgotten(result) or self._is_outdated(era_of_answer(result)):
+        elif is_expired(result) or self._is_outdated(era_of_response(result)):
             self._known = False
             self.read()
         else:
@@ -202,7 +202,7 @@
 
     def _on_newest(self, response: Response) -> None:
         batch = parse_newest(response)
-        era = era_of_answer(response)
+        era = era_of_response(response)
         if not self._pages:
             # Pages are no snapshot: what changed since the first one is read again.
             self._first_end, self._pages_era = mark_of(era, batch.end), era
--- a/greengageflow/lab/platform_store.py
+++ b/greengageflow/lab/platform_store.py
@@ -15,7 +15,7 @@
 from greengageflow.net.timers import Subscription
 from greengageflow.platform.names import (
     CONFIG_KEY,
-    KEYED,
+    KEYED_TOPIC_PREFIX,
     LOG_APPEND,
     LOG_NEWEST,
     LOG_READ,
@@ -165,7 +165,7 @@
 
     def _part(self, topic: str, number: int) -> Partition:
         if (topic, number) not in self._parts:
-            self._parts[topic, number] = Partition(topic.startswith(KEYED))
+            self._parts[topic, number] = Partition(topic.startswith(KEYED_TOPIC_PREFIX))
         return self._parts[topic, number]
 
     def _read(self, call: Call, part: Partition, query: dict[str, str]) -> tuple | None:
--- a/greengageflow/platform/answers.py
+++ b/greengageflow/platform/answers.py
@@ -16,23 +16,23 @@
 UNAVAILABLE = 503
 
 
-def note_of(head: Head, request_id: str) -> AnswerNote:
+def interpret_answer(head: Head, request_id: str) -> AnswerNote:
     """Return what a response head says about the request ``request_id``."""
-    echoed = head.header(REQUEST_ID)
+    echoed_id = head.header(REQUEST_ID)
     misdirected = head.status == MISDIRECTED
     not_run = misdirected or bool(head.header(NOT_EXECUTED))
-    turned_away = not_run and head.status == UNAVAILABLE
+    is_overloaded = not_run and head.status == UNAVAILABLE
     return AnswerNote(
         status=head.status,
-        own=echoed in ("", request_id),
-        sealed=bool(head.header(RESPONSE_SEAL)) and echoed == request_id,
+        own=echoed_id in ("", request_id),
+        sealed=bool(head.header(RESPONSE_SEAL)) and echoed_id == request_id,
         not_run=not_run,
         replaced=misdirected and bool(head.header(REPLICA_ID)),
         closing="close" in head.header("connection").lower(),
         encoded=bool(head.header("content-encoding")),
         # A misdirected answer comes from another endpoint that has this address now.
         leaving=not misdirected and says_leaving(head),
-        backoff_s=retry_after_s(head.header(RETRY_AFTER)) if turned_away else 0.0,
+        backoff_s=retry_after_s(head.header(RETRY_AFTER)) if is_overloaded else 0.0,
     )
 
 
--- a/greengageflow/platform/interfaces.py
+++ b/greengageflow/platform/interfaces.py
@@ -12,13 +12,15 @@
     from greengageflow.net.reply import Reply
 
 METRICS_PATH = "/metrics"
-_METHODS = frozenset({"GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"})
-_KEY_LINE = f"\r\n{CREDENTIAL}:".encode()
-_HEAD_BYTES = 2048
-_READS = frozenset({"GET", "HEAD"})
+_FORWARDED_METHODS = frozenset(
+    {"GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"}
+)
+_KEY_HEADER = f"\r\n{CREDENTIAL}:".encode()
+_MAX_HEAD_BYTES = 2048
+_READ_METHODS = frozenset({"GET", "HEAD"})
 
 
-def _seconds(seconds: float) -> str:
+def _format_seconds(seconds: float) -> str:
     return f"{max(0.0, seconds):.3f}"
 
 
@@ -27,7 +29,7 @@
 
     def allowed_methods(self, _path: str) -> frozenset[str]:
         """Return the methods that are forwarded."""
-        return _METHODS
+        return _FORWARDED_METHODS
 
     def check_target(self, _method: str, _path: str) -> None:
         """Accept every target; the configuration decides."""
@@ -42,15 +44,15 @@
 
     def retry_after(self, seconds: float) -> str:
         """Return a ``Retry-After`` value; fractions of a second are allowed."""
-        return _seconds(seconds)
+        return _format_seconds(seconds)
 
     def key(self, data: bytes) -> str:
         """Return the account key in the start of an unparsed request, or empty."""
-        head = data[:_HEAD_BYTES]
-        at = head.lower().find(_KEY_LINE)
+        head = data[:_MAX_HEAD_BYTES]
+        at = head.lower().find(_KEY_HEADER)
         if at < 0:
             return ""
-        value, _, _ = head[at + len(_KEY_LINE) :].partition(b"\r")
+        value, _, _ = head[at + len(_KEY_HEADER) :].partition(b"\r")
         return value.strip().decode("latin-1")
 
 
@@ -59,7 +61,7 @@
 
     def allowed_methods(self, path: str) -> frozenset[str]:
         """Return the methods allowed for ``path``; none for an unknown path."""
-        return _READS if path in (READY_PATH, METRICS_PATH) else frozenset()
+        return _READ_METHODS if path in (READY_PATH, METRICS_PATH) else frozenset()
 
     def check_target(self, method: str, path: str) -> None:
         """Reject methods and paths that are not served.
@@ -80,4 +82,4 @@
 
     def retry_after(self, seconds: float) -> str:
         """Return a ``Retry-After`` value; fractions of a second are allowed."""
-        return _seconds(seconds)
+        return _format_seconds(seconds)
--- a/greengageflow/platform/records.py
+++ b/greengageflow/platform/records.py
@@ -18,10 +18,10 @@
 from greengageflow.net.http_messages import Response
 from greengageflow.platform.names import DRAINING, IDEMPOTENT, READY, STREAM
 
-_REPEATS = {IDEMPOTENT: Repeat.ANY}
+_REPEAT_BY_KIND = {IDEMPOTENT: Repeat.ANY}
 
 
-_UNREADABLE = (
+_PARSE_ERRORS = (
     ValueError,
     LookupError,
     TypeError,
@@ -43,19 +43,19 @@
         RecordError: The record is not a configuration.
     """
     try:
-        return _routing(json.loads(value))
-    except _UNREADABLE as exc:
+        return _parse_routing(json.loads(value))
+    except _PARSE_ERRORS as exc:
         raise RecordError(f"configuration: {exc!r}") from exc
 
 
-def _routing(doc: dict[str, Any]) -> Routing:
+def _parse_routing(doc: dict[str, Any]) -> Routing:
     limits = doc.get("limits") or {}
     tenants = doc.get("tenants") or []
     return Routing(
         version=int(doc["version"]),
-        routes=tuple(map(_route, doc.get("routes") or [])),
-        services={s.name: s for s in map(_service, doc.get("services") or [])},
-        accounts=dict(_keys(tenants)),
+        routes=tuple(map(_parse_route, doc.get("routes") or [])),
+        services={s.name: s for s in map(_parse_service, doc.get("services") or [])},
+        accounts=dict(_account_keys(tenants)),
         keyed=bool(tenants),
         bounds=CallerBounds(
             header_bytes=int(limits.get("max_header_bytes", 16_384)),
@@ -67,15 +67,15 @@
     )
 
 
-def _keys(tenants: list[dict[str, Any]]) -> Iterator[tuple[str, str]]:
+def _account_keys(tenants: list[dict[str, Any]]) -> Iterator[tuple[str, str]]:
     for tenant in tenants:
         for key in tenant.get("api_keys") or []:
             yield key, tenant["name"]
 
 
-def _route(doc: dict[str, Any]) -> Route:
+def _parse_route(doc: dict[str, Any]) -> Route:
     stream = doc["kind"] == STREAM
-    repeat = _REPEATS.get(doc["kind"], Repeat.ONCE)
+    repeat = _REPEAT_BY_KIND.get(doc["kind"], Repeat.ONCE)
     if stream and doc.get("resumable"):
         repeat = Repeat.RESUME
     backends = doc.get("backends") or [{"service": doc["service"], "weight": 1}]
@@ -95,7 +95,7 @@
     )
 
 
-def _service(doc: dict[str, Any]) -> Service:
+def _parse_service(doc: dict[str, Any]) -> Service:
     engine = doc.get("engine") or {}
     return Service(
         name=doc["name"],
@@ -114,39 +114,39 @@
     """
     try:
         doc = json.loads(value)
-        ip, port = _address(_text(doc, "address"))
-        state = _text(doc, "state")
+        ip, port = _parse_address(_non_empty_text(doc, "address"))
+        state = _non_empty_text(doc, "state")
         if state not in (READY, DRAINING):
             raise ValueError(f"unknown state {state!r}")
         return ListedEndpoint(
             id=key,
-            service=_text(doc, "service"),
+            service=_non_empty_text(doc, "service"),
             ip=ip,
             port=port,
-            zone=_text(doc, "zone"),
-            slots=_whole(doc, "slots"),
+            zone=_non_empty_text(doc, "zone"),
+            slots=_non_negative_int(doc, "slots"),
             leaving=state == DRAINING,
-            born=_whole(doc, "born") if "born" in doc else 0,
+            born=_non_negative_int(doc, "born") if "born" in doc else 0,
         )
-    except _UNREADABLE as exc:
+    except _PARSE_ERRORS as exc:
         raise RecordError(f"endpoint {key}: {exc!r}") from exc
 
 
-def _text(doc: dict[str, Any], name: str) -> str:
+def _non_empty_text(doc: dict[str, Any], name: str) -> str:
     value = doc[name]
     if not isinstance(value, str) or not value:
         raise ValueError(f"invalid {name} {value!r}")
     return value
 
 
-def _whole(doc: dict[str, Any], name: str) -> int:
+def _non_negative_int(doc: dict[str, Any], name: str) -> int:
     value = doc[name]
     if type(value) is not int or value < 0:
         raise ValueError(f"invalid {name} {value!r}")
     return value
 
 
-def _address(text: str) -> tuple[str, int]:
+def _parse_address(text: str) -> tuple[str, int]:
     ip, _, port = text.rpartition(":")
     number = int(port) if port.isascii() and port.isdigit() else 0
     if not 0 < number < 65_536:
@@ -154,7 +154,7 @@
     return str(IPv4Address(ip)), number
 
 
-def parse_kept(response: Response) -> tuple[PromptPart, ...]:
+def parse_cached_parts(response: Response) -> tuple[PromptPart, ...]:
     """Return the prompt parts that an engine reports in its prefix cache.
 
     Raises:
@@ -163,13 +163,13 @@
     if response.status != 200:
         raise RecordError(f"unexpected status {response.status}")
     try:
-        held = json.loads(response.body)["held"]
-        return tuple(map(_kept_part, held))
-    except _UNREADABLE as exc:
+        entries = json.loads(response.body)["held"]
+        return tuple(map(_parse_cached_part, entries))
+    except _PARSE_ERRORS as exc:
         raise RecordError(f"cached prompt parts: {exc!r}") from exc
 
 
-def _kept_part(entry: list[Any]) -> PromptPart:
+def _parse_cached_part(entry: list[Any]) -> PromptPart:
     # An entry has an empty string, the part's id, its tokens and the model.
     _, name, tokens, _ = entry
     if not isinstance(name, str) or not isinstance(tokens, int) or tokens < 0:
--- a/greengageflow/platform/requests.py
+++ b/greengageflow/platform/requests.py
@@ -29,7 +29,7 @@
 )
 
 HOP_HEADERS = HOP_BY_HOP | {"content-length", "expect"}
-OWN_HEADERS = frozenset(
+ROUTER_HEADERS = frozenset(
     {
         CREDENTIAL,
         DEADLINE_MS,
@@ -43,7 +43,7 @@
         TENANT,
     }
 )
-_LONGEST_MS = 86_400_000
+_MAX_DEADLINE_MS = 86_400_000
 
 
 def parse_request(req: CallerRequest) -> ForwardRequest:
@@ -60,52 +60,58 @@
         method=req.method,
         host=req.header("host"),
         target=req.target,
-        headers=_passed_on(req),
+        headers=_forwarded_headers(req),
         body=req.body,
         key=req.header(CREDENTIAL).strip(),
-        patience_s=_patience_s(req.header(DEADLINE_MS)),
-        prompt=_prompt(req),
-        last_event=_number(req.header(LAST_EVENT_ID)),
+        patience_s=_parse_timeout_s(req.header(DEADLINE_MS)),
+        prompt=_parse_prompt(req),
+        last_event=_parse_number(req.header(LAST_EVENT_ID)),
     )
 
 
-def _passed_on(req: CallerRequest) -> tuple[Header, ...]:
-    left_out = HOP_HEADERS | OWN_HEADERS | hop_by_hop(req.headers)
-    return tuple((k, v) for k, v in req.headers if k not in left_out)
+def _forwarded_headers(req: CallerRequest) -> tuple[Header, ...]:
+    excluded = HOP_HEADERS | ROUTER_HEADERS | hop_by_hop(req.headers)
+    return tuple((k, v) for k, v in req.headers if k not in excluded)
 
 
-def _number(text: str) -> int | None:
+def _parse_number(text: str) -> int | None:
     return int(text) if text.isascii() and text.isdigit() and len(text) < 16 else None
 
 
-def _patience_s(text: str) -> float | None:
-    number = _number(text.partition(".")[0])
-    return None if number is None else min(number, _LONGEST_MS) / 1000
+def _parse_timeout_s(text: str) -> float | None:
+    number = _parse_number(text.partition(".")[0])
+    return None if number is None else min(number, _MAX_DEADLINE_MS) / 1000
 
 
-def _prompt(req: CallerRequest) -> Prompt | None:
+def _parse_prompt(req: CallerRequest) -> Prompt | None:
     tokens_in, _, tokens_out = req.header(TOKEN_COUNT).partition(",")
-    read = _number(tokens_in.strip())
-    if read is None:
+    prompt_tokens = _parse_number(tokens_in.strip())
+    if prompt_tokens is None:
         return None
-    parts = tuple(filter(None, map(_part, req.header(PROMPT_PREFIX).split(","))))
-    most = _number(tokens_out.strip()) or 0
-    hint = _number(req.header(LENGTH_HINT).strip())
-    return Prompt(parts, read, most if hint is None else min(most, hint))
+    parts = tuple(filter(None, map(_parse_part, req.header(PROMPT_PREFIX).split(","))))
+    max_output_tokens = _parse_number(tokens_out.strip()) or 0
+    length_hint = _parse_number(req.header(LENGTH_HINT).strip())
+    return Prompt(
+        parts,
+        prompt_tokens,
+        max_output_tokens
+        if length_hint is None
+        else min(max_output_tokens, length_hint),
+    )
 
 
-def _part(text: str) -> PromptPart | None:
+def _parse_part(text: str) -> PromptPart | None:
     name, _, tokens = text.strip().partition(":")
-    count = _number(tokens)
+    count = _parse_number(tokens)
     return PromptPart(name, count) if name and count is not None else None
 
 
-def outgoing(
+def endpoint_request(
     req: ForwardRequest,
     endpoint: ListedEndpoint,
     *,
     account: str,
-    left_s: float,
+    remaining_s: float,
     last_event: int | None,
     fetch_from: ListedEndpoint | None,
 ) -> HttpRequest:
@@ -115,13 +121,13 @@
         req: The caller's request.
         endpoint: Endpoint to send it to.
         account: Client account of the key, or empty.
-        left_s: Seconds until the deadline.
+        remaining_s: Seconds until the deadline.
         last_event: Number of the last event received so far, or None.
         fetch_from: Engine to fetch cached prompt parts from, or None.
     """
     extra: list[Header] = [
         (EXPECT_REPLICA, endpoint.id),
-        (DEADLINE_MS, str(max(1, int(left_s * 1000)))),
+        (DEADLINE_MS, str(max(1, int(remaining_s * 1000)))),
     ]
     if account:
         extra.append((TENANT, account))
@@ -139,6 +145,6 @@
     )
 
 
-def kept_call(engine: ListedEndpoint) -> HttpRequest:
+def cached_parts_request(engine: ListedEndpoint) -> HttpRequest:
     """Return the request for an engine's list of cached prompt parts."""
     return HttpRequest("GET", engine.ip, engine.port, KV_LIST)
--- a/greengageflow/platform/store.py
+++ b/greengageflow/platform/store.py
@@ -11,9 +11,9 @@
 from greengageflow.net.http_messages import HttpRequest, Response
 from greengageflow.platform.names import LOG_APPEND, LOG_NEWEST, LOG_READ, STORE_ERA
 
-GONE = 410
-_LENGTH = Struct(">I")
-_ENDS = Struct(">QQ")
+STATUS_GONE = 410
+_RECORD_LENGTH = Struct(">I")
+_READ_HEADER = Struct(">QQ")
 
 
 class StoreAnswerError(ValueError):
@@ -54,7 +54,7 @@
 def put_call(topic: str, key: str, value: bytes) -> tuple[str, str, bytes]:
     """Return method, target and body for setting the value of a key."""
     record = bytes([len(key.encode())]) + key.encode() + value
-    body = _LENGTH.pack(len(record)) + record
+    body = _RECORD_LENGTH.pack(len(record)) + record
     return "POST", f"{LOG_APPEND}?{urlencode({'topic': topic, 'part': 0})}", body
 
 
@@ -73,7 +73,7 @@
     )
 
 
-def era_of_answer(response: Response) -> int:
+def era_of_response(response: Response) -> int:
     """Return the era of the store that responded, or 0 if it sent none."""
     text = response.header(STORE_ERA).strip()
     if not (text.isascii() and text.isdigit()):
@@ -81,9 +81,9 @@
     return min(int(text[:9]), MAX_ERA)
 
 
-def is_forgotten(response: Response) -> bool:
+def is_expired(response: Response) -> bool:
     """Return whether the requested records have been deleted."""
-    return response.status == GONE
+    return response.status == STATUS_GONE
 
 
 def parse_read(response: Response, offset: int) -> Batch:
@@ -92,23 +92,25 @@
     Raises:
         StoreAnswerError: The response is malformed.
     """
-    _check(response)
+    _check_status(response)
     data = response.body
-    if len(data) < _ENDS.size:
+    if len(data) < _READ_HEADER.size:
         raise StoreAnswerError("response is too short")
-    at = _ENDS.size
+    position = _READ_HEADER.size
     records = []
-    while at + _LENGTH.size <= len(data):
-        (length,) = _LENGTH.unpack_from(data, at)
-        at += _LENGTH.size
-        if at + length > len(data):
+    while position + _RECORD_LENGTH.size <= len(data):
+        (length,) = _RECORD_LENGTH.unpack_from(data, position)
+        position += _RECORD_LENGTH.size
+        if position + length > len(data):
             raise StoreAnswerError("record is truncated")
-        records.append(_keyed(data[at : at + length], offset + len(records)))
-        at += length
+        records.append(
+            _parse_record(data[position : position + length], offset + len(records))
+        )
+        position += length
     return Batch(tuple(records), offset + len(records))
 
 
-def _keyed(record: bytes, offset: int) -> KeyedRecord:
+def _parse_record(record: bytes, offset: int) -> KeyedRecord:
     if not record or len(record) < 1 + record[0]:
         raise StoreAnswerError("record has no key")
     value = record[1 + record[0] :]
@@ -122,7 +124,7 @@
     Raises:
         StoreAnswerError: The response is not a list of records.
     """
-    _check(response)
+    _check_status(response)
     try:
         doc = json.loads(response.body)
         items = tuple(
@@ -135,6 +137,6 @@
         raise StoreAnswerError(f"not a list of records: {exc!r}") from exc
 
 
-def _check(response: Response) -> None:
+def _check_status(response: Response) -> None:
     if response.status != 200:
         raise StoreAnswerError(f"unexpected status {response.status}")
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -12,7 +12,7 @@
 from greengageflow.core.service_scheduler import Job, RefuseJob, StartJob
 from greengageflow.core.work_queue import Waiter
 from greengageflow.net.http_messages import LONGEST_BACKOFF_S, Head, retry_after_s
-from greengageflow.platform.answers import note_of
+from greengageflow.platform.answers import interpret_answer
 
 SERVICES = {
     "plain": Service("plain", slots=4),
@@ -128,4 +128,4 @@
     headers = [("retry-after", "3")]
     if not_executed:
         headers.append(("x-greengageflow-not-executed", not_executed))
-    assert note_of(Head(status, tuple(headers)), "r").backoff_s == seconds
+    assert interpret_answer(Head(status, tuple(headers)), "r").backoff_s == seconds
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -10,9 +10,9 @@
 from greengageflow.net.http_messages import Response
 from greengageflow.platform.records import (
     RecordError,
+    parse_cached_parts,
     parse_config,
     parse_endpoint,
-    parse_kept,
 )
 from greengageflow.platform.store import StoreAnswerError, parse_newest
 
@@ -81,7 +81,7 @@
 @given(st.binary() | JSON.map(lambda value: json.dumps({"held": value}).encode()))
 def test_whatever_an_engine_says_it_keeps_it_is_parts_or_an_error(body):
     try:
-        parts = parse_kept(Response(200, (), body))
+        parts = parse_cached_parts(Response(200, (), body))
     except RecordError:
         return
     assert all(isinstance(part.id, str) and part.tokens >= 0 for part in parts)
@@ -99,7 +99,7 @@
     with pytest.raises(RecordError):
         parse_config(value)
     with pytest.raises(RecordError):
-        parse_kept(Response(200, (), value))
+        parse_cached_parts(Response(200, (), value))
     with pytest.raises(StoreAnswerError):
         parse_newest(Response(200, (), value))
 
--- a/tests/test_store_eras.py
+++ b/tests/test_store_eras.py
@@ -10,7 +10,7 @@
 from greengageflow.core.store_marks import MAX_ERA, era_of, mark_of, offset_of
 from greengageflow.daemon.store_view import ERA_SPREAD_S
 from greengageflow.net.http_messages import Response
-from greengageflow.platform.store import era_of_answer
+from greengageflow.platform.store import era_of_response
 from tests.test_store_view import PACE_S, Host, Store, run
 
 KNOWN_S = PACE_S + ERA_SPREAD_S + 1.0
@@ -58,7 +58,7 @@
 )
 def test_era_of_an_answer_is_a_number_or_none(text, era):
     headers = (("store-era", text),) if text else ()
-    assert era_of_answer(Response(200, headers, b"")) == era
+    assert era_of_response(Response(200, headers, b"")) == era
 
 
 def test_configuration_never_goes_back_and_the_next_one_is_known(store, hosts):
