--- a/tests/test_decision_log.py
+++ b/tests/test_decision_log.py
@@ -29,7 +29,7 @@
 
 
 @contextmanager
-def not_blocked_for_ever():
+def fail_if_blocked():
     """Fail the test if a write blocks on the stopped reader."""
 
     def fail(*_):
@@ -45,7 +45,7 @@
         signal.signal(signal.SIGALRM, before)
 
 
-def drained(read_fd, log):
+def read_lines(read_fd, log):
     text = b""
     while log._pending_bytes:
         log.flush()
@@ -53,18 +53,18 @@
     return [json.loads(line) for line in text.splitlines()]
 
 
-def names(lines):
+def event_names(lines):
     return [line["name"] for line in lines]
 
 
-def test_a_reader_that_has_stopped_costs_lines_and_never_blocks(pipe, clock):
+def test_stopped_reader_causes_drops_and_never_blocks(pipe, clock):
     """The log collector stops reading. The pipe fills, then the buffer, and lines are
     dropped, routine ones first, without blocking. When the collector reads again, it
     gets complete lines and the number of dropped ones.
     """
     read_fd, write_fd = pipe
     log = DecisionLog(write_fd, "r1", limit_lines_per_s=1e6, buffer_bytes=65536)
-    with not_blocked_for_ever():
+    with fail_if_blocked():
         for number in range(3000):
             log.write(Event.FINISHED, request=f"q{number}", status=200)
             log.flush()
@@ -74,14 +74,14 @@
         assert log._pending_bytes < 65536 + 512
         assert os.get_blocking(write_fd)
         clock.now += 2
-        lines = drained(read_fd, log)
-    assert {"CUT", "STORE_LOST"} <= set(names(lines))
+        lines = read_lines(read_fd, log)
+    assert {"CUT", "STORE_LOST"} <= set(event_names(lines))
     reports = [line for line in lines if line["name"] == "LINES_DROPPED"]
     assert sum(line["buffer"] for line in reports) == log.dropped["buffer"]
-    assert names(lines).count("FINISHED") + log.dropped["buffer"] == 3000
+    assert event_names(lines).count("FINISHED") + log.dropped["buffer"] == 3000
 
 
-def test_pressure_takes_routine_lines_first_and_whole_requests(pipe, clock):
+def test_overload_drops_routine_lines_first_and_samples_whole_requests(pipe, clock):
     """1,000 requests per second exceed the budget of 200 lines per second. All failures
     and state changes are kept. After the first second, routine lines are sampled by
     request id, and a sampled id has all of its lines.
@@ -98,8 +98,12 @@
             if number % 100 == 0:
                 log.write(Event.FAILED, request=name)
                 log.write(Event.ENDPOINT_SUSPECT, endpoint="e1")
-        lines += drained(read_fd, log)
-    assert names(lines).count("FAILED") == names(lines).count("ENDPOINT_SUSPECT") == 40
+        lines += read_lines(read_fd, log)
+    assert (
+        event_names(lines).count("FAILED")
+        == event_names(lines).count("ENDPOINT_SUSPECT")
+        == 40
+    )
     assert len(lines) <= 200 * 5 + 4
     late = [line for line in lines if line.get("request", "").startswith("3-")]
     sent = {line["request"] for line in late if line["name"] == "SENT"}
@@ -108,22 +112,22 @@
     assert log.dropped["sampled"] > log.dropped["budget"] > 0
 
 
-def test_odd_fields_become_short_texts(pipe):
+def test_invalid_and_long_fields_become_short_strings(pipe):
     read_fd, write_fd = pipe
     log = DecisionLog(write_fd, "r1")
     log.write(Event.STARTED)
     log.write(Event.FAILED, request='a"\n', why=object(), total_ms=float("nan"))
     log.write(Event.FAILED, request="long", why="x" * 100_000)
     log.write(Event.SENT, request="q", queued=None, level=0.5, account="Ελιά")
-    plain, odd, long, sent = drained(read_fd, log)
+    plain, invalid, long, sent = read_lines(read_fd, log)
     assert plain["name"] == "STARTED"
-    assert (odd["request"], odd["total_ms"]) == ('a"\n', "nan")
+    assert (invalid["request"], invalid["total_ms"]) == ('a"\n', "nan")
     assert len(long["why"]) == 200
     assert (sent["queued"], sent["level"], sent["account"]) == (None, 0.5, "Ελιά")
-    assert [line["line"] for line in (plain, odd, long, sent)] == [1, 2, 3, 4]
+    assert [line["line"] for line in (plain, invalid, long, sent)] == [1, 2, 3, 4]
 
 
-def test_a_reader_that_is_gone_is_no_error(pipe):
+def test_closed_reader_is_not_an_error(pipe):
     read_fd, write_fd = pipe
     log = DecisionLog(write_fd, "r1")
     os.close(read_fd)
@@ -132,7 +136,7 @@
     assert (log.dropped["sink"], log._pending_bytes) == (1, 0)
 
 
-def test_a_file_gets_the_lines_as_they_are(tmp_path):
+def test_regular_file_gets_all_lines(tmp_path):
     with (tmp_path / "log").open("wb") as file:
         log = DecisionLog(file.fileno(), "r1")
         for number in range(150):
--- a/tests/test_metrics_page.py
+++ b/tests/test_metrics_page.py
@@ -8,7 +8,7 @@
 ROOT = Path(__file__).parent.parent
 
 
-def test_the_page_shows_what_was_counted_timed_and_read():
+def test_page_renders_counters_histograms_and_callbacks():
     page = MetricsPage()
     page.count(PageMetric.REFUSALS, "deadline")
     page.count(PageMetric.REFUSALS, "deadline", 2)
@@ -27,7 +27,7 @@
     assert not any("_created" in line for line in lines)
 
 
-def test_parts_that_come_and_go_do_not_add_up_for_ever():
+def test_number_of_label_values_is_bounded():
     page = MetricsPage()
     for number in range(1000):
         page.count(PageMetric.RETRIES, f"service-{number}")
@@ -36,7 +36,7 @@
     assert 'greengage_retries_total{service="other"} 936.0' in text
 
 
-def test_importing_it_starts_no_thread():
+def test_import_and_rendering_start_no_thread():
     code = (
         "import threading; from greengageflow.net.metrics_page import MetricsPage;"
         "MetricsPage().render(); print(threading.active_count())"
@@ -45,7 +45,7 @@
     assert done.stdout.strip() == b"1"
 
 
-def test_both_lists_of_dependencies_agree():
+def test_dependency_lists_agree():
     project = tomllib.loads((ROOT / "pyproject.toml").read_text())["project"]
     listed = (ROOT / "requirements.txt").read_text().splitlines()
     assert listed == project["dependencies"]
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -16,7 +16,7 @@
 )
 from greengageflow.platform.store import StoreAnswerError, parse_newest
 
-WHOLE = {
+VALID_ENTRY = {
     "service": "model",
     "address": "10.0.0.1:80",
     "zone": "a",
@@ -30,20 +30,25 @@
 )
 
 
-def entry(**fields):
-    return parse_endpoint("e", json.dumps(WHOLE | fields).encode())
+def parse_entry(**fields):
+    return parse_endpoint("e", json.dumps(VALID_ENTRY | fields).encode())
 
 
-def test_a_whole_entry_is_read():
-    found = entry(born=1_700_000_000_000)
-    assert (found.ip, found.port, found.zone, found.slots) == ("10.0.0.1", 80, "a", 4)
-    assert found.born == 1_700_000_000_000 and not found.leaving
-    assert entry(state="draining").leaving
+def test_valid_entry_is_parsed():
+    endpoint = parse_entry(born=1_700_000_000_000)
+    assert (endpoint.ip, endpoint.port, endpoint.zone, endpoint.slots) == (
+        "10.0.0.1",
+        80,
+        "a",
+        4,
+    )
+    assert endpoint.born == 1_700_000_000_000 and not endpoint.leaving
+    assert parse_entry(state="draining").leaving
 
 
-@pytest.mark.parametrize("name", WHOLE)
-def test_an_entry_that_lacks_a_field_names_no_endpoint(name):
-    fields = {key: value for key, value in WHOLE.items() if key != name}
+@pytest.mark.parametrize("name", VALID_ENTRY)
+def test_entry_without_a_required_field_is_rejected(name):
+    fields = {key: value for key, value in VALID_ENTRY.items() if key != name}
     with pytest.raises(RecordError):
         parse_endpoint("e", json.dumps(fields).encode())
 
@@ -67,19 +72,19 @@
         ("born", 1.5),
     ],
 )
-def test_an_entry_with_a_spoiled_field_names_no_endpoint(name, value):
+def test_entry_with_an_invalid_field_is_rejected(name, value):
     with pytest.raises(RecordError):
-        entry(**{name: value})
+        parse_entry(**{name: value})
 
 
 @given(st.binary() | JSON.map(lambda value: json.dumps(value).encode()))
-def test_whatever_an_entry_holds_it_is_an_endpoint_or_an_error(value):
+def test_arbitrary_entry_is_rejected(value):
     with pytest.raises(RecordError):
         parse_endpoint("e", value)
 
 
 @given(st.binary() | JSON.map(lambda value: json.dumps({"held": value}).encode()))
-def test_whatever_an_engine_says_it_keeps_it_is_parts_or_an_error(body):
+def test_arbitrary_part_list_is_parsed_or_rejected(body):
     try:
         parts = parse_cached_parts(Response(200, (), body))
     except RecordError:
@@ -87,11 +92,11 @@
     assert all(isinstance(part.id, str) and part.tokens >= 0 for part in parts)
 
 
-SPOILED = [b"[" * 100_000, b'{"a":' * 100_000, b'{"version": 1e999}', b"\xff", b"1"]
+MALFORMED = [b"[" * 100_000, b'{"a":' * 100_000, b'{"version": 1e999}', b"\xff", b"1"]
 
 
-@pytest.mark.parametrize("value", SPOILED)
-def test_deep_nesting_and_huge_figures_are_errors_and_go_no_further(value):
+@pytest.mark.parametrize("value", MALFORMED)
+def test_deep_nesting_and_huge_numbers_are_rejected(value):
     """Another exception would end the read, and the router would get no more updates
     from the store."""
     with pytest.raises(RecordError):
@@ -104,17 +109,20 @@
         parse_newest(Response(200, (), value))
 
 
-def test_an_endpoint_that_starts_again_under_its_id_is_gone_and_new():
+def test_restarted_endpoint_is_removed_and_added_again():
     """A replica crashes and restarts under the same id. When it was taken for the same
     instance, it got prompts whose parts were no longer in its prefix cache, and it kept
     the leaving mark of the old instance."""
-    listed = EndpointList()
-    assert [change.what for change in listed.put(entry(born=5))] == ["new"]
-    listed.note_left(entry(born=5).id, 5)
-    assert not listed.may_use("e")
-    assert [change.what for change in listed.put(entry(born=9))] == ["gone", "new"]
-    assert listed.may_use("e")
-    assert not list(listed.put(entry(born=5, state="draining"))), (
+    endpoints = EndpointList()
+    assert [change.what for change in endpoints.put(parse_entry(born=5))] == ["new"]
+    endpoints.note_left(parse_entry(born=5).id, 5)
+    assert not endpoints.may_use("e")
+    assert [change.what for change in endpoints.put(parse_entry(born=9))] == [
+        "gone",
+        "new",
+    ]
+    assert endpoints.may_use("e")
+    assert not list(endpoints.put(parse_entry(born=5, state="draining"))), (
         "records of an earlier start are ignored"
     )
-    assert listed.may_use("e")
+    assert endpoints.may_use("e")
--- a/tests/test_report_codec.py
+++ b/tests/test_report_codec.py
@@ -38,16 +38,18 @@
 SUMS = st.dictionaries(st.tuples(NAMES, NAMES), AMOUNTS, max_size=4)
 SHARES = st.builds(LoadShare, COUNTS, AMOUNTS, AMOUNTS)
 LOADS = st.dictionaries(NAMES, SHARES, max_size=3)
-MARKS = {
+VERSION_FIELDS = {
     "version": COUNTS,
     "list_mark": COUNTS,
     "config_age_s": AGES,
     "list_age_s": AGES,
 }
-HEAD = {"host": NAMES, "boot": COUNTS, "number": COUNTS}
-WHERE = {"ip": IPS, "port": PORTS, "zone": NAMES, "stopping": st.booleans()}
-HELLOS = st.builds(Hello, host=NAMES, boot=COUNTS, peers=ADDRESSES, **WHERE)
-NOTICES = st.builds(LoadNotice, sequence=COUNTS, loads=LOADS, placed=PAIRS, **HEAD)
+HEADER_FIELDS = {"host": NAMES, "boot": COUNTS, "number": COUNTS}
+LOCATION_FIELDS = {"ip": IPS, "port": PORTS, "zone": NAMES, "stopping": st.booleans()}
+HELLOS = st.builds(Hello, host=NAMES, boot=COUNTS, peers=ADDRESSES, **LOCATION_FIELDS)
+NOTICES = st.builds(
+    LoadNotice, sequence=COUNTS, loads=LOADS, placed=PAIRS, **HEADER_FIELDS
+)
 REPORTS = st.builds(
     PeerReport,
     sequence=COUNTS,
@@ -56,9 +58,9 @@
     loads=LOADS,
     placed=PAIRS,
     peers=ADDRESSES,
-    **HEAD,
-    **WHERE,
-    **MARKS,
+    **HEADER_FIELDS,
+    **LOCATION_FIELDS,
+    **VERSION_FIELDS,
 )
 SUM_REPORTS = st.builds(
     SumReport,
@@ -68,38 +70,38 @@
     totals=st.builds(FleetTotals, SUMS, SUMS, LOADS, COUNTS),
     included=st.dictionaries(NAMES, COUNTS, max_size=3),
     placed=PAIRS,
-    **HEAD,
-    **MARKS,
+    **HEADER_FIELDS,
+    **VERSION_FIELDS,
 )
-WANTED = st.builds(FullSumRequest, fleet_wide=st.booleans())
+FULL_SUM_REQUESTS = st.builds(FullSumRequest, fleet_wide=st.booleans())
 WORK = st.tuples(COUNTS, COUNTS)
-INTS = st.builds(LoadShare, COUNTS, COUNTS, COUNTS)
+INT_SHARES = st.builds(LoadShare, COUNTS, COUNTS, COUNTS)
 
 
-def changes_of(keys, values):
-    places = st.dictionaries(st.integers(0, 300), values, max_size=4)
+def deltas(keys, values):
+    rows = st.dictionaries(st.integers(0, 300), values, max_size=4)
     new = st.lists(keys, max_size=2).map(tuple)
     return st.builds(
-        TableDelta, since=COUNTS, first_index=COUNTS, new_keys=new, values=places
+        TableDelta, since=COUNTS, first_index=COUNTS, new_keys=new, values=rows
     )
 
 
-SUM_CHANGES = st.builds(
+SUM_DELTAS = st.builds(
     SumDelta,
     fleet_wide=st.booleans(),
     base=COUNTS,
-    loads=changes_of(NAMES, INTS),
-    included=changes_of(NAMES, COUNTS),
-    work=st.none() | changes_of(st.tuples(NAMES, NAMES), WORK),
+    loads=deltas(NAMES, INT_SHARES),
+    included=deltas(NAMES, COUNTS),
+    work=st.none() | deltas(st.tuples(NAMES, NAMES), WORK),
     hosts=COUNTS,
     placed=st.lists(st.tuples(NAMES, COUNTS), max_size=3).map(tuple),
-    **HEAD,
-    **MARKS,
+    **HEADER_FIELDS,
+    **VERSION_FIELDS,
 )
 RECORDS = st.builds(
     KeyedRecord, key=NAMES, value=st.none() | st.binary(max_size=9), offset=COUNTS
 )
-NEWS = st.builds(
+STORE_UPDATES = st.builds(
     StoreUpdate,
     topic=st.sampled_from(StoreTopic),
     since=COUNTS,
@@ -113,13 +115,22 @@
     cleared=st.lists(NAMES, max_size=3).map(tuple),
     age_s=st.integers(0, 600).map(float),
 )
-CRASHES = st.builds(CrashReport, records=st.lists(CRASH_RECORDS, max_size=3).map(tuple))
-LEAVING = st.builds(
+CRASH_REPORTS = st.builds(
+    CrashReport, records=st.lists(CRASH_RECORDS, max_size=3).map(tuple)
+)
+LEAVING_REPORTS = st.builds(
     LeavingReport,
     signs=st.lists(st.builds(LeavingSign, NAMES, COUNTS), max_size=3).map(tuple),
 )
 MESSAGES = (
-    HELLOS | NOTICES | REPORTS | SUM_REPORTS | SUM_CHANGES | WANTED | NEWS | CRASHES
+    HELLOS
+    | NOTICES
+    | REPORTS
+    | SUM_REPORTS
+    | SUM_DELTAS
+    | FULL_SUM_REQUESTS
+    | STORE_UPDATES
+    | CRASH_REPORTS
 )
 VALUES = st.recursive(
     st.none() | st.booleans() | st.integers(-(2**63), 2**64 - 1) | st.floats() | NAMES,
@@ -128,53 +139,55 @@
 )
 
 
-def places(values):
+def containers(values):
     """Yield every container in a message with each of its keys."""
     keys = range(len(values)) if isinstance(values, list) else values
     for key in keys:
         yield values, key
         if isinstance(values[key], list | dict):
-            yield from places(values[key])
+            yield from containers(values[key])
 
 
 @given(MESSAGES)
-def test_messages_come_back_as_they_were(message):
+def test_messages_round_trip(message):
     assert decode(encode(message)) == message
 
 
 @given(st.binary(max_size=200))
-def test_bytes_that_are_no_message_give_report_error(data):
+def test_malformed_bytes_raise_report_error(data):
     with pytest.raises(ReportError):
         decode(data)
 
 
 @settings(max_examples=400, deadline=None)
 @given(MESSAGES, VALUES, st.data())
-def test_wrong_values_give_report_error_or_a_message_that_can_be_used(message, x, data):
+def test_wrong_values_raise_report_error_or_give_a_usable_message(
+    message, wrong_value, data
+):
     """A value of the wrong type deep inside a message would make a round of the
     receiving router fail, when it sends to an address or adds up amounts."""
     values = unpackb(encode(message))
-    holder, key = data.draw(st.sampled_from(list(places(values))))
-    holder[key] = x
+    container, key = data.draw(st.sampled_from(list(containers(values))))
+    container[key] = wrong_value
     try:
-        found = decode(packb(values))
+        decoded = decode(packb(values))
     except ReportError:
         return
-    own = [found.address] if isinstance(found, Hello) else []
-    for ip, port in [*own, *getattr(found, "peers", ())]:
+    own_address = [decoded.address] if isinstance(decoded, Hello) else []
+    for ip, port in [*own_address, *getattr(decoded, "peers", ())]:
         assert inet_pton(AF_INET, ip) and 0 < port < 65536
-    loads = getattr(found, "loads", {})
-    if isinstance(found, SumDelta):
-        loads = {f"{place}": load for place, load in found.loads.values.items()}
-    if isinstance(found, SumReport):
-        loads = found.totals.loads
-        merge([found.totals, found.totals])
-    if isinstance(found, CrashReport):
+    loads = getattr(decoded, "loads", {})
+    if isinstance(decoded, SumDelta):
+        loads = {f"{index}": load for index, load in decoded.loads.values.items()}
+    if isinstance(decoded, SumReport):
+        loads = decoded.totals.loads
+        merge([decoded.totals, decoded.totals])
+    if isinstance(decoded, CrashReport):
         quarantine = Quarantine()
-        quarantine.receive(1.0, found.records)
+        quarantine.receive(1.0, decoded.records)
         list(quarantine.records(2.0, 10.0, 9))
-    if isinstance(found, LeavingReport):
-        for sign in found.signs:
+    if isinstance(decoded, LeavingReport):
+        for sign in decoded.signs:
             EndpointList().note_left(sign.endpoint, sign.born)
     merge([FleetTotals(loads=loads)] * 2)
     assert all(0 <= load.reading < inf for load in loads.values())
