--- a/greengageflow/net/gossip_link.py
+++ b/greengageflow/net/gossip_link.py
@@ -1,8 +1,8 @@
-"""Datagrams between routers.
+"""Messages between routers as UDP datagrams.
 
-A report stands for itself, and the next one replaces it. Over TCP a link that was cut
-would bring seconds of old reports in a row when it heals, and each peer would cost a
-connection; a datagram that is lost is made good by the next one.
+Each report is self-contained and replaces the one before, so a lost datagram is made
+up for by the next. With TCP, each peer would need a connection, and a restored
+connection would first deliver seconds of outdated reports.
 """
 
 from collections.abc import Callable
@@ -15,7 +15,7 @@
 
 from greengageflow.net._fragments import LARGEST, Fragments, split
 
-MOST_IN_A_ROW = 64
+MAX_DATAGRAMS_PER_READ = 64
 
 
 class GossipLink(BaseComponent):
@@ -23,8 +23,8 @@
 
     Args:
         ip: IP number to bind to.
-        port: UDP port, or 0 for a free one.
-        on_datagram: Takes what arrives.
+        port: UDP port; 0 selects a free one.
+        on_message: Called with each complete message, reassembled from fragments.
 
     Raises:
         OSError: The address cannot be bound.
@@ -32,16 +32,14 @@
 
     channel = "gossip"
 
-    def __init__(
-        self, ip: str, port: int, on_datagram: Callable[[bytes], None]
-    ) -> None:
+    def __init__(self, ip: str, port: int, on_message: Callable[[bytes], None]) -> None:
         super().__init__()
         self.bytes_out = 0
         self.bytes_in = 0
-        self.too_long = 0
-        self._number = 0
+        self.oversized_messages = 0
+        self._message_id = 0
         self._fragments = Fragments()
-        self._on_datagram = on_datagram
+        self._on_message = on_message
         self._sock = socket(AF_INET, SOCK_DGRAM)
         self._sock.setblocking(False)
         self._sock.bind((ip, port))
@@ -49,21 +47,21 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """IP number and UDP port."""
+        """IP number and UDP port of the socket."""
         return self._sock.getsockname()
 
     def start(self) -> None:
-        """Begin to listen, once the poller is there."""
+        """Start to receive; the component has to be registered before."""
         self._poller = findcmp(self.root, BasePoller) or EPoll().register(self)
         self._poller.addReader(self, self._sock)
 
     def send(self, address: tuple[str, int], data: bytes) -> None:
-        """Send a message, at best effort."""
-        self._number += 1
+        """Send a message, best effort; one that is too long is counted and dropped."""
+        self._message_id += 1
         try:
-            datagrams = list(split(self._number, data))
+            datagrams = list(split(self._message_id, data))
         except ValueError:
-            self.too_long += 1
+            self.oversized_messages += 1
             return
         with suppress(OSError):
             for datagram in datagrams:
@@ -72,10 +70,10 @@
 
     @handler("_read")
     def on_readable(self, sock: socket) -> None:
-        """Take what has arrived; called by the poller, or as its event."""
+        """Receive pending datagrams; called by the poller or through its event."""
         if sock is not self._sock:
             return
-        for _ in range(MOST_IN_A_ROW):
+        for _ in range(MAX_DATAGRAMS_PER_READ):
             try:
                 data, sender = sock.recvfrom(LARGEST)
             except OSError:
@@ -83,4 +81,4 @@
             self.bytes_in += len(data)
             message = self._fragments.take(sender, data)
             if message is not None:
-                self._on_datagram(message)
+                self._on_message(message)
--- a/greengageflow/net/leaving_codec.py
+++ b/greengageflow/net/leaving_codec.py
@@ -1,28 +1,33 @@
-"""Endpoints' signs of leaving as values for msgpack."""
+"""Leaving signs of endpoints as values for msgpack."""
 
 from typing import Any
 
 from greengageflow.core.leaving_report import LeavingEndpoint, LeavingReport
 from greengageflow.net._columns import check_names
 
-LEAVING = 29
+LEAVING_REPORT = 29
 
-_LATEST = 2**53
+_MAX_START = 2**53
 
 
-def leaving_values(report: LeavingReport) -> tuple[Any, ...]:
-    """Return the values of a report, its kind first."""
-    return LEAVING, [(sign.endpoint, sign.born) for sign in report.endpoints]
+def leaving_report_values(report: LeavingReport) -> tuple[Any, ...]:
+    """Return the values of a report, its type number first."""
+    return LEAVING_REPORT, [(sign.endpoint, sign.born) for sign in report.endpoints]
 
 
-def leaving_of(values: list[Any]) -> LeavingReport:
-    """Return a report; raises ValueError, TypeError for what is none."""
+def parse_leaving_report(values: list[Any]) -> LeavingReport:
+    """Return a leaving report.
+
+    Raises:
+        ValueError: A value is out of range.
+        TypeError: A value has the wrong type.
+    """
     (rows,) = values
-    return LeavingReport(tuple(_sign(*row) for row in rows))
+    return LeavingReport(tuple(_parse_sign(*row) for row in rows))
 
 
-def _sign(endpoint: Any, born: Any) -> LeavingEndpoint:
+def _parse_sign(endpoint: Any, born: Any) -> LeavingEndpoint:
     check_names((endpoint,))
-    if type(born) is not int or not 0 <= born <= _LATEST:
-        raise ValueError(f"no start: {born!r}")
+    if type(born) is not int or not 0 <= born <= _MAX_START:
+        raise ValueError(f"invalid start time: {born!r}")
     return LeavingEndpoint(endpoint, born)
--- a/greengageflow/platform/answers.py
+++ b/greengageflow/platform/answers.py
@@ -1,4 +1,4 @@
-"""Answers of the platform's endpoints."""
+"""Interpretation of responses from the platform's endpoints."""
 
 from greengageflow.core.forward_request import Header
 from greengageflow.net.endpoint_answer import AnswerNote
@@ -16,28 +16,28 @@
 UNAVAILABLE = 503
 
 
-def note_of(head: Head, request_id: str) -> AnswerNote:
-    """Return what an answer's head says of the request ``request_id``."""
-    echoed = head.header(REQUEST_ID)
+def interpret_answer(head: Head, request_id: str) -> AnswerNote:
+    """Return what a response head says about the request ``request_id``."""
+    echoed_id = head.header(REQUEST_ID)
     misdirected = head.status == MISDIRECTED
     not_run = misdirected or bool(head.header(NOT_EXECUTED))
-    turned_away = not_run and head.status == UNAVAILABLE
+    is_overloaded = not_run and head.status == UNAVAILABLE
     return AnswerNote(
         status=head.status,
-        own=echoed in ("", request_id),
-        sealed=bool(head.header(RESPONSE_SEAL)) and echoed == request_id,
+        own=echoed_id in ("", request_id),
+        sealed=bool(head.header(RESPONSE_SEAL)) and echoed_id == request_id,
         not_run=not_run,
         replaced=misdirected and bool(head.header(REPLICA_ID)),
         closing="close" in head.header("connection").lower(),
         encoded=bool(head.header("content-encoding")),
-        # Another endpoint that has the address now speaks for itself.
+        # A misdirected answer comes from another endpoint that has this address now.
         leaving=not misdirected and says_leaving(head),
-        backoff_s=retry_after_s(head.header(RETRY_AFTER)) if turned_away else 0.0,
+        backoff_s=retry_after_s(head.header(RETRY_AFTER)) if is_overloaded else 0.0,
     )
 
 
 def headers_for_caller(head: Head) -> tuple[Header, ...]:
-    """Return the headers of an answer that the caller gets."""
+    """Return the response headers that are passed on to the caller."""
     return tuple(
         (name, value)
         for name, value in head.headers
