--- a/greengageflow/net/_exchange.py
+++ b/greengageflow/net/_exchange.py
@@ -1,4 +1,4 @@
-"""One outbound request and its answer under way, as ``http_pool`` hands it out."""
+"""In-flight requests of ``http_pool``."""
 
 from collections.abc import Callable
 from time import monotonic
@@ -15,12 +15,12 @@
 
 
 class Exchange:
-    """One request and its answer under way.
+    """One in-flight request with its response.
 
     Args:
-        request: What is sent.
-        receiver: Gets the answer as it arrives.
-        on_paused: Called when reading is to stop or go on.
+        request: Request to send.
+        receiver: Receives the response as it arrives.
+        on_paused: Called after ``paused`` changed, to stop or restart reading.
         on_cancel: Called to close the connection.
     """
 
@@ -44,48 +44,49 @@
 
     @property
     def limit_s(self) -> float:
-        """Seconds without progress after which the exchange fails."""
+        """Timeout without progress that applies now, in seconds."""
         if self.conn is not None and self.conn.connected:
             return self.request.idle_timeout_s
         return self.request.connect_timeout_s
 
     @property
     def too_late(self) -> bool:
-        """Whether the first byte has not left and must not leave any more."""
-        # A process that was frozen while it connected wakes in the middle of it.
+        """Whether ``not_after`` has passed without a byte having been sent."""
+        # A process frozen while connecting may continue after the send deadline.
         limit = self.request.not_after
         unsent = self.conn is not None and not self.conn.sent_any
         return limit is not None and unsent and monotonic() >= limit
 
     def pause(self) -> None:
-        """Stop reading, so that the sender comes to wait."""
+        """Stop reading, so that TCP flow control holds the sender back."""
         if self.live and not self.paused:
             self.paused = True
             self._on_paused(self)
 
     def resume(self) -> None:
-        """Read again after ``pause``."""
+        """Continue reading after ``pause``."""
         if self.live and self.paused:
             self.paused = False
             self.moved_at = monotonic()
             self._on_paused(self)
 
     def cancel(self) -> None:
-        """Close the connection; the receiver hears nothing more."""
+        """Close the connection; the receiver is not called any more."""
         if self.live:
             self.live = False
             self._on_cancel(self)
 
 
 class Collector:
-    """Receiver that gathers a whole answer.
+    """Receiver that buffers a complete response.
 
     Args:
-        on_done: Gets the answer, or why there is none.
-        limit: Most bytes of the body; more is a failure.
+        on_done: Called with the response or the failure.
+        limit: Maximum body size in bytes; a larger body is a failure.
 
     Attributes:
-        exchange: Cancelled when the body is too large; set by whoever opens it.
+        exchange: Exchange to cancel if the body is too large; set by the code that
+            opens it.
     """
 
     def __init__(
@@ -98,22 +99,22 @@
         self._body = bytearray()
 
     def on_head(self, head: Head) -> None:
-        """Take status and headers."""
+        """Handle status and headers."""
         self._head = head
 
     def on_data(self, data: bytes) -> None:
-        """Take a part of the body."""
+        """Handle part of the body."""
         self._body += data
         if len(self._body) > self._limit and self.exchange is not None:
             self.exchange.cancel()
-            message = f"answer larger than {self._limit} bytes"
+            message = f"response larger than {self._limit} bytes"
             self._on_done(Failure(FailureKind.BROKEN, True, message))
 
     def on_end(self) -> None:
-        """Hand over the whole answer."""
+        """Pass on the complete response."""
         head = self._head
         self._on_done(Response(head.status, head.headers, bytes(self._body)))
 
     def on_failure(self, failure: Failure) -> None:
-        """Hand over why there is no answer."""
+        """Pass on the failure."""
         self._on_done(failure)
--- a/greengageflow/net/_fragments.py
+++ b/greengageflow/net/_fragments.py
@@ -1,31 +1,32 @@
-"""Messages that are too long for one datagram."""
+"""Fragmentation and reassembly of messages too long for one datagram."""
 
 from collections import OrderedDict
 from collections.abc import Iterator
 from struct import Struct, error
 
 LARGEST = 60_000
-"""Most bytes in one datagram."""
+"""Maximum size of a datagram, in bytes."""
 
 MOST_PIECES = 64
 MOST_OPEN = 8
-"""Incomplete messages that are kept; a lost piece would hold its others for ever."""
+"""Maximum number of incomplete messages. Without the limit, a lost fragment would keep
+the others of its message in memory forever."""
 
-_MARK = b"\xc1"  # msgpack never begins a message with it
+_MARK = b"\xc1"  # never the first byte of a msgpack message
 _HEADER = Struct(">cIHH")
 
 Address = tuple[str, int]
 
 
 def split(number: int, data: bytes) -> Iterator[bytes]:
-    """Yield a message as datagrams.
+    """Yield the datagrams of a message.
 
     Args:
-        number: Tells the messages of one sender apart.
-        data: The message, which is its own only datagram when it is short.
+        number: Distinguishes the messages of one sender.
+        data: The message; if it fits into one datagram, it is sent unchanged.
 
     Raises:
-        ValueError: It is too long for that, too.
+        ValueError: The message needs more than ``MOST_PIECES`` datagrams.
     """
     if len(data) <= LARGEST:
         yield data
@@ -33,21 +34,21 @@
     room = LARGEST - _HEADER.size
     count = -(-len(data) // room)
     if count > MOST_PIECES:
-        raise ValueError(f"message of {len(data)} bytes")
+        raise ValueError(f"message too long: {len(data)} bytes")
     for index in range(count):
         head = _HEADER.pack(_MARK, number % 2**32, index, count)
         yield head + data[index * room : (index + 1) * room]
 
 
 class Fragments:
-    """Joins the datagrams of long messages, from whichever senders they come."""
+    """Reassembles fragmented messages of any number of senders."""
 
     def __init__(self) -> None:
         self._open: OrderedDict[tuple[Address, int, int], dict[int, bytes]]
         self._open = OrderedDict()
 
     def take(self, sender: Address, data: bytes) -> bytes | None:
-        """Return the message that a datagram is or completes, or None."""
+        """Return the message in or completed by a datagram, or None."""
         if not data.startswith(_MARK):
             return data
         try:
--- a/greengageflow/net/_http_conn.py
+++ b/greengageflow/net/_http_conn.py
@@ -1,4 +1,4 @@
-"""One outgoing HTTP/1.1 connection: a non-blocking socket with a parser."""
+"""Outgoing HTTP/1.1 connection: a non-blocking socket and a response parser."""
 
 from collections.abc import Callable, Iterator
 from contextlib import suppress
@@ -29,26 +29,26 @@
 
 
 class AnswerCut(Exception):
-    """The other side closed the connection before its answer was whole."""
+    """The server closed the connection before the response was complete."""
 
 
 class AnswerBroken(Exception):
-    """The other side sent something that is not HTTP/1.1."""
+    """The response is not valid HTTP/1.1."""
 
 
 @dataclass(frozen=True, slots=True)
 class Chunk:
-    """Body bytes that one read brought."""
+    """Body bytes received by one read."""
 
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class End:
-    """The answer is whole.
+    """End of a complete response.
 
     Args:
-        reusable: True when the connection can carry another request.
+        reusable: True if the connection can carry another request.
     """
 
     reusable: bool
@@ -58,14 +58,14 @@
 
 
 class Connection:
-    """Sends one request at a time and yields what arrives of its answer.
+    """Sends one request at a time and yields the parts of its response.
 
     Args:
-        address: IP number and port of the other side.
-        source_ip: Local IP number to bind to, or None.
+        address: IP address and port of the server.
+        source_ip: Local IP address to bind to, or None.
 
     Raises:
-        OSError: The connection cannot even be begun.
+        OSError: The connection attempt failed immediately.
     """
 
     def __init__(self, address: tuple[str, int], source_ip: str | None) -> None:
@@ -100,14 +100,14 @@
 
     @property
     def wants_write(self) -> bool:
-        """True while connecting or while bytes of the request are left."""
+        """True while connecting or while request bytes are unsent."""
         return not self.connected or bool(self._out)
 
     def check_connected(self) -> None:
-        """Note the outcome of connecting, once the socket is writable.
+        """Check the result of connecting, once the socket is writable.
 
         Raises:
-            OSError: There is no connection.
+            OSError: Connecting failed.
         """
         code = self.sock.getsockopt(SOL_SOCKET, SO_ERROR)
         if code:
@@ -124,7 +124,7 @@
         until_close: bool = False,
         accepts: Callable[[Head], bool] | None = None,
     ) -> None:
-        """Make a request ready to be sent by ``flush``; see ``HttpRequest``.
+        """Prepare a request for ``flush``; see ``HttpRequest`` for the arguments.
 
         Raises:
             BadHead: The request is not valid HTTP.
@@ -144,10 +144,10 @@
         self._out = memoryview(head + body)
 
     def flush(self) -> None:
-        """Send what the socket takes.
+        """Send as many request bytes as the socket accepts.
 
         Raises:
-            OSError: The connection broke.
+            OSError: The connection failed.
         """
         while self._out:
             try:
@@ -158,7 +158,7 @@
             self._out = self._out[count:]
 
     def is_stale(self) -> bool:
-        """Return True when an idle connection was closed or spoken on."""
+        """Return True if an idle connection was closed or has received data."""
         try:
             self.sock.recv(1)
         except (BlockingIOError, InterruptedError):
@@ -168,11 +168,11 @@
         return True
 
     def receive(self) -> Iterator[Arrival]:
-        """Read once and yield what it brought.
+        """Read once and yield the parsed parts of the response.
 
         Raises:
-            AnswerCut: The answer ended too early.
-            AnswerBroken: The answer is not HTTP/1.1.
+            AnswerCut: The response was truncated.
+            AnswerBroken: The response is not valid HTTP/1.1.
         """
         try:
             data = self.sock.recv(READ_SIZE)
@@ -187,7 +187,7 @@
             yield from self._arrivals(data)
         except BadMessage as exc:
             if self._closing:
-                raise AnswerCut("closed before the answer was whole") from exc
+                raise AnswerCut("closed before the response was complete") from exc
             raise AnswerBroken(str(exc)) from exc
 
     def _arrivals(self, data: bytes) -> Iterator[Arrival]:
@@ -203,8 +203,8 @@
                     if not self._skipping:
                         body.append(event.data)
                 case AnswerEnd() if self._skipping:
-                    # An endpoint may answer an earlier request late, where the next
-                    # answer is due.
+                    # An endpoint may send a late response to an earlier request in
+                    # place of the expected one. Skip it and wait for the next.
                     self._go_on_after_skipped(event)
                 case AnswerEnd():
                     if body:
@@ -218,11 +218,11 @@
 
     def _go_on_after_skipped(self, end: AnswerEnd) -> None:
         if self._closing or not end.keep_alive:
-            raise AnswerCut("closed after the answer to another request")
+            raise AnswerCut("closed after the response to another request")
         self._skipping = False
 
     def _is_last(self, events: Iterator[object]) -> bool:
-        """Return whether nothing follows the answer."""
+        """Return whether no data follows the response."""
         try:
             return next(events, None) is None and not self._answers.begun
         except BadMessage:
@@ -232,12 +232,12 @@
         return End(end.keep_alive and is_last and not self._closing and not self._out)
 
     def _end_by_close(self) -> End:
-        # A body that ends with the connection may have been cut anywhere; the
-        # caller would take half an answer for a whole one.
+        # A body delimited by the end of the connection may have been truncated
+        # anywhere, and the caller could not tell. It is accepted only on request.
         if not self._answers.until_close:
-            raise AnswerCut("closed before the answer was whole")
+            raise AnswerCut("closed before the response was complete")
         if not self._until_close or self._skipping:
-            raise AnswerCut("the answer's length is unknown")
+            raise AnswerCut("response has no length")
         return End(reusable=False)
 
     def close(self) -> None:
--- a/greengageflow/net/_http_parse.py
+++ b/greengageflow/net/_http_parse.py
@@ -1,8 +1,8 @@
-"""Requests and answers of HTTP/1.1 out of the bytes that arrive.
+"""Incremental HTTP/1.1 parsers for requests and responses.
 
-llhttp (by ``httptools``) reads them in its strict mode, many times as fast as a parser
-in Python. What it does not check, and what would let two readers of the same bytes
-disagree, is checked here.
+They use llhttp (through ``httptools``) in strict mode, which is many times faster than
+a parser in Python. This module adds the checks that llhttp lacks and without which two
+parsers could read the same bytes differently (request smuggling).
 """
 
 import re
@@ -20,7 +20,7 @@
 HeaderLines = tuple[tuple[str, str], ...]
 
 LARGEST_ANSWER_HEAD = 65_536
-"""Most bytes of an answer's status line and headers."""
+"""Maximum size of a response's status line and headers, in bytes."""
 
 CHUNKED = "chunked"
 _FRAMING = frozenset({"host", "content-length", "transfer-encoding"})
@@ -31,7 +31,10 @@
 
 
 def is_whole_request(data: bytes) -> bool:
-    """Return whether bytes plainly hold one whole request and nothing else."""
+    """Return whether ``data`` is exactly one complete request.
+
+    A quick check without a full parse; chunked requests give False.
+    """
     end = data.find(b"\r\n\r\n")
     if end < 0 or _CHUNKED.search(data, 0, end):
         return False
@@ -44,8 +47,8 @@
     """The bytes are not valid HTTP/1.1.
 
     Args:
-        text: What is wrong.
-        too_large: The head is larger than allowed.
+        text: Description of the error.
+        too_large: True if the head exceeds the size limit.
     """
 
     def __init__(self, text: str, *, too_large: bool = False) -> None:
@@ -55,15 +58,15 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestHead:
-    """A request before its body.
+    """Request line and headers.
 
     Args:
-        method: Its method.
+        method: HTTP method.
         target: Path and query.
-        headers: Names in lower case and values, in the order received.
+        headers: Lower-case names and values, in the order received.
         version: HTTP version.
-        size: Bytes of target and headers.
-        keep_alive: The connection may carry another request afterwards.
+        size: Size of target and headers in bytes.
+        keep_alive: True if the connection may carry another request afterwards.
     """
 
     method: str
@@ -76,39 +79,39 @@
 
 @dataclass(frozen=True, slots=True)
 class Body:
-    """Bytes of a body."""
+    """Part of a message body."""
 
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class MessageEnd:
-    """The message is whole."""
+    """End of a complete request."""
 
 
 @dataclass(frozen=True, slots=True)
 class Head:
-    """Status and headers of an answer.
+    """Status and headers of a response.
 
     Args:
         status: HTTP status code.
-        headers: Names in lower case and values, in the order received.
+        headers: Lower-case names and values, in the order received.
     """
 
     status: int
     headers: HeaderLines
 
     def header(self, name: str, default: str = "") -> str:
-        """Return the first value of header ``name`` (lower case)."""
+        """Return the first value of header ``name`` (in lower case)."""
         return next((value for key, value in self.headers if key == name), default)
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerEnd:
-    """The answer is whole.
+    """End of a complete response.
 
     Args:
-        keep_alive: The connection may carry another one.
+        keep_alive: True if the connection may carry another exchange.
     """
 
     keep_alive: bool
@@ -118,7 +121,7 @@
 
 
 class _Headers:
-    """Collects the header lines of one message."""
+    """Header lines of one message."""
 
     def __init__(self) -> None:
         self.size = 0
@@ -134,31 +137,31 @@
             self._framing.setdefault(key, []).append(text)
 
     def lines(self) -> HeaderLines:
-        """Return the lines so far; those behind a body (trailers) come later."""
+        """Return the lines received so far; trailers arrive after the body."""
         return tuple(self._lines)
 
     def values(self, name: str) -> list[str]:
-        """Return all values of a header that says where a message goes or ends."""
+        """Return all values of a host or message length header."""
         return self._framing.get(name, [])
 
     def check_coding(self) -> None:
-        """Refuse a coding of the body that is not known here.
+        """Reject any transfer coding except a single ``chunked``.
 
-        The parser itself refuses two lengths, and a length beside chunks.
+        The parser itself rejects repeated lengths, and a length with chunked coding.
         """
         codings = self.values("transfer-encoding")
         if codings and [coding.lower() for coding in codings] != [CHUNKED]:
-            raise BadMessage("only the transfer-encoding chunked is known")
+            raise BadMessage("unsupported transfer-encoding; only chunked is supported")
 
 
 class _MessageReader:
-    """What both readers share: the parser, the bound on a head, and its errors.
+    """Base of both parsers: llhttp, the head size limit and error handling.
 
-    Callbacks of the parser are methods of the readers.
+    The parser calls the ``on_...`` methods of the subclasses.
 
     Args:
-        parser: Class of the parser.
-        largest_head: Most bytes before the end of a message's headers.
+        parser: Parser class of ``httptools``.
+        largest_head: Maximum size of a message's head, in bytes.
     """
 
     def __init__(
@@ -167,7 +170,7 @@
         largest_head: int,
     ) -> None:
         self.begun = False
-        """Whether bytes of a message arrived that is not whole yet."""
+        """Whether a message has started and is not complete yet."""
         self._parser = parser(self)
         self._largest_head = largest_head
         self._events: deque[Event] = deque()
@@ -179,7 +182,8 @@
     def _parse(self, data: bytes) -> None:
         if self._over:
             return
-        # Counted by reads: one that holds the end of a head also counts what follows.
+        # Counted per read: the read with the end of the head counts in full,
+        # including data that follows.
         if self._in_head:
             self._head_bytes += len(data)
         try:
@@ -187,7 +191,7 @@
         except HttpParserUpgrade:
             self._on_upgrade()
         except HttpParserError as exc:
-            # What a method of this class raised comes wrapped.
+            # The parser wraps exceptions that were raised in a callback.
             cause = exc.__context__
             known = cause if isinstance(cause, BadMessage) else BadMessage(str(exc))
             self._end(known)
@@ -195,7 +199,7 @@
             self._end(BadMessage("head too large", too_large=True))
 
     def _on_upgrade(self) -> None:
-        """Take note that what follows is of another protocol."""
+        """Handle a switch to another protocol in the data that follows."""
         raise NotImplementedError
 
     def _end(self, exc: BadMessage) -> None:
@@ -227,10 +231,10 @@
 
 
 class RequestReader(_MessageReader):
-    """Reads the requests of one connection.
+    """Parses the requests of one connection.
 
     Args:
-        largest_head: Most bytes before the end of a request's headers.
+        largest_head: Maximum size of a request's head, in bytes.
     """
 
     def __init__(self, largest_head: int) -> None:
@@ -238,11 +242,11 @@
         self._target = b""
 
     def feed(self, data: bytes) -> None:
-        """Take bytes; what is in them comes from ``next``."""
+        """Parse received bytes; ``next`` returns the results."""
         self._parse(data)
 
     def next(self) -> RequestHead | Body | MessageEnd | None:
-        """Return what comes next, or None when more bytes are needed.
+        """Return the next parsed part, or None if more bytes are needed.
 
         Raises:
             BadMessage: The bytes are not valid HTTP/1.1.
@@ -251,16 +255,16 @@
 
     @property
     def has_more(self) -> bool:
-        """Whether anything of a next request has arrived."""
+        """Whether part of another request has arrived."""
         return bool(self._events) or self.begun
 
     @property
     def body_arrived(self) -> bool:
-        """Whether something of a body, or a request's end, waits to be taken."""
+        """Whether ``next`` has a part of a body or the end of a request."""
         return bool(self._events)
 
     def _on_upgrade(self) -> None:
-        # No other protocol is spoken here, and bytes that follow are of one.
+        # Upgrades are not supported, and the bytes that follow are not HTTP/1.1.
         self._over = True
 
     # Called by the parser.
@@ -278,7 +282,7 @@
         headers.check_coding()
         hosts = headers.values("host")
         if len(hosts) > 1 or (not hosts and version == "1.1"):
-            raise BadMessage("a request has one host header")
+            raise BadMessage("request must have exactly one host header")
         self._events.append(
             RequestHead(
                 self._parser.get_method().decode("latin-1"),
@@ -299,21 +303,21 @@
 
 
 class AnswerReader(_MessageReader):
-    """Reads the answers on one connection."""
+    """Parses the responses on one connection."""
 
     def __init__(self) -> None:
         super().__init__(HttpResponseParser, LARGEST_ANSWER_HEAD)
         self.until_close = False
-        """Whether only the end of the connection ends the answer under way."""
+        """Whether the current response is delimited by the end of the connection."""
         self._interim = False
         self._bodiless = False
 
     def expect(self, method: str) -> None:
-        """Note the method of the request whose answer comes next."""
+        """Set the method of the request whose response comes next."""
         self._bodiless = method == "HEAD"
 
     def feed(self, data: bytes) -> Iterator[Head | Body | AnswerEnd]:
-        """Take bytes and yield what is in them.
+        """Parse received bytes and yield the results.
 
         Raises:
             BadMessage: The bytes are not valid HTTP/1.1.
@@ -324,7 +328,7 @@
             yield self._next()
 
     def _on_upgrade(self) -> None:
-        self._end(BadMessage("another protocol was not asked for"))
+        self._end(BadMessage("unexpected protocol upgrade"))
 
     # Called by the parser.
 
@@ -344,8 +348,8 @@
         self.until_close = not known and status not in (204, 304)
         self._events.append(Head(status, headers.lines()))
         if self._bodiless and known and known != ["0"]:
-            # The parser does not know that no body follows, and takes the next
-            # answer for one.
+            # This responds to HEAD and has no body. The parser does not know the
+            # method and would read the next response as the body.
             self.begun = self.until_close = False
             self._over = True
             self._events.append(AnswerEnd(keep_alive=False))
--- a/greengageflow/net/_http_write.py
+++ b/greengageflow/net/_http_write.py
@@ -1,4 +1,4 @@
-"""Heads of requests and answers as bytes."""
+"""Serialization of request and response heads and of chunks."""
 
 import re
 from collections.abc import Iterable
@@ -17,25 +17,25 @@
 
 
 class BadHead(ValueError):
-    """What should be sent is not valid HTTP/1.1."""
+    """The head to be sent is not valid HTTP/1.1."""
 
 
 def request_head(method: str, target: str, headers: Iterable[Header]) -> bytes:
-    """Return a request's line and headers.
+    """Return the request line and headers.
 
     Raises:
-        BadHead: It is not valid.
+        BadHead: Method, target or a header is not valid.
     """
     if not _TOKEN.fullmatch(method) or not _TARGET.fullmatch(target):
-        raise BadHead(f"{method!r} {target!r}")
+        raise BadHead(f"invalid method or target: {method!r} {target!r}")
     return _head(f"{method} {target} HTTP/1.1", headers)
 
 
 def answer_head(status: int, headers: Iterable[Header]) -> bytes:
-    """Return an answer's status line and headers.
+    """Return the status line and headers of a response.
 
     Raises:
-        BadHead: It is not valid.
+        BadHead: A header is not valid.
     """
     return _head(f"HTTP/1.1 {status} {_REASONS.get(status, '')}", headers)
 
@@ -43,20 +43,20 @@
 def _head(first: str, headers: Iterable[Header]) -> bytes:
     lines = [first, *(f"{name}: {value}" for name, value in headers), "", ""]
     head = "\r\n".join(lines).encode("latin-1", "replace")
-    # One line too many would begin another header or another message.
+    # An extra line end would start another header or message (header injection).
     ends = len(lines) - 1
     if head.count(b"\n") != ends or head.count(b"\r") != ends or b"\0" in head:
-        raise BadHead(f"line end or NUL within {first!r} or its headers")
+        raise BadHead(f"line end or NUL in {first!r} or its headers")
     return head
 
 
 def chunk(data: bytes) -> bytes:
-    """Return a piece of a body as one chunk."""
+    """Return ``data`` as one chunk of a body."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
 def date_header() -> Header:
-    """Return the ``Date`` header of an answer sent now."""
+    """Return the ``Date`` header for the current time."""
     return "Date", _date(int(time()))
 
 
--- a/greengageflow/net/_idle_conns.py
+++ b/greengageflow/net/_idle_conns.py
@@ -1,4 +1,4 @@
-"""Connections that ``http_pool`` keeps for reuse."""
+"""Idle connections of ``http_pool``, kept for reuse."""
 
 from collections import defaultdict, deque
 from collections.abc import Callable
@@ -9,13 +9,13 @@
 
 
 class IdleConns:
-    """Idle connections by address, the one used last first.
+    """Idle connections by address; the most recently used one is taken first.
 
     Args:
-        close: Closes a connection that is not kept (any more).
-        most: Most connections kept for one address.
-        most_of_all: Most connections kept.
-        idle_s: Seconds after which one is closed.
+        close: Closes a connection that is not or no longer kept.
+        most: Maximum number of connections per address.
+        most_of_all: Maximum number of connections in total.
+        idle_s: Idle time after which a connection is closed, in seconds.
     """
 
     def __init__(
@@ -37,7 +37,7 @@
         return len(self._since)
 
     def take(self, address: tuple[str, int], longest_s: float) -> Connection | None:
-        """Return a connection that was idle for less than ``longest_s`` seconds."""
+        """Return a connection idle for less than ``longest_s`` seconds, or None."""
         conns = self._by_address.get(address)
         while conns:
             if monotonic() - self._since[conns[-1].sock][1] >= longest_s:
@@ -51,7 +51,7 @@
         return None
 
     def keep(self, conn: Connection) -> None:
-        """Keep a connection, or close it when there are enough to its address."""
+        """Keep a connection, or close it if its address has reached the limit."""
         conns = self._by_address[conn.address]
         if len(conns) >= self._most:
             self._close(conn)
@@ -63,7 +63,7 @@
         self._since[conn.sock] = (conn, monotonic())
 
     def drop(self, sock: socket) -> None:
-        """Close the connection of a socket, if it is one of these."""
+        """Close the connection of a socket, if it is kept here."""
         conn, _ = self._since.pop(sock, (None, 0.0))
         if conn is None:
             return
@@ -74,12 +74,12 @@
         self._close(conn)
 
     def expire(self, now: float) -> None:
-        """Close what was idle for too long."""
+        """Close connections that have been idle for longer than the limit."""
         for sock, (_, since) in list(self._since.items()):
             if now - since > self._idle_s:
                 self.drop(sock)
 
     def close(self) -> None:
-        """Close all."""
+        """Close all connections."""
         for sock in list(self._since):
             self.drop(sock)
--- a/greengageflow/net/_sse.py
+++ b/greengageflow/net/_sse.py
@@ -8,7 +8,7 @@
 
 
 class EventTooLarge(Exception):
-    """An event grew past the limit before it ended."""
+    """An unfinished event exceeds the size limit."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -16,8 +16,9 @@
     """One event.
 
     Args:
-        raw: The event as received, with line ends of one byte and the blank line.
-        data: Its data.
+        raw: The event as received, including the blank line, with CRLF replaced by
+            LF.
+        data: Contents of the ``data`` fields, joined by LF.
     """
 
     raw: bytes
@@ -36,10 +37,10 @@
 
 
 class EventStream:
-    """Cuts a byte stream into events; comments are left out.
+    """Splits a byte stream into events; events without data are skipped.
 
     Args:
-        limit: Most bytes of one event.
+        limit: Maximum size of an unfinished event, in bytes.
     """
 
     def __init__(self, limit: int = EVENT_LIMIT) -> None:
@@ -47,10 +48,10 @@
         self._rest = b""
 
     def feed(self, data: bytes) -> Iterator[ServerEvent]:
-        """Yield the events that ``data`` completes.
+        """Yield the events completed by ``data``.
 
         Raises:
-            EventTooLarge: An unfinished event is larger than the limit.
+            EventTooLarge: An unfinished event exceeds the limit.
         """
         for block in self._blocks(data):
             content = _data_of(block)
--- a/greengageflow/net/connect_check.py
+++ b/greengageflow/net/connect_check.py
@@ -1,4 +1,4 @@
-"""Tells whether a process listens at an address, by a connection and no request."""
+"""Checks whether a process listens at an address by connecting to it."""
 
 from collections.abc import Callable
 from enum import Enum, auto
@@ -13,29 +13,29 @@
 
 TIMEOUT_S = 0.3
 HOLD_S = 0.05
-"""Seconds for which a connection must last to count as taken."""
+"""Time that a connection must stay open to count as accepted, in seconds."""
 
 Address = tuple[str, int]
 
 
 class Reach(Enum):
-    """What became of a connection."""
+    """Result of a connection attempt."""
 
     LISTENS = auto()
     REFUSED = auto()
     CLOSED = auto()
-    """It was taken and ended at once: by a proxy whose endpoint is gone, or a process
-    that has too many."""
+    """The connection was accepted and closed at once, by a proxy whose endpoint is down
+    or by a process that has too many connections."""
     UNKNOWN = auto()
-    """No answer in time, or another error: the way there may be cut."""
+    """Timeout or another error; the network path may be down."""
 
 
 class ConnectCheck(BaseComponent):
-    """Opens connections, and closes them after a moment.
+    """Opens connections without a request and closes them after a short time.
 
     Args:
         timers: Timer service.
-        source_ip: Local IP number of the connections, or None.
+        source_ip: Local IP address to bind connections to, or None.
     """
 
     channel = "connect_check"
@@ -48,7 +48,7 @@
         self._open: dict[socket, tuple[Callable[[Reach], None], Subscription]] = {}
 
     def check(self, address: Address, on_done: Callable[[Reach], None]) -> None:
-        """Call ``on_done`` once, from the loop, with what became of a connection."""
+        """Connect to ``address`` and call ``on_done`` once, from the loop."""
         sock = socket(AF_INET, SOCK_STREAM)
         sock.setblocking(False)
         if self._source_ip is not None:
@@ -70,7 +70,7 @@
             return
         on_done, timer = found
         timer.cancel()
-        # The poller looks a socket up by its file number, which is gone once closed.
+        # Unregister before closing: the poller looks sockets up by file descriptor.
         self._poller.discard(sock)
         sock.close()
         on_done(reach)
@@ -88,12 +88,12 @@
 
     @handler("_write")
     def on_writable(self, sock: socket) -> None:
-        """Take an outcome; called by the poller, or as its event."""
+        """Handle the connect result; called by the poller directly or as its event."""
         self._on_outcome(sock)
 
     @handler("_read")
     def on_readable(self, sock: socket) -> None:
-        """Take what ends a connection; called by the poller, or as its event."""
+        """Handle data or a close; called by the poller directly or as its event."""
         if sock not in self._open:
             return
         try:
--- a/greengageflow/net/event_frames.py
+++ b/greengageflow/net/event_frames.py
@@ -1,4 +1,4 @@
-"""Whole events of a stream, as the bytes that they came in."""
+"""Splits a stream of server-sent events into events without changing their bytes."""
 
 import re
 from collections.abc import Iterator
@@ -10,7 +10,7 @@
 
 
 class FrameTooLarge(Exception):
-    """An event grew past the limit before it ended."""
+    """An unfinished event exceeds the size limit."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -18,8 +18,8 @@
     """One event.
 
     Args:
-        raw: Its bytes with the blank line.
-        number: Its id, or None when it has none.
+        raw: Bytes of the event, including the blank line.
+        number: Numeric event id, or None.
     """
 
     raw: bytes
@@ -27,21 +27,21 @@
 
 
 class EventFrames:
-    """Cuts a byte stream into events."""
+    """Splits a byte stream into events."""
 
     def __init__(self) -> None:
         self._rest = b""
 
     @property
     def torn(self) -> bool:
-        """Whether bytes of an event without its end are left."""
+        """Whether an unfinished event remains."""
         return bool(self._rest.strip())
 
     def feed(self, data: bytes) -> Iterator[Frame]:
-        """Yield the events that ``data`` completes.
+        """Yield the events completed by ``data``.
 
         Raises:
-            FrameTooLarge: An unfinished event is larger than the limit.
+            FrameTooLarge: An unfinished event exceeds the limit.
         """
         text = self._rest + data
         at = 0
--- a/greengageflow/net/http_pool.py
+++ b/greengageflow/net/http_pool.py
@@ -1,7 +1,7 @@
 """Outbound HTTP/1.1 over non-blocking sockets on the circuits poller.
 
-``circuits.web.client`` hands over an answer only when it is whole, so that it cannot
-stream; here receivers get the body as it arrives.
+``circuits.web.client`` buffers a response until it is complete and so cannot stream.
+This pool passes the body to receivers as it arrives.
 """
 
 from collections.abc import Callable, Iterator
@@ -49,19 +49,20 @@
 
 
 class HttpPool(BaseComponent):
-    """Sends requests and keeps connections for reuse.
+    """HTTP client that reuses connections.
 
-    Receivers are called from the loop, never from within ``open``.
+    Receivers are called from the event loop, never from within ``open``.
 
     Args:
         timers: Timer service.
-        source_ip: Local IP number of outgoing connections, or None.
-        max_idle: Most idle connections kept for one address.
-        max_idle_of_all: Most idle connections kept.
-        idle_s: Seconds after which an idle connection is closed.
+        source_ip: Local IP address to bind outgoing connections to, or None.
+        max_idle: Maximum number of idle connections per address.
+        max_idle_of_all: Maximum number of idle connections in total.
+        idle_s: Idle time after which a connection is closed, in seconds.
 
     Attributes:
-        stale_retries: Requests sent again on a new connection so far.
+        stale_retries: Number of requests that were retried on a new connection
+            because a reused one had been closed.
     """
 
     channel = "http_pool"
@@ -87,7 +88,7 @@
         self.stale_retries = 0
 
     def open(self, request: HttpRequest, receiver: Receiver) -> Exchange:
-        """Send ``request`` and hand the answer to ``receiver`` as it arrives.
+        """Send ``request`` and pass the response to ``receiver`` as it arrives.
 
         Raises:
             BadHead: The request is not valid HTTP.
@@ -109,12 +110,12 @@
         on_done: Callable[[Response | Failure], None],
         limit: int = DEFAULT_FETCH_LIMIT,
     ) -> Exchange:
-        """Send ``request`` and call ``on_done`` once with the whole answer.
+        """Send ``request`` and call ``on_done`` once with the complete response.
 
         Args:
-            request: What to send.
-            on_done: Gets the answer or why there is none.
-            limit: Most bytes of the body; more is a failure.
+            request: Request to send.
+            on_done: Called with the response or the failure.
+            limit: Maximum body size in bytes; a larger body is a failure.
 
         Raises:
             BadHead: The request is not valid HTTP.
@@ -158,7 +159,7 @@
         exchange.moved_at = monotonic()
         self._active[conn.sock] = exchange
         if conn.connected:
-            # What is wrong shows again at the write event that is then asked for.
+            # An error persists and is reported at the write event requested below.
             with suppress(OSError):
                 conn.flush()
         self._watch(exchange)
@@ -181,12 +182,12 @@
             poller.removeWriter(conn.sock)
 
     def _close(self, conn: Connection) -> None:
-        # The poller looks a socket up by its file number, which is gone once it
-        # is closed: a later socket with that number would get its events.
+        # Unregister before closing: the poller looks sockets up by file descriptor,
+        # and a later socket that reuses the descriptor would get this one's events.
         self._find_poller().discard(conn.sock)
         conn.close()
 
-    # Ends of exchanges.
+    # Completion and failure of exchanges.
 
     def _drop(self, exchange: Exchange) -> None:
         conn = exchange.conn
@@ -217,10 +218,10 @@
         if not conn.connected:
             self._fail(exchange, FailureKind.CONNECT, message)
         elif stale and exchange.request.take_stale_retry():
-            # The other side closes idle connections as it likes; its close and
-            # our request cross. Only a reused connection does so, hence once. Or it
-            # has read the request and is lost: whoever gives up then may not say that
-            # nothing was sent.
+            # A server may close an idle connection at any time, also just as a
+            # request is sent on it. This affects only reused connections, so one
+            # retry on a new connection is enough. The server may also have read the
+            # request and crashed, so a later failure must report it as sent.
             exchange.sent_before = exchange.sent_before or conn.sent_any
             self.stale_retries += 1
             self._drop(exchange)
@@ -241,11 +242,11 @@
             self._close(conn)
         exchange.receiver.on_end()
 
-    # Events of the poller.
+    # Poller events.
 
     @handler("_read")
     def on_readable(self, sock: socket) -> None:
-        """Take what has arrived; called by the poller, or as its event."""
+        """Read available data; called by the poller directly or as its event."""
         exchange = self._active.get(sock)
         if exchange is not None:
             self._receive(exchange)
@@ -266,7 +267,7 @@
         except AnswerBroken as exc:
             self._fail(exchange, FailureKind.BROKEN, str(exc))
         except Exception as exc:
-            # What was read is lost to the receiver; reading on would leave a hole.
+            # The receiver lost the data of this read; continuing would leave a gap.
             self._fail(exchange, FailureKind.BROKEN, f"receiver failed: {exc!r}")
             raise
 
@@ -281,7 +282,7 @@
 
     @handler("_write")
     def on_writable(self, sock: socket) -> None:
-        """Send what there is room for; called by the poller, or as its event."""
+        """Send buffered data; called by the poller directly or as its event."""
         exchange = self._active.get(sock)
         if exchange is None:
             return
@@ -290,7 +291,11 @@
             if not conn.connected:
                 conn.check_connected()
             if exchange.too_late:
-                self._fail(exchange, FailureKind.TIMEOUT, "too late to send")
+                self._fail(
+                    exchange,
+                    FailureKind.TIMEOUT,
+                    "send deadline passed before the first byte was sent",
+                )
                 return
             conn.flush()
         except OSError as exc:
@@ -300,8 +305,9 @@
         self._watch(exchange)
 
     def _on_broken_write(self, exchange: Exchange, message: str) -> None:
-        # A server may answer early (413) and close while the body is still being
-        # sent; its answer is then in the socket's buffer and worth more than ours.
+        # A server may respond early (413) and close while the body is still being
+        # sent. Prefer its response, which is in the receive buffer, over a write
+        # error.
         if exchange.conn.connected:
             exchange.paused = False
             self._receive(exchange)
@@ -339,9 +345,9 @@
 
     def _expire(self, exchange: Exchange) -> None:
         if exchange.conn.connected:
-            self._fail(exchange, FailureKind.TIMEOUT, "no byte moved in time")
+            self._fail(exchange, FailureKind.TIMEOUT, "idle timeout")
         else:
-            self._fail(exchange, FailureKind.CONNECT, "not connected in time")
+            self._fail(exchange, FailureKind.CONNECT, "connect timeout")
 
     @handler("stopped", channel="*")
     def _on_stopped(self, _manager: object) -> None:
