--- a/tests/http_fakes.py
+++ b/tests/http_fakes.py
@@ -1,4 +1,4 @@
-"""A loop in a thread and a scripted TCP peer for the HTTP tests."""
+"""An event loop in a thread, and a scripted TCP server and client for HTTP tests."""
 
 from collections.abc import Callable
 from queue import Queue
@@ -24,7 +24,7 @@
 
 
 class Loop:
-    """One circuits loop; ``call`` runs a function on it and returns its value."""
+    """A circuits loop in a thread; ``call`` runs a function on it."""
 
     def __init__(self, **pool_options) -> None:
         self.faults = []
@@ -66,7 +66,7 @@
 
 
 class FakePeer:
-    """Accepts connections and runs ``script(conn, number)`` in a thread for each."""
+    """TCP server that runs ``script(conn, number)`` in a thread per connection."""
 
     def __init__(self, script: Callable[["PeerConn", int], None]) -> None:
         self.sock = create_server(("127.0.0.1", 0))
@@ -108,7 +108,7 @@
         self._data = b""
 
     def request(self) -> bytes:
-        """Return the next request; its body must be as long as it says."""
+        """Return the next request, with the body announced by ``Content-Length``."""
         while b"\r\n\r\n" not in self._data:
             self._more()
         head, _, _ = self._data.partition(b"\r\n\r\n")
@@ -138,7 +138,7 @@
 
 
 class Caller:
-    """A blocking caller."""
+    """A blocking TCP client."""
 
     def __init__(self, address: tuple[str, int]) -> None:
         self.sock = create_connection(address, timeout=LIMIT_S)
@@ -146,7 +146,7 @@
         self.data = b""
 
     def until(self, mark: bytes) -> bytes:
-        """Return what came up to and with ``mark``."""
+        """Return received data up to and including ``mark``."""
         while mark not in self.data:
             data = self.sock.recv(65536)
             assert data, f"closed before {mark!r}; got {self.data!r}"
@@ -156,7 +156,7 @@
         return found
 
     def rest(self) -> bytes:
-        """Return everything up to the end of the connection."""
+        """Return all data up to the end of the connection."""
         while data := self.sock.recv(65536):
             self.data += data
         return self.data
--- a/tests/test_answer_faults.py
+++ b/tests/test_answer_faults.py
@@ -1,4 +1,4 @@
-"""Wrong, cut, late and unwanted answers of engines, with real processes."""
+"""Wrong, truncated, late and unwanted responses of engines, with real processes."""
 
 import json
 import socket
@@ -64,7 +64,7 @@
 
 
 def all_running(lab):
-    """Yield the least number that an engine runs, again and again under a load."""
+    """Yield the smallest number of running requests per engine, polled under load."""
     load = BackgroundLoad(lab, chats("acme", outstanding=40), duration_s=2)
     while load.running:
         yield min(running(lab))
@@ -72,18 +72,18 @@
 
 
 def assert_all_slots_usable(lab):
-    """No slot leaked: a load of more than all uses every one at once."""
+    """Assert that no slot leaked: a load above capacity uses all slots at once."""
     wait_for(lambda: not any(running(lab)), "idle engines")
     since = time()
-    # An engine that failed rests first, and then gets more work little by little.
+    # An engine that failed is in backoff first and then ramped up slowly.
     wait_for(lambda: SLOTS in list(all_running(lab)), "every slot in use", 60)
-    # An engine takes a moment to see that a connection of before was closed.
+    # Ignore earlier executions: an engine detects a closed connection with a delay.
     new = [one for one in executions(lab) if one["started"] >= since]
     assert max(most_at_once(new).values()) <= SLOTS
 
 
 def loaded(lab, **options):
-    """Results of a load, and the executions that it caused."""
+    """Run a load that reaches the engines and return its results."""
     before = len(executions(lab))
     load = chats("acme", outstanding=16, **options)
     results = BackgroundLoad(lab, load, duration_s=2).results()
@@ -94,7 +94,7 @@
 
 
 def open_stream(lab, tokens, mark, **headers):
-    """Send a streamed request on a plain socket; return it after the first piece."""
+    """Send a streamed request on a socket with a small buffer; return the socket."""
     message = {"role": "user", "content": mark}
     body = {"model": "scribe", "stream": True, "messages": [message]}
     data = json.dumps({**body, "x_tokens": tokens}).encode()
@@ -133,9 +133,9 @@
     [("duplicate", True), ("late", True), ("cross", True), ("late", False)],
 )
 def test_wrong_pieces_reach_no_caller(lab, wrong, stream):
-    """Each caller gets its own answer although the engine mixes answers up.
+    """Callers must get only their own pieces, each once.
 
-    The engine sends pieces twice, again later, or those of other requests between.
+    The engine sends pieces twice, again later, or pieces of other requests in between.
     """
     fault(lab, **{wrong: True})
     results = loaded(lab, stream=stream)
@@ -143,10 +143,11 @@
 
 
 def test_a_whole_answer_of_another_request_is_refused_and_never_called_not_run(lab):
-    """Callers get a refusal that does not say "not run", since their request ran.
+    """An error must not say "not run" if the request ran.
 
-    The engine answers each with another's answer. The request is tried again, and
-    some wait for the next try up to their deadline, which alone would mean "not run".
+    The engine swaps responses between requests. Requests are retried, and some reach
+    their deadline while they wait for the retry; the deadline alone would mean "not
+    run".
     """
     fault(lab, cross=True)
     message = {"role": "user", "content": "crossed"}
@@ -170,8 +171,8 @@
 def test_cut_streams_are_resumed_or_shown_as_cut(lab):
     """The engine breaks streams off after some pieces.
 
-    Where it resumes, callers get whole answers and nothing runs twice. Else they
-    see an error after what came, never an end mark.
+    If it can resume, callers must get complete responses and no request may run twice.
+    Otherwise they must get an error after the pieces, never an end mark.
     """
     fault(lab, cut_after=5, cut_times=6)
     results = loaded(lab, median_tokens=100)
@@ -189,9 +190,9 @@
 
 
 def test_a_stalled_engine_holds_callers_up_to_their_deadline(lab):
-    """The engine stops in the middle; the caller sees the cut at its deadline.
+    """A stalled stream must end with an error at the caller's deadline.
 
-    Its work there is given up, so that the slot serves others afterwards.
+    The request must also be cancelled at the engine so that its slot is free again.
     """
     tokens = 901
     with closing(open_stream(lab, tokens, "stall", **{"X-Deadline-S": "2"})) as sock:
@@ -209,7 +210,7 @@
 
 
 def test_work_for_a_caller_that_left_stops(lab):
-    """A caller closes its connection in the middle; nobody pays for the rest."""
+    """A caller disconnects mid-stream; its request must be cancelled at the engine."""
     tokens = 20_011
     with closing(open_stream(lab, tokens, "gone")) as sock:
         assert sock.recv(64)
@@ -222,10 +223,10 @@
 
 
 def test_a_slow_reader_holds_up_nobody_and_gets_its_whole_answer(lab):
-    """A caller reads nothing for a long while; others go on at the same engines.
+    """A caller that does not read must not delay others on the same engines.
 
-    What it does not read is held back at the engine's connection, in order; when it
-    reads on, the answer is its own and whole.
+    Backpressure holds its data back at the engine's connection; when it reads again, it
+    must get its complete response.
     """
     tokens = 2_503
     with closing(open_stream(lab, tokens, "slow")) as sock:
@@ -250,9 +251,10 @@
 
 @pytest.mark.parametrize("resumes", [False, True], ids=["plain", "resumes"])
 def test_an_engine_killed_in_the_middle_cuts_only_what_ran_there(resumes):
-    """Callers of the dead engine see the cut, or get an answer from another one.
+    """An engine crash must affect only the requests that ran on it.
 
-    It comes back at its address with empty memory, and all its slots are used again.
+    Their callers get an error or a response of another engine. The engine restarts at
+    its address without state, and all its slots must be used again.
     """
     chat = chats("acme", outstanding=16, median_tokens=150)
     with Lab(plan(resumes)) as lab, BackgroundLoad(lab, chat) as load:
--- a/tests/test_connect_check.py
+++ b/tests/test_connect_check.py
@@ -1,4 +1,4 @@
-"""Looks at addresses where somebody listens, nobody does, or a proxy does."""
+"""Connect checks of addresses with a listener, without one, and behind a proxy."""
 
 from contextlib import closing
 from socket import create_server
@@ -10,7 +10,7 @@
 
 
 class Checks:
-    """A check on a loop of its own."""
+    """A ``ConnectCheck`` with its own loop."""
 
     def __init__(self, loop):
         self.loop, self.seen = loop, []
--- a/tests/test_engine_client.py
+++ b/tests/test_engine_client.py
@@ -80,7 +80,7 @@
 
 
 def streams(*parts, then_wait=False):
-    """Return a script whose nth connection sends the nth part."""
+    """Return a script that sends the nth part on the nth connection."""
 
     def script(conn, number):
         conn.request()
@@ -115,10 +115,10 @@
 
 
 def test_foreign_and_repeated_pieces_are_left_out(loop):
-    """The caller sees each piece of its own answer once.
+    """The caller must get each piece of its own response exactly once.
 
-    The engine mixes in a piece of another request, repeats a piece and sends an
-    old one late. They are dropped and counted, and the stream goes on.
+    The engine sends pieces of another request, a duplicate and a late piece. They are
+    dropped and counted, and the stream continues.
     """
     mixed = event(0, id_="r2") + event(0) + event(0) + event(1, id_="r2")
     mixed += event(1) + event(0)
@@ -143,10 +143,9 @@
 
 @pytest.mark.parametrize("name", CUTS)
 def test_a_cut_stream_is_never_complete(loop, name):
-    """The caller is told that its answer was cut, with what came before it.
+    """A truncated or invalid stream must be reported as cut and as run.
 
-    The engine's stream breaks off, skips a piece or ends without its two end
-    signs. Nothing of it may pass for a whole answer, and the request did run.
+    The stream breaks off, skips a piece, or lacks the last piece or the end marker.
     """
     _, listener, _ = run(loop, streams(CHUNKED + CUTS[name]))
     assert isinstance(listener.ends[0], Cut)
@@ -157,10 +156,10 @@
 
 @pytest.mark.parametrize("name", CUTS)
 def test_a_cut_stream_is_resumed_at_the_next_piece(loop, name):
-    """The caller sees one whole answer although the stream was cut.
+    """An interrupted stream must be resumed at the next piece.
 
-    The engine cuts after the first pieces; the client asks it to go on from the
-    next piece, and an overlap in the second stream is dropped.
+    The engine cuts the stream after the first pieces; the client resumes from the next
+    one and drops pieces that the second stream repeats.
     """
     rest = event(0) + event(1) + event(2, last=True) + DONE
     if name == "last piece without mark":
@@ -194,10 +193,10 @@
 
 
 def test_a_slow_caller_does_not_keep_the_engines_connection(loop):
-    """A complete answer frees its connection although its caller is slow.
+    """A complete response must free its connection even if the caller is slow.
 
-    The listener pauses at the last pieces, since its caller is slow, and is never
-    resumed; the end of the HTTP answer, which comes later, is read all the same.
+    The listener pauses at the last pieces and never resumes; the end of the HTTP
+    response, which arrives later, must still be read.
     """
 
     def script(conn, _number):
@@ -271,10 +270,10 @@
 
 
 def test_cancel_closes_the_stream_and_tells_the_engine(loop):
-    """The caller is gone, and the engine must not work on for nobody.
+    """The engine must stop generating when the caller has disconnected.
 
-    The call is given up in the middle of the stream: its connection is closed, and
-    a cancel order follows for an engine that would wait for a resumption.
+    The call is cancelled in the middle of the stream: its connection is closed, and a
+    cancel request follows for an engine that would wait for a resumption.
     """
     log = []
 
--- a/tests/test_fragments.py
+++ b/tests/test_fragments.py
@@ -1,4 +1,4 @@
-"""Messages between routers that do not fit into one datagram."""
+"""Fragmentation of messages between routers that exceed one datagram."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -14,7 +14,7 @@
 
 @given(st.randoms(use_true_random=False), st.sampled_from([0, 9, LARGEST, LARGEST + 1]))
 def test_messages_of_several_senders_come_whole_in_any_order(random, size):
-    """Pieces of two messages must never be joined into one."""
+    """Fragments of different messages must not be joined into one message."""
     messages = {sender: long_message(at, size) for at, sender in enumerate(SENDERS)}
     rows = [(s, d) for s, data in messages.items() for d in split(7, data)]
     assert all(len(data) <= LARGEST for _, data in rows)
@@ -36,5 +36,5 @@
 
 @given(st.binary(max_size=40))
 def test_spoiled_pieces_are_no_message(data):
-    """Bytes of another sender must not end the loop of this router."""
+    """Invalid data from any sender must not raise in the event loop of the router."""
     assert Fragments().take(SENDERS[0], b"\xc1" + data) in (None, data[8:])
--- a/tests/test_http_parse.py
+++ b/tests/test_http_parse.py
@@ -1,8 +1,8 @@
-"""The parser of both sides beside h11, which checks every byte in Python.
+"""The HTTP parsers compared with h11, which checks every byte in Python.
 
-What one of two readers of the same bytes takes for a body and the other for a request
-is how requests are smuggled. So whatever is accepted here must be accepted by h11, as
-the same messages.
+Request smuggling works where two parsers read the same bytes differently, one as a body
+and the other as a request. So h11 must accept every input that the parsers accept, and
+read the same messages from it.
 """
 
 import h11
@@ -26,7 +26,7 @@
 HEAD = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n"
 LAST = b"0\r\n\r\n"
 
-# Text of a caller that looks like chunks, which a reader out of step would take off.
+# A body that looks like a chunk; a parser that lost its position would remove it.
 ALIKE = b"1\r\nx\r\n"
 
 contents = st.one_of(
@@ -52,7 +52,7 @@
 
 
 def answer_by_h11(parts):
-    """Return the body and how it ended."""
+    """Return the body and its state: whole, broken or open."""
     http = h11.Connection(h11.CLIENT)
     http.send(h11.Request(method="GET", target="/", headers=[("host", "x")]))
     http.send(h11.EndOfMessage())
@@ -93,12 +93,16 @@
 @given(stream=streams, sizes=cuts)
 @example(stream=b"c\r\n" + ALIKE * 2 + b"\r\n" + LAST, sizes=[9])
 def test_a_chunked_body_is_the_same_in_any_parts_and_by_another_reader(stream, sizes):
-    """A caller would miss text, get sizes in it, or take a cut answer for whole."""
+    """The result must not depend on how the stream is split into reads.
+
+    Otherwise a caller would miss text, get chunk sizes in it, or take a truncated
+    response for a complete one.
+    """
     parts = parts_of(stream, sizes)
     mine, theirs = answer_by_reader(parts), answer_by_h11(parts)
     assert answer_by_reader([stream] if stream else []) == mine
     if mine[1] == "broken":
-        # Found earlier or later than by the other one, but never taken for whole.
+        # h11 may detect the error earlier or later, but must not see a whole body.
         assert theirs[1] != "whole"
     else:
         assert mine == theirs
@@ -184,7 +188,7 @@
 
 
 def requests_by_reader(parts):
-    """Return whole requests, up to one that ends the connection."""
+    """Return the complete requests, up to one that ends the connection."""
     reader = RequestReader(LARGEST)
     found, head, body = [], None, b""
     for part in parts:
@@ -202,7 +206,7 @@
                     lengths = [n for n, _ in head.headers if n == "content-length"]
                     codings = [n for n, _ in head.headers if n == "transfer-encoding"]
                     if head.version not in ("1.0", "1.1") or (lengths and codings):
-                        # Refused by the connection, with an answer of its own.
+                        # The caller connection rejects these with its own response.
                         return found
                 case Body(data):
                     body += data
@@ -218,8 +222,8 @@
 
 
 def requests_by_h11(data):
-    # More than one space before the target is passed over here, and sent on as one,
-    # as RFC 9112 allows; h11 refuses it. No end of a message depends on it.
+    # Our parser reads several spaces before the target as one, as RFC 9112 allows;
+    # h11 rejects them. Message lengths do not depend on it.
     data = data.replace(b"POST  /", b"POST /")
     http = h11.Connection(h11.SERVER, max_incomplete_event_size=LARGEST)
     http.receive_data(data)
@@ -253,15 +257,17 @@
 @example([b"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabcGET /b"], [])
 def test_no_request_is_read_that_another_reader_refuses_or_reads_otherwise(rows, sizes):
     data = b"".join(rows)
-    assume(b"\r\n\r\n\r\n" not in data)  # empty lines are tried below
+    assume(b"\r\n\r\n\r\n" not in data)  # empty lines are tested below
     mine = requests_by_reader(parts_of(data, sizes))
     assert mine == requests_by_reader([data])
     assert mine == requests_by_h11(data)[: len(mine)]
 
 
 def test_an_upgrade_ends_the_connection_and_trailers_are_no_headers():
-    """What follows an upgrade is of another protocol. A trailer that passed for a
-    header could name another account."""
+    """Data after an upgrade must not be parsed as a request.
+
+    A trailer must not be taken for a header: it could name another account.
+    """
     reader = RequestReader(LARGEST)
     lines = b"Host: h\r\nConnection: upgrade\r\nUpgrade: h2c\r\n\r\n"
     reader.feed(b"GET /a HTTP/1.1\r\n" + lines + b"GET /b HTTP/1.1\r\n" + lines)
@@ -282,12 +288,12 @@
         + LAST
     )
     assert len(requests_by_reader([(one + two) * count])) == 2 * count
-    # Some clients end a body with an empty line that is not part of it.
+    # Some clients send an empty line after the body that is not part of it.
     assert len(requests_by_reader([(one + b"\r\n") * count])) == count
 
 
 def test_a_head_without_end_is_refused():
-    """Callers could otherwise fill the memory of the host."""
+    """Without a limit, a caller could exhaust the memory of the host."""
     reader = RequestReader(LARGEST)
     reader.feed(b"GET / HTTP/1.1\r\nHost: h\r\nA: ")
     with pytest.raises(BadMessage) as info:
--- a/tests/test_http_pool.py
+++ b/tests/test_http_pool.py
@@ -87,10 +87,10 @@
     ],
 )
 def test_half_and_broken_answers_are_failures(loop, answer, kind):
-    """The caller of the pool sees one failure and no answer.
+    """A truncated or invalid response must be reported as one failure.
 
-    The peer answers less than it announced, without any length, garbage, or too
-    much, and closes. Half an answer must never pass for a whole one.
+    The peer sends less than announced, no length, garbage or too much, and closes the
+    connection.
     """
 
     def script(conn, _number):
@@ -110,10 +110,10 @@
 
 
 def test_a_connection_that_never_comes_about_is_not_sent(loop):
-    """The caller of the pool is told that nothing was sent.
+    """A connect timeout must be reported as not sent.
 
-    The peer's queue of connections is full, so that no handshake ends; the pool
-    gives up after the connect timeout and no byte of the request has left.
+    The peer's listen backlog is full, so the handshake never completes and no byte of
+    the request is sent.
     """
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
@@ -136,11 +136,11 @@
 
 @pytest.mark.parametrize("retry_stale", [True, False])
 def test_a_stale_connection_is_replaced_only_where_allowed(loop, retry_stale):
-    """The caller of the pool gets its answer, and a protected action is sent once.
+    """A closed idle connection must not fail a request or repeat a protected one.
 
-    The peer answers once and then closes the connection as the next request
-    arrives on it, as servers do with idle connections. A request that may be sent
-    again goes out on a new connection; a protected one never used the old one.
+    The peer responds once and closes the connection when the next request arrives on
+    it, as servers do with idle connections. A request with ``retry_stale`` is retried
+    on a new connection; one without it never uses the old connection.
     """
 
     def script(conn, number):
@@ -160,10 +160,10 @@
 
 
 def test_what_was_sent_on_a_kept_connection_is_not_called_unsent(loop):
-    """The caller of the pool must not say that the request has not run.
+    """A failed retry must be reported as sent if the first attempt was sent.
 
-    The peer reads the second request on the connection that was kept, and is lost. A
-    new connection cannot be made, and nothing was sent on that one.
+    The peer reads the second request on the reused connection and goes down. The retry
+    cannot connect, but the request may have run.
     """
 
     def script(conn, _number):
@@ -181,11 +181,10 @@
 
 
 def test_an_early_answer_survives_a_broken_body(loop, monkeypatch):
-    """The caller of the pool sees the 413 and not a broken connection.
+    """An early 413 must be reported instead of a write error.
 
-    The peer answers before it has read the body, then closes. The pool is still
-    sending; its write fails at a moment at which the answer has come but the poller
-    has not yet told of it.
+    The peer responds before it has read the body. The pool is still sending; its write
+    fails when the response has arrived but the poller has not reported it yet.
     """
 
     def script(conn, _number):
@@ -204,10 +203,10 @@
 
 
 def test_pause_holds_the_sender_back(loop):
-    """A receiver that pauses gets no more, and the peer comes to wait.
+    """A paused receiver gets no data, and flow control blocks the peer.
 
-    The peer sends far more than the socket buffers hold; the receiver pauses at
-    the head, so that the peer's writes stop until the receiver resumes.
+    The peer sends far more than the socket buffers hold; the receiver pauses at the
+    head and resumes later.
     """
     size = 20_000_000
     sent = []
@@ -242,10 +241,10 @@
 
 
 def test_a_receiver_that_fails_gets_no_answer_with_a_hole(loop):
-    """The receiver's own fault ends the exchange.
+    """An exception in the receiver must end the exchange.
 
-    It raises while it takes the first bytes, which are lost by that; more bytes
-    must not follow as if nothing were missing.
+    The receiver raises in ``on_data`` and loses these bytes; it must not get later
+    bytes as if nothing were missing.
     """
 
     def script(conn, _number):
