--- a/greengageflow/net/_caller_conn.py
+++ b/greengageflow/net/_caller_conn.py
@@ -15,16 +15,16 @@
 from greengageflow.net._http_parse import (
     BadMessage,
     Body,
-    MessageEnd,
+    RequestEnd,
     RequestHead,
-    RequestReader,
+    RequestParser,
 )
 from greengageflow.net._http_write import (
-    GO_ON,
+    CONTINUE_RESPONSE,
     LAST_CHUNK,
-    answer_head,
     chunk,
     date_header,
+    response_head,
 )
 from greengageflow.net.calls import CallerCall, CallerRequest
 from greengageflow.net.reply import Header, Reply, busy_answer
@@ -71,7 +71,7 @@
         self._limits = limits
         self._budget = budget
         self._interface = interface
-        self._requests = RequestReader(limits().headers)
+        self._requests = RequestParser(limits().headers)
         self._head: RequestHead | None = None
         self._whole = False
         self._unread: list[bytes] = []
@@ -137,7 +137,7 @@
                     self._on_head(head)
                 case Body(data):
                     self._on_body(data)
-                case MessageEnd():
+                case RequestEnd():
                     self._on_request()
                 case None:
                     return False
@@ -160,7 +160,7 @@
         self._check_head(head, headers)
         waits = headers.get("expect", "").lower() == "100-continue"
         if waits and head.version == "1.1" and not self._requests.body_arrived:
-            self._link.send(GO_ON)
+            self._link.send(CONTINUE_RESPONSE)
 
     def _check_head(self, head: RequestHead, headers: dict[str, str]) -> None:
         limits = self._limits()
@@ -248,7 +248,7 @@
         is_last = close or self._ends_with_answer
         if is_last:
             lines.append(CLOSE)
-        self._link.send(answer_head(status, lines) + (body if has_body else b""))
+        self._link.send(response_head(status, lines) + (body if has_body else b""))
         self._on_answered(is_last)
 
     @property
@@ -262,7 +262,7 @@
         lines = [date_header(), *headers, ("transfer-encoding", "chunked")]
         if self._limits().last_answer or not self._head.keep_alive:
             lines.append(CLOSE)
-        self._link.send(answer_head(status, lines))
+        self._link.send(response_head(status, lines))
 
     def send_piece(self, data: bytes) -> None:
         """Send a piece of a streamed answer."""
--- a/greengageflow/net/_http_conn.py
+++ b/greengageflow/net/_http_conn.py
@@ -16,11 +16,11 @@
 )
 
 from greengageflow.net._http_parse import (
-    AnswerEnd,
-    AnswerReader,
     BadMessage,
     Body,
     Head,
+    ResponseEnd,
+    ResponseParser,
 )
 from greengageflow.net._http_write import request_head
 
@@ -28,16 +28,16 @@
 IP_BIND_ADDRESS_NO_PORT = 24
 
 
-class AnswerCut(Exception):
+class ResponseTruncated(Exception):
     """The server closed the connection before the response was complete."""
 
 
-class AnswerBroken(Exception):
+class InvalidResponse(Exception):
     """The response is not valid HTTP/1.1."""
 
 
 @dataclass(frozen=True, slots=True)
-class Chunk:
+class BodyData:
     """Body bytes received by one read."""
 
     data: bytes
@@ -54,7 +54,7 @@
     reusable: bool
 
 
-Arrival = Head | Chunk | End
+ResponsePart = Head | BodyData | End
 
 
 class Connection:
@@ -72,22 +72,22 @@
         self.address = address
         self.sock = socket(AF_INET, SOCK_STREAM)
         try:
-            self._begin(source_ip)
+            self._start_connecting(source_ip)
         except OSError:
             self.sock.close()
             raise
         self.connected = False
         self.reused = False
         self.sent_any = False
-        self.heard_any = False
-        self._out = memoryview(b"")
-        self._closing = False
+        self.received_any = False
+        self._unsent = memoryview(b"")
+        self._peer_closed = False
         self._until_close = False
         self._accepts: Callable[[Head], bool] | None = None
         self._skipping = False
-        self._answers = AnswerReader()
+        self._parser = ResponseParser()
 
-    def _begin(self, source_ip: str | None) -> None:
+    def _start_connecting(self, source_ip: str | None) -> None:
         self.sock.setblocking(False)
         self.sock.setsockopt(IPPROTO_TCP, TCP_NODELAY, 1)
         if source_ip is not None:
@@ -101,7 +101,7 @@
     @property
     def wants_write(self) -> bool:
         """True while connecting or while request bytes are unsent."""
-        return not self.connected or bool(self._out)
+        return not self.connected or bool(self._unsent)
 
     def check_connected(self) -> None:
         """Check the result of connecting, once the socket is writable.
@@ -114,7 +114,7 @@
             raise OSError(code, "cannot connect")
         self.connected = True
 
-    def load(
+    def prepare(
         self,
         method: str,
         target: str,
@@ -129,8 +129,8 @@
         Raises:
             BadHead: The request is not valid HTTP.
         """
-        self.sent_any = self.heard_any = self._closing = False
-        self._answers.expect(method)
+        self.sent_any = self.received_any = self._peer_closed = False
+        self._parser.expect(method)
         self._until_close = until_close
         self._accepts = accepts
         self._skipping = False
@@ -141,7 +141,7 @@
         if body or method not in ("GET", "HEAD", "DELETE", "OPTIONS"):
             extra.append(("content-length", str(len(body))))
         head = request_head(method, target, (*extra, *headers))
-        self._out = memoryview(head + body)
+        self._unsent = memoryview(head + body)
 
     def flush(self) -> None:
         """Send as many request bytes as the socket accepts.
@@ -149,13 +149,13 @@
         Raises:
             OSError: The connection failed.
         """
-        while self._out:
+        while self._unsent:
             try:
-                count = self.sock.send(self._out)
+                count = self.sock.send(self._unsent)
             except (BlockingIOError, InterruptedError):
                 return
             self.sent_any = self.sent_any or count > 0
-            self._out = self._out[count:]
+            self._unsent = self._unsent[count:]
 
     def is_stale(self) -> bool:
         """Return True if an idle connection was closed or has received data."""
@@ -167,32 +167,34 @@
             return True
         return True
 
-    def receive(self) -> Iterator[Arrival]:
+    def receive(self) -> Iterator[ResponsePart]:
         """Read once and yield the parsed parts of the response.
 
         Raises:
-            AnswerCut: The response was truncated.
-            AnswerBroken: The response is not valid HTTP/1.1.
+            ResponseTruncated: The response was truncated.
+            InvalidResponse: The response is not valid HTTP/1.1.
         """
         try:
             data = self.sock.recv(READ_SIZE)
         except (BlockingIOError, InterruptedError):
             return
         except OSError as exc:
-            raise AnswerCut(str(exc)) from exc
-        self.heard_any = self.heard_any or bool(data)
+            raise ResponseTruncated(str(exc)) from exc
+        self.received_any = self.received_any or bool(data)
         if not data:
-            self._closing = True
+            self._peer_closed = True
         try:
-            yield from self._arrivals(data)
+            yield from self._parse(data)
         except BadMessage as exc:
-            if self._closing:
-                raise AnswerCut("closed before the response was complete") from exc
-            raise AnswerBroken(str(exc)) from exc
+            if self._peer_closed:
+                raise ResponseTruncated(
+                    "closed before the response was complete"
+                ) from exc
+            raise InvalidResponse(str(exc)) from exc
 
-    def _arrivals(self, data: bytes) -> Iterator[Arrival]:
+    def _parse(self, data: bytes) -> Iterator[ResponsePart]:
         body: list[bytes] = []
-        events = self._answers.feed(data)
+        events = self._parser.feed(data)
         for event in events:
             match event:
                 case Head() as head:
@@ -202,42 +204,44 @@
                 case Body():
                     if not self._skipping:
                         body.append(event.data)
-                case AnswerEnd() if self._skipping:
+                case ResponseEnd() if self._skipping:
                     # An endpoint may send a late response to an earlier request in
                     # place of the expected one. Skip it and wait for the next.
-                    self._go_on_after_skipped(event)
-                case AnswerEnd():
+                    self._on_skipped_end(event)
+                case ResponseEnd():
                     if body:
-                        yield Chunk(b"".join(body))
+                        yield BodyData(b"".join(body))
                     yield self._end(event, is_last=self._is_last(events))
                     return
         if body:
-            yield Chunk(b"".join(body))
-        if self._closing:
+            yield BodyData(b"".join(body))
+        if self._peer_closed:
             yield self._end_by_close()
 
-    def _go_on_after_skipped(self, end: AnswerEnd) -> None:
-        if self._closing or not end.keep_alive:
-            raise AnswerCut("closed after the response to another request")
+    def _on_skipped_end(self, end: ResponseEnd) -> None:
+        if self._peer_closed or not end.keep_alive:
+            raise ResponseTruncated("closed after the response to another request")
         self._skipping = False
 
     def _is_last(self, events: Iterator[object]) -> bool:
         """Return whether no data follows the response."""
         try:
-            return next(events, None) is None and not self._answers.begun
+            return next(events, None) is None and not self._parser.in_message
         except BadMessage:
             return False
 
-    def _end(self, end: AnswerEnd, *, is_last: bool) -> End:
-        return End(end.keep_alive and is_last and not self._closing and not self._out)
+    def _end(self, end: ResponseEnd, *, is_last: bool) -> End:
+        return End(
+            end.keep_alive and is_last and not self._peer_closed and not self._unsent
+        )
 
     def _end_by_close(self) -> End:
         # A body delimited by the end of the connection may have been truncated
         # anywhere, and the caller could not tell. It is accepted only on request.
-        if not self._answers.until_close:
-            raise AnswerCut("closed before the response was complete")
+        if not self._parser.until_close:
+            raise ResponseTruncated("closed before the response was complete")
         if not self._until_close or self._skipping:
-            raise AnswerCut("response has no length")
+            raise ResponseTruncated("response has no length")
         return End(reusable=False)
 
     def close(self) -> None:
--- a/greengageflow/net/_http_parse.py
+++ b/greengageflow/net/_http_parse.py
@@ -19,26 +19,28 @@
 
 HeaderLines = tuple[tuple[str, str], ...]
 
-LARGEST_ANSWER_HEAD = 65_536
+MAX_RESPONSE_HEAD_BYTES = 65_536
 """Maximum size of a response's status line and headers, in bytes."""
 
 CHUNKED = "chunked"
 _FRAMING = frozenset({"host", "content-length", "transfer-encoding"})
 
 
-_LENGTH = re.compile(rb"\ncontent-length:[ \t]*(\d{1,9})[ \t]*\r", re.IGNORECASE)
-_CHUNKED = re.compile(rb"\ntransfer-encoding:", re.IGNORECASE)
+_CONTENT_LENGTH = re.compile(
+    rb"\ncontent-length:[ \t]*(\d{1,9})[ \t]*\r", re.IGNORECASE
+)
+_TRANSFER_ENCODING = re.compile(rb"\ntransfer-encoding:", re.IGNORECASE)
 
 
-def is_whole_request(data: bytes) -> bool:
+def is_single_request(data: bytes) -> bool:
     """Return whether ``data`` is exactly one complete request.
 
     A quick check without a full parse; chunked requests give False.
     """
     end = data.find(b"\r\n\r\n")
-    if end < 0 or _CHUNKED.search(data, 0, end):
+    if end < 0 or _TRANSFER_ENCODING.search(data, 0, end):
         return False
-    found = _LENGTH.findall(data, 0, end + 2)
+    found = _CONTENT_LENGTH.findall(data, 0, end + 2)
     length = int(found[0]) if found else 0
     return len(found) <= 1 and len(data) == end + 4 + length
 
@@ -85,7 +87,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MessageEnd:
+class RequestEnd:
     """End of a complete request."""
 
 
@@ -107,7 +109,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerEnd:
+class ResponseEnd:
     """End of a complete response.
 
     Args:
@@ -117,7 +119,7 @@
     keep_alive: bool
 
 
-Event = RequestHead | Head | Body | MessageEnd | AnswerEnd | BadMessage
+Event = RequestHead | Head | Body | RequestEnd | ResponseEnd | BadMessage
 
 
 class _Headers:
@@ -144,7 +146,7 @@
         """Return all values of a host or message length header."""
         return self._framing.get(name, [])
 
-    def check_coding(self) -> None:
+    def check_transfer_coding(self) -> None:
         """Reject any transfer coding except a single ``chunked``.
 
         The parser itself rejects repeated lengths, and a length with chunked coding.
@@ -154,33 +156,33 @@
             raise BadMessage("unsupported transfer-encoding; only chunked is supported")
 
 
-class _MessageReader:
+class _MessageParser:
     """Base of both parsers: llhttp, the head size limit and error handling.
 
     The parser calls the ``on_...`` methods of the subclasses.
 
     Args:
         parser: Parser class of ``httptools``.
-        largest_head: Maximum size of a message's head, in bytes.
+        max_head_bytes: Maximum size of a message's head, in bytes.
     """
 
     def __init__(
         self,
         parser: type[HttpRequestParser] | type[HttpResponseParser],
-        largest_head: int,
+        max_head_bytes: int,
     ) -> None:
-        self.begun = False
+        self.in_message = False
         """Whether a message has started and is not complete yet."""
         self._parser = parser(self)
-        self._largest_head = largest_head
+        self._max_head_bytes = max_head_bytes
         self._events: deque[Event] = deque()
         self._headers = _Headers()
         self._head_bytes = 0
         self._in_head = True
-        self._over = False
+        self._stopped = False
 
     def _parse(self, data: bytes) -> None:
-        if self._over:
+        if self._stopped:
             return
         # Counted per read: the read with the end of the head counts in full,
         # including data that follows.
@@ -193,17 +195,21 @@
         except HttpParserError as exc:
             # The parser wraps exceptions that were raised in a callback.
             cause = exc.__context__
-            known = cause if isinstance(cause, BadMessage) else BadMessage(str(exc))
-            self._end(known)
-        if self._in_head and self.begun and self._head_bytes > self._largest_head:
-            self._end(BadMessage("head too large", too_large=True))
+            error = cause if isinstance(cause, BadMessage) else BadMessage(str(exc))
+            self._fail(error)
+        if (
+            self._in_head
+            and self.in_message
+            and self._head_bytes > self._max_head_bytes
+        ):
+            self._fail(BadMessage("head too large", too_large=True))
 
     def _on_upgrade(self) -> None:
         """Handle a switch to another protocol in the data that follows."""
         raise NotImplementedError
 
-    def _end(self, exc: BadMessage) -> None:
-        self._over = True
+    def _fail(self, exc: BadMessage) -> None:
+        self._stopped = True
         self._events.append(exc)
 
     def _next(self) -> "Event":
@@ -212,7 +218,7 @@
             raise event
         return event
 
-    def _end_head(self) -> None:
+    def _on_head_complete(self) -> None:
         self._in_head = False
         self._head_bytes = 0
 
@@ -220,32 +226,32 @@
 
     def on_message_begin(self) -> None:
         self._headers = _Headers()
-        self._in_head = self.begun = True
+        self._in_head = self.in_message = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
         self._headers.add(name, value)
 
     def on_message_complete(self) -> None:
-        self.begun = False
+        self.in_message = False
         self._in_head = True
 
 
-class RequestReader(_MessageReader):
+class RequestParser(_MessageParser):
     """Parses the requests of one connection.
 
     Args:
-        largest_head: Maximum size of a request's head, in bytes.
+        max_head_bytes: Maximum size of a request's head, in bytes.
     """
 
-    def __init__(self, largest_head: int) -> None:
-        super().__init__(HttpRequestParser, largest_head)
+    def __init__(self, max_head_bytes: int) -> None:
+        super().__init__(HttpRequestParser, max_head_bytes)
         self._target = b""
 
     def feed(self, data: bytes) -> None:
         """Parse received bytes; ``next`` returns the results."""
         self._parse(data)
 
-    def next(self) -> RequestHead | Body | MessageEnd | None:
+    def next(self) -> RequestHead | Body | RequestEnd | None:
         """Return the next parsed part, or None if more bytes are needed.
 
         Raises:
@@ -256,7 +262,7 @@
     @property
     def has_more(self) -> bool:
         """Whether part of another request has arrived."""
-        return bool(self._events) or self.begun
+        return bool(self._events) or self.in_message
 
     @property
     def body_arrived(self) -> bool:
@@ -265,7 +271,7 @@
 
     def _on_upgrade(self) -> None:
         # Upgrades are not supported, and the bytes that follow are not HTTP/1.1.
-        self._over = True
+        self._stopped = True
 
     # Called by the parser.
 
@@ -277,9 +283,9 @@
         self._target += url
 
     def on_headers_complete(self) -> None:
-        self._end_head()
+        self._on_head_complete()
         headers, version = self._headers, self._parser.get_http_version()
-        headers.check_coding()
+        headers.check_transfer_coding()
         hosts = headers.values("host")
         if len(hosts) > 1 or (not hosts and version == "1.1"):
             raise BadMessage("request must have exactly one host header")
@@ -299,24 +305,24 @@
 
     def on_message_complete(self) -> None:
         super().on_message_complete()
-        self._events.append(MessageEnd())
+        self._events.append(RequestEnd())
 
 
-class AnswerReader(_MessageReader):
+class ResponseParser(_MessageParser):
     """Parses the responses on one connection."""
 
     def __init__(self) -> None:
-        super().__init__(HttpResponseParser, LARGEST_ANSWER_HEAD)
+        super().__init__(HttpResponseParser, MAX_RESPONSE_HEAD_BYTES)
         self.until_close = False
         """Whether the current response is delimited by the end of the connection."""
         self._interim = False
-        self._bodiless = False
+        self._no_body = False
 
     def expect(self, method: str) -> None:
         """Set the method of the request whose response comes next."""
-        self._bodiless = method == "HEAD"
+        self._no_body = method == "HEAD"
 
-    def feed(self, data: bytes) -> Iterator[Head | Body | AnswerEnd]:
+    def feed(self, data: bytes) -> Iterator[Head | Body | ResponseEnd]:
         """Parse received bytes and yield the results.
 
         Raises:
@@ -328,7 +334,7 @@
             yield self._next()
 
     def _on_upgrade(self) -> None:
-        self._end(BadMessage("unexpected protocol upgrade"))
+        self._fail(BadMessage("unexpected protocol upgrade"))
 
     # Called by the parser.
 
@@ -337,28 +343,30 @@
         self._interim = self.until_close = False
 
     def on_headers_complete(self) -> None:
-        self._end_head()
+        self._on_head_complete()
         status = self._parser.get_status_code()
         self._interim = 100 <= status < 200
         headers = self._headers
-        headers.check_coding()
+        headers.check_transfer_coding()
         if self._interim:
             return
-        known = headers.values("content-length") or headers.values("transfer-encoding")
-        self.until_close = not known and status not in (204, 304)
+        framing = headers.values("content-length") or headers.values(
+            "transfer-encoding"
+        )
+        self.until_close = not framing and status not in (204, 304)
         self._events.append(Head(status, headers.lines()))
-        if self._bodiless and known and known != ["0"]:
+        if self._no_body and framing and framing != ["0"]:
             # This responds to HEAD and has no body. The parser does not know the
             # method and would read the next response as the body.
-            self.begun = self.until_close = False
-            self._over = True
-            self._events.append(AnswerEnd(keep_alive=False))
+            self.in_message = self.until_close = False
+            self._stopped = True
+            self._events.append(ResponseEnd(keep_alive=False))
 
     def on_body(self, data: bytes) -> None:
-        if not (self._interim or self._over):
+        if not (self._interim or self._stopped):
             self._events.append(Body(data))
 
     def on_message_complete(self) -> None:
         super().on_message_complete()
-        if not (self._interim or self._over):
-            self._events.append(AnswerEnd(self._parser.should_keep_alive()))
+        if not (self._interim or self._stopped):
+            self._events.append(ResponseEnd(self._parser.should_keep_alive()))
--- a/greengageflow/net/_http_write.py
+++ b/greengageflow/net/_http_write.py
@@ -9,7 +9,7 @@
 
 Header = tuple[str, str]
 
-GO_ON = b"HTTP/1.1 100 \r\n\r\n"
+CONTINUE_RESPONSE = b"HTTP/1.1 100 \r\n\r\n"
 LAST_CHUNK = b"0\r\n\r\n"
 _REASONS = {status.value: status.phrase for status in HTTPStatus}
 _TOKEN = re.compile(r"[-!#$%&'*+.^_`|~0-9A-Za-z]+")
@@ -31,7 +31,7 @@
     return _head(f"{method} {target} HTTP/1.1", headers)
 
 
-def answer_head(status: int, headers: Iterable[Header]) -> bytes:
+def response_head(status: int, headers: Iterable[Header]) -> bytes:
     """Return the status line and headers of a response.
 
     Raises:
@@ -40,13 +40,17 @@
     return _head(f"HTTP/1.1 {status} {_REASONS.get(status, '')}", headers)
 
 
-def _head(first: str, headers: Iterable[Header]) -> bytes:
-    lines = [first, *(f"{name}: {value}" for name, value in headers), "", ""]
+def _head(start_line: str, headers: Iterable[Header]) -> bytes:
+    lines = [start_line, *(f"{name}: {value}" for name, value in headers), "", ""]
     head = "\r\n".join(lines).encode("latin-1", "replace")
     # An extra line end would start another header or message (header injection).
-    ends = len(lines) - 1
-    if head.count(b"\n") != ends or head.count(b"\r") != ends or b"\0" in head:
-        raise BadHead(f"line end or NUL in {first!r} or its headers")
+    line_ends = len(lines) - 1
+    if (
+        head.count(b"\n") != line_ends
+        or head.count(b"\r") != line_ends
+        or b"\0" in head
+    ):
+        raise BadHead(f"line end or NUL in {start_line!r} or its headers")
     return head
 
 
--- a/greengageflow/net/callers.py
+++ b/greengageflow/net/callers.py
@@ -26,7 +26,7 @@
     OpenGate,
     RequestGate,
 )
-from greengageflow.net._http_parse import is_whole_request
+from greengageflow.net._http_parse import is_single_request
 from greengageflow.net.caller_sockets import CallerSockets
 from greengageflow.net.calls import (
     OWN_INTERFACE,
@@ -284,7 +284,7 @@
             sock.close()
             return True
         is_turned_away = self._gate.turns_away(data)
-        if is_turned_away and is_whole_request(data):
+        if is_turned_away and is_single_request(data):
             self.taken += 1
             with suppress(OSError):
                 sock.send(busy_answer(self._interface.retry_after, int(time())))
--- a/greengageflow/net/http_pool.py
+++ b/greengageflow/net/http_pool.py
@@ -15,11 +15,11 @@
 
 from greengageflow.net._exchange import Collector, Exchange
 from greengageflow.net._http_conn import (
-    AnswerBroken,
-    AnswerCut,
-    Chunk,
+    BodyData,
     Connection,
     End,
+    InvalidResponse,
+    ResponseTruncated,
 )
 from greengageflow.net._http_parse import Head
 from greengageflow.net._http_write import BadHead
@@ -144,7 +144,7 @@
     def _start(self, exchange: Exchange, conn: Connection) -> None:
         request = exchange.request
         try:
-            conn.load(
+            conn.prepare(
                 request.method,
                 request.path,
                 request.headers,
@@ -214,7 +214,7 @@
 
     def _fail_cut(self, exchange: Exchange, message: str) -> None:
         conn = exchange.conn
-        stale = conn.reused and not conn.heard_any
+        stale = conn.reused and not conn.received_any
         if not conn.connected:
             self._fail(exchange, FailureKind.CONNECT, message)
         elif stale and exchange.request.take_stale_retry():
@@ -258,27 +258,27 @@
             return
         exchange.moved_at = monotonic()
         try:
-            for arrival in exchange.conn.receive():
-                self._deliver(exchange, arrival)
+            for part in exchange.conn.receive():
+                self._deliver(exchange, part)
                 if not exchange.live:
                     return
-        except AnswerCut as exc:
+        except ResponseTruncated as exc:
             self._fail_cut(exchange, str(exc))
-        except AnswerBroken as exc:
+        except InvalidResponse as exc:
             self._fail(exchange, FailureKind.BROKEN, str(exc))
         except Exception as exc:
             # The receiver lost the data of this read; continuing would leave a gap.
             self._fail(exchange, FailureKind.BROKEN, f"receiver failed: {exc!r}")
             raise
 
-    def _deliver(self, exchange: Exchange, arrival: Head | Chunk | End) -> None:
-        match arrival:
+    def _deliver(self, exchange: Exchange, part: Head | BodyData | End) -> None:
+        match part:
             case Head():
-                exchange.receiver.on_head(arrival)
-            case Chunk(data):
+                exchange.receiver.on_head(part)
+            case BodyData(data):
                 exchange.receiver.on_data(data)
             case End():
-                self._finish(exchange, arrival)
+                self._finish(exchange, part)
 
     @handler("_write")
     def on_writable(self, sock: socket) -> None:
--- a/tests/test_caller_limits.py
+++ b/tests/test_caller_limits.py
@@ -8,7 +8,7 @@
 from circuits.core.pollers import _read
 from http_fakes import wait_for
 
-from greengageflow.net._http_parse import is_whole_request
+from greengageflow.net._http_parse import is_single_request
 from greengageflow.net.callers import SWEEP_S, Limits
 from greengageflow.platform.interfaces import CallerInterface
 from greengageflow.platform.names import CREDENTIAL
@@ -182,7 +182,7 @@
 )
 def test_only_what_is_plainly_whole_is_answered_without_being_watched(data, is_whole):
     """Closing with bytes on their way would reset the connection."""
-    assert is_whole_request(data) is is_whole
+    assert is_single_request(data) is is_whole
 
 
 def test_the_key_of_a_request_is_found_without_parsing_it():
--- a/tests/test_http_parse.py
+++ b/tests/test_http_parse.py
@@ -11,15 +11,15 @@
 from hypothesis import strategies as st
 
 from greengageflow.net._http_parse import (
-    LARGEST_ANSWER_HEAD,
-    AnswerEnd,
-    AnswerReader,
+    MAX_RESPONSE_HEAD_BYTES,
     BadMessage,
     Body,
     Head,
-    MessageEnd,
+    RequestEnd,
     RequestHead,
-    RequestReader,
+    RequestParser,
+    ResponseEnd,
+    ResponseParser,
 )
 
 LARGEST = 16_384
@@ -72,7 +72,7 @@
 
 
 def answer_by_reader(parts):
-    reader = AnswerReader()
+    reader = ResponseParser()
     reader.expect("GET")
     assert list(reader.feed(HEAD)) == [Head(200, (("transfer-encoding", "chunked"),))]
     body = b""
@@ -82,7 +82,7 @@
                 match event:
                     case Body(data):
                         body += data
-                    case AnswerEnd():
+                    case ResponseEnd():
                         return body, "whole"
         except BadMessage:
             return body, "broken"
@@ -189,7 +189,7 @@
 
 def requests_by_reader(parts):
     """Return the complete requests, up to one that ends the connection."""
-    reader = RequestReader(LARGEST)
+    reader = RequestParser(LARGEST)
     found, head, body = [], None, b""
     for part in parts:
         reader.feed(part)
@@ -210,7 +210,7 @@
                         return found
                 case Body(data):
                     body += data
-                case MessageEnd():
+                case RequestEnd():
                     found.append((head.method, head.target, head.headers, body))
                     if not head.keep_alive:
                         return found
@@ -268,11 +268,11 @@
 
     A trailer must not be taken for a header: it could name another account.
     """
-    reader = RequestReader(LARGEST)
+    reader = RequestParser(LARGEST)
     lines = b"Host: h\r\nConnection: upgrade\r\nUpgrade: h2c\r\n\r\n"
     reader.feed(b"GET /a HTTP/1.1\r\n" + lines + b"GET /b HTTP/1.1\r\n" + lines)
     assert not reader.next().keep_alive
-    assert reader.next() == MessageEnd()
+    assert reader.next() == RequestEnd()
     assert reader.next() is None
     chunked = b"POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
     found = requests_by_reader([chunked + b"0\r\nX-Key: 1\r\n\r\n"])
@@ -294,16 +294,16 @@
 
 def test_a_head_without_end_is_refused():
     """Without a limit, a caller could exhaust the memory of the host."""
-    reader = RequestReader(LARGEST)
+    reader = RequestParser(LARGEST)
     reader.feed(b"GET / HTTP/1.1\r\nHost: h\r\nA: ")
     with pytest.raises(BadMessage) as info:
         for _ in range(2 * LARGEST // 1000):
             reader.feed(b"a" * 1000)
             assert reader.next() is None
     assert info.value.too_large
-    answers = AnswerReader()
+    answers = ResponseParser()
     with pytest.raises(BadMessage):
-        list(answers.feed(b"HTTP/1.1 200 OK\r\nA: " + b"a" * LARGEST_ANSWER_HEAD))
+        list(answers.feed(b"HTTP/1.1 200 OK\r\nA: " + b"a" * MAX_RESPONSE_HEAD_BYTES))
 
 
 OK = b"HTTP/1.1 200 OK\r\n"
@@ -320,17 +320,17 @@
     ],
 )
 def test_answers_whose_end_is_in_doubt_are_broken(answer):
-    reader = AnswerReader()
+    reader = ResponseParser()
     reader.expect("GET")
     with pytest.raises(BadMessage):
         list(reader.feed(answer))
 
 
 def test_interim_answers_are_passed_over_and_heads_have_no_body():
-    reader = AnswerReader()
+    reader = ResponseParser()
     reader.expect("HEAD")
     data = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\n"
     assert list(reader.feed(data)) == [
         Head(200, (("content-length", "3"),)),
-        AnswerEnd(keep_alive=False),
+        ResponseEnd(keep_alive=False),
     ]
--- a/tests/test_http_pool.py
+++ b/tests/test_http_pool.py
@@ -193,7 +193,7 @@
         conn.wait_closed()
 
     def flush(conn):
-        conn.sock.send(conn._out[:1000])
+        conn.sock.send(conn._unsent[:1000])
         select([conn.sock], [], [])
         raise BrokenPipeError
 
