--- a/greengageflow/daemon/dispatch.py
+++ b/greengageflow/daemon/dispatch.py
@@ -285,7 +285,7 @@
 
     # What the endpoint did; see ``endpoint_run.RunListener``.
 
-    def may_send_again(self) -> bool:
+    def may_retry(self) -> bool:
         """Take a retry out of the budget; False when it is spent."""
         return self._budget.take(monotonic())
 
@@ -373,7 +373,7 @@
         if (held := self._quarantine_error(flight)) is not None:
             self._refuse(flight, held)
             return
-        if late or flight.attempts >= MOST_ATTEMPTS or not self.may_send_again():
+        if late or flight.attempts >= MOST_ATTEMPTS or not self.may_retry():
             self._refuse(flight, exc)
             return
         self._tracing.finish(flight.hop, error=exc.message)
--- a/greengageflow/daemon/endpoint_run.py
+++ b/greengageflow/daemon/endpoint_run.py
@@ -24,7 +24,7 @@
 class RunListener(Protocol):
     """Hears of a run."""
 
-    def may_send_again(self) -> bool:
+    def may_retry(self) -> bool:
         """Whether a request may be sent once more; it then counts as a retry."""
 
     def on_progress(self, flight: Flight, pieces: int) -> None:
@@ -105,7 +105,7 @@
             endpoint.resumes,
             connect_timeout_s=self._connect_timeout_s,
             not_after=_not_after(flight),
-            may_send_again=listener.may_send_again,
+            may_retry=listener.may_retry,
         )
         run = EngineCall(
             self._pool, self._timers, request, _EngineRun(flight, listener)
@@ -134,7 +134,7 @@
             protected=flight.protected,
             connect_timeout_s=self._connect_timeout_s,
             not_after=_not_after(flight),
-            may_send_again=listener.may_send_again,
+            may_retry=listener.may_retry,
         )
 
         def done(end: ServiceEnd) -> None:
--- a/greengageflow/daemon/gateway.py
+++ b/greengageflow/daemon/gateway.py
@@ -89,7 +89,7 @@
         self._boot = int(time() * 1000)
         self._stop_began = 0.0
         self._pool = HttpPool(
-            self._timers, max_idle=64, max_idle_of_all=settings.files.idle
+            self._timers, max_idle=64, max_idle_total=settings.files.idle
         ).register(self)
         self._log = DecisionLog(sys.stdout.fileno(), settings.host)
         self._page = MetricsPage()
--- a/greengageflow/daemon/router.py
+++ b/greengageflow/daemon/router.py
@@ -64,7 +64,7 @@
         self._own = own
         files = FileBudget(getrlimit(RLIMIT_NOFILE)[0])
         self._pool = HttpPool(
-            self._timers, source_ip=settings.ip, max_idle_of_all=files.idle
+            self._timers, source_ip=settings.ip, max_idle_total=files.idle
         ).register(self)
         self._log_client = LogClient(self._pool, settings.log.ip, settings.log.port)
         self._metrics = Metrics(settings.statsd, settings.host)
--- a/greengageflow/net/_exchange.py
+++ b/greengageflow/net/_exchange.py
@@ -20,7 +20,7 @@
     Args:
         request: Request to send.
         receiver: Receives the response as it arrives.
-        on_paused: Called after ``paused`` changed, to stop or restart reading.
+        on_pause_changed: Called after ``paused`` changed, to stop or restart reading.
         on_cancel: Called to close the connection.
     """
 
@@ -29,28 +29,28 @@
         request: HttpRequest,
         receiver: Receiver,
         *,
-        on_paused: Callable[["Exchange"], None],
+        on_pause_changed: Callable[["Exchange"], None],
         on_cancel: Callable[["Exchange"], None],
     ) -> None:
         self.request = request
         self.receiver = receiver
         self.conn: Connection | None = None
         self.paused = False
-        self.live = True
-        self.sent_before = False
-        self.moved_at = monotonic()
-        self._on_paused = on_paused
+        self.active = True
+        self.sent_on_earlier_connection = False
+        self.last_progress_at = monotonic()
+        self._on_pause_changed = on_pause_changed
         self._on_cancel = on_cancel
 
     @property
-    def limit_s(self) -> float:
+    def timeout_s(self) -> float:
         """Timeout without progress that applies now, in seconds."""
         if self.conn is not None and self.conn.connected:
             return self.request.idle_timeout_s
         return self.request.connect_timeout_s
 
     @property
-    def too_late(self) -> bool:
+    def past_send_deadline(self) -> bool:
         """Whether ``not_after`` has passed without a byte having been sent."""
         # A process frozen while connecting may continue after the send deadline.
         limit = self.request.not_after
@@ -59,21 +59,21 @@
 
     def pause(self) -> None:
         """Stop reading, so that TCP flow control holds the sender back."""
-        if self.live and not self.paused:
+        if self.active and not self.paused:
             self.paused = True
-            self._on_paused(self)
+            self._on_pause_changed(self)
 
     def resume(self) -> None:
         """Continue reading after ``pause``."""
-        if self.live and self.paused:
+        if self.active and self.paused:
             self.paused = False
-            self.moved_at = monotonic()
-            self._on_paused(self)
+            self.last_progress_at = monotonic()
+            self._on_pause_changed(self)
 
     def cancel(self) -> None:
         """Close the connection; the receiver is not called any more."""
-        if self.live:
-            self.live = False
+        if self.active:
+            self.active = False
             self._on_cancel(self)
 
 
--- a/greengageflow/net/_idle_conns.py
+++ b/greengageflow/net/_idle_conns.py
@@ -13,8 +13,8 @@
 
     Args:
         close: Closes a connection that is not or no longer kept.
-        most: Maximum number of connections per address.
-        most_of_all: Maximum number of connections in total.
+        max_per_address: Maximum number of connections per address.
+        max_total: Maximum number of connections in total.
         idle_s: Idle time after which a connection is closed, in seconds.
     """
 
@@ -22,28 +22,28 @@
         self,
         close: Callable[[Connection], None],
         *,
-        most: int,
-        most_of_all: int,
+        max_per_address: int,
+        max_total: int,
         idle_s: float,
     ) -> None:
         self._close = close
-        self._most = most
-        self._most_of_all = most_of_all
+        self._max_per_address = max_per_address
+        self._max_total = max_total
         self._idle_s = idle_s
-        self._since: dict[socket, tuple[Connection, float]] = {}
+        self._idle_since: dict[socket, tuple[Connection, float]] = {}
         self._by_address: dict[tuple[str, int], deque[Connection]] = defaultdict(deque)
 
     def __len__(self) -> int:
-        return len(self._since)
+        return len(self._idle_since)
 
-    def take(self, address: tuple[str, int], longest_s: float) -> Connection | None:
-        """Return a connection idle for less than ``longest_s`` seconds, or None."""
+    def take(self, address: tuple[str, int], max_idle_s: float) -> Connection | None:
+        """Return a connection idle for less than ``max_idle_s`` seconds, or None."""
         conns = self._by_address.get(address)
         while conns:
-            if monotonic() - self._since[conns[-1].sock][1] >= longest_s:
+            if monotonic() - self._idle_since[conns[-1].sock][1] >= max_idle_s:
                 return None
             conn = conns.pop()
-            del self._since[conn.sock]
+            del self._idle_since[conn.sock]
             if not conn.is_stale():
                 conn.reused = True
                 return conn
@@ -53,18 +53,18 @@
     def keep(self, conn: Connection) -> None:
         """Keep a connection, or close it if its address has reached the limit."""
         conns = self._by_address[conn.address]
-        if len(conns) >= self._most:
+        if len(conns) >= self._max_per_address:
             self._close(conn)
             return
-        if len(self._since) >= self._most_of_all:
-            self.drop(next(iter(self._since)))
+        if len(self._idle_since) >= self._max_total:
+            self.drop(next(iter(self._idle_since)))
         conns = self._by_address[conn.address]
         conns.append(conn)
-        self._since[conn.sock] = (conn, monotonic())
+        self._idle_since[conn.sock] = (conn, monotonic())
 
     def drop(self, sock: socket) -> None:
         """Close the connection of a socket, if it is kept here."""
-        conn, _ = self._since.pop(sock, (None, 0.0))
+        conn, _ = self._idle_since.pop(sock, (None, 0.0))
         if conn is None:
             return
         conns = self._by_address[conn.address]
@@ -75,11 +75,11 @@
 
     def expire(self, now: float) -> None:
         """Close connections that have been idle for longer than the limit."""
-        for sock, (_, since) in list(self._since.items()):
+        for sock, (_, since) in list(self._idle_since.items()):
             if now - since > self._idle_s:
                 self.drop(sock)
 
     def close(self) -> None:
         """Close all connections."""
-        for sock in list(self._since):
+        for sock in list(self._idle_since):
             self.drop(sock)
--- a/greengageflow/net/engine_client.py
+++ b/greengageflow/net/engine_client.py
@@ -88,7 +88,7 @@
         resume_tries: Maximum number of consecutive resumptions without a new piece.
         not_after: Monotonic time after which it must not be sent, in seconds, or
             None.
-        may_send_again: Called before a retry on a new connection to allow it.
+        may_retry: Called before a retry on a new connection to allow it.
     """
 
     ip: str
@@ -102,7 +102,7 @@
     idle_timeout_s: float = 30.0
     resume_tries: int = 3
     not_after: float | None = None
-    may_send_again: Callable[[], bool] | None = None
+    may_retry: Callable[[], bool] | None = None
 
     @property
     def stream(self) -> bool:
@@ -242,7 +242,7 @@
             request.connect_timeout_s,
             request.idle_timeout_s,
             retry_stale=not request.idempotency_key and not self.resumed,
-            may_send_again=request.may_send_again,
+            may_retry=request.may_retry,
             not_after=None if self.resumed else request.not_after,
         )
 
--- a/greengageflow/net/http_messages.py
+++ b/greengageflow/net/http_messages.py
@@ -24,7 +24,7 @@
 )
 
 
-LONGEST_BACKOFF_S = 3600.0
+MAX_BACKOFF_S = 3600.0
 SERVER_LEAVING = "server-leaving"
 
 
@@ -38,13 +38,13 @@
         text: Value of the header, or empty.
 
     Returns:
-        The delay in seconds, at most ``LONGEST_BACKOFF_S``.
+        The delay in seconds, at most ``MAX_BACKOFF_S``.
     """
     try:
         seconds = float(text)
     except ValueError:
         return 0.0
-    return min(seconds, LONGEST_BACKOFF_S) if 0.0 < seconds < inf else 0.0
+    return min(seconds, MAX_BACKOFF_S) if 0.0 < seconds < inf else 0.0
 
 
 def hop_by_hop(headers: Iterable[tuple[str, str]]) -> frozenset[str]:
@@ -91,7 +91,7 @@
         retry_stale: True if the request may be retried on a new connection when a
             reused one was closed before the first byte of the response. If False,
             the request also uses a new connection (but see ``reuse_s``).
-        may_send_again: Called before such a retry to allow it; None allows it.
+        may_retry: Called before such a retry to allow it; None allows it.
         not_after: Monotonic time after which the first byte must not be sent, in
             seconds; None for no limit.
         reuse_s: With ``retry_stale`` False, a connection is still reused if it was
@@ -111,7 +111,7 @@
     connect_timeout_s: float = 2.0
     idle_timeout_s: float = 30.0
     retry_stale: bool = True
-    may_send_again: Callable[[], bool] | None = None
+    may_retry: Callable[[], bool] | None = None
     not_after: float | None = None
     reuse_s: float = 0.0
     until_close: bool = False
@@ -122,11 +122,11 @@
         """IP address and port of the server."""
         return self.ip, self.port
 
-    def take_stale_retry(self) -> bool:
+    def allows_stale_retry(self) -> bool:
         """Return whether to retry now that a reused connection was closed."""
         if not self.retry_stale:
             return False
-        return self.may_send_again is None or self.may_send_again()
+        return self.may_retry is None or self.may_retry()
 
 
 @dataclass(frozen=True, slots=True)
--- a/greengageflow/net/http_pool.py
+++ b/greengageflow/net/http_pool.py
@@ -44,8 +44,8 @@
     "Response",
 ]
 
-SWEEP_S = 0.1
-DEFAULT_FETCH_LIMIT = 1_048_576
+SWEEP_INTERVAL_S = 0.1
+DEFAULT_MAX_BODY_BYTES = 1_048_576
 
 
 class HttpPool(BaseComponent):
@@ -57,7 +57,7 @@
         timers: Timer service.
         source_ip: Local IP address to bind outgoing connections to, or None.
         max_idle: Maximum number of idle connections per address.
-        max_idle_of_all: Maximum number of idle connections in total.
+        max_idle_total: Maximum number of idle connections in total.
         idle_s: Idle time after which a connection is closed, in seconds.
 
     Attributes:
@@ -73,7 +73,7 @@
         *,
         source_ip: str | None = None,
         max_idle: int = 16,
-        max_idle_of_all: int = 4096,
+        max_idle_total: int = 4096,
         idle_s: float = 20.0,
     ) -> None:
         super().__init__()
@@ -82,7 +82,10 @@
         self._poller: BasePoller | None = None
         self._active: dict[socket, Exchange] = {}
         self._idle = IdleConns(
-            self._close, most=max_idle, most_of_all=max_idle_of_all, idle_s=idle_s
+            self._close,
+            max_per_address=max_idle,
+            max_total=max_idle_total,
+            idle_s=idle_s,
         )
         self._sweep: Subscription | None = None
         self.stale_retries = 0
@@ -94,10 +97,13 @@
             BadHead: The request is not valid HTTP.
         """
         exchange = Exchange(
-            request, receiver, on_paused=self._watch, on_cancel=self._drop
+            request,
+            receiver,
+            on_pause_changed=self._update_poller,
+            on_cancel=self._drop,
         )
-        longest_s = float("inf") if request.retry_stale else request.reuse_s
-        conn = self._idle.take(request.address, longest_s)
+        max_idle_s = float("inf") if request.retry_stale else request.reuse_s
+        conn = self._idle.take(request.address, max_idle_s)
         if conn is None:
             self._connect(exchange)
         else:
@@ -108,7 +114,7 @@
         self,
         request: HttpRequest,
         on_done: Callable[[Response | Failure], None],
-        limit: int = DEFAULT_FETCH_LIMIT,
+        limit: int = DEFAULT_MAX_BODY_BYTES,
     ) -> Exchange:
         """Send ``request`` and call ``on_done`` once with the complete response.
 
@@ -135,7 +141,9 @@
         try:
             conn = Connection(exchange.request.address, self._source_ip)
         except OSError as exc:
-            failure = Failure(FailureKind.CONNECT, exchange.sent_before, str(exc))
+            failure = Failure(
+                FailureKind.CONNECT, exchange.sent_on_earlier_connection, str(exc)
+            )
             self._timers.after(0, lambda: self._report(exchange, failure))
             return
         self._find_poller().addReader(self, conn.sock)
@@ -156,16 +164,16 @@
             self._close(conn)
             raise
         exchange.conn = conn
-        exchange.moved_at = monotonic()
+        exchange.last_progress_at = monotonic()
         self._active[conn.sock] = exchange
         if conn.connected:
             # An error persists and is reported at the write event requested below.
             with suppress(OSError):
                 conn.flush()
-        self._watch(exchange)
-        self._plan_sweep()
+        self._update_poller(exchange)
+        self._schedule_sweep()
 
-    def _watch(self, exchange: Exchange) -> None:
+    def _update_poller(self, exchange: Exchange) -> None:
         conn = exchange.conn
         if conn is None:
             return
@@ -195,8 +203,8 @@
             self._close(conn)
 
     def _report(self, exchange: Exchange, failure: Failure) -> None:
-        if exchange.live:
-            exchange.live = False
+        if exchange.active:
+            exchange.active = False
             exchange.receiver.on_failure(failure)
 
     def _fail(
@@ -208,21 +216,25 @@
         stale: bool = False,
     ) -> None:
         conn = exchange.conn
-        sent = exchange.sent_before or (conn is not None and conn.sent_any)
+        sent = exchange.sent_on_earlier_connection or (
+            conn is not None and conn.sent_any
+        )
         self._drop(exchange)
         self._report(exchange, Failure(kind, sent, message, stale))
 
-    def _fail_cut(self, exchange: Exchange, message: str) -> None:
+    def _on_connection_lost(self, exchange: Exchange, message: str) -> None:
         conn = exchange.conn
         stale = conn.reused and not conn.received_any
         if not conn.connected:
             self._fail(exchange, FailureKind.CONNECT, message)
-        elif stale and exchange.request.take_stale_retry():
+        elif stale and exchange.request.allows_stale_retry():
             # A server may close an idle connection at any time, also just as a
             # request is sent on it. This affects only reused connections, so one
             # retry on a new connection is enough. The server may also have read the
             # request and crashed, so a later failure must report it as sent.
-            exchange.sent_before = exchange.sent_before or conn.sent_any
+            exchange.sent_on_earlier_connection = (
+                exchange.sent_on_earlier_connection or conn.sent_any
+            )
             self.stale_retries += 1
             self._drop(exchange)
             self._connect(exchange)
@@ -232,12 +244,12 @@
     def _finish(self, exchange: Exchange, end: End) -> None:
         conn = exchange.conn
         del self._active[conn.sock]
-        exchange.live = False
+        exchange.active = False
         if exchange.paused:
             self._find_poller().addReader(self, conn.sock)
         if end.reusable:
             self._idle.keep(conn)
-            self._plan_sweep()
+            self._schedule_sweep()
         else:
             self._close(conn)
         exchange.receiver.on_end()
@@ -256,14 +268,14 @@
     def _receive(self, exchange: Exchange) -> None:
         if exchange.paused or not exchange.conn.connected:
             return
-        exchange.moved_at = monotonic()
+        exchange.last_progress_at = monotonic()
         try:
             for part in exchange.conn.receive():
                 self._deliver(exchange, part)
-                if not exchange.live:
+                if not exchange.active:
                     return
         except ResponseTruncated as exc:
-            self._fail_cut(exchange, str(exc))
+            self._on_connection_lost(exchange, str(exc))
         except InvalidResponse as exc:
             self._fail(exchange, FailureKind.BROKEN, str(exc))
         except Exception as exc:
@@ -290,7 +302,7 @@
         try:
             if not conn.connected:
                 conn.check_connected()
-            if exchange.too_late:
+            if exchange.past_send_deadline:
                 self._fail(
                     exchange,
                     FailureKind.TIMEOUT,
@@ -299,51 +311,54 @@
                 return
             conn.flush()
         except OSError as exc:
-            self._on_broken_write(exchange, str(exc))
+            self._on_write_error(exchange, str(exc))
             return
-        exchange.moved_at = monotonic()
-        self._watch(exchange)
+        exchange.last_progress_at = monotonic()
+        self._update_poller(exchange)
 
-    def _on_broken_write(self, exchange: Exchange, message: str) -> None:
+    def _on_write_error(self, exchange: Exchange, message: str) -> None:
         # A server may respond early (413) and close while the body is still being
         # sent. Prefer its response, which is in the receive buffer, over a write
         # error.
         if exchange.conn.connected:
             exchange.paused = False
             self._receive(exchange)
-        if exchange.live and exchange.conn.sock in self._active:
-            self._fail_cut(exchange, message)
+        if exchange.active and exchange.conn.sock in self._active:
+            self._on_connection_lost(exchange, message)
 
     @handler("_disconnect")
     def _on_disconnect(self, sock: socket) -> None:
         exchange = self._active.get(sock)
         if exchange is not None:
-            self._on_broken_write(exchange, "connection lost")
+            self._on_write_error(exchange, "connection lost")
         else:
             self._idle.drop(sock)
 
     # Timeouts.
 
-    def _plan_sweep(self) -> None:
+    def _schedule_sweep(self) -> None:
         if self._sweep is None:
-            self._sweep = self._timers.after(SWEEP_S, self._on_sweep)
+            self._sweep = self._timers.after(SWEEP_INTERVAL_S, self._on_sweep)
 
-    def _late(self, now: float) -> Iterator[Exchange]:
+    def _timed_out(self, now: float) -> Iterator[Exchange]:
         for exchange in list(self._active.values()):
-            if not exchange.paused and now - exchange.moved_at > exchange.limit_s:
+            if (
+                not exchange.paused
+                and now - exchange.last_progress_at > exchange.timeout_s
+            ):
                 yield exchange
 
     def _on_sweep(self) -> None:
         self._sweep = None
         now = monotonic()
-        for exchange in self._late(now):
-            if exchange.live:
-                self._expire(exchange)
+        for exchange in self._timed_out(now):
+            if exchange.active:
+                self._on_timeout(exchange)
         self._idle.expire(now)
         if self._active or self._idle:
-            self._plan_sweep()
+            self._schedule_sweep()
 
-    def _expire(self, exchange: Exchange) -> None:
+    def _on_timeout(self, exchange: Exchange) -> None:
         if exchange.conn.connected:
             self._fail(exchange, FailureKind.TIMEOUT, "idle timeout")
         else:
--- a/greengageflow/net/service_client.py
+++ b/greengageflow/net/service_client.py
@@ -52,7 +52,7 @@
         idle_timeout_s: Maximum time without progress, in seconds.
         not_after: Monotonic time after which it must not be sent, in seconds, or
             None.
-        may_send_again: Called before a retry on a new connection to allow it.
+        may_retry: Called before a retry on a new connection to allow it.
     """
 
     ip: str
@@ -68,7 +68,7 @@
     connect_timeout_s: float = 2.0
     idle_timeout_s: float = 30.0
     not_after: float | None = None
-    may_send_again: Callable[[], bool] | None = None
+    may_retry: Callable[[], bool] | None = None
 
     def to_http(self) -> HttpRequest:
         """Return the HTTP request to send."""
@@ -82,7 +82,7 @@
             self.connect_timeout_s,
             self.idle_timeout_s,
             retry_stale=not self.protected,
-            may_send_again=self.may_send_again,
+            may_retry=self.may_retry,
             not_after=self.not_after,
         )
 
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -11,7 +11,7 @@
 from greengageflow.core.service_book import ServiceBook
 from greengageflow.core.service_scheduler import Job, RefuseJob, StartJob
 from greengageflow.core.work_queue import Waiter
-from greengageflow.net.http_messages import LONGEST_BACKOFF_S, Head, retry_after_s
+from greengageflow.net.http_messages import MAX_BACKOFF_S, Head, retry_after_s
 from greengageflow.platform.answers import note_of
 
 SERVICES = {
@@ -109,7 +109,7 @@
         ("", 0.0),
         ("nan", 0.0),
         ("inf", 0.0),
-        ("1e9", LONGEST_BACKOFF_S),
+        ("1e9", MAX_BACKOFF_S),
         ("Thu, 03 Dec 2026 12:00:00 GMT", 0.0),
     ],
 )
