--- a/greengageflow/daemon/crash_watch.py
+++ b/greengageflow/daemon/crash_watch.py
@@ -5,7 +5,7 @@
 from typing import Protocol
 
 from greengageflow.core.quarantine import CrashRecord, Fingerprint, Quarantine
-from greengageflow.net.connect_check import Address, Reach
+from greengageflow.net.connect_check import Address, ConnectResult
 from greengageflow.net.timers import Timers
 
 CHECKS_S = (0.01, 0.1, 0.4)
@@ -43,7 +43,7 @@
 class Reachability(Protocol):
     """Tells whether a process listens at an address."""
 
-    def check(self, address: Address, on_done: Callable[[Reach], None]) -> None:
+    def check(self, address: Address, on_done: Callable[[ConnectResult], None]) -> None:
         """Call ``on_done`` once with the outcome."""
 
 
@@ -121,17 +121,17 @@
         def check() -> None:
             self._reachability.check(endpoint.address, done)
 
-        def done(reach: Reach) -> None:
-            if reach is not Reach.REFUSED and waits_s[1:]:
+        def done(result: ConnectResult) -> None:
+            if result is not ConnectResult.REFUSED and waits_s[1:]:
                 self._check_after(waits_s[1:], endpoint)
             else:
-                self._settle(endpoint, reach)
+                self._settle(endpoint, result)
 
         self._timers.after(waits_s[0], check)
 
-    def _settle(self, endpoint: EndpointStart, reach: Reach) -> None:
+    def _settle(self, endpoint: EndpointStart, result: ConnectResult) -> None:
         self._checking.discard(endpoint.start)
-        if reach not in (Reach.REFUSED, Reach.CLOSED):
+        if result not in (ConnectResult.REFUSED, ConnectResult.CLOSED):
             self._quarantine.on_alive(endpoint.start)
             return
         now = self._timers.now
--- a/greengageflow/lab/_gateway_world.py
+++ b/greengageflow/lab/_gateway_world.py
@@ -25,7 +25,7 @@
 from greengageflow.daemon.exchange_listener import Placed
 from greengageflow.daemon.fleet_exchange import FleetExchange
 from greengageflow.daemon.store_view import StoreView
-from greengageflow.net._fragments import LARGEST
+from greengageflow.net._fragments import MAX_DATAGRAM_BYTES
 from greengageflow.net.http_messages import HttpRequest, Response
 from greengageflow.net.report_codec import CHANGES, SUM, WANTED, encode
 
@@ -214,7 +214,7 @@
             # Within a zone goes the sum of the fleet, between zones that of one.
             same = node.own.zone == self.own.zone
             spent.sums[same] = max(spent.sums.get(same, 0), len(data))
-        if len(data) > LARGEST:
+        if len(data) > MAX_DATAGRAM_BYTES:
             spent.dropped += 1
             return
         spent.out += 1
--- a/greengageflow/net/connect_check.py
+++ b/greengageflow/net/connect_check.py
@@ -11,17 +11,17 @@
 
 from greengageflow.net.timers import Subscription, Timers
 
-TIMEOUT_S = 0.3
-HOLD_S = 0.05
+CONNECT_TIMEOUT_S = 0.3
+MIN_OPEN_S = 0.05
 """Time that a connection must stay open to count as accepted, in seconds."""
 
 Address = tuple[str, int]
 
 
-class Reach(Enum):
+class ConnectResult(Enum):
     """Result of a connection attempt."""
 
-    LISTENS = auto()
+    ACCEPTED = auto()
     REFUSED = auto()
     CLOSED = auto()
     """The connection was accepted and closed at once, by a proxy whose endpoint is down
@@ -45,9 +45,11 @@
         self._source_ip = source_ip
         self._timers = timers
         self._poller: BasePoller | None = None
-        self._open: dict[socket, tuple[Callable[[Reach], None], Subscription]] = {}
+        self._pending: dict[
+            socket, tuple[Callable[[ConnectResult], None], Subscription]
+        ] = {}
 
-    def check(self, address: Address, on_done: Callable[[Reach], None]) -> None:
+    def check(self, address: Address, on_done: Callable[[ConnectResult], None]) -> None:
         """Connect to ``address`` and call ``on_done`` once, from the loop."""
         sock = socket(AF_INET, SOCK_STREAM)
         sock.setblocking(False)
@@ -56,16 +58,18 @@
         code = sock.connect_ex(address)
         if code not in (0, EINPROGRESS):
             sock.close()
-            self._timers.after(0, lambda: on_done(_reach(code)))
+            self._timers.after(0, lambda: on_done(_connect_result(code)))
             return
-        timer = self._timers.after(TIMEOUT_S, lambda: self._settle(sock, Reach.UNKNOWN))
-        self._open[sock] = on_done, timer
+        timer = self._timers.after(
+            CONNECT_TIMEOUT_S, lambda: self._finish(sock, ConnectResult.UNKNOWN)
+        )
+        self._pending[sock] = on_done, timer
         if self._poller is None:
             self._poller = findcmp(self.root, BasePoller) or EPoll().register(self)
         self._poller.addWriter(self, sock)
 
-    def _settle(self, sock: socket, reach: Reach) -> None:
-        found = self._open.pop(sock, None)
+    def _finish(self, sock: socket, result: ConnectResult) -> None:
+        found = self._pending.pop(sock, None)
         if found is None:
             return
         on_done, timer = found
@@ -73,54 +77,58 @@
         # Unregister before closing: the poller looks sockets up by file descriptor.
         self._poller.discard(sock)
         sock.close()
-        on_done(reach)
+        on_done(result)
 
-    def _on_outcome(self, sock: socket) -> None:
-        if sock not in self._open:
+    def _on_connect_result(self, sock: socket) -> None:
+        if sock not in self._pending:
             return
-        reach = _reach(sock.getsockopt(SOL_SOCKET, SO_ERROR))
-        if reach is not Reach.LISTENS:
-            self._settle(sock, reach)
+        result = _connect_result(sock.getsockopt(SOL_SOCKET, SO_ERROR))
+        if result is not ConnectResult.ACCEPTED:
+            self._finish(sock, result)
             return
         self._poller.removeWriter(sock)
         self._poller.addReader(self, sock)
-        self._timers.after(HOLD_S, lambda: self._settle(sock, Reach.LISTENS))
+        self._timers.after(
+            MIN_OPEN_S, lambda: self._finish(sock, ConnectResult.ACCEPTED)
+        )
 
     @handler("_write")
     def on_writable(self, sock: socket) -> None:
         """Handle the connect result; called by the poller directly or as its event."""
-        self._on_outcome(sock)
+        self._on_connect_result(sock)
 
     @handler("_read")
     def on_readable(self, sock: socket) -> None:
         """Handle data or a close; called by the poller directly or as its event."""
-        if sock not in self._open:
+        if sock not in self._pending:
             return
         try:
-            spoken = bool(sock.recv(1))
+            received = bool(sock.recv(1))
         except BlockingIOError:
             return
         except OSError as exc:
             refused = exc.errno == ECONNREFUSED
-            self._settle(sock, Reach.REFUSED if refused else Reach.CLOSED)
+            self._finish(
+                sock, ConnectResult.REFUSED if refused else ConnectResult.CLOSED
+            )
             return
-        self._settle(sock, Reach.LISTENS if spoken else Reach.CLOSED)
+        self._finish(sock, ConnectResult.ACCEPTED if received else ConnectResult.CLOSED)
 
     @handler("_disconnect")
     def _on_disconnect(self, sock: socket) -> None:
-        self._on_outcome(sock)
+        self._on_connect_result(sock)
 
     @handler("stopped", channel="*")
     def _on_stopped(self, _manager: object) -> None:
-        for sock in list(self._open):
-            self._settle(sock, Reach.UNKNOWN)
+        for sock in list(self._pending):
+            self._finish(sock, ConnectResult.UNKNOWN)
 
 
-def _reach(code: int) -> Reach:
+def _connect_result(code: int) -> ConnectResult:
     match code:
         case 0:
-            return Reach.LISTENS
+            return ConnectResult.ACCEPTED
         case _ if code == ECONNREFUSED:
-            return Reach.REFUSED
+            return ConnectResult.REFUSED
         case _:
-            return Reach.UNKNOWN
+            return ConnectResult.UNKNOWN
--- a/greengageflow/net/gossip_link.py
+++ b/greengageflow/net/gossip_link.py
@@ -13,7 +13,7 @@
 from circuits.core.pollers import BasePoller, EPoll
 from circuits.core.utils import findcmp
 
-from greengageflow.net._fragments import LARGEST, Fragments, split
+from greengageflow.net._fragments import MAX_DATAGRAM_BYTES, Reassembler, split
 
 MOST_IN_A_ROW = 64
 
@@ -40,7 +40,7 @@
         self.bytes_in = 0
         self.too_long = 0
         self._number = 0
-        self._fragments = Fragments()
+        self._reassembler = Reassembler()
         self._on_datagram = on_datagram
         self._sock = socket(AF_INET, SOCK_DGRAM)
         self._sock.setblocking(False)
@@ -77,10 +77,10 @@
             return
         for _ in range(MOST_IN_A_ROW):
             try:
-                data, sender = sock.recvfrom(LARGEST)
+                data, sender = sock.recvfrom(MAX_DATAGRAM_BYTES)
             except OSError:
                 return
             self.bytes_in += len(data)
-            message = self._fragments.take(sender, data)
+            message = self._reassembler.take(sender, data)
             if message is not None:
                 self._on_datagram(message)
--- a/tests/test_connect_check.py
+++ b/tests/test_connect_check.py
@@ -6,7 +6,7 @@
 import pytest
 from http_fakes import Loop, wait_for
 
-from greengageflow.net.connect_check import ConnectCheck, Reach
+from greengageflow.net.connect_check import ConnectCheck, ConnectResult
 
 
 class Checks:
@@ -19,7 +19,7 @@
     def begin(self, address):
         self.loop.call(lambda: self.check.check(address, self.seen.append))
 
-    def reach(self):
+    def result(self):
         return wait_for(lambda: self.seen)[0]
 
 
@@ -34,14 +34,14 @@
 def test_process_that_listens_is_seen(checks):
     with create_server(("127.0.0.1", 0)) as server:
         checks.begin(server.getsockname())
-        assert checks.reach() is Reach.LISTENS
+        assert checks.result() is ConnectResult.ACCEPTED
 
 
 def test_address_where_nobody_listens_refuses(checks):
     with create_server(("127.0.0.1", 0)) as server:
         address = server.getsockname()
     checks.begin(address)
-    assert checks.reach() is Reach.REFUSED
+    assert checks.result() is ConnectResult.REFUSED
 
 
 def test_connection_that_ends_at_once_counts_as_closed(checks):
@@ -49,4 +49,4 @@
         checks.begin(server.getsockname())
         taken, _ = server.accept()
         taken.close()
-        assert checks.reach() is Reach.CLOSED
+        assert checks.result() is ConnectResult.CLOSED
--- a/tests/test_fragments.py
+++ b/tests/test_fragments.py
@@ -3,38 +3,46 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from greengageflow.net._fragments import LARGEST, MOST_OPEN, Fragments, split
+from greengageflow.net._fragments import (
+    MAX_DATAGRAM_BYTES,
+    MAX_INCOMPLETE_MESSAGES,
+    Reassembler,
+    split,
+)
 
 SENDERS = [("127.0.0.1", 1), ("127.0.0.2", 1)]
 
 
-def long_message(seed, size=3 * LARGEST):
+def long_message(seed, size=3 * MAX_DATAGRAM_BYTES):
     return bytes([seed]) * size + b"end"
 
 
-@given(st.randoms(use_true_random=False), st.sampled_from([0, 9, LARGEST, LARGEST + 1]))
+@given(
+    st.randoms(use_true_random=False),
+    st.sampled_from([0, 9, MAX_DATAGRAM_BYTES, MAX_DATAGRAM_BYTES + 1]),
+)
 def test_messages_of_several_senders_come_whole_in_any_order(random, size):
     """Fragments of different messages must not be joined into one message."""
     messages = {sender: long_message(at, size) for at, sender in enumerate(SENDERS)}
     rows = [(s, d) for s, data in messages.items() for d in split(7, data)]
-    assert all(len(data) <= LARGEST for _, data in rows)
+    assert all(len(data) <= MAX_DATAGRAM_BYTES for _, data in rows)
     random.shuffle(rows)
-    fragments = Fragments()
-    joined = [(s, fragments.take(s, data)) for s, data in rows]
+    reassembler = Reassembler()
+    joined = [(s, reassembler.take(s, data)) for s, data in rows]
     assert dict(row for row in joined if row[1] is not None) == messages
 
 
 def test_lost_pieces_hold_no_memory_and_harm_no_other_message():
-    fragments = Fragments()
-    for number in range(10 * MOST_OPEN):
+    reassembler = Reassembler()
+    for number in range(10 * MAX_INCOMPLETE_MESSAGES):
         first, *_ = split(number, long_message(1))
-        assert fragments.take(SENDERS[0], first) is None
-    assert len(fragments._open) <= MOST_OPEN
-    rows = [fragments.take(SENDERS[0], d) for d in split(1000, long_message(2))]
+        assert reassembler.take(SENDERS[0], first) is None
+    assert len(reassembler._incomplete) <= MAX_INCOMPLETE_MESSAGES
+    rows = [reassembler.take(SENDERS[0], d) for d in split(1000, long_message(2))]
     assert rows[-1] == long_message(2)
 
 
 @given(st.binary(max_size=40))
 def test_spoiled_pieces_are_no_message(data):
     """Invalid data from any sender must not raise in the event loop of the router."""
-    assert Fragments().take(SENDERS[0], b"\xc1" + data) in (None, data[8:])
+    assert Reassembler().take(SENDERS[0], b"\xc1" + data) in (None, data[8:])
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -17,7 +17,7 @@
     Quarantine,
 )
 from greengageflow.daemon.crash_watch import CHECKS_S, CrashWatch
-from greengageflow.net.connect_check import Reach
+from greengageflow.net.connect_check import ConnectResult
 from tests.test_fleet_exchange import RouterStub, fleet
 
 FINGERPRINT = b"f" * FINGERPRINT_BYTES
@@ -227,14 +227,18 @@
     On a busy machine the first check came too early, the crash went unnoticed, and the
     request took down further endpoints.
     """
-    harness = WatchHarness(Reach.LISTENS, Reach.LISTENS, Reach.REFUSED)
+    harness = WatchHarness(
+        ConnectResult.ACCEPTED, ConnectResult.ACCEPTED, ConnectResult.REFUSED
+    )
     harness.watch.on_cut(endpoint("e1"), b"poison")
     assert harness.lines == [("crashed", "e1", 1)]
 
 
 def test_crash_is_detected_behind_a_listening_proxy():
-    closed = [Reach.CLOSED] * len(CHECKS_S)
-    harness = WatchHarness(*closed, Reach.CLOSED, Reach.LISTENS, Reach.LISTENS)
+    closed = [ConnectResult.CLOSED] * len(CHECKS_S)
+    harness = WatchHarness(
+        *closed, ConnectResult.CLOSED, ConnectResult.ACCEPTED, ConnectResult.ACCEPTED
+    )
     harness.watch.on_cut(endpoint("e1"), b"poison")
     assert harness.lines == [("crashed", "e1", 1)]
     harness.watch.on_cut(endpoint("e2"), b"poison")
@@ -243,9 +247,11 @@
 
 def test_cut_counts_as_a_crash_only_if_connections_are_refused():
     """Running endpoints and broken links reset connections as well."""
-    alive = [Reach.LISTENS] * len(CHECKS_S)
-    unknown = [Reach.UNKNOWN] * len(CHECKS_S)
-    harness = WatchHarness(*alive, *unknown, Reach.REFUSED, Reach.REFUSED)
+    alive = [ConnectResult.ACCEPTED] * len(CHECKS_S)
+    unknown = [ConnectResult.UNKNOWN] * len(CHECKS_S)
+    harness = WatchHarness(
+        *alive, *unknown, ConnectResult.REFUSED, ConnectResult.REFUSED
+    )
     for name in ("e1", "e2", "e3", "e4"):
         assert not harness.held_back
         harness.watch.on_cut(endpoint(name), b"poison")
@@ -259,7 +265,10 @@
 
 
 def test_crashes_on_two_hosts_quarantine_on_both():
-    first, second = WatchHarness(Reach.REFUSED), WatchHarness(Reach.REFUSED)
+    first, second = (
+        WatchHarness(ConnectResult.REFUSED),
+        WatchHarness(ConnectResult.REFUSED),
+    )
     first.watch.on_cut(endpoint("e1"), b"poison")
     second.watch.receive(first.sent[-1][0])
     second.watch.on_cut(endpoint("e2"), b"poison")
@@ -281,7 +290,7 @@
         self.watch.start()
 
     def check(self, address, on_done):
-        on_done(Reach.REFUSED)
+        on_done(ConnectResult.REFUSED)
 
     def crashed(self, endpoint, requests):
         pass
