--- a/greengageflow/daemon/dispatch.py
+++ b/greengageflow/daemon/dispatch.py
@@ -351,7 +351,7 @@
     def _cut(self, flight: Flight, end: Cut) -> None:
         self._give_back(flight.grant, flight, served=float(flight.pieces), failed=True)
         self._notes.cut(flight)
-        if end.lost and _is_new_run(flight):
+        if end.connection_lost and _is_new_run(flight):
             self.crashes.on_cut(_start_of(flight.endpoint), flight.fingerprint)
         text = f"endpoint {flight.endpoint.name}: {end.message}"
         exc = RouterError(ErrorKind.ENDPOINT_CUT, text, ran=end.ran)
--- a/greengageflow/daemon/forward_sending.py
+++ b/greengageflow/daemon/forward_sending.py
@@ -36,10 +36,10 @@
 def fresh(flight: ForwardFlight, frames: Iterable[Frame]) -> Iterable[bytes]:
     """Yield events that the caller has not got, and note the last one's number."""
     for frame in frames:
-        if frame.number is not None:
-            if flight.last_event is not None and frame.number <= flight.last_event:
+        if frame.event_id is not None:
+            if flight.last_event is not None and frame.event_id <= flight.last_event:
                 continue
-            flight.last_event = frame.number
+            flight.last_event = frame.event_id
         flight.pieces += 1
         yield frame.raw
 
--- a/greengageflow/daemon/forwarder.py
+++ b/greengageflow/daemon/forwarder.py
@@ -28,8 +28,8 @@
 from greengageflow.daemon.leaving_watch import LeavingWatch
 from greengageflow.daemon.placement import Placement
 from greengageflow.errors import ErrorKind, Ran, RouterError
-from greengageflow.net.endpoint_answer import AnswerNote
 from greengageflow.net.endpoint_attempt import EndpointAttempt
+from greengageflow.net.endpoint_response import ResponseInfo
 from greengageflow.net.event_frames import Frame
 from greengageflow.net.forward_calls import ForwardCall
 from greengageflow.net.http_messages import Failure, FailureKind
@@ -223,7 +223,7 @@
         """Take what an endpoint says of itself beside its answer."""
         attempt = flight.attempt
         flight.may_have_arrived = True
-        if attempt.note.leaving:
+        if attempt.response_info.leaving:
             self.leaving.on_answer(attempt.endpoint)
 
     def on_events(self, flight: ForwardFlight, frames: list[Frame]) -> None:
@@ -249,7 +249,7 @@
 
     def on_answer(self, flight: ForwardFlight, body: bytes) -> None:
         """Judge a whole answer."""
-        note = flight.attempt.note
+        note = flight.attempt.response_info
         endpoint = flight.attempt.endpoint
         if note.not_run:
             self._on_not_run(flight, note)
@@ -257,11 +257,11 @@
         flight.avoid.add(endpoint.id)
         flight.may_have_run = True
         flight.runs += 1
-        spoiled = not note.good and note.status < 400
-        good = note.good or 400 <= note.status < 500
+        spoiled = not note.is_forwardable and note.status < 400
+        good = note.is_forwardable or 400 <= note.status < 500
         self.placement.answered(flight.id, endpoint, good)
         self.placement.left(flight.id, endpoint)
-        if note.good:
+        if note.is_forwardable:
             self.crashes.on_good_answer(flight.fingerprint)
         if not spoiled and note.status < 500:
             self._answer(flight, body)
@@ -273,14 +273,14 @@
         else:
             self._answer(flight, body)
 
-    def _on_not_run(self, flight: ForwardFlight, note: AnswerNote) -> None:
+    def _on_not_run(self, flight: ForwardFlight, note: ResponseInfo) -> None:
         endpoint = flight.attempt.endpoint
         self.placement.left(flight.id, endpoint)
         if note.backoff_s:
             self._on_backoff(endpoint, note.backoff_s)
         else:
             flight.avoid.add(endpoint.id)
-        if note.replaced:
+        if note.endpoint_replaced:
             self._endpoints.note_left(endpoint.id, endpoint.born)
         exc = self._not_taken(flight, note.status)
         if not self._go_on(flight, exc.message) and not self._wait_out(flight, exc):
@@ -345,7 +345,7 @@
             return
         failure = with_earlier(flight, failure)
         flight.avoid.add(flight.attempt.endpoint.id)
-        if failure.lost and self._is_new_run(flight):
+        if failure.connection_lost and self._is_new_run(flight):
             self.crashes.on_cut(flight.attempt.endpoint, flight.fingerprint)
         self._note_failure(flight, failure)
         text = f"{flight.attempt.endpoint.id}: {failure.message}"
--- a/greengageflow/daemon/kept_parts.py
+++ b/greengageflow/daemon/kept_parts.py
@@ -11,7 +11,7 @@
     Failure,
     HttpRequest,
     Response,
-    says_leaving,
+    announces_shutdown,
 )
 from greengageflow.net.http_pool import HttpPool
 from greengageflow.net.timers import Timers
@@ -79,7 +79,7 @@
     def _take(
         self, engine: ListedEndpoint, number: int, result: Response | Failure
     ) -> None:
-        if isinstance(result, Response) and says_leaving(result):
+        if isinstance(result, Response) and announces_shutdown(result):
             self._on_leaving(engine)
         try:
             if isinstance(result, Failure):
--- a/greengageflow/net/_pieces.py
+++ b/greengageflow/net/_pieces.py
@@ -10,7 +10,7 @@
 
 from greengageflow.net._sse import ServerEvent
 
-DONE = b"[DONE]"
+END_MARKER = b"[DONE]"
 _decode = json.JSONDecoder().decode
 
 
@@ -49,42 +49,42 @@
     return None
 
 
-class StreamBroken(Exception):
+class InvalidStream(Exception):
     """The stream has a gap or an invalid piece and cannot continue."""
 
 
-class PieceCheck:
+class PieceFilter:
     """Passes only the pieces of one request, each once and in order.
 
     Args:
         request_id: Request id that the pieces must carry.
 
     Attributes:
-        expected: Sequence number of the next piece.
+        next_seq: Sequence number of the next piece.
         finished: True after the piece with the finish reason.
         done: True after the end marker ``[DONE]``.
         usage: Token counts of the last piece, if it had any.
         foreign: Number of dropped pieces of other requests.
-        repeated: Number of dropped duplicate pieces.
+        duplicates: Number of dropped duplicate pieces.
     """
 
     def __init__(self, request_id: str) -> None:
-        self.expected = 0
+        self.next_seq = 0
         self.finished = False
         self.done = False
         self.usage: Usage | None = None
         self.foreign = 0
-        self.repeated = 0
+        self.duplicates = 0
         self._id = request_id
 
     def pieces(self, events: Iterator[ServerEvent]) -> Iterator[Piece]:
         """Yield the valid pieces in ``events``, up to the end marker.
 
         Raises:
-            StreamBroken: A piece is missing or invalid.
+            InvalidStream: A piece is missing or invalid.
         """
         for event in events:
-            if event.data == DONE:
+            if event.data == END_MARKER:
                 self.done = True
                 return
             piece = self._check(event)
@@ -94,7 +94,7 @@
     def _check(self, event: ServerEvent) -> Piece | None:
         try:
             document = _decode(str(event.data, "utf-8", "surrogatepass"))
-            id_ = document["id"]
+            piece_id = document["id"]
             seq = int(document["seq"])
             choice = document["choices"][0]
             content = choice["delta"].get("content") or ""
@@ -102,18 +102,18 @@
                 raise TypeError("content is not a string")
             reason = choice.get("finish_reason")
         except (ValueError, TypeError, LookupError, AttributeError) as exc:
-            raise StreamBroken("invalid piece in the stream") from exc
+            raise InvalidStream("invalid piece in the stream") from exc
         # Engines batch many requests. A piece of another request would show the
         # caller someone else's text; a late duplicate would repeat its own text.
-        if id_ != self._id:
+        if piece_id != self._id:
             self.foreign += 1
             return None
-        if seq < self.expected or self.finished:
-            self.repeated += 1
+        if seq < self.next_seq or self.finished:
+            self.duplicates += 1
             return None
-        if seq > self.expected:
-            raise StreamBroken(f"piece {self.expected} is missing")
-        self.expected += 1
+        if seq > self.next_seq:
+            raise InvalidStream(f"piece {self.next_seq} is missing")
+        self.next_seq += 1
         usage = parse_usage(document.get("usage"))
         if reason is not None:
             self.finished = True
--- a/greengageflow/net/_sse.py
+++ b/greengageflow/net/_sse.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-EVENT_LIMIT = 1_048_576
+MAX_EVENT_BYTES = 1_048_576
 _FIELD = b"data:"
 
 
@@ -43,7 +43,7 @@
         limit: Maximum size of an unfinished event, in bytes.
     """
 
-    def __init__(self, limit: int = EVENT_LIMIT) -> None:
+    def __init__(self, limit: int = MAX_EVENT_BYTES) -> None:
         self._limit = limit
         self._rest = b""
 
--- a/greengageflow/net/endpoint_attempt.py
+++ b/greengageflow/net/endpoint_attempt.py
@@ -5,12 +5,12 @@
 from typing import Protocol
 
 from greengageflow.core.endpoint_list import ListedEndpoint
-from greengageflow.net.endpoint_answer import AnswerNote
+from greengageflow.net.endpoint_response import ResponseInfo
 from greengageflow.net.event_frames import EventFrames, Frame, FrameTooLarge
 from greengageflow.net.http_messages import Failure, FailureKind, Head, HttpRequest
 from greengageflow.net.http_pool import Exchange, HttpPool
 
-WHOLE_LIMIT = 8 * 1_048_576
+MAX_RESPONSE_BYTES = 8 * 1_048_576
 
 
 class AttemptListener(Protocol):
@@ -42,7 +42,7 @@
         pool: Sends the request.
         request: Request to send.
         endpoint: Endpoint to send it to.
-        judge: Evaluates a response head with respect to this request.
+        evaluate: Evaluates a response head with respect to this request.
         stream: True if a successful response is a stream of events.
         listener: Notified of the response.
     """
@@ -52,24 +52,26 @@
         pool: HttpPool,
         request: HttpRequest,
         endpoint: ListedEndpoint,
-        judge: Callable[[Head], AnswerNote],
+        evaluate: Callable[[Head], ResponseInfo],
         *,
         stream: bool,
         listener: AttemptListener,
     ) -> None:
         self.endpoint = endpoint
         self.head: Head | None = None
-        self.note: AnswerNote | None = None
+        self.response_info: ResponseInfo | None = None
         self.events = 0
         self._pool = pool
-        self._judge = judge
+        self._evaluate = evaluate
         self._stream = stream
         self._listener = listener
         self._frames: EventFrames | None = None
         self._body = bytearray()
         self._exchange: Exchange | None = None
         self._request = replace(
-            request, accepts=lambda head: judge(head).own, until_close=True
+            request,
+            accepts=lambda head: evaluate(head).belongs_to_request,
+            until_close=True,
         )
 
     def start(self) -> None:
@@ -96,8 +98,8 @@
     def on_head(self, head: Head) -> None:
         """Handle status and headers."""
         self.head = head
-        self.note = self._judge(head)
-        if self._stream and self.note.good:
+        self.response_info = self._evaluate(head)
+        if self._stream and self.response_info.is_forwardable:
             self._frames = EventFrames()
         self._listener.on_head(self)
 
@@ -105,19 +107,19 @@
         """Handle part of the body."""
         if self._frames is None:
             self._body += data
-            if len(self._body) > WHOLE_LIMIT:
-                self._break("response too large")
+            if len(self._body) > MAX_RESPONSE_BYTES:
+                self._fail("response too large")
             return
         try:
             frames = list(self._frames.feed(data))
         except FrameTooLarge as exc:
-            self._break(str(exc))
+            self._fail(str(exc))
             return
         if frames:
             self.events += len(frames)
             self._listener.on_events(self, frames)
 
-    def _break(self, message: str) -> None:
+    def _fail(self, message: str) -> None:
         self.cancel()
         self._listener.on_failure(self, Failure(FailureKind.BROKEN, True, message))
 
@@ -125,7 +127,7 @@
         """Handle the end of the response."""
         if self._frames is None:
             self._listener.on_answer(self, bytes(self._body))
-        elif self._frames.torn:
+        elif self._frames.has_unfinished_event:
             failure = Failure(
                 FailureKind.CUT, True, "stream ended in the middle of an event"
             )
--- a/greengageflow/net/endpoint_answer.py
+++ b/greengageflow/net/endpoint_response.py
@@ -4,34 +4,34 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class AnswerNote:
+class ResponseInfo:
     """Evaluated head of one response.
 
     Args:
         status: HTTP status code.
-        own: The response belongs to the request that was sent.
-        sealed: The response carries a signature of the endpoint and the id of this
+        belongs_to_request: The response belongs to the request that was sent.
+        signed: The response carries a signature of the endpoint and the id of this
             request.
         not_run: The endpoint states that it did not run the request.
-        replaced: Another endpoint now has the address.
-        closing: The endpoint closes the connection after the response.
-        encoded: The body has a content encoding, so it is not the plain body.
+        endpoint_replaced: Another endpoint now has the address.
+        closes_connection: The endpoint closes the connection after the response.
+        content_encoded: The body has a content encoding, so it is not the plain body.
         leaving: The endpoint announces that it is shutting down.
         backoff_s: Time for which the endpoint wants no requests, in seconds; 0 if it
             gave none.
     """
 
     status: int
-    own: bool
-    sealed: bool
+    belongs_to_request: bool
+    signed: bool
     not_run: bool
-    replaced: bool
-    closing: bool
-    encoded: bool
+    endpoint_replaced: bool
+    closes_connection: bool
+    content_encoded: bool
     leaving: bool = False
     backoff_s: float = 0.0
 
     @property
-    def good(self) -> bool:
+    def is_forwardable(self) -> bool:
         """Whether the response is a success that may be forwarded."""
-        return 200 <= self.status < 300 and self.sealed and not self.encoded
+        return 200 <= self.status < 300 and self.signed and not self.content_encoded
--- a/greengageflow/net/engine_client.py
+++ b/greengageflow/net/engine_client.py
@@ -12,15 +12,14 @@
 
 from greengageflow.errors import Ran
 from greengageflow.net._pieces import (
+    InvalidStream,
     Piece,
-    PieceCheck,
-    StreamBroken,
+    PieceFilter,
     Usage,
     parse_usage,
 )
 from greengageflow.net._sse import EventStream, EventTooLarge
-from greengageflow.net.endings import Completed, Cut, EngineEnd, Refused, Unreachable
-from greengageflow.net.http_messages import retry_after_s, says_leaving
+from greengageflow.net.http_messages import announces_shutdown, retry_after_s
 from greengageflow.net.http_pool import (
     Exchange,
     Failure,
@@ -30,6 +29,13 @@
     HttpRequest,
     Response,
 )
+from greengageflow.net.request_outcomes import (
+    Completed,
+    Cut,
+    EngineEnd,
+    Refused,
+    Unreachable,
+)
 from greengageflow.net.timers import Subscription, Timers
 
 __all__ = [
@@ -47,8 +53,8 @@
 
 CHAT_PATH = "/v1/chat/completions"
 CANCEL_PATH = "/cancel"
-WHOLE_LIMIT = 8 * 1_048_576
-REFUSAL_LIMIT = 16_384
+MAX_RESPONSE_BYTES = 8 * 1_048_576
+MAX_ERROR_BODY_BYTES = 16_384
 RESUME_DELAY_S = 0.05
 
 BUSY_STATUSES = frozenset({429, 503})
@@ -139,26 +145,26 @@
         self._pool = pool
         self._timers = timers
         self._listener = listener
-        self._check = PieceCheck(request.request_id)
+        self._filter = PieceFilter(request.request_id)
         self._events = EventStream()
         self._exchange: Exchange | None = None
-        self._wait: Subscription | None = None
+        self._resume_timer: Subscription | None = None
         self._started_at = monotonic()
         self._head: Head | None = None
-        self._refusal = bytearray()
-        self._fruitless = 0
+        self._error_body = bytearray()
+        self._resumes_without_progress = 0
         self._paused = False
         self._ended = False
 
     @property
     def pieces(self) -> int:
         """Number of valid pieces received so far."""
-        return self._check.expected
+        return self._filter.next_seq
 
     @property
     def dropped(self) -> int:
         """Number of dropped pieces: of other requests, or duplicates."""
-        return self._check.foreign + self._check.repeated
+        return self._filter.foreign + self._filter.duplicates
 
     @property
     def seconds(self) -> float:
@@ -171,7 +177,9 @@
             self._open()
         else:
             request = self._http_request()
-            self._exchange = self._pool.fetch(request, self._on_whole, WHOLE_LIMIT)
+            self._exchange = self._pool.fetch(
+                request, self._on_response, MAX_RESPONSE_BYTES
+            )
 
     def pause(self) -> None:
         """Stop reading until ``resume``."""
@@ -208,8 +216,8 @@
         self._pool.fetch(request, lambda _outcome: None)
 
     def _stop(self) -> None:
-        if self._wait is not None:
-            self._wait.cancel()
+        if self._resume_timer is not None:
+            self._resume_timer.cancel()
         if self._exchange is not None:
             self._exchange.cancel()
 
@@ -228,7 +236,7 @@
         if self.request.idempotency_key:
             yield "Idempotency-Key", self.request.idempotency_key
         if self.resumed:
-            yield "X-Resume-From", str(self._check.expected)
+            yield "X-Resume-From", str(self._filter.next_seq)
 
     def _http_request(self) -> HttpRequest:
         request = self.request
@@ -247,7 +255,7 @@
         )
 
     def _open(self) -> None:
-        self._wait = None
+        self._resume_timer = None
         self._head = None
         self._events = EventStream()
         self._exchange = self._pool.open(self._http_request(), self)
@@ -256,21 +264,21 @@
 
     # Responses that are not streamed.
 
-    def _on_whole(self, outcome: Response | Failure) -> None:
+    def _on_response(self, outcome: Response | Failure) -> None:
         if isinstance(outcome, Response):
-            self.leaving = says_leaving(outcome)
+            self.leaving = announces_shutdown(outcome)
         match outcome:
             case Failure(sent=False, message=message):
                 self._end(Unreachable(message))
             case Failure(message=message):
-                self._end(Cut(message, lost=outcome.lost))
+                self._end(Cut(message, connection_lost=outcome.connection_lost))
             case Response(status=200, body=body):
-                self._end(self._whole(body))
+                self._end(self._parse_response(body))
             case Response(status=status, body=body):
                 retry_after = outcome.header("retry-after")
-                self._end(self._refused(status, body, retry_after))
+                self._end(self._rejection(status, body, retry_after))
 
-    def _whole(self, body: bytes) -> EngineEnd:
+    def _parse_response(self, body: bytes) -> EngineEnd:
         try:
             document = json.loads(body)
         except ValueError:
@@ -282,10 +290,10 @@
                 return Cut("response has no choices")
         return Cut("response belongs to another request")
 
-    def _refused(self, status: int, body: bytes, retry_after: str) -> EngineEnd:
+    def _rejection(self, status: int, body: bytes, retry_after: str) -> EngineEnd:
         text = body[:200].decode("utf-8", "replace")
         message = f"engine responded {status}: {text}"
-        if self._check.expected:
+        if self._filter.next_seq:
             return Cut(message, Ran.YES)
         if self.resumed or status not in NOT_RUN_STATUSES:
             return Cut(message)
@@ -296,42 +304,42 @@
     def on_head(self, head: Head) -> None:
         """Handle status and headers."""
         self._head = head
-        self.leaving = self.leaving or says_leaving(head)
+        self.leaving = self.leaving or announces_shutdown(head)
 
     def on_data(self, data: bytes) -> None:
         """Validate the pieces in ``data`` and pass them on in one call."""
         if self._head.status != 200:
-            self._refusal += data[: REFUSAL_LIMIT - len(self._refusal)]
+            self._error_body += data[: MAX_ERROR_BODY_BYTES - len(self._error_body)]
             return
-        problem = None
+        error = None
         pieces = []
         try:
-            for piece in self._check.pieces(self._events.feed(data)):
+            for piece in self._filter.pieces(self._events.feed(data)):
                 pieces.append(piece)
-        except (StreamBroken, EventTooLarge) as exc:
-            problem = str(exc)
+        except (InvalidStream, EventTooLarge) as exc:
+            error = str(exc)
         if pieces:
             self._pass_on(pieces)
-        if problem is not None:
-            self._cut(problem)
-        elif self._check.done:
+        if error is not None:
+            self._resume_or_fail(error)
+        elif self._filter.done:
             self._finish()
 
     def _pass_on(self, pieces: list[Piece]) -> None:
         if self.first_piece_s is None:
             self.first_piece_s = self.seconds
-        self._fruitless = 0
+        self._resumes_without_progress = 0
         self._listener.on_pieces(pieces)
 
     def _finish(self) -> None:
-        if self._check.finished:
+        if self._filter.finished:
             # Read to the end of the HTTP response, even if a slow caller has paused
             # the call, so that the connection can be reused.
             self._exchange.resume()
-            self._end(Completed(self._check.usage, self.seconds))
+            self._end(Completed(self._filter.usage, self.seconds))
         else:
-            self._check.done = False
-            self._cut("end marker received before the last piece")
+            self._filter.done = False
+            self._resume_or_fail("end marker received before the last piece")
 
     def on_end(self) -> None:
         """Handle the end of the HTTP response.
@@ -340,32 +348,35 @@
         """
         status = self._head.status
         if status == 200:
-            self._cut("stream ended before its end marker")
+            self._resume_or_fail("stream ended before its end marker")
         elif self.resumed and status in BUSY_STATUSES:
-            self._cut(f"engine responded {status} to a resumption")
+            self._resume_or_fail(f"engine responded {status} to a resumption")
         else:
             retry_after = self._head.header("retry-after")
-            self._end(self._refused(status, bytes(self._refusal), retry_after))
+            self._end(self._rejection(status, bytes(self._error_body), retry_after))
 
     def on_failure(self, failure: Failure) -> None:
         """Resume an interrupted stream, or report the failure."""
         if not failure.sent and not self.resumed:
             self._end(Unreachable(failure.message))
         else:
-            no_way = failure.kind in (FailureKind.CUT, FailureKind.CONNECT)
-            self._cut(failure.message, lost=no_way)
+            connection_lost = failure.kind in (FailureKind.CUT, FailureKind.CONNECT)
+            self._resume_or_fail(failure.message, connection_lost=connection_lost)
 
     # Resuming.
 
-    def _cut(self, message: str, *, lost: bool = False) -> None:
+    def _resume_or_fail(self, message: str, *, connection_lost: bool = False) -> None:
         if self._ended:
             return
         self._stop()
-        if self.request.resumes and self._fruitless < self.request.resume_tries:
-            delay_s = RESUME_DELAY_S * 2**self._fruitless
-            self._fruitless += 1
+        if (
+            self.request.resumes
+            and self._resumes_without_progress < self.request.resume_tries
+        ):
+            delay_s = RESUME_DELAY_S * 2**self._resumes_without_progress
+            self._resumes_without_progress += 1
             self.resumed += 1
-            self._wait = self._timers.after(delay_s, self._open)
+            self._resume_timer = self._timers.after(delay_s, self._open)
         else:
-            ran = Ran.YES if self._check.expected else Ran.UNKNOWN
-            self._end(Cut(message, ran, lost))
+            ran = Ran.YES if self._filter.next_seq else Ran.UNKNOWN
+            self._end(Cut(message, ran, connection_lost))
--- a/greengageflow/net/event_frames.py
+++ b/greengageflow/net/event_frames.py
@@ -4,9 +4,9 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-FRAME_LIMIT = 1_048_576
+MAX_FRAME_BYTES = 1_048_576
 _END = re.compile(rb"\r?\n\r?\n")
-_NUMBER = re.compile(rb"(?:^|\n)id: ?(\d{1,18})\r?(?:\n|$)")
+_EVENT_ID = re.compile(rb"(?:^|\n)id: ?(\d{1,18})\r?(?:\n|$)")
 
 
 class FrameTooLarge(Exception):
@@ -19,11 +19,11 @@
 
     Args:
         raw: Bytes of the event, including the blank line.
-        number: Numeric event id, or None.
+        event_id: Numeric event id, or None.
     """
 
     raw: bytes
-    number: int | None
+    event_id: int | None
 
 
 class EventFrames:
@@ -33,7 +33,7 @@
         self._rest = b""
 
     @property
-    def torn(self) -> bool:
+    def has_unfinished_event(self) -> bool:
         """Whether an unfinished event remains."""
         return bool(self._rest.strip())
 
@@ -44,12 +44,12 @@
             FrameTooLarge: An unfinished event exceeds the limit.
         """
         text = self._rest + data
-        at = 0
+        start = 0
         for end in _END.finditer(text):
-            raw = text[at : end.end()]
-            at = end.end()
-            found = _NUMBER.search(raw)
+            raw = text[start : end.end()]
+            start = end.end()
+            found = _EVENT_ID.search(raw)
             yield Frame(raw, int(found[1]) if found else None)
-        self._rest = text[at:]
-        if len(self._rest) > FRAME_LIMIT:
-            raise FrameTooLarge(f"event larger than {FRAME_LIMIT} bytes")
+        self._rest = text[start:]
+        if len(self._rest) > MAX_FRAME_BYTES:
+            raise FrameTooLarge(f"event larger than {MAX_FRAME_BYTES} bytes")
--- a/greengageflow/net/http_messages.py
+++ b/greengageflow/net/http_messages.py
@@ -57,7 +57,7 @@
     )
 
 
-def says_leaving(answer: "Head | Response") -> bool:
+def announces_shutdown(answer: "Head | Response") -> bool:
     """Return whether a response announces that its endpoint is shutting down."""
     return answer.header(SERVER_LEAVING).strip() not in ("", "0")
 
@@ -174,7 +174,7 @@
     stale: bool = False
 
     @property
-    def lost(self) -> bool:
+    def connection_lost(self) -> bool:
         """Whether the request was sent and the connection lost or not restored."""
         return self.sent and self.kind in (FailureKind.CUT, FailureKind.CONNECT)
 
--- a/greengageflow/net/endings.py
+++ b/greengageflow/net/request_outcomes.py
@@ -56,12 +56,12 @@
     Args:
         message: Description of the failure.
         ran: ``YES`` if a piece was received, else ``UNKNOWN``.
-        lost: True if the connection was lost or could not be restored.
+        connection_lost: True if the connection was lost or could not be restored.
     """
 
     message: str
     ran: Ran = Ran.UNKNOWN
-    lost: bool = False
+    connection_lost: bool = False
 
 
 EngineEnd = Completed | Refused | Unreachable | Cut
--- a/greengageflow/net/service_client.py
+++ b/greengageflow/net/service_client.py
@@ -4,8 +4,11 @@
 from dataclasses import dataclass
 from http import HTTPStatus
 
-from greengageflow.net.endings import Cut, Unreachable
-from greengageflow.net.http_messages import hop_by_hop, retry_after_s, says_leaving
+from greengageflow.net.http_messages import (
+    announces_shutdown,
+    hop_by_hop,
+    retry_after_s,
+)
 from greengageflow.net.http_pool import (
     Exchange,
     Failure,
@@ -13,13 +16,14 @@
     HttpRequest,
     Response,
 )
+from greengageflow.net.request_outcomes import Cut, Unreachable
 
-ANSWER_LIMIT = 8 * 1_048_576
+MAX_RESPONSE_BYTES = 8 * 1_048_576
 
 Header = tuple[str, str]
 
-_OF_THE_MESSAGE = frozenset({"content-length", "host", "expect", "date", "server"})
-_OF_THE_ROUTER = frozenset(
+_MESSAGE_HEADERS = frozenset({"content-length", "host", "expect", "date", "server"})
+_ROUTER_HEADERS = frozenset(
     {"authorization", "x-request-id", "traceparent", "idempotency-key"}
 )
 
@@ -27,7 +31,7 @@
 def end_to_end(headers: Iterable[Header]) -> Iterator[Header]:
     """Yield the headers that may be forwarded to the next hop."""
     headers = list(headers)
-    dropped = hop_by_hop(headers) | _OF_THE_MESSAGE
+    dropped = hop_by_hop(headers) | _MESSAGE_HEADERS
     for name, value in headers:
         if name.lower() not in dropped:
             yield name, value
@@ -88,7 +92,7 @@
 
     def _headers(self) -> Iterator[Header]:
         for name, value in end_to_end(self.headers):
-            if name.lower() not in _OF_THE_ROUTER:
+            if name.lower() not in _ROUTER_HEADERS:
                 yield name, value
         yield "X-Request-Id", self.request_id
         if self.traceparent:
@@ -129,7 +133,7 @@
     pool: HttpPool,
     request: ServiceRequest,
     on_done: Callable[[ServiceEnd], None],
-    limit: int = ANSWER_LIMIT,
+    limit: int = MAX_RESPONSE_BYTES,
 ) -> Exchange:
     """Send ``request`` and call ``on_done`` once with the outcome.
 
@@ -151,12 +155,12 @@
                 wait_s = 0.0
                 if status == HTTPStatus.SERVICE_UNAVAILABLE:
                     wait_s = retry_after_s(outcome.header("retry-after"))
-                own = tuple(end_to_end(headers))
-                leaving = says_leaving(outcome)
-                on_done(ServiceAnswer(status, own, body, leaving, wait_s))
+                forwarded = tuple(end_to_end(headers))
+                leaving = announces_shutdown(outcome)
+                on_done(ServiceAnswer(status, forwarded, body, leaving, wait_s))
             case Failure(sent=False, message=message):
                 on_done(Unreachable(message))
             case Failure(message=message):
-                on_done(Cut(message, lost=outcome.lost))
+                on_done(Cut(message, connection_lost=outcome.connection_lost))
 
     return pool.fetch(request.to_http(), on_outcome, limit)
--- a/greengageflow/platform/answers.py
+++ b/greengageflow/platform/answers.py
@@ -1,8 +1,8 @@
 """Answers of the platform's endpoints."""
 
 from greengageflow.core.forward_request import Header
-from greengageflow.net.endpoint_answer import AnswerNote
-from greengageflow.net.http_messages import Head, retry_after_s, says_leaving
+from greengageflow.net.endpoint_response import ResponseInfo
+from greengageflow.net.http_messages import Head, announces_shutdown, retry_after_s
 from greengageflow.platform.names import (
     NOT_EXECUTED,
     REPLICA_ID,
@@ -16,22 +16,22 @@
 UNAVAILABLE = 503
 
 
-def note_of(head: Head, request_id: str) -> AnswerNote:
+def note_of(head: Head, request_id: str) -> ResponseInfo:
     """Return what an answer's head says of the request ``request_id``."""
     echoed = head.header(REQUEST_ID)
     misdirected = head.status == MISDIRECTED
     not_run = misdirected or bool(head.header(NOT_EXECUTED))
     turned_away = not_run and head.status == UNAVAILABLE
-    return AnswerNote(
+    return ResponseInfo(
         status=head.status,
-        own=echoed in ("", request_id),
-        sealed=bool(head.header(RESPONSE_SEAL)) and echoed == request_id,
+        belongs_to_request=echoed in ("", request_id),
+        signed=bool(head.header(RESPONSE_SEAL)) and echoed == request_id,
         not_run=not_run,
-        replaced=misdirected and bool(head.header(REPLICA_ID)),
-        closing="close" in head.header("connection").lower(),
-        encoded=bool(head.header("content-encoding")),
+        endpoint_replaced=misdirected and bool(head.header(REPLICA_ID)),
+        closes_connection="close" in head.header("connection").lower(),
+        content_encoded=bool(head.header("content-encoding")),
         # Another endpoint that has the address now speaks for itself.
-        leaving=not misdirected and says_leaving(head),
+        leaving=not misdirected and announces_shutdown(head),
         backoff_s=retry_after_s(head.header(RETRY_AFTER)) if turned_away else 0.0,
     )
 
--- a/tests/test_service_core.py
+++ b/tests/test_service_core.py
@@ -29,7 +29,7 @@
 from greengageflow.core.trust import KeyTrust
 from greengageflow.core.work_queue import Waiter, WorkQueue
 from greengageflow.errors import ErrorKind
-from greengageflow.net.event_frames import FRAME_LIMIT, EventFrames, FrameTooLarge
+from greengageflow.net.event_frames import MAX_FRAME_BYTES, EventFrames, FrameTooLarge
 
 WINDOW_S = 10.0
 
@@ -307,7 +307,7 @@
         for begin, end in zip(places, places[1:], strict=False)
         for frame in parts.feed(text[begin:end])
     ]
-    assert found == frames and parts.torn == whole.torn
+    assert found == frames and parts.has_unfinished_event == whole.has_unfinished_event
     raw = b"".join(frame.raw for frame in frames)
     assert text.startswith(raw)
     assert not re.search(rb"\r?\n\r?\n", text[len(raw) :])
@@ -316,9 +316,12 @@
 def test_frames_tell_numbers_and_torn_ends():
     frames = EventFrames()
     found = list(frames.feed(b"id: 12\r\ndata: x\r\n\r\ndata: id: 3\n\ndata"))
-    assert [frame.number for frame in found] == [12, None] and frames.torn
+    assert [frame.event_id for frame in found] == [
+        12,
+        None,
+    ] and frames.has_unfinished_event
     with pytest.raises(FrameTooLarge):
-        list(frames.feed(b"x" * FRAME_LIMIT))
+        list(frames.feed(b"x" * MAX_FRAME_BYTES))
 
 
 def test_an_account_that_had_all_engines_goes_without_for_a_moment_only():
