--- a/tests/http_fakes.py
+++ b/tests/http_fakes.py
@@ -12,13 +12,13 @@
 from greengageflow.net.http_pool import HttpPool
 from greengageflow.net.timers import Timers
 
-LIMIT_S = 20.0
+WAIT_TIMEOUT_S = 20.0
 
 
 def wait_for(condition: Callable[[], object]):
-    end = monotonic() + LIMIT_S
+    deadline = monotonic() + WAIT_TIMEOUT_S
     while not (value := condition()):
-        assert monotonic() < end, "condition not met"
+        assert monotonic() < deadline, "condition not met"
         sleep(0.002)
     return value
 
@@ -27,7 +27,7 @@
     """A circuits loop in a thread; ``call`` runs a function on it."""
 
     def __init__(self, **pool_options) -> None:
-        self.faults = []
+        self.exceptions = []
         self.app = app = Component()
         EPoll().register(app)
         self.timers = Timers().register(app)
@@ -39,7 +39,7 @@
 
     def _make_on_exception(self):
         def on_exception(manager, *args, **_kwargs):
-            self.faults.append(args)
+            self.exceptions.append(args)
 
         return on_exception
 
@@ -54,15 +54,15 @@
     def call(self, call: Callable[[], object]):
         answer = Queue()
         self._calls.put((call, answer))
-        good, value = answer.get(timeout=LIMIT_S)
-        if not good:
+        succeeded, value = answer.get(timeout=WAIT_TIMEOUT_S)
+        if not succeeded:
             raise value
         return value
 
     def close(self) -> None:
         self.call(self.app.stop)
-        self.thread.join(LIMIT_S)
-        assert not self.faults, self.faults
+        self.thread.join(WAIT_TIMEOUT_S)
+        assert not self.exceptions, self.exceptions
 
 
 class FakePeer:
@@ -141,7 +141,7 @@
     """A blocking TCP client."""
 
     def __init__(self, address: tuple[str, int]) -> None:
-        self.sock = create_connection(address, timeout=LIMIT_S)
+        self.sock = create_connection(address, timeout=WAIT_TIMEOUT_S)
         self.send = self.sock.sendall
         self.data = b""
 
--- a/tests/test_answer_faults.py
+++ b/tests/test_answer_faults.py
@@ -35,7 +35,7 @@
 
 
 @pytest.fixture(scope="module", params=[False, True], ids=["plain", "resumes"])
-def shared(request):
+def shared_lab(request):
     with Lab(plan(request.param)) as lab:
         for account in lab.plan.accounts:
             wait_served(lab, account)
@@ -43,11 +43,11 @@
 
 
 @pytest.fixture
-def lab(shared):
-    yield shared
-    for engine in shared.engines.values():
+def lab(shared_lab):
+    yield shared_lab
+    for engine in shared_lab.engines.values():
         engine.fault()
-    assert_all_slots_usable(shared)
+    assert_all_slots_usable(shared_lab)
 
 
 def resumes(lab):
@@ -78,11 +78,11 @@
     # An engine that failed is in backoff first and then ramped up slowly.
     wait_for(lambda: SLOTS in list(all_running(lab)), "every slot in use", 60)
     # Ignore earlier executions: an engine detects a closed connection with a delay.
-    new = [one for one in executions(lab) if one["started"] >= since]
-    assert max(most_at_once(new).values()) <= SLOTS
+    recent = [run for run in executions(lab) if run["started"] >= since]
+    assert max(most_at_once(recent).values()) <= SLOTS
 
 
-def loaded(lab, **options):
+def run_load(lab, **options):
     """Run a load that reaches the engines and return its results."""
     before = len(executions(lab))
     load = chats("acme", outstanding=16, **options)
@@ -115,7 +115,7 @@
 
 
 def execution(lab, tokens):
-    found = [one for one in executions(lab) if one["tokens"] == tokens]
+    found = [run for run in executions(lab) if run["tokens"] == tokens]
     return found[-1] if found else None
 
 
@@ -129,20 +129,20 @@
 
 
 @pytest.mark.parametrize(
-    ("wrong", "stream"),
+    ("fault_name", "stream"),
     [("duplicate", True), ("late", True), ("cross", True), ("late", False)],
 )
-def test_wrong_pieces_reach_no_caller(lab, wrong, stream):
+def test_wrong_pieces_are_not_forwarded(lab, fault_name, stream):
     """Callers must get only their own pieces, each once.
 
     The engine sends pieces twice, again later, or pieces of other requests in between.
     """
-    fault(lab, **{wrong: True})
-    results = loaded(lab, stream=stream)
-    assert all(one.complete for one in results)
+    fault(lab, **{fault_name: True})
+    results = run_load(lab, stream=stream)
+    assert all(result.complete for result in results)
 
 
-def test_a_whole_answer_of_another_request_is_refused_and_never_called_not_run(lab):
+def test_swapped_response_is_never_reported_as_not_run(lab):
     """An error must not say "not run" if the request ran.
 
     The engine swaps responses between requests. Requests are retried, and some reach
@@ -154,42 +154,45 @@
     body = {"model": "scribe", "messages": [message], "x_tokens": 20}
     headers = {"Authorization": f"Bearer {key_of('acme')}", "X-Deadline-S": "4"}
 
-    def ask(_number):
+    def send_chat(_number):
         return lab.routers["r1"].call(
             "POST", "/v1/chat/completions", body, headers=headers
         )
 
     with ThreadPoolExecutor(24) as threads:
-        answers = list(threads.map(ask, range(24)))
-    ran = {one["request_id"].partition(".")[0] for one in executions(lab)}
-    errors = [(one.headers["x-request-id"], one.json["error"]) for one in answers]
+        responses = list(threads.map(send_chat, range(24)))
+    ran = {run["request_id"].partition(".")[0] for run in executions(lab)}
+    errors = [
+        (response.headers["x-request-id"], response.json["error"])
+        for response in responses
+    ]
     assert any(error["kind"] == "deadline" for _, error in errors)
     for name, error in errors:
         assert (error["ran"] == "no") == (name.partition(".")[0] not in ran)
 
 
-def test_cut_streams_are_resumed_or_shown_as_cut(lab):
+def test_truncated_streams_are_resumed_or_reported(lab):
     """The engine breaks streams off after some pieces.
 
     If it can resume, callers must get complete responses and no request may run twice.
     Otherwise they must get an error after the pieces, never an end mark.
     """
     fault(lab, cut_after=5, cut_times=6)
-    results = loaded(lab, median_tokens=100)
+    results = run_load(lab, median_tokens=100)
     done = executions(lab)
     if resumes(lab):
-        assert all(one.complete for one in results)
-        assert any(one["resumed_from"] for one in done)
-        ids = [one["request_id"] for one in done]
+        assert all(result.complete for result in results)
+        assert any(run["resumed_from"] for run in done)
+        ids = [run["request_id"] for run in done]
         assert len(ids) == len(set(ids))
         return
-    cut = [one for one in results if not one.complete]
+    cut = [result for result in results if not result.complete]
     assert cut
-    assert {one.error for one in cut} == {"endpoint_cut"}
-    assert {one.ran for one in cut} == {"yes"}
+    assert {result.error for result in cut} == {"endpoint_cut"}
+    assert {result.ran for result in cut} == {"yes"}
 
 
-def test_a_stalled_engine_holds_callers_up_to_their_deadline(lab):
+def test_stalled_stream_ends_at_the_deadline(lab):
     """A stalled stream must end with an error at the caller's deadline.
 
     The request must also be cancelled at the engine so that its slot is free again.
@@ -197,7 +200,7 @@
     tokens = 901
     with closing(open_stream(lab, tokens, "stall", **{"X-Deadline-S": "2"})) as sock:
         wait_for(
-            lambda: (one := execution(lab, tokens)) and one["pieces"] > 3, "pieces"
+            lambda: (run := execution(lab, tokens)) and run["pieces"] > 3, "pieces"
         )
         fault(lab, stall=True)
         data = b""
@@ -209,20 +212,20 @@
     wait_for(lambda: execution(lab, tokens)["state"] == "cancelled", "given up")
 
 
-def test_work_for_a_caller_that_left_stops(lab):
+def test_disconnect_cancels_the_request_at_the_engine(lab):
     """A caller disconnects mid-stream; its request must be cancelled at the engine."""
     tokens = 20_011
     with closing(open_stream(lab, tokens, "gone")) as sock:
         assert sock.recv(64)
         wait_for(
-            lambda: (one := execution(lab, tokens)) and one["pieces"] > 3, "pieces"
+            lambda: (run := execution(lab, tokens)) and run["pieces"] > 3, "pieces"
         )
     wait_for(lambda: execution(lab, tokens)["state"] == "cancelled", "given up")
     for host in lab.routers:
         wait_for(lambda host=host: lab.status(host)["running"] == 0, "slot returned")
 
 
-def test_a_slow_reader_holds_up_nobody_and_gets_its_whole_answer(lab):
+def test_slow_reader_delays_no_other_caller(lab):
     """A caller that does not read must not delay others on the same engines.
 
     Backpressure holds its data back at the engine's connection; when it reads again, it
@@ -230,8 +233,8 @@
     """
     tokens = 2_503
     with closing(open_stream(lab, tokens, "slow")) as sock:
-        results = loaded(lab, routers=(0,))
-        assert all(one.complete for one in results)
+        results = run_load(lab, routers=(0,))
+        assert all(result.complete for result in results)
         data = read_all(sock)
     assert DONE in data
     body = b"".join(_chunks(data.partition(b"\r\n\r\n")[2]))
@@ -250,7 +253,7 @@
 
 
 @pytest.mark.parametrize("resumes", [False, True], ids=["plain", "resumes"])
-def test_an_engine_killed_in_the_middle_cuts_only_what_ran_there(resumes):
+def test_engine_crash_affects_only_its_own_requests(resumes):
     """An engine crash must affect only the requests that ran on it.
 
     Their callers get an error or a response of another engine. The engine restarts at
@@ -260,7 +263,7 @@
     with Lab(plan(resumes)) as lab, BackgroundLoad(lab, chat) as load:
         wait_for(lambda: len(executions(lab)) > 30, "load runs")
         first = lab.engines["e1"]
-        known = first.call("GET", "/executions").json["executions"]
+        executions_before = first.call("GET", "/executions").json["executions"]
         first.kill()
         rest = [lab.engines["e2"]]
         before = len(rest[0].call("GET", "/executions").json["executions"])
@@ -279,9 +282,13 @@
         )
         wait_started(lab, 60)
         results = load.stop()
-        cut = [one for one in results if not one.complete]
+        cut = [result for result in results if not result.complete]
         assert cut
-        assert {one.error for one in cut} <= {"endpoint_cut", "endpoint_failed"}
-        of_first = {one["request_id"] for one in known if one["state"] == "done"}
-        assert of_first <= {one.request_id for one in results if one.complete}
+        assert {result.error for result in cut} <= {"endpoint_cut", "endpoint_failed"}
+        completed_on_first = {
+            run["request_id"] for run in executions_before if run["state"] == "done"
+        }
+        assert completed_on_first <= {
+            result.request_id for result in results if result.complete
+        }
         assert_all_slots_usable(lab)
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -229,8 +229,8 @@
     answer = server.ask(post("/services/a/boom", b"", *last()))
     assert answer.startswith(b"HTTP/1.1 500 ")
     assert b"ZeroDivision" not in answer
-    wait_for(lambda: server.loop.faults)
-    server.loop.faults.clear()
+    wait_for(lambda: server.loop.exceptions)
+    server.loop.exceptions.clear()
 
 
 def test_health_follows_the_handler(server):
--- a/tests/test_connect_check.py
+++ b/tests/test_connect_check.py
@@ -16,7 +16,7 @@
         self.loop, self.seen = loop, []
         self.check = ConnectCheck(loop.timers).register(loop.app)
 
-    def begin(self, address):
+    def start_check(self, address):
         self.loop.call(lambda: self.check.check(address, self.seen.append))
 
     def result(self):
@@ -31,22 +31,22 @@
         yield checks
 
 
-def test_process_that_listens_is_seen(checks):
+def test_listening_process_accepts(checks):
     with create_server(("127.0.0.1", 0)) as server:
-        checks.begin(server.getsockname())
+        checks.start_check(server.getsockname())
         assert checks.result() is ConnectResult.ACCEPTED
 
 
-def test_address_where_nobody_listens_refuses(checks):
+def test_address_without_a_listener_refuses(checks):
     with create_server(("127.0.0.1", 0)) as server:
         address = server.getsockname()
-    checks.begin(address)
+    checks.start_check(address)
     assert checks.result() is ConnectResult.REFUSED
 
 
 def test_connection_that_ends_at_once_counts_as_closed(checks):
     with create_server(("127.0.0.1", 0)) as server:
-        checks.begin(server.getsockname())
+        checks.start_check(server.getsockname())
         taken, _ = server.accept()
         taken.close()
         assert checks.result() is ConnectResult.CLOSED
--- a/tests/test_engine_client.py
+++ b/tests/test_engine_client.py
@@ -79,7 +79,7 @@
     return call, listener, peer
 
 
-def streams(*parts, then_wait=False):
+def stream_script(*parts, then_wait=False):
     """Return a script that sends the nth part on the nth connection."""
 
     def script(conn, number):
@@ -91,11 +91,15 @@
     return script
 
 
-WHOLE = CHUNKED + chunk(event(0) + event(1, last=True)) + chunk(DONE) + b"0\r\n\r\n"
+COMPLETE_STREAM = (
+    CHUNKED + chunk(event(0) + event(1, last=True)) + chunk(DONE) + b"0\r\n\r\n"
+)
 
 
-def test_a_stream_is_passed_on_unchanged_and_completed(loop):
-    call, listener, peer = run(loop, streams(WHOLE), traceparent="00-a-b-01")
+def test_stream_is_forwarded_unchanged(loop):
+    call, listener, peer = run(
+        loop, stream_script(COMPLETE_STREAM), traceparent="00-a-b-01"
+    )
     assert listener.text == "t0t1"
     assert listener.raw == event(0) + event(1, last=True)
     end = listener.ends[0]
@@ -104,7 +108,7 @@
     assert b"X-Request-Id: r1\r\ntraceparent: 00-a-b-01" in peer.requests[0]
 
 
-def test_a_stream_in_single_bytes_is_the_same():
+def test_events_do_not_depend_on_reads():
     text = event(0) + b": comment\r\n\r\n" + b"data: a\r\ndata:b\r\n\r\n" + DONE
     whole = [item.data for item in EventStream().feed(text)]
     stream = EventStream()
@@ -114,7 +118,7 @@
     assert single == whole == [event(0)[6:-2], b"a\nb", b"[DONE]"]
 
 
-def test_foreign_and_repeated_pieces_are_left_out(loop):
+def test_foreign_and_duplicate_pieces_are_dropped(loop):
     """The caller must get each piece of its own response exactly once.
 
     The engine sends pieces of another request, a duplicate and a late piece. They are
@@ -123,13 +127,13 @@
     mixed = event(0, id_="r2") + event(0) + event(0) + event(1, id_="r2")
     mixed += event(1) + event(0)
     text = CHUNKED + chunk(mixed + event(2, last=True) + DONE) + b"0\r\n\r\n"
-    call, listener, _ = run(loop, streams(text))
+    call, listener, _ = run(loop, stream_script(text))
     assert listener.text == "t0t1t2"
     assert isinstance(listener.ends[0], Completed)
     assert call.dropped == 4
 
 
-CUTS = {
+TRUNCATED_STREAMS = {
     "connection": chunk(event(0)),
     "gap": chunk(event(0) + event(2)),
     "end without last piece": chunk(event(0)) + b"0\r\n\r\n",
@@ -141,21 +145,21 @@
 }
 
 
-@pytest.mark.parametrize("name", CUTS)
-def test_a_cut_stream_is_never_complete(loop, name):
+@pytest.mark.parametrize("name", TRUNCATED_STREAMS)
+def test_truncated_stream_is_never_complete(loop, name):
     """A truncated or invalid stream must be reported as cut and as run.
 
     The stream breaks off, skips a piece, or lacks the last piece or the end marker.
     """
-    _, listener, _ = run(loop, streams(CHUNKED + CUTS[name]))
+    _, listener, _ = run(loop, stream_script(CHUNKED + TRUNCATED_STREAMS[name]))
     assert isinstance(listener.ends[0], Cut)
     assert listener.ends[0].ran is Ran.YES
     assert listener.text.startswith("t0")
     assert "t2" not in listener.text
 
 
-@pytest.mark.parametrize("name", CUTS)
-def test_a_cut_stream_is_resumed_at_the_next_piece(loop, name):
+@pytest.mark.parametrize("name", TRUNCATED_STREAMS)
+def test_truncated_stream_is_resumed_at_the_next_piece(loop, name):
     """An interrupted stream must be resumed at the next piece.
 
     The engine cuts the stream after the first pieces; the client resumes from the next
@@ -166,7 +170,7 @@
         rest = event(1, last=True) + DONE
     second = CHUNKED + chunk(rest) + b"0\r\n\r\n"
     call, listener, peer = run(
-        loop, streams(CHUNKED + CUTS[name], second), resumes=True
+        loop, stream_script(CHUNKED + TRUNCATED_STREAMS[name], second), resumes=True
     )
     assert isinstance(listener.ends[0], Completed)
     assert listener.text in ("t0t1t2", "t0t1")
@@ -175,24 +179,24 @@
     assert b"X-Resume-From: " not in peer.requests[0]
 
 
-def test_resuming_gives_up_after_some_fruitless_tries(loop):
+def test_resumption_stops_after_tries_without_progress(loop):
     call, listener, peer = run(
-        loop, streams(CHUNKED + chunk(event(0))), resumes=True, resume_tries=2
+        loop, stream_script(CHUNKED + chunk(event(0))), resumes=True, resume_tries=2
     )
     assert isinstance(listener.ends[0], Cut)
     assert len(peer.requests) == 3
 
 
-def test_a_busy_engine_is_asked_again_to_resume(loop):
+def test_resumption_is_retried_when_the_engine_is_busy(loop):
     busy = b"HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n"
     rest = CHUNKED + chunk(event(1, last=True) + DONE) + b"0\r\n\r\n"
     parts = (CHUNKED + chunk(event(0)), busy, rest)
-    call, listener, _ = run(loop, streams(*parts), resumes=True)
+    call, listener, _ = run(loop, stream_script(*parts), resumes=True)
     assert isinstance(listener.ends[0], Completed)
     assert (listener.text, call.resumed) == ("t0t1", 2)
 
 
-def test_a_slow_caller_does_not_keep_the_engines_connection(loop):
+def test_slow_caller_does_not_hold_the_engine_connection(loop):
     """A complete response must free its connection even if the caller is slow.
 
     The listener pauses at the last pieces and never resumes; the end of the HTTP
@@ -231,8 +235,8 @@
         (b"409 Conflict", Ran.UNKNOWN),
     ],
 )
-def test_only_a_clear_refusal_says_not_run(loop, stream, status, ran):
-    _, listener, _ = run(loop, streams(REFUSED % status), stream=stream)
+def test_only_certain_statuses_mean_not_run(loop, stream, status, ran):
+    _, listener, _ = run(loop, stream_script(REFUSED % status), stream=stream)
     end = listener.ends[0]
     assert end.ran is ran
     if ran is Ran.NO:
@@ -242,7 +246,7 @@
 
 
 @pytest.mark.parametrize("stream", [True, False])
-def test_an_engine_that_is_down_did_not_run_the_request(loop, stream):
+def test_connect_failure_means_not_run(loop, stream):
     body = {"model": "m", "stream": stream}
     request = EngineRequest("127.0.0.1", 1, "r1", body, resumes=True)
     listener = Listener()
@@ -260,7 +264,7 @@
         ([], Cut),
     ],
 )
-def test_a_whole_answer_must_be_the_requests_own(loop, answer, kind):
+def test_unstreamed_response_must_match_the_request(loop, answer, kind):
     def script(conn, _number):
         conn.request()
         conn.answer(json.dumps(answer).encode())
@@ -269,7 +273,7 @@
     assert isinstance(listener.ends[0], kind)
 
 
-def test_cancel_closes_the_stream_and_tells_the_engine(loop):
+def test_cancel_closes_the_stream_and_notifies_the_engine(loop):
     """The engine must stop generating when the caller has disconnected.
 
     The call is cancelled in the middle of the stream: its connection is closed, and a
@@ -299,7 +303,7 @@
     assert not listener.ends
 
 
-def test_a_service_call_passes_the_message_but_not_the_hop(loop):
+def test_service_call_forwards_only_end_to_end_headers(loop):
     def script(conn, _number):
         conn.request()
         conn.answer(
@@ -329,7 +333,7 @@
         assert name not in sent
 
 
-def test_a_protected_service_call_uses_a_new_connection():
+def test_protected_service_call_uses_a_new_connection():
     request = ServiceRequest("127.0.0.1", 1, "POST", "/", "r1")
     assert request.to_http().retry_stale
     assert not replace(request, protected=True).to_http().retry_stale
--- a/tests/test_fragments.py
+++ b/tests/test_fragments.py
@@ -21,7 +21,7 @@
     st.randoms(use_true_random=False),
     st.sampled_from([0, 9, MAX_DATAGRAM_BYTES, MAX_DATAGRAM_BYTES + 1]),
 )
-def test_messages_of_several_senders_come_whole_in_any_order(random, size):
+def test_messages_are_reassembled_in_any_order(random, size):
     """Fragments of different messages must not be joined into one message."""
     messages = {sender: long_message(at, size) for at, sender in enumerate(SENDERS)}
     rows = [(s, d) for s, data in messages.items() for d in split(7, data)]
@@ -32,7 +32,7 @@
     assert dict(row for row in joined if row[1] is not None) == messages
 
 
-def test_lost_pieces_hold_no_memory_and_harm_no_other_message():
+def test_lost_fragments_do_not_accumulate():
     reassembler = Reassembler()
     for number in range(10 * MAX_INCOMPLETE_MESSAGES):
         first, *_ = split(number, long_message(1))
@@ -43,6 +43,6 @@
 
 
 @given(st.binary(max_size=40))
-def test_spoiled_pieces_are_no_message(data):
+def test_invalid_fragments_give_no_message(data):
     """Invalid data from any sender must not raise in the event loop of the router."""
     assert Reassembler().take(SENDERS[0], b"\xc1" + data) in (None, data[8:])
--- a/tests/test_http_parse.py
+++ b/tests/test_http_parse.py
@@ -22,28 +22,30 @@
     ResponseParser,
 )
 
-LARGEST = 16_384
+MAX_HEAD_BYTES = 16_384
 HEAD = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n"
-LAST = b"0\r\n\r\n"
+LAST_CHUNK = b"0\r\n\r\n"
 
 # A body that looks like a chunk; a parser that lost its position would remove it.
-ALIKE = b"1\r\nx\r\n"
+CHUNK_LIKE = b"1\r\nx\r\n"
 
 contents = st.one_of(
     st.binary(min_size=1, max_size=40),
-    st.integers(1, 4).map(lambda count: ALIKE * count),
+    st.integers(1, 4).map(lambda count: CHUNK_LIKE * count),
 )
 chunks = st.one_of(
     contents.map(lambda data: b"%x\r\n%b\r\n" % (len(data), data)),
     contents.map(lambda data: b"%04X\r\n%b\r\n" % (len(data), data)),
     contents.map(lambda data: b"%x;ext=1\r\n%b\r\n" % (len(data), data)),
-    st.sampled_from([b"5\r\nhelloXY", b"+5\r\nhello\r\n", b"5_0\r\n", b"\r\n", LAST]),
+    st.sampled_from(
+        [b"5\r\nhelloXY", b"+5\r\nhello\r\n", b"5_0\r\n", b"\r\n", LAST_CHUNK]
+    ),
 )
 streams = st.lists(chunks, max_size=12).map(b"".join)
-cuts = st.lists(st.sampled_from([1, 2, 4, 6, 12, 60]), max_size=40)
+read_sizes = st.lists(st.sampled_from([1, 2, 4, 6, 12, 60]), max_size=40)
 
 
-def parts_of(stream, sizes):
+def split_into_reads(stream, sizes):
     parts = []
     for size in sizes:
         parts.append(stream[:size])
@@ -51,7 +53,7 @@
     return [part for part in (*parts, stream) if part]
 
 
-def answer_by_h11(parts):
+def h11_parse_response(parts):
     """Return the body and its state: whole, broken or open."""
     http = h11.Connection(h11.CLIENT)
     http.send(h11.Request(method="GET", target="/", headers=[("host", "x")]))
@@ -71,14 +73,14 @@
     return body, "open"
 
 
-def answer_by_reader(parts):
-    reader = ResponseParser()
-    reader.expect("GET")
-    assert list(reader.feed(HEAD)) == [Head(200, (("transfer-encoding", "chunked"),))]
+def parse_response(parts):
+    parser = ResponseParser()
+    parser.expect("GET")
+    assert list(parser.feed(HEAD)) == [Head(200, (("transfer-encoding", "chunked"),))]
     body = b""
     for part in parts:
         try:
-            for event in reader.feed(part):
+            for event in parser.feed(part):
                 match event:
                     case Body(data):
                         body += data
@@ -90,22 +92,22 @@
 
 
 @settings(max_examples=400, deadline=None)
-@given(stream=streams, sizes=cuts)
-@example(stream=b"c\r\n" + ALIKE * 2 + b"\r\n" + LAST, sizes=[9])
-def test_a_chunked_body_is_the_same_in_any_parts_and_by_another_reader(stream, sizes):
+@given(stream=streams, sizes=read_sizes)
+@example(stream=b"c\r\n" + CHUNK_LIKE * 2 + b"\r\n" + LAST_CHUNK, sizes=[9])
+def test_chunked_body_does_not_depend_on_reads_and_matches_h11(stream, sizes):
     """The result must not depend on how the stream is split into reads.
 
     Otherwise a caller would miss text, get chunk sizes in it, or take a truncated
     response for a complete one.
     """
-    parts = parts_of(stream, sizes)
-    mine, theirs = answer_by_reader(parts), answer_by_h11(parts)
-    assert answer_by_reader([stream] if stream else []) == mine
-    if mine[1] == "broken":
+    parts = split_into_reads(stream, sizes)
+    ours, reference = parse_response(parts), h11_parse_response(parts)
+    assert parse_response([stream] if stream else []) == ours
+    if ours[1] == "broken":
         # h11 may detect the error earlier or later, but must not see a whole body.
-        assert theirs[1] != "whole"
+        assert reference[1] != "whole"
     else:
-        assert mine == theirs
+        assert ours == reference
 
 
 names = st.sampled_from(
@@ -153,9 +155,11 @@
         b"\xff\xfe",
     ]
 )
-ends = st.sampled_from([b"\r\n", b"\r\n", b"\r\n", b"\n", b"\r", b"\r\n\t more\r\n"])
-lines = st.tuples(names, st.sampled_from([b": ", b":", b" : ", b""]), values, ends)
-firsts = st.sampled_from(
+line_ends = st.sampled_from(
+    [b"\r\n", b"\r\n", b"\r\n", b"\n", b"\r", b"\r\n\t more\r\n"]
+)
+lines = st.tuples(names, st.sampled_from([b": ", b":", b" : ", b""]), values, line_ends)
+request_lines = st.sampled_from(
     [
         b"GET /a HTTP/1.1\r\n",
         b"POST /a?b=c HTTP/1.1\r\n",
@@ -180,22 +184,22 @@
     lambda first, host, rows, body: (
         first + b"".join(b"".join(row) for row in [*host, *rows]) + b"\r\n" + body
     ),
-    firsts,
+    request_lines,
     st.sampled_from([[GOOD_HOST], [GOOD_HOST], []]),
     st.lists(lines, max_size=3),
     bodies,
 )
 
 
-def requests_by_reader(parts):
+def parse_requests(parts):
     """Return the complete requests, up to one that ends the connection."""
-    reader = RequestParser(LARGEST)
+    parser = RequestParser(MAX_HEAD_BYTES)
     found, head, body = [], None, b""
     for part in parts:
-        reader.feed(part)
+        parser.feed(part)
         while True:
             try:
-                event = reader.next()
+                event = parser.next()
             except BadMessage:
                 return found
             match event:
@@ -221,11 +225,11 @@
     return data.decode("latin-1")
 
 
-def requests_by_h11(data):
+def h11_parse_requests(data):
     # Our parser reads several spaces before the target as one, as RFC 9112 allows;
     # h11 rejects them. Message lengths do not depend on it.
     data = data.replace(b"POST  /", b"POST /")
-    http = h11.Connection(h11.SERVER, max_incomplete_event_size=LARGEST)
+    http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
     http.receive_data(data)
     found, head, body = [], None, b""
     while True:
@@ -253,53 +257,53 @@
 
 
 @settings(max_examples=1500, deadline=None)
-@given(st.lists(requests, min_size=1, max_size=3), cuts)
+@given(st.lists(requests, min_size=1, max_size=3), read_sizes)
 @example([b"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabcGET /b"], [])
-def test_no_request_is_read_that_another_reader_refuses_or_reads_otherwise(rows, sizes):
+def test_every_accepted_request_matches_h11(rows, sizes):
     data = b"".join(rows)
     assume(b"\r\n\r\n\r\n" not in data)  # empty lines are tested below
-    mine = requests_by_reader(parts_of(data, sizes))
-    assert mine == requests_by_reader([data])
-    assert mine == requests_by_h11(data)[: len(mine)]
+    ours = parse_requests(split_into_reads(data, sizes))
+    assert ours == parse_requests([data])
+    assert ours == h11_parse_requests(data)[: len(ours)]
 
 
-def test_an_upgrade_ends_the_connection_and_trailers_are_no_headers():
+def test_upgrade_ends_the_connection_and_trailers_are_not_headers():
     """Data after an upgrade must not be parsed as a request.
 
     A trailer must not be taken for a header: it could name another account.
     """
-    reader = RequestParser(LARGEST)
+    parser = RequestParser(MAX_HEAD_BYTES)
     lines = b"Host: h\r\nConnection: upgrade\r\nUpgrade: h2c\r\n\r\n"
-    reader.feed(b"GET /a HTTP/1.1\r\n" + lines + b"GET /b HTTP/1.1\r\n" + lines)
-    assert not reader.next().keep_alive
-    assert reader.next() == RequestEnd()
-    assert reader.next() is None
+    parser.feed(b"GET /a HTTP/1.1\r\n" + lines + b"GET /b HTTP/1.1\r\n" + lines)
+    assert not parser.next().keep_alive
+    assert parser.next() == RequestEnd()
+    assert parser.next() is None
     chunked = b"POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
-    found = requests_by_reader([chunked + b"0\r\nX-Key: 1\r\n\r\n"])
+    found = parse_requests([chunked + b"0\r\nX-Key: 1\r\n\r\n"])
     (_, _, headers, body), *_ = found
     assert headers == (("host", "h"), ("transfer-encoding", "chunked")) and not body
 
 
 @pytest.mark.parametrize("count", [1, 3])
-def test_plain_requests_are_all_read(count):
-    one = b"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc"
-    two = (
+def test_consecutive_requests_are_all_parsed(count):
+    with_length = b"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc"
+    with_chunks = (
         b"PUT /a HTTP/1.1\r\nhost:h\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n"
-        + LAST
+        + LAST_CHUNK
     )
-    assert len(requests_by_reader([(one + two) * count])) == 2 * count
+    assert len(parse_requests([(with_length + with_chunks) * count])) == 2 * count
     # Some clients send an empty line after the body that is not part of it.
-    assert len(requests_by_reader([(one + b"\r\n") * count])) == count
+    assert len(parse_requests([(with_length + b"\r\n") * count])) == count
 
 
-def test_a_head_without_end_is_refused():
+def test_oversized_heads_are_rejected():
     """Without a limit, a caller could exhaust the memory of the host."""
-    reader = RequestParser(LARGEST)
-    reader.feed(b"GET / HTTP/1.1\r\nHost: h\r\nA: ")
+    parser = RequestParser(MAX_HEAD_BYTES)
+    parser.feed(b"GET / HTTP/1.1\r\nHost: h\r\nA: ")
     with pytest.raises(BadMessage) as info:
-        for _ in range(2 * LARGEST // 1000):
-            reader.feed(b"a" * 1000)
-            assert reader.next() is None
+        for _ in range(2 * MAX_HEAD_BYTES // 1000):
+            parser.feed(b"a" * 1000)
+            assert parser.next() is None
     assert info.value.too_large
     answers = ResponseParser()
     with pytest.raises(BadMessage):
@@ -314,23 +318,23 @@
     [
         OK + b"content-length: 3\r\ncontent-length: 4\r\n\r\nabcd",
         OK + b"content-length: 3\r\ntransfer-encoding: chunked\r\n\r\nabc",
-        OK + b"transfer-encoding: gzip, chunked\r\n\r\n" + LAST,
+        OK + b"transfer-encoding: gzip, chunked\r\n\r\n" + LAST_CHUNK,
         b"HTTP/1.1 101 Other\r\nconnection: upgrade\r\nupgrade: x\r\n\r\n",
         b"garbage\r\n\r\n",
     ],
 )
-def test_answers_whose_end_is_in_doubt_are_broken(answer):
-    reader = ResponseParser()
-    reader.expect("GET")
+def test_responses_with_ambiguous_length_are_invalid(answer):
+    parser = ResponseParser()
+    parser.expect("GET")
     with pytest.raises(BadMessage):
-        list(reader.feed(answer))
+        list(parser.feed(answer))
 
 
-def test_interim_answers_are_passed_over_and_heads_have_no_body():
-    reader = ResponseParser()
-    reader.expect("HEAD")
+def test_interim_responses_are_skipped_and_head_responses_have_no_body():
+    parser = ResponseParser()
+    parser.expect("HEAD")
     data = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\n"
-    assert list(reader.feed(data)) == [
+    assert list(parser.feed(data)) == [
         Head(200, (("content-length", "3"),)),
         ResponseEnd(keep_alive=False),
     ]
--- a/tests/test_http_pool.py
+++ b/tests/test_http_pool.py
@@ -16,7 +16,7 @@
         yield loop
 
 
-def is_read(loop, sock):
+def is_polled_for_reading(loop, sock):
     return loop.pool._find_poller().isReading(sock)
 
 
@@ -47,7 +47,7 @@
     return wait_for(lambda: done)[0]
 
 
-def test_a_connection_is_reused_and_bound_to_the_source(loop):
+def test_connection_is_reused_and_bound_to_the_source_ip(loop):
     def script(conn, _number):
         while conn.request():
             conn.answer(b'{"a": 1}', extra="X-Y: z\r\n")
@@ -61,7 +61,7 @@
     assert peer.requests[0].endswith(b"\r\n\r\nhello")
 
 
-def test_a_chunked_answer_in_single_bytes_is_whole(loop):
+def test_chunked_response_in_single_bytes_is_complete(loop):
     def script(conn, _number):
         conn.request()
         text = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -86,7 +86,7 @@
         ),
     ],
 )
-def test_half_and_broken_answers_are_failures(loop, answer, kind):
+def test_truncated_and_invalid_responses_are_failures(loop, answer, kind):
     """A truncated or invalid response must be reported as one failure.
 
     The peer sends less than announced, no length, garbage or too much, and closes the
@@ -102,14 +102,14 @@
     assert (failure.kind, failure.sent) == (kind, True)
 
 
-def test_a_refused_connection_is_known_not_to_be_sent(loop):
+def test_refused_connection_is_reported_as_not_sent(loop):
     with socket.create_server(("127.0.0.1", 0)) as sock:
         port = sock.getsockname()[1]
     failure = fetch(loop, port)
     assert (failure.kind, failure.sent) == (FailureKind.CONNECT, False)
 
 
-def test_a_connection_that_never_comes_about_is_not_sent(loop):
+def test_connect_timeout_is_reported_as_not_sent(loop):
     """A connect timeout must be reported as not sent.
 
     The peer's listen backlog is full, so the handshake never completes and no byte of
@@ -128,14 +128,14 @@
     assert (failure.kind, failure.sent) == (FailureKind.CONNECT, False)
 
 
-def test_a_silent_peer_times_out(loop):
+def test_idle_timeout_is_reported_as_sent(loop):
     peer = FakePeer(lambda conn, _number: conn.wait_closed())
     failure = fetch(loop, peer.port, idle_timeout_s=0.1)
     assert (failure.kind, failure.sent) == (FailureKind.TIMEOUT, True)
 
 
 @pytest.mark.parametrize("retry_stale", [True, False])
-def test_a_stale_connection_is_replaced_only_where_allowed(loop, retry_stale):
+def test_stale_connection_is_retried_only_if_allowed(loop, retry_stale):
     """A closed idle connection must not fail a request or repeat a protected one.
 
     The peer responds once and closes the connection when the next request arrives on
@@ -159,7 +159,7 @@
     assert len(peer.requests) == (3 if retry_stale else 2)
 
 
-def test_what_was_sent_on_a_kept_connection_is_not_called_unsent(loop):
+def test_failed_retry_is_reported_as_sent(loop):
     """A failed retry must be reported as sent if the first attempt was sent.
 
     The peer reads the second request on the reused connection and goes down. The retry
@@ -180,7 +180,7 @@
     assert (failure.kind, failure.sent) == (FailureKind.CONNECT, True)
 
 
-def test_an_early_answer_survives_a_broken_body(loop, monkeypatch):
+def test_early_response_takes_precedence_over_a_write_error(loop, monkeypatch):
     """An early 413 must be reported instead of a write error.
 
     The peer responds before it has read the body. The pool is still sending; its write
@@ -202,7 +202,7 @@
     assert response.status == 413
 
 
-def test_pause_holds_the_sender_back(loop):
+def test_pause_blocks_the_sender(loop):
     """A paused receiver gets no data, and flow control blocks the peer.
 
     The peer sends far more than the socket buffers hold; the receiver pauses at the
@@ -229,7 +229,7 @@
     exchange = []
     loop.call(lambda: exchange.append(loop.pool.open(request, recorder)))
     wait_for(lambda: recorder.log == [200])
-    assert not loop.call(lambda: is_read(loop, exchange[0].conn.sock))
+    assert not loop.call(lambda: is_polled_for_reading(loop, exchange[0].conn.sock))
     before = len(recorder.data)
     for _ in range(5):
         loop.call(lambda: None)
@@ -240,7 +240,7 @@
     assert len(recorder.data) == size
 
 
-def test_a_receiver_that_fails_gets_no_answer_with_a_hole(loop):
+def test_exception_in_receiver_ends_the_exchange(loop):
     """An exception in the receiver must end the exchange.
 
     The receiver raises in ``on_data`` and loses these bytes; it must not get later
@@ -261,11 +261,11 @@
     loop.call(lambda: loop.pool.open(request, recorder))
     wait_for(lambda: len(recorder.log) == 2)
     assert recorder.log[1].kind is FailureKind.BROKEN
-    wait_for(lambda: loop.faults)
-    loop.faults.clear()
+    wait_for(lambda: loop.exceptions)
+    loop.exceptions.clear()
 
 
-def test_cancel_closes_the_connection_and_tells_nothing(loop):
+def test_cancel_closes_the_connection_without_a_callback(loop):
     closed = []
 
     def script(conn, _number):
