--- a/greengageflow/net/_caller_conn.py
+++ b/greengageflow/net/_caller_conn.py
@@ -159,7 +159,7 @@
         headers = dict(head.headers)
         self._check_head(head, headers)
         waits = headers.get("expect", "").lower() == "100-continue"
-        if waits and head.version == "1.1" and not self._requests.body_arrived:
+        if waits and head.version == "1.1" and not self._requests.has_pending_events:
             self._link.send(CONTINUE_RESPONSE)
 
     def _check_head(self, head: RequestHead, headers: dict[str, str]) -> None:
--- a/greengageflow/net/_http_parse.py
+++ b/greengageflow/net/_http_parse.py
@@ -265,7 +265,7 @@
         return bool(self._events) or self.in_message
 
     @property
-    def body_arrived(self) -> bool:
+    def has_pending_events(self) -> bool:
         """Whether ``next`` has a part of a body or the end of a request."""
         return bool(self._events)
 
--- a/greengageflow/net/_sse.py
+++ b/greengageflow/net/_sse.py
@@ -45,7 +45,7 @@
 
     def __init__(self, limit: int = MAX_EVENT_BYTES) -> None:
         self._limit = limit
-        self._rest = b""
+        self._buffer = b""
 
     def feed(self, data: bytes) -> Iterator[ServerEvent]:
         """Yield the events completed by ``data``.
@@ -59,11 +59,11 @@
                 yield ServerEvent(block + b"\n\n", content)
 
     def _blocks(self, data: bytes) -> Iterator[bytes]:
-        text = self._rest + data
+        text = self._buffer + data
         if b"\r" in text:
             text = text.replace(b"\r\n", b"\n")
-        *blocks, self._rest = text.split(b"\n\n")
-        if len(self._rest) > self._limit:
+        *blocks, self._buffer = text.split(b"\n\n")
+        if len(self._buffer) > self._limit:
             raise EventTooLarge(f"event larger than {self._limit} bytes")
         for block in blocks:
             yield block.lstrip(b"\n")
--- a/greengageflow/net/engine_client.py
+++ b/greengageflow/net/engine_client.py
@@ -55,7 +55,7 @@
 CANCEL_PATH = "/cancel"
 MAX_RESPONSE_BYTES = 8 * 1_048_576
 MAX_ERROR_BODY_BYTES = 16_384
-RESUME_DELAY_S = 0.05
+RESUME_BACKOFF_S = 0.05
 
 BUSY_STATUSES = frozenset({429, 503})
 NOT_RUN_STATUSES = frozenset({400, 401, 403, 404, 405, 413, 415, 422, 429, 431, 503})
@@ -373,7 +373,7 @@
             self.request.resumes
             and self._resumes_without_progress < self.request.resume_tries
         ):
-            delay_s = RESUME_DELAY_S * 2**self._resumes_without_progress
+            delay_s = RESUME_BACKOFF_S * 2**self._resumes_without_progress
             self._resumes_without_progress += 1
             self.resumed += 1
             self._resume_timer = self._timers.after(delay_s, self._open)
--- a/greengageflow/net/event_frames.py
+++ b/greengageflow/net/event_frames.py
@@ -30,12 +30,12 @@
     """Splits a byte stream into events."""
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._buffer = b""
 
     @property
     def has_unfinished_event(self) -> bool:
         """Whether an unfinished event remains."""
-        return bool(self._rest.strip())
+        return bool(self._buffer.strip())
 
     def feed(self, data: bytes) -> Iterator[Frame]:
         """Yield the events completed by ``data``.
@@ -43,13 +43,13 @@
         Raises:
             FrameTooLarge: An unfinished event exceeds the limit.
         """
-        text = self._rest + data
+        text = self._buffer + data
         start = 0
         for end in _END.finditer(text):
             raw = text[start : end.end()]
             start = end.end()
             found = _EVENT_ID.search(raw)
             yield Frame(raw, int(found[1]) if found else None)
-        self._rest = text[start:]
-        if len(self._rest) > MAX_FRAME_BYTES:
+        self._buffer = text[start:]
+        if len(self._buffer) > MAX_FRAME_BYTES:
             raise FrameTooLarge(f"event larger than {MAX_FRAME_BYTES} bytes")
--- a/greengageflow/net/http_messages.py
+++ b/greengageflow/net/http_messages.py
@@ -57,9 +57,9 @@
     )
 
 
-def announces_shutdown(answer: "Head | Response") -> bool:
+def announces_shutdown(response: "Head | Response") -> bool:
     """Return whether a response announces that its endpoint is shutting down."""
-    return answer.header(SERVER_LEAVING).strip() not in ("", "0")
+    return response.header(SERVER_LEAVING).strip() not in ("", "0")
 
 
 class FailureKind(StrEnum):
