--- a/greengageflow/net/_http_write.py
+++ b/greengageflow/net/_http_write.py
@@ -1,4 +1,4 @@
-"""Heads of requests and answers as bytes."""
+"""Serialization of request and response heads and of chunks."""
 
 import re
 from collections.abc import Iterable
@@ -9,7 +9,7 @@
 
 Header = tuple[str, str]
 
-GO_ON = b"HTTP/1.1 100 \r\n\r\n"
+CONTINUE_RESPONSE = b"HTTP/1.1 100 \r\n\r\n"
 LAST_CHUNK = b"0\r\n\r\n"
 _REASONS = {status.value: status.phrase for status in HTTPStatus}
 _TOKEN = re.compile(r"[-!#$%&'*+.^_`|~0-9A-Za-z]+")
@@ -17,46 +17,50 @@
 
 
 class BadHead(ValueError):
-    """What should be sent is not valid HTTP/1.1."""
+    """The head to be sent is not valid HTTP/1.1."""
 
 
 def request_head(method: str, target: str, headers: Iterable[Header]) -> bytes:
-    """Return a request's line and headers.
+    """Return the request line and headers.
 
     Raises:
-        BadHead: It is not valid.
+        BadHead: Method, target or a header is not valid.
     """
     if not _TOKEN.fullmatch(method) or not _TARGET.fullmatch(target):
-        raise BadHead(f"{method!r} {target!r}")
+        raise BadHead(f"invalid method or target: {method!r} {target!r}")
     return _head(f"{method} {target} HTTP/1.1", headers)
 
 
-def answer_head(status: int, headers: Iterable[Header]) -> bytes:
-    """Return an answer's status line and headers.
+def response_head(status: int, headers: Iterable[Header]) -> bytes:
+    """Return the status line and headers of a response.
 
     Raises:
-        BadHead: It is not valid.
+        BadHead: A header is not valid.
     """
     return _head(f"HTTP/1.1 {status} {_REASONS.get(status, '')}", headers)
 
 
-def _head(first: str, headers: Iterable[Header]) -> bytes:
-    lines = [first, *(f"{name}: {value}" for name, value in headers), "", ""]
+def _head(start_line: str, headers: Iterable[Header]) -> bytes:
+    lines = [start_line, *(f"{name}: {value}" for name, value in headers), "", ""]
     head = "\r\n".join(lines).encode("latin-1", "replace")
-    # One line too many would begin another header or another message.
-    ends = len(lines) - 1
-    if head.count(b"\n") != ends or head.count(b"\r") != ends or b"\0" in head:
-        raise BadHead(f"line end or NUL within {first!r} or its headers")
+    # An extra line end would start another header or message (header injection).
+    line_ends = len(lines) - 1
+    if (
+        head.count(b"\n") != line_ends
+        or head.count(b"\r") != line_ends
+        or b"\0" in head
+    ):
+        raise BadHead(f"line end or NUL in {start_line!r} or its headers")
     return head
 
 
 def chunk(data: bytes) -> bytes:
-    """Return a piece of a body as one chunk."""
+    """Return ``data`` as one chunk of a body."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
 def date_header() -> Header:
-    """Return the ``Date`` header of an answer sent now."""
+    """Return the ``Date`` header for the current time."""
     return "Date", _date(int(time()))
 
 
--- a/greengageflow/net/_pieces.py
+++ b/greengageflow/net/_pieces.py
@@ -1,4 +1,7 @@
-"""Pieces of a streamed answer, checked one by one."""
+"""Validation of the pieces of a streamed response.
+
+A piece is one event of the stream, with a part of the generated text.
+"""
 
 import json
 from collections.abc import Iterator
@@ -7,13 +10,13 @@
 
 from greengageflow.net._sse import ServerEvent
 
-DONE = b"[DONE]"
+END_MARKER = b"[DONE]"
 _decode = json.JSONDecoder().decode
 
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """Tokens of one request, as the engine counted them."""
+    """Token counts of one request, as reported by the engine."""
 
     prompt_tokens: int
     completion_tokens: int
@@ -21,14 +24,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Piece:
-    """One checked piece of a streamed answer.
+    """One validated piece of a streamed response.
 
     Args:
-        seq: Its number, from 0 by 1.
+        seq: Sequence number, counted from 0.
         content: Text, possibly empty.
-        finish_reason: Why the answer ends here, or None.
-        usage: Tokens, on the last piece.
-        raw: The event as the engine sent it, to be passed on unchanged.
+        finish_reason: Finish reason on the last piece, else None.
+        usage: Token counts; the last piece may carry them.
+        raw: The event as sent by the engine, to be forwarded unchanged.
     """
 
     seq: int
@@ -39,41 +42,49 @@
 
 
 def parse_usage(value: Any) -> Usage | None:
-    """Return the usage in a JSON value, or None."""
+    """Return the token counts in a JSON value, or None if it has none."""
     match value:
         case {"prompt_tokens": int(prompt), "completion_tokens": int(completion)}:
             return Usage(prompt, completion)
     return None
 
 
-class StreamBroken(Exception):
-    """The stream cannot go on as it is."""
+class InvalidStream(Exception):
+    """The stream has a gap or an invalid piece and cannot continue."""
 
 
-class PieceCheck:
-    """Lets through only the pieces of one request, each once and in order.
+class PieceFilter:
+    """Passes only the pieces of one request, each once and in order.
 
     Args:
-        request_id: Id that the pieces must carry.
+        request_id: Request id that the pieces must carry.
+
+    Attributes:
+        next_seq: Sequence number of the next piece.
+        finished: True after the piece with the finish reason.
+        done: True after the end marker ``[DONE]``.
+        usage: Token counts of the last piece, if it had any.
+        foreign: Number of dropped pieces of other requests.
+        duplicates: Number of dropped duplicate pieces.
     """
 
     def __init__(self, request_id: str) -> None:
-        self.expected = 0
+        self.next_seq = 0
         self.finished = False
         self.done = False
         self.usage: Usage | None = None
         self.foreign = 0
-        self.repeated = 0
+        self.duplicates = 0
         self._id = request_id
 
     def pieces(self, events: Iterator[ServerEvent]) -> Iterator[Piece]:
-        """Yield the good pieces among ``events``; stops at the end mark.
+        """Yield the valid pieces in ``events``, up to the end marker.
 
         Raises:
-            StreamBroken: A piece is missing or cannot be read.
+            InvalidStream: A piece is missing or invalid.
         """
         for event in events:
-            if event.data == DONE:
+            if event.data == END_MARKER:
                 self.done = True
                 return
             piece = self._check(event)
@@ -83,26 +94,26 @@
     def _check(self, event: ServerEvent) -> Piece | None:
         try:
             document = _decode(str(event.data, "utf-8", "surrogatepass"))
-            id_ = document["id"]
+            piece_id = document["id"]
             seq = int(document["seq"])
             choice = document["choices"][0]
             content = choice["delta"].get("content") or ""
             if not isinstance(content, str):
-                raise TypeError("content is not text")
+                raise TypeError("content is not a string")
             reason = choice.get("finish_reason")
         except (ValueError, TypeError, LookupError, AttributeError) as exc:
-            raise StreamBroken("unreadable piece") from exc
-        # Engines batch many requests; a piece of another one would show a caller
-        # someone else's text, and a late copy would double its own.
-        if id_ != self._id:
+            raise InvalidStream("invalid piece in the stream") from exc
+        # Engines batch many requests. A piece of another request would show the
+        # caller someone else's text; a late duplicate would repeat its own text.
+        if piece_id != self._id:
             self.foreign += 1
             return None
-        if seq < self.expected or self.finished:
-            self.repeated += 1
+        if seq < self.next_seq or self.finished:
+            self.duplicates += 1
             return None
-        if seq > self.expected:
-            raise StreamBroken(f"piece {self.expected} is missing")
-        self.expected += 1
+        if seq > self.next_seq:
+            raise InvalidStream(f"piece {self.next_seq} is missing")
+        self.next_seq += 1
         usage = parse_usage(document.get("usage"))
         if reason is not None:
             self.finished = True
--- a/greengageflow/net/_sse.py
+++ b/greengageflow/net/_sse.py
@@ -3,12 +3,12 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-EVENT_LIMIT = 1_048_576
+MAX_EVENT_BYTES = 1_048_576
 _FIELD = b"data:"
 
 
 class EventTooLarge(Exception):
-    """An event grew past the limit before it ended."""
+    """An unfinished event exceeds the size limit."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -16,8 +16,9 @@
     """One event.
 
     Args:
-        raw: The event as received, with line ends of one byte and the blank line.
-        data: Its data.
+        raw: The event as received, including the blank line, with CRLF replaced by
+            LF.
+        data: Contents of the ``data`` fields, joined by LF.
     """
 
     raw: bytes
@@ -36,21 +37,21 @@
 
 
 class EventStream:
-    """Cuts a byte stream into events; comments are left out.
+    """Splits a byte stream into events; events without data are skipped.
 
     Args:
-        limit: Most bytes of one event.
+        limit: Maximum size of an unfinished event, in bytes.
     """
 
-    def __init__(self, limit: int = EVENT_LIMIT) -> None:
+    def __init__(self, limit: int = MAX_EVENT_BYTES) -> None:
         self._limit = limit
-        self._rest = b""
+        self._buffer = b""
 
     def feed(self, data: bytes) -> Iterator[ServerEvent]:
-        """Yield the events that ``data`` completes.
+        """Yield the events completed by ``data``.
 
         Raises:
-            EventTooLarge: An unfinished event is larger than the limit.
+            EventTooLarge: An unfinished event exceeds the limit.
         """
         for block in self._blocks(data):
             content = _data_of(block)
@@ -58,11 +59,11 @@
                 yield ServerEvent(block + b"\n\n", content)
 
     def _blocks(self, data: bytes) -> Iterator[bytes]:
-        text = self._rest + data
+        text = self._buffer + data
         if b"\r" in text:
             text = text.replace(b"\r\n", b"\n")
-        *blocks, self._rest = text.split(b"\n\n")
-        if len(self._rest) > self._limit:
+        *blocks, self._buffer = text.split(b"\n\n")
+        if len(self._buffer) > self._limit:
             raise EventTooLarge(f"event larger than {self._limit} bytes")
         for block in blocks:
             yield block.lstrip(b"\n")
--- a/greengageflow/net/endpoint_attempt.py
+++ b/greengageflow/net/endpoint_attempt.py
@@ -1,47 +1,50 @@
-"""One sending of a request to one endpoint."""
+"""One attempt to send a request to an endpoint."""
 
 from collections.abc import Callable
 from dataclasses import replace
 from typing import Protocol
 
 from greengageflow.core.endpoint_list import ListedEndpoint
-from greengageflow.net.endpoint_answer import AnswerNote
+from greengageflow.net.endpoint_response import ResponseInfo
 from greengageflow.net.event_frames import EventFrames, Frame, FrameTooLarge
 from greengageflow.net.http_messages import Failure, FailureKind, Head, HttpRequest
 from greengageflow.net.http_pool import Exchange, HttpPool
 
-WHOLE_LIMIT = 8 * 1_048_576
+MAX_RESPONSE_BYTES = 8 * 1_048_576
 
 
 class AttemptListener(Protocol):
-    """Hears of an attempt; ``on_answer``, ``on_end`` or ``on_failure`` comes last."""
+    """Callbacks of an attempt.
+
+    The last call is exactly one ``on_answer``, ``on_end`` or ``on_failure``.
+    """
 
     def on_head(self, attempt: "EndpointAttempt") -> None:
-        """Take note of an answer that begins."""
+        """Handle the start of a response."""
 
     def on_events(self, attempt: "EndpointAttempt", frames: list[Frame]) -> None:
-        """Take events of a successful stream."""
+        """Handle events of a successful stream."""
 
     def on_answer(self, attempt: "EndpointAttempt", body: bytes) -> None:
-        """Take a whole answer that is no stream."""
+        """Handle a complete response that is not streamed."""
 
     def on_end(self, attempt: "EndpointAttempt") -> None:
-        """Note that a stream ended in order."""
+        """Handle the regular end of a stream."""
 
     def on_failure(self, attempt: "EndpointAttempt", failure: Failure) -> None:
-        """Note that the answer is not whole and nothing more comes."""
+        """Handle a failure; the response is incomplete or missing."""
 
 
 class EndpointAttempt:
-    """A receiver of ``HttpPool`` that judges the answer of one endpoint.
+    """Sends a request to one endpoint; a receiver of ``HttpPool``.
 
     Args:
         pool: Sends the request.
-        request: What to send.
-        endpoint: Where it goes.
-        judge: Returns what an answer's head says of this request.
-        stream: A success is a stream of events.
-        listener: Hears of it.
+        request: Request to send.
+        endpoint: Endpoint to send it to.
+        evaluate: Evaluates a response head with respect to this request.
+        stream: True if a successful response is a stream of events.
+        listener: Notified of the response.
     """
 
     def __init__(
@@ -49,24 +52,26 @@
         pool: HttpPool,
         request: HttpRequest,
         endpoint: ListedEndpoint,
-        judge: Callable[[Head], AnswerNote],
+        evaluate: Callable[[Head], ResponseInfo],
         *,
         stream: bool,
         listener: AttemptListener,
     ) -> None:
         self.endpoint = endpoint
         self.head: Head | None = None
-        self.note: AnswerNote | None = None
+        self.response_info: ResponseInfo | None = None
         self.events = 0
         self._pool = pool
-        self._judge = judge
+        self._evaluate = evaluate
         self._stream = stream
         self._listener = listener
         self._frames: EventFrames | None = None
         self._body = bytearray()
         self._exchange: Exchange | None = None
         self._request = replace(
-            request, accepts=lambda head: judge(head).own, until_close=True
+            request,
+            accepts=lambda head: evaluate(head).belongs_to_request,
+            until_close=True,
         )
 
     def start(self) -> None:
@@ -74,7 +79,7 @@
         self._exchange = self._pool.open(self._request, self)
 
     def cancel(self) -> None:
-        """End the endpoint's work by closing the connection."""
+        """Cancel the request by closing the connection."""
         if self._exchange is not None:
             self._exchange.cancel()
 
@@ -84,50 +89,52 @@
             self._exchange.pause()
 
     def resume(self) -> None:
-        """Read again."""
+        """Continue reading after ``pause``."""
         if self._exchange is not None:
             self._exchange.resume()
 
-    # Receiver of the pool.
+    # Methods of ``http_pool.Receiver``.
 
     def on_head(self, head: Head) -> None:
-        """Take status and headers."""
+        """Handle status and headers."""
         self.head = head
-        self.note = self._judge(head)
-        if self._stream and self.note.good:
+        self.response_info = self._evaluate(head)
+        if self._stream and self.response_info.is_forwardable:
             self._frames = EventFrames()
         self._listener.on_head(self)
 
     def on_data(self, data: bytes) -> None:
-        """Take bytes of the body."""
+        """Handle part of the body."""
         if self._frames is None:
             self._body += data
-            if len(self._body) > WHOLE_LIMIT:
-                self._break("answer too large")
+            if len(self._body) > MAX_RESPONSE_BYTES:
+                self._fail("response too large")
             return
         try:
             frames = list(self._frames.feed(data))
         except FrameTooLarge as exc:
-            self._break(str(exc))
+            self._fail(str(exc))
             return
         if frames:
             self.events += len(frames)
             self._listener.on_events(self, frames)
 
-    def _break(self, message: str) -> None:
+    def _fail(self, message: str) -> None:
         self.cancel()
         self._listener.on_failure(self, Failure(FailureKind.BROKEN, True, message))
 
     def on_end(self) -> None:
-        """Note that the answer is whole."""
+        """Handle the end of the response."""
         if self._frames is None:
             self._listener.on_answer(self, bytes(self._body))
-        elif self._frames.torn:
-            failure = Failure(FailureKind.CUT, True, "ended within an event")
+        elif self._frames.has_unfinished_event:
+            failure = Failure(
+                FailureKind.CUT, True, "stream ended in the middle of an event"
+            )
             self._listener.on_failure(self, failure)
         else:
             self._listener.on_end(self)
 
     def on_failure(self, failure: Failure) -> None:
-        """Note that no more of the answer will come."""
+        """Handle a failure; the response is incomplete or missing."""
         self._listener.on_failure(self, failure)
--- a/greengageflow/net/event_frames.py
+++ b/greengageflow/net/event_frames.py
@@ -1,16 +1,16 @@
-"""Whole events of a stream, as the bytes that they came in."""
+"""Splits a stream of server-sent events into events without changing their bytes."""
 
 import re
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-FRAME_LIMIT = 1_048_576
+MAX_FRAME_BYTES = 1_048_576
 _END = re.compile(rb"\r?\n\r?\n")
-_NUMBER = re.compile(rb"(?:^|\n)id: ?(\d{1,18})\r?(?:\n|$)")
+_EVENT_ID = re.compile(rb"(?:^|\n)id: ?(\d{1,18})\r?(?:\n|$)")
 
 
 class FrameTooLarge(Exception):
-    """An event grew past the limit before it ended."""
+    """An unfinished event exceeds the size limit."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -18,38 +18,38 @@
     """One event.
 
     Args:
-        raw: Its bytes with the blank line.
-        number: Its id, or None when it has none.
+        raw: Bytes of the event, including the blank line.
+        event_id: Numeric event id, or None.
     """
 
     raw: bytes
-    number: int | None
+    event_id: int | None
 
 
 class EventFrames:
-    """Cuts a byte stream into events."""
+    """Splits a byte stream into events."""
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._buffer = b""
 
     @property
-    def torn(self) -> bool:
-        """Whether bytes of an event without its end are left."""
-        return bool(self._rest.strip())
+    def has_unfinished_event(self) -> bool:
+        """Whether an unfinished event remains."""
+        return bool(self._buffer.strip())
 
     def feed(self, data: bytes) -> Iterator[Frame]:
-        """Yield the events that ``data`` completes.
+        """Yield the events completed by ``data``.
 
         Raises:
-            FrameTooLarge: An unfinished event is larger than the limit.
+            FrameTooLarge: An unfinished event exceeds the limit.
         """
-        text = self._rest + data
-        at = 0
+        text = self._buffer + data
+        start = 0
         for end in _END.finditer(text):
-            raw = text[at : end.end()]
-            at = end.end()
-            found = _NUMBER.search(raw)
+            raw = text[start : end.end()]
+            start = end.end()
+            found = _EVENT_ID.search(raw)
             yield Frame(raw, int(found[1]) if found else None)
-        self._rest = text[at:]
-        if len(self._rest) > FRAME_LIMIT:
-            raise FrameTooLarge(f"event larger than {FRAME_LIMIT} bytes")
+        self._buffer = text[start:]
+        if len(self._buffer) > MAX_FRAME_BYTES:
+            raise FrameTooLarge(f"event larger than {MAX_FRAME_BYTES} bytes")
--- a/greengageflow/net/gossip_link.py
+++ b/greengageflow/net/gossip_link.py
@@ -13,7 +13,7 @@
 from circuits.core.pollers import BasePoller, EPoll
 from circuits.core.utils import findcmp
 
-from greengageflow.net._fragments import LARGEST, Fragments, split
+from greengageflow.net._fragments import MAX_DATAGRAM_BYTES, Reassembler, split
 
 MAX_DATAGRAMS_PER_READ = 64
 
@@ -38,7 +38,7 @@
         self.bytes_in = 0
         self.oversized_messages = 0
         self._message_id = 0
-        self._fragments = Fragments()
+        self._reassembler = Reassembler()
         self._on_message = on_message
         self._sock = socket(AF_INET, SOCK_DGRAM)
         self._sock.setblocking(False)
@@ -75,10 +75,10 @@
             return
         for _ in range(MAX_DATAGRAMS_PER_READ):
             try:
-                data, sender = sock.recvfrom(LARGEST)
+                data, sender = sock.recvfrom(MAX_DATAGRAM_BYTES)
             except OSError:
                 return
             self.bytes_in += len(data)
-            message = self._fragments.take(sender, data)
+            message = self._reassembler.take(sender, data)
             if message is not None:
                 self._on_message(message)
--- a/greengageflow/net/http_pool.py
+++ b/greengageflow/net/http_pool.py
@@ -1,7 +1,7 @@
 """Outbound HTTP/1.1 over non-blocking sockets on the circuits poller.
 
-``circuits.web.client`` hands over an answer only when it is whole, so that it cannot
-stream; here receivers get the body as it arrives.
+``circuits.web.client`` buffers a response until it is complete and so cannot stream.
+This pool passes the body to receivers as it arrives.
 """
 
 from collections.abc import Callable, Iterator
@@ -15,11 +15,11 @@
 
 from greengageflow.net._exchange import Collector, Exchange
 from greengageflow.net._http_conn import (
-    AnswerBroken,
-    AnswerCut,
-    Chunk,
+    BodyData,
     Connection,
     End,
+    InvalidResponse,
+    ResponseTruncated,
 )
 from greengageflow.net._http_parse import Head
 from greengageflow.net._http_write import BadHead
@@ -44,24 +44,25 @@
     "Response",
 ]
 
-SWEEP_S = 0.1
-DEFAULT_FETCH_LIMIT = 1_048_576
+SWEEP_INTERVAL_S = 0.1
+DEFAULT_MAX_BODY_BYTES = 1_048_576
 
 
 class HttpPool(BaseComponent):
-    """Sends requests and keeps connections for reuse.
+    """HTTP client that reuses connections.
 
-    Receivers are called from the loop, never from within ``open``.
+    Receivers are called from the event loop, never from within ``open``.
 
     Args:
         timers: Timer service.
-        source_ip: Local IP number of outgoing connections, or None.
-        max_idle: Most idle connections kept for one address.
-        max_idle_of_all: Most idle connections kept.
-        idle_s: Seconds after which an idle connection is closed.
+        source_ip: Local IP address to bind outgoing connections to, or None.
+        max_idle: Maximum number of idle connections per address.
+        max_idle_total: Maximum number of idle connections in total.
+        idle_s: Idle time after which a connection is closed, in seconds.
 
     Attributes:
-        stale_retries: Requests sent again on a new connection so far.
+        stale_retries: Number of requests that were retried on a new connection
+            because a reused one had been closed.
     """
 
     channel = "http_pool"
@@ -72,7 +73,7 @@
         *,
         source_ip: str | None = None,
         max_idle: int = 16,
-        max_idle_of_all: int = 4096,
+        max_idle_total: int = 4096,
         idle_s: float = 20.0,
     ) -> None:
         super().__init__()
@@ -81,22 +82,28 @@
         self._poller: BasePoller | None = None
         self._active: dict[socket, Exchange] = {}
         self._idle = IdleConns(
-            self._close, most=max_idle, most_of_all=max_idle_of_all, idle_s=idle_s
+            self._close,
+            max_per_address=max_idle,
+            max_total=max_idle_total,
+            idle_s=idle_s,
         )
         self._sweep: Subscription | None = None
         self.stale_retries = 0
 
     def open(self, request: HttpRequest, receiver: Receiver) -> Exchange:
-        """Send ``request`` and hand the answer to ``receiver`` as it arrives.
+        """Send ``request`` and pass the response to ``receiver`` as it arrives.
 
         Raises:
             BadHead: The request is not valid HTTP.
         """
         exchange = Exchange(
-            request, receiver, on_paused=self._watch, on_cancel=self._drop
+            request,
+            receiver,
+            on_pause_changed=self._update_poller,
+            on_cancel=self._drop,
         )
-        longest_s = float("inf") if request.retry_stale else request.reuse_s
-        conn = self._idle.take(request.address, longest_s)
+        max_idle_s = float("inf") if request.retry_stale else request.reuse_s
+        conn = self._idle.take(request.address, max_idle_s)
         if conn is None:
             self._connect(exchange)
         else:
@@ -107,14 +114,14 @@
         self,
         request: HttpRequest,
         on_done: Callable[[Response | Failure], None],
-        limit: int = DEFAULT_FETCH_LIMIT,
+        limit: int = DEFAULT_MAX_BODY_BYTES,
     ) -> Exchange:
-        """Send ``request`` and call ``on_done`` once with the whole answer.
+        """Send ``request`` and call ``on_done`` once with the complete response.
 
         Args:
-            request: What to send.
-            on_done: Gets the answer or why there is none.
-            limit: Most bytes of the body; more is a failure.
+            request: Request to send.
+            on_done: Called with the response or the failure.
+            limit: Maximum body size in bytes; a larger body is a failure.
 
         Raises:
             BadHead: The request is not valid HTTP.
@@ -134,7 +141,9 @@
         try:
             conn = Connection(exchange.request.address, self._source_ip)
         except OSError as exc:
-            failure = Failure(FailureKind.CONNECT, exchange.sent_before, str(exc))
+            failure = Failure(
+                FailureKind.CONNECT, exchange.sent_on_earlier_connection, str(exc)
+            )
             self._timers.after(0, lambda: self._report(exchange, failure))
             return
         self._find_poller().addReader(self, conn.sock)
@@ -143,7 +152,7 @@
     def _start(self, exchange: Exchange, conn: Connection) -> None:
         request = exchange.request
         try:
-            conn.load(
+            conn.prepare(
                 request.method,
                 request.path,
                 request.headers,
@@ -155,16 +164,16 @@
             self._close(conn)
             raise
         exchange.conn = conn
-        exchange.moved_at = monotonic()
+        exchange.last_progress_at = monotonic()
         self._active[conn.sock] = exchange
         if conn.connected:
-            # What is wrong shows again at the write event that is then asked for.
+            # An error persists and is reported at the write event requested below.
             with suppress(OSError):
                 conn.flush()
-        self._watch(exchange)
-        self._plan_sweep()
+        self._update_poller(exchange)
+        self._schedule_sweep()
 
-    def _watch(self, exchange: Exchange) -> None:
+    def _update_poller(self, exchange: Exchange) -> None:
         conn = exchange.conn
         if conn is None:
             return
@@ -181,12 +190,12 @@
             poller.removeWriter(conn.sock)
 
     def _close(self, conn: Connection) -> None:
-        # The poller looks a socket up by its file number, which is gone once it
-        # is closed: a later socket with that number would get its events.
+        # Unregister before closing: the poller looks sockets up by file descriptor,
+        # and a later socket that reuses the descriptor would get this one's events.
         self._find_poller().discard(conn.sock)
         conn.close()
 
-    # Ends of exchanges.
+    # Completion and failure of exchanges.
 
     def _drop(self, exchange: Exchange) -> None:
         conn = exchange.conn
@@ -194,8 +203,8 @@
             self._close(conn)
 
     def _report(self, exchange: Exchange, failure: Failure) -> None:
-        if exchange.live:
-            exchange.live = False
+        if exchange.active:
+            exchange.active = False
             exchange.receiver.on_failure(failure)
 
     def _fail(
@@ -207,21 +216,25 @@
         stale: bool = False,
     ) -> None:
         conn = exchange.conn
-        sent = exchange.sent_before or (conn is not None and conn.sent_any)
+        sent = exchange.sent_on_earlier_connection or (
+            conn is not None and conn.sent_any
+        )
         self._drop(exchange)
         self._report(exchange, Failure(kind, sent, message, stale))
 
-    def _fail_cut(self, exchange: Exchange, message: str) -> None:
+    def _on_connection_lost(self, exchange: Exchange, message: str) -> None:
         conn = exchange.conn
-        stale = conn.reused and not conn.heard_any
+        stale = conn.reused and not conn.received_any
         if not conn.connected:
             self._fail(exchange, FailureKind.CONNECT, message)
-        elif stale and exchange.request.take_stale_retry():
-            # The other side closes idle connections as it likes; its close and
-            # our request cross. Only a reused connection does so, hence once. Or it
-            # has read the request and is lost: whoever gives up then may not say that
-            # nothing was sent.
-            exchange.sent_before = exchange.sent_before or conn.sent_any
+        elif stale and exchange.request.allows_stale_retry():
+            # A server may close an idle connection at any time, also just as a
+            # request is sent on it. This affects only reused connections, so one
+            # retry on a new connection is enough. The server may also have read the
+            # request and crashed, so a later failure must report it as sent.
+            exchange.sent_on_earlier_connection = (
+                exchange.sent_on_earlier_connection or conn.sent_any
+            )
             self.stale_retries += 1
             self._drop(exchange)
             self._connect(exchange)
@@ -231,21 +244,21 @@
     def _finish(self, exchange: Exchange, end: End) -> None:
         conn = exchange.conn
         del self._active[conn.sock]
-        exchange.live = False
+        exchange.active = False
         if exchange.paused:
             self._find_poller().addReader(self, conn.sock)
         if end.reusable:
             self._idle.keep(conn)
-            self._plan_sweep()
+            self._schedule_sweep()
         else:
             self._close(conn)
         exchange.receiver.on_end()
 
-    # Events of the poller.
+    # Poller events.
 
     @handler("_read")
     def on_readable(self, sock: socket) -> None:
-        """Take what has arrived; called by the poller, or as its event."""
+        """Read available data; called by the poller directly or as its event."""
         exchange = self._active.get(sock)
         if exchange is not None:
             self._receive(exchange)
@@ -255,33 +268,33 @@
     def _receive(self, exchange: Exchange) -> None:
         if exchange.paused or not exchange.conn.connected:
             return
-        exchange.moved_at = monotonic()
+        exchange.last_progress_at = monotonic()
         try:
-            for arrival in exchange.conn.receive():
-                self._deliver(exchange, arrival)
-                if not exchange.live:
+            for part in exchange.conn.receive():
+                self._deliver(exchange, part)
+                if not exchange.active:
                     return
-        except AnswerCut as exc:
-            self._fail_cut(exchange, str(exc))
-        except AnswerBroken as exc:
+        except ResponseTruncated as exc:
+            self._on_connection_lost(exchange, str(exc))
+        except InvalidResponse as exc:
             self._fail(exchange, FailureKind.BROKEN, str(exc))
         except Exception as exc:
-            # What was read is lost to the receiver; reading on would leave a hole.
+            # The receiver lost the data of this read; continuing would leave a gap.
             self._fail(exchange, FailureKind.BROKEN, f"receiver failed: {exc!r}")
             raise
 
-    def _deliver(self, exchange: Exchange, arrival: Head | Chunk | End) -> None:
-        match arrival:
+    def _deliver(self, exchange: Exchange, part: Head | BodyData | End) -> None:
+        match part:
             case Head():
-                exchange.receiver.on_head(arrival)
-            case Chunk(data):
+                exchange.receiver.on_head(part)
+            case BodyData(data):
                 exchange.receiver.on_data(data)
             case End():
-                self._finish(exchange, arrival)
+                self._finish(exchange, part)
 
     @handler("_write")
     def on_writable(self, sock: socket) -> None:
-        """Send what there is room for; called by the poller, or as its event."""
+        """Send buffered data; called by the poller directly or as its event."""
         exchange = self._active.get(sock)
         if exchange is None:
             return
@@ -289,59 +302,67 @@
         try:
             if not conn.connected:
                 conn.check_connected()
-            if exchange.too_late:
-                self._fail(exchange, FailureKind.TIMEOUT, "too late to send")
+            if exchange.past_send_deadline:
+                self._fail(
+                    exchange,
+                    FailureKind.TIMEOUT,
+                    "send deadline passed before the first byte was sent",
+                )
                 return
             conn.flush()
         except OSError as exc:
-            self._on_broken_write(exchange, str(exc))
+            self._on_write_error(exchange, str(exc))
             return
-        exchange.moved_at = monotonic()
-        self._watch(exchange)
+        exchange.last_progress_at = monotonic()
+        self._update_poller(exchange)
 
-    def _on_broken_write(self, exchange: Exchange, message: str) -> None:
-        # A server may answer early (413) and close while the body is still being
-        # sent; its answer is then in the socket's buffer and worth more than ours.
+    def _on_write_error(self, exchange: Exchange, message: str) -> None:
+        # A server may respond early (413) and close while the body is still being
+        # sent. Prefer its response, which is in the receive buffer, over a write
+        # error.
         if exchange.conn.connected:
             exchange.paused = False
             self._receive(exchange)
-        if exchange.live and exchange.conn.sock in self._active:
-            self._fail_cut(exchange, message)
+        if exchange.active and exchange.conn.sock in self._active:
+            self._on_connection_lost(exchange, message)
 
     @handler("_disconnect")
     def _on_disconnect(self, sock: socket) -> None:
         exchange = self._active.get(sock)
         if exchange is not None:
-            self._on_broken_write(exchange, "connection lost")
+            self._on_write_error(exchange, "connection lost")
         else:
             self._idle.drop(sock)
 
     # Timeouts.
 
-    def _plan_sweep(self) -> None:
+    def _schedule_sweep(self) -> None:
         if self._sweep is None:
-            self._sweep = self._timers.after(SWEEP_S, self._on_sweep)
+            self._sweep = self._timers.after(SWEEP_INTERVAL_S, self._on_sweep)
 
-    def _late(self, now: float) -> Iterator[Exchange]:
+    def _timed_out(self, now: float) -> Iterator[Exchange]:
         for exchange in list(self._active.values()):
-            if not exchange.paused and now - exchange.moved_at > exchange.limit_s:
+            if (
+                not exchange.paused
+                and now - exchange.last_progress_at > exchange.timeout_s
+            ):
                 yield exchange
 
     def _on_sweep(self) -> None:
         self._sweep = None
         now = monotonic()
-        for exchange in self._late(now):
-            if exchange.live:
-                self._expire(exchange)
+        for exchange in self._timed_out(now):
+            if exchange.active:
+                self._on_timeout(exchange)
         self._idle.expire(now)
         if self._active or self._idle:
-            self._plan_sweep()
+            self._schedule_sweep()
 
-    def _expire(self, exchange: Exchange) -> None:
+    def _on_timeout(self, exchange: Exchange) -> None:
         if exchange.conn.connected:
-            self._fail(exchange, FailureKind.TIMEOUT, "no byte moved in time")
+            self._fail(exchange, FailureKind.TIMEOUT, "idle timeout")
         else:
-            self._fail(exchange, FailureKind.CONNECT, "not connected in time")
+            self._fail(exchange, FailureKind.CONNECT, "connect timeout")
 
     @handler("stopped", channel="*")
     def _on_stopped(self, _manager: object) -> None:
--- a/tests/http_fakes.py
+++ b/tests/http_fakes.py
@@ -1,4 +1,4 @@
-"""A loop in a thread and a scripted TCP peer for the HTTP tests."""
+"""An event loop in a thread, and a scripted TCP server and client for HTTP tests."""
 
 from collections.abc import Callable
 from queue import Queue
@@ -12,22 +12,22 @@
 from greengageflow.net.http_pool import HttpPool
 from greengageflow.net.timers import Timers
 
-LIMIT_S = 20.0
+WAIT_TIMEOUT_S = 20.0
 
 
 def wait_for(condition: Callable[[], object]):
-    end = monotonic() + LIMIT_S
+    deadline = monotonic() + WAIT_TIMEOUT_S
     while not (value := condition()):
-        assert monotonic() < end, "condition not met"
+        assert monotonic() < deadline, "condition not met"
         sleep(0.002)
     return value
 
 
 class Loop:
-    """One circuits loop; ``call`` runs a function on it and returns its value."""
+    """A circuits loop in a thread; ``call`` runs a function on it."""
 
     def __init__(self, **pool_options) -> None:
-        self.faults = []
+        self.exceptions = []
         self.app = app = Component()
         EPoll().register(app)
         self.timers = Timers().register(app)
@@ -39,7 +39,7 @@
 
     def _make_on_exception(self):
         def on_exception(manager, *args, **_kwargs):
-            self.faults.append(args)
+            self.exceptions.append(args)
 
         return on_exception
 
@@ -54,19 +54,19 @@
     def call(self, call: Callable[[], object]):
         answer = Queue()
         self._calls.put((call, answer))
-        good, value = answer.get(timeout=LIMIT_S)
-        if not good:
+        succeeded, value = answer.get(timeout=WAIT_TIMEOUT_S)
+        if not succeeded:
             raise value
         return value
 
     def close(self) -> None:
         self.call(self.app.stop)
-        self.thread.join(LIMIT_S)
-        assert not self.faults, self.faults
+        self.thread.join(WAIT_TIMEOUT_S)
+        assert not self.exceptions, self.exceptions
 
 
 class FakePeer:
-    """Accepts connections and runs ``script(conn, number)`` in a thread for each."""
+    """TCP server that runs ``script(conn, number)`` in a thread per connection."""
 
     def __init__(self, script: Callable[["PeerConn", int], None]) -> None:
         self.sock = create_server(("127.0.0.1", 0))
@@ -108,7 +108,7 @@
         self._data = b""
 
     def request(self) -> bytes:
-        """Return the next request; its body must be as long as it says."""
+        """Return the next request, with the body announced by ``Content-Length``."""
         while b"\r\n\r\n" not in self._data:
             self._more()
         head, _, _ = self._data.partition(b"\r\n\r\n")
@@ -138,15 +138,15 @@
 
 
 class Caller:
-    """A blocking caller."""
+    """A blocking TCP client."""
 
     def __init__(self, address: tuple[str, int]) -> None:
-        self.sock = create_connection(address, timeout=LIMIT_S)
+        self.sock = create_connection(address, timeout=WAIT_TIMEOUT_S)
         self.send = self.sock.sendall
         self.data = b""
 
     def until(self, mark: bytes) -> bytes:
-        """Return what came up to and with ``mark``."""
+        """Return received data up to and including ``mark``."""
         while mark not in self.data:
             data = self.sock.recv(65536)
             assert data, f"closed before {mark!r}; got {self.data!r}"
@@ -156,7 +156,7 @@
         return found
 
     def rest(self) -> bytes:
-        """Return everything up to the end of the connection."""
+        """Return all data up to the end of the connection."""
         while data := self.sock.recv(65536):
             self.data += data
         return self.data
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -11,7 +11,7 @@
 from greengageflow.core.service_dispatcher import ServiceDispatcher
 from greengageflow.core.service_scheduler import Job, RefuseJob, StartJob
 from greengageflow.core.work_queue import QueuedRequest
-from greengageflow.net.http_messages import LONGEST_BACKOFF_S, Head, retry_after_s
+from greengageflow.net.http_messages import MAX_BACKOFF_S, Head, retry_after_s
 from greengageflow.platform.answers import interpret_answer
 
 SERVICES = {
@@ -123,7 +123,7 @@
         ("", 0.0),
         ("nan", 0.0),
         ("inf", 0.0),
-        ("1e9", LONGEST_BACKOFF_S),
+        ("1e9", MAX_BACKOFF_S),
         ("Thu, 03 Dec 2026 12:00:00 GMT", 0.0),
     ],
 )
--- a/tests/test_connect_check.py
+++ b/tests/test_connect_check.py
@@ -1,4 +1,4 @@
-"""Looks at addresses where somebody listens, nobody does, or a proxy does."""
+"""Connect checks of addresses with a listener, without one, and behind a proxy."""
 
 from contextlib import closing
 from socket import create_server
@@ -6,20 +6,20 @@
 import pytest
 from http_fakes import Loop, wait_for
 
-from greengageflow.net.connect_check import ConnectCheck, Reach
+from greengageflow.net.connect_check import ConnectCheck, ConnectResult
 
 
 class Checks:
-    """A check on a loop of its own."""
+    """A ``ConnectCheck`` with its own loop."""
 
     def __init__(self, loop):
         self.loop, self.seen = loop, []
         self.check = ConnectCheck(loop.timers).register(loop.app)
 
-    def begin(self, address):
+    def start_check(self, address):
         self.loop.call(lambda: self.check.check(address, self.seen.append))
 
-    def reach(self):
+    def result(self):
         return wait_for(lambda: self.seen)[0]
 
 
@@ -31,22 +31,22 @@
         yield checks
 
 
-def test_process_that_listens_is_seen(checks):
+def test_listening_process_accepts(checks):
     with create_server(("127.0.0.1", 0)) as server:
-        checks.begin(server.getsockname())
-        assert checks.reach() is Reach.LISTENS
+        checks.start_check(server.getsockname())
+        assert checks.result() is ConnectResult.ACCEPTED
 
 
-def test_address_where_nobody_listens_refuses(checks):
+def test_address_without_a_listener_refuses(checks):
     with create_server(("127.0.0.1", 0)) as server:
         address = server.getsockname()
-    checks.begin(address)
-    assert checks.reach() is Reach.REFUSED
+    checks.start_check(address)
+    assert checks.result() is ConnectResult.REFUSED
 
 
 def test_connection_that_ends_at_once_counts_as_closed(checks):
     with create_server(("127.0.0.1", 0)) as server:
-        checks.begin(server.getsockname())
+        checks.start_check(server.getsockname())
         taken, _ = server.accept()
         taken.close()
-        assert checks.reach() is Reach.CLOSED
+        assert checks.result() is ConnectResult.CLOSED
--- a/tests/test_http_pool.py
+++ b/tests/test_http_pool.py
@@ -16,7 +16,7 @@
         yield loop
 
 
-def is_read(loop, sock):
+def is_polled_for_reading(loop, sock):
     return loop.pool._find_poller().isReading(sock)
 
 
@@ -47,7 +47,7 @@
     return wait_for(lambda: done)[0]
 
 
-def test_a_connection_is_reused_and_bound_to_the_source(loop):
+def test_connection_is_reused_and_bound_to_the_source_ip(loop):
     def script(conn, _number):
         while conn.request():
             conn.answer(b'{"a": 1}', extra="X-Y: z\r\n")
@@ -61,7 +61,7 @@
     assert peer.requests[0].endswith(b"\r\n\r\nhello")
 
 
-def test_a_chunked_answer_in_single_bytes_is_whole(loop):
+def test_chunked_response_in_single_bytes_is_complete(loop):
     def script(conn, _number):
         conn.request()
         text = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -86,11 +86,11 @@
         ),
     ],
 )
-def test_half_and_broken_answers_are_failures(loop, answer, kind):
-    """The caller of the pool sees one failure and no answer.
+def test_truncated_and_invalid_responses_are_failures(loop, answer, kind):
+    """A truncated or invalid response must be reported as one failure.
 
-    The peer answers less than it announced, without any length, garbage, or too
-    much, and closes. Half an answer must never pass for a whole one.
+    The peer sends less than announced, no length, garbage or too much, and closes the
+    connection.
     """
 
     def script(conn, _number):
@@ -102,18 +102,18 @@
     assert (failure.kind, failure.sent) == (kind, True)
 
 
-def test_a_refused_connection_is_known_not_to_be_sent(loop):
+def test_refused_connection_is_reported_as_not_sent(loop):
     with socket.create_server(("127.0.0.1", 0)) as sock:
         port = sock.getsockname()[1]
     failure = fetch(loop, port)
     assert (failure.kind, failure.sent) == (FailureKind.CONNECT, False)
 
 
-def test_a_connection_that_never_comes_about_is_not_sent(loop):
-    """The caller of the pool is told that nothing was sent.
+def test_connect_timeout_is_reported_as_not_sent(loop):
+    """A connect timeout must be reported as not sent.
 
-    The peer's queue of connections is full, so that no handshake ends; the pool
-    gives up after the connect timeout and no byte of the request has left.
+    The peer's listen backlog is full, so the handshake never completes and no byte of
+    the request is sent.
     """
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
@@ -128,19 +128,19 @@
     assert (failure.kind, failure.sent) == (FailureKind.CONNECT, False)
 
 
-def test_a_silent_peer_times_out(loop):
+def test_idle_timeout_is_reported_as_sent(loop):
     peer = FakePeer(lambda conn, _number: conn.wait_closed())
     failure = fetch(loop, peer.port, idle_timeout_s=0.1)
     assert (failure.kind, failure.sent) == (FailureKind.TIMEOUT, True)
 
 
 @pytest.mark.parametrize("retry_stale", [True, False])
-def test_a_stale_connection_is_replaced_only_where_allowed(loop, retry_stale):
-    """The caller of the pool gets its answer, and a protected action is sent once.
+def test_stale_connection_is_retried_only_if_allowed(loop, retry_stale):
+    """A closed idle connection must not fail a request or repeat a protected one.
 
-    The peer answers once and then closes the connection as the next request
-    arrives on it, as servers do with idle connections. A request that may be sent
-    again goes out on a new connection; a protected one never used the old one.
+    The peer responds once and closes the connection when the next request arrives on
+    it, as servers do with idle connections. A request with ``retry_stale`` is retried
+    on a new connection; one without it never uses the old connection.
     """
 
     def script(conn, number):
@@ -159,11 +159,11 @@
     assert len(peer.requests) == (3 if retry_stale else 2)
 
 
-def test_what_was_sent_on_a_kept_connection_is_not_called_unsent(loop):
-    """The caller of the pool must not say that the request has not run.
+def test_failed_retry_is_reported_as_sent(loop):
+    """A failed retry must be reported as sent if the first attempt was sent.
 
-    The peer reads the second request on the connection that was kept, and is lost. A
-    new connection cannot be made, and nothing was sent on that one.
+    The peer reads the second request on the reused connection and goes down. The retry
+    cannot connect, but the request may have run.
     """
 
     def script(conn, _number):
@@ -180,12 +180,11 @@
     assert (failure.kind, failure.sent) == (FailureKind.CONNECT, True)
 
 
-def test_an_early_answer_survives_a_broken_body(loop, monkeypatch):
-    """The caller of the pool sees the 413 and not a broken connection.
+def test_early_response_takes_precedence_over_a_write_error(loop, monkeypatch):
+    """An early 413 must be reported instead of a write error.
 
-    The peer answers before it has read the body, then closes. The pool is still
-    sending; its write fails at a moment at which the answer has come but the poller
-    has not yet told of it.
+    The peer responds before it has read the body. The pool is still sending; its write
+    fails when the response has arrived but the poller has not reported it yet.
     """
 
     def script(conn, _number):
@@ -194,7 +193,7 @@
         conn.wait_closed()
 
     def flush(conn):
-        conn.sock.send(conn._out[:1000])
+        conn.sock.send(conn._unsent[:1000])
         select([conn.sock], [], [])
         raise BrokenPipeError
 
@@ -203,11 +202,11 @@
     assert response.status == 413
 
 
-def test_pause_holds_the_sender_back(loop):
-    """A receiver that pauses gets no more, and the peer comes to wait.
+def test_pause_blocks_the_sender(loop):
+    """A paused receiver gets no data, and flow control blocks the peer.
 
-    The peer sends far more than the socket buffers hold; the receiver pauses at
-    the head, so that the peer's writes stop until the receiver resumes.
+    The peer sends far more than the socket buffers hold; the receiver pauses at the
+    head and resumes later.
     """
     size = 20_000_000
     sent = []
@@ -230,7 +229,7 @@
     exchange = []
     loop.call(lambda: exchange.append(loop.pool.open(request, recorder)))
     wait_for(lambda: recorder.log == [200])
-    assert not loop.call(lambda: is_read(loop, exchange[0].conn.sock))
+    assert not loop.call(lambda: is_polled_for_reading(loop, exchange[0].conn.sock))
     before = len(recorder.data)
     for _ in range(5):
         loop.call(lambda: None)
@@ -241,11 +240,11 @@
     assert len(recorder.data) == size
 
 
-def test_a_receiver_that_fails_gets_no_answer_with_a_hole(loop):
-    """The receiver's own fault ends the exchange.
+def test_exception_in_receiver_ends_the_exchange(loop):
+    """An exception in the receiver must end the exchange.
 
-    It raises while it takes the first bytes, which are lost by that; more bytes
-    must not follow as if nothing were missing.
+    The receiver raises in ``on_data`` and loses these bytes; it must not get later
+    bytes as if nothing were missing.
     """
 
     def script(conn, _number):
@@ -262,11 +261,11 @@
     loop.call(lambda: loop.pool.open(request, recorder))
     wait_for(lambda: len(recorder.log) == 2)
     assert recorder.log[1].kind is FailureKind.BROKEN
-    wait_for(lambda: loop.faults)
-    loop.faults.clear()
+    wait_for(lambda: loop.exceptions)
+    loop.exceptions.clear()
 
 
-def test_cancel_closes_the_connection_and_tells_nothing(loop):
+def test_cancel_closes_the_connection_without_a_callback(loop):
     closed = []
 
     def script(conn, _number):
--- a/tests/test_service_core.py
+++ b/tests/test_service_core.py
@@ -29,7 +29,7 @@
 from greengageflow.core.trust import KeyTrust
 from greengageflow.core.work_queue import QueuedRequest, WorkQueue
 from greengageflow.errors import ErrorKind
-from greengageflow.net.event_frames import FRAME_LIMIT, EventFrames, FrameTooLarge
+from greengageflow.net.event_frames import MAX_FRAME_BYTES, EventFrames, FrameTooLarge
 
 WINDOW_S = 10.0
 
@@ -309,7 +309,7 @@
         for begin, end in zip(places, places[1:], strict=False)
         for frame in parts.feed(text[begin:end])
     ]
-    assert found == frames and parts.torn == whole.torn
+    assert found == frames and parts.has_unfinished_event == whole.has_unfinished_event
     raw = b"".join(frame.raw for frame in frames)
     assert text.startswith(raw)
     assert not re.search(rb"\r?\n\r?\n", text[len(raw) :])
@@ -318,9 +318,12 @@
 def test_frames_have_event_numbers_and_flag_truncation():
     frames = EventFrames()
     found = list(frames.feed(b"id: 12\r\ndata: x\r\n\r\ndata: id: 3\n\ndata"))
-    assert [frame.number for frame in found] == [12, None] and frames.torn
+    assert [frame.event_id for frame in found] == [
+        12,
+        None,
+    ] and frames.has_unfinished_event
     with pytest.raises(FrameTooLarge):
-        list(frames.feed(b"x" * FRAME_LIMIT))
+        list(frames.feed(b"x" * MAX_FRAME_BYTES))
 
 
 def test_usage_of_a_formerly_lone_account_decays_quickly():
