--- a/greengageflow/daemon/crash_watch.py
+++ b/greengageflow/daemon/crash_watch.py
@@ -1,4 +1,4 @@
-"""Finds requests that crash endpoints, and holds them back at all hosts."""
+"""Detects requests that crash endpoints, and quarantines them on all hosts."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
@@ -9,16 +9,20 @@
 from greengageflow.net.timers import Timers
 
 CHECKS_S = (0.01, 0.1, 0.4)
-"""Seconds to wait before each look for an endpoint that cut a request.
+"""Delays before each reachability check of an endpoint that cut a request, in seconds.
 
-A process that ends may close its listener a while after its connections.
+A process that ends may close its listener some time after its connections.
 """
 AGAIN_S = 0.25
-"""Seconds after which all hosts get the records once more, against lost messages."""
+"""Delay before records are sent to all hosts once more in case of message loss, in
+seconds."""
 REPEAT_S = 1.0
 REPEAT_TO = 2
-"""Hosts drawn at random that get the records each ``REPEAT_S``; a host that starts and
-one that missed all else know them within seconds, at any number of hosts."""
+"""Number of random hosts that get the records every ``REPEAT_S`` seconds.
+
+Hosts that start, or that missed all other messages, learn the records within seconds,
+whatever the number of hosts.
+"""
 CHANGED_S = 10.0
 MOST_SENT = 128
 
@@ -28,9 +32,9 @@
     """One start of an endpoint.
 
     Args:
-        id: Names the endpoint.
-        start: Names this start of it.
-        service: Service that it belongs to.
+        id: Id of the endpoint.
+        start: Id of this start of it.
+        service: Service that the endpoint belongs to.
         address: IP number and port.
     """
 
@@ -41,49 +45,49 @@
 
 
 class Reachability(Protocol):
-    """Tells whether a process listens at an address."""
+    """Checks whether a process listens at an address."""
 
     def check(self, address: Address, on_done: Callable[[Reach], None]) -> None:
         """Call ``on_done`` once with the outcome."""
 
 
 class CrashReportSender(Protocol):
-    """Carries records to other hosts, at best effort."""
+    """Sends crash records to other hosts, with best effort."""
 
     def send_crashes(self, records: tuple[CrashRecord, ...], most: int | None) -> None:
-        """Send records to ``most`` hosts drawn at random; None for all."""
+        """Send records to ``most`` random hosts, or to all if it is None."""
 
 
 class CrashNotes(Protocol):
-    """Writes down what is found out."""
+    """Logs and counts crashes and quarantined requests."""
 
     def crashed(
         self, endpoint: EndpointStart, requests: frozenset[Fingerprint]
     ) -> None:
-        """Note a crash and the requests that may have caused it."""
+        """Record a crash and the requests that may have caused it."""
 
     def held(self, fingerprint: Fingerprint, source: str, for_s: float) -> None:
-        """Note that a request is held back; ``source`` is ``crash`` or ``peer``."""
+        """Record that a request is quarantined; ``source`` is ``crash`` or ``peer``."""
 
     def cleared(self, fingerprint: Fingerprint) -> None:
-        """Note that a good answer has cleared a request."""
+        """Record that a successful answer has cleared a request."""
 
 
 class CrashWatch:
-    """Decides whether endpoints that cut requests crashed, and tells other hosts.
+    """Detects whether endpoints that cut requests crashed, and notifies other hosts.
 
-    A request that is cut says little: connections are reset for many reasons. If
-    connections are refused right after it, the process has ended.
+    A cut request alone is no evidence, since connections are reset for many reasons. If
+    the endpoint refuses connections right afterwards, its process has ended.
 
     Args:
-        quarantine: Keeps what is known.
+        quarantine: Keeps the crash records.
         timers: Timer service.
-        reachability: Looks for endpoints.
-        sender: Tells other hosts.
+        reachability: Checks endpoints.
+        sender: Sends records to other hosts.
         notes: Logs and counts.
-        on_quarantined: Takes requests that are held back from now on.
-        on_decided: Takes requests of which this host found out that they are held back,
-            or are no more.
+        on_quarantined: Called with newly quarantined requests.
+        on_decided: Called with each request that this host itself found to be
+            quarantined, or to be quarantined no more.
     """
 
     def __init__(
@@ -106,11 +110,11 @@
         self._checking: set[str] = set()
 
     def start(self) -> None:
-        """Begin to repeat to other hosts what is known."""
+        """Begin to send the records to random hosts periodically."""
         self._timers.every(REPEAT_S, self._repeat)
 
     def on_cut(self, endpoint: EndpointStart, fingerprint: Fingerprint) -> None:
-        """Note that an endpoint cut a request that it may have begun to run."""
+        """Handle a request that was cut after the endpoint may have started it."""
         start = endpoint.start
         self._quarantine.add_suspect(self._timers.now, start, fingerprint)
         if start not in self._checking:
@@ -145,7 +149,7 @@
             self._on_decided(fingerprint)
 
     def on_good_answer(self, fingerprint: Fingerprint) -> None:
-        """Note a good answer to a request."""
+        """Handle a successful answer to a request."""
         now = self._timers.now
         was_held = self._quarantine.record(now, fingerprint) is not None
         if self._quarantine.on_success(now, fingerprint):
@@ -155,7 +159,7 @@
                 self._on_decided(fingerprint)
 
     def receive(self, records: Iterable[CrashRecord]) -> None:
-        """Take over what another host knows."""
+        """Merge the records of another host."""
         held = self._quarantine.receive(self._timers.now, records)
         self._log_quarantined(held, "peer")
 
--- a/greengageflow/daemon/endpoint_watch.py
+++ b/greengageflow/daemon/endpoint_watch.py
@@ -1,4 +1,4 @@
-"""Asks owned endpoints what they run and whether they are leaving."""
+"""Polls owned endpoints for their load and whether they are leaving."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -12,16 +12,16 @@
 INTERVAL_S = 1.0
 TIMEOUT_S = 1.0
 MOST_LATE = 10
-"""Reports in a row that may still be of the generation before."""
+"""Maximum number of consecutive reports that may be from the previous generation."""
 
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What an endpoint says of itself.
+    """Load report of an endpoint.
 
     Args:
-        running: Requests that it runs; None when it does not say.
-        leaving: True when it wants no new work.
+        running: Number of running requests; None if not reported.
+        leaving: Whether the endpoint wants no new work.
     """
 
     running: int | None = None
@@ -34,11 +34,12 @@
     Args:
         pool: Outbound connections.
         timers: Timer service.
-        owner: Gets the signs.
+        owner: Gets the number of running requests.
         owns: Returns whether this router owns an endpoint.
         left: Returns the newest generation of an endpoint that has left, or 0.
-        on_leaving: Gets an endpoint that says that it is leaving.
-        interval_s: Seconds between two rounds.
+        on_leaving: Called with the name of an endpoint that reports that it is
+            leaving, and the source of the report.
+        interval_s: Polling interval, in seconds.
     """
 
     def __init__(
@@ -63,11 +64,11 @@
         self._cfg = FleetConfig()
 
     def start(self) -> None:
-        """Begin to ask."""
+        """Begin to poll."""
         self._timers.every(self._interval_s, self._round)
 
     def on_config(self, cfg: FleetConfig) -> None:
-        """Take over a configuration."""
+        """Apply a new configuration."""
         self._cfg = cfg
 
     def _on_report(self, endpoint: Endpoint, report: LoadReport) -> None:
--- a/greengageflow/daemon/host_watch.py
+++ b/greengageflow/daemon/host_watch.py
@@ -1,4 +1,4 @@
-"""Says when the host cannot keep up with what callers send."""
+"""Detects that the host can't keep up with its callers' requests."""
 
 from collections.abc import Callable
 
@@ -12,15 +12,15 @@
 
 
 class HostWatch:
-    """Measures how late the event loop runs, and logs when it gets behind.
+    """Measures the lag of the event loop, and logs when it falls behind and recovers.
 
     Args:
         timers: Timer service.
-        log: Takes a line for each change.
-        callers: Tells how many connections are open.
-        running: Returns the requests that were sent.
-        waiting: Returns the requests that wait.
-        period_s: Seconds between two calls of ``on_tick``.
+        log: Gets an event for each change.
+        callers: Provides the number of open connections.
+        running: Returns the number of requests sent to endpoints.
+        waiting: Returns the number of queued requests.
+        period_s: Interval between two calls of ``on_tick``, in seconds.
     """
 
     def __init__(
@@ -43,11 +43,11 @@
 
     @property
     def worst_s(self) -> float:
-        """The latest that the loop came in the last one to two seconds."""
+        """Maximum lag of the event loop in the last one to two seconds, in seconds."""
         return self._lateness.worst_s
 
     def on_full(self, connections: int, gave_way: int) -> None:
-        """Note that there was no room for one more connection."""
+        """Log, at a limited rate, that the connection limit was reached."""
         now = self._timers.now
         if now - self._full_at >= FULL_LINE_S:
             self._full_at = now
@@ -58,7 +58,7 @@
             )
 
     def on_tick(self) -> None:
-        """Note a call of the timer."""
+        """Handle a tick of the periodic timer."""
         now = self._timers.now
         if not self._lateness.tick(now):
             return
--- a/greengageflow/daemon/kept_parts.py
+++ b/greengageflow/daemon/kept_parts.py
@@ -1,4 +1,4 @@
-"""Asks model engines which prompt parts they keep."""
+"""Queries model engines for the prompt parts in their prefix cache."""
 
 from collections.abc import Callable, Iterable
 from typing import Protocol
@@ -19,33 +19,34 @@
 from greengageflow.platform.requests import kept_call
 
 ANSWER_S = 1.0
-"""Seconds for an answer."""
+"""Connect and idle timeout of a query, in seconds."""
 AGAIN_S = 0.5
 MOST_TRIES = 3
 LARGEST = 1_048_576
-"""Bytes of an answer."""
+"""Maximum size of an answer, in bytes."""
 
 
 class PartsAsker(Protocol):
-    """Learns what engines keep."""
+    """Finds out which prompt parts engines have cached."""
 
     def ask(self, engines: Iterable[ListedEndpoint]) -> None:
-        """Ask engines that were not asked before."""
+        """Query the engines that have not been queried yet."""
 
 
 class KeptParts:
-    """Learns once from each engine that this host begins to place for.
+    """Queries each engine's prefix cache once, when this host begins to place for it.
 
-    A placer that begins knows of no part that engines keep: it sends requests anywhere,
-    and what they share is read again. One call an engine brings it back; later ones
-    follow from what this host sends.
+    A new placer doesn't know which prompt parts are cached where. It would send
+    requests to any engine, which then runs prefill for their shared parts again. One
+    query per engine prevents this; later changes follow from the requests that this
+    host sends.
 
     Args:
         pool: Sends the calls.
         timers: Timer service.
-        book: Takes what is learned.
-        log: Takes a line for each engine.
-        on_leaving: Takes an engine that says that it leaves.
+        book: Gets the cached parts.
+        log: Gets an event for each engine.
+        on_leaving: Called with an engine that reports in its answer that it leaves.
     """
 
     def __init__(
@@ -64,7 +65,7 @@
         self._asked: set[str] = set()
 
     def ask(self, engines: Iterable[ListedEndpoint]) -> None:
-        """Ask engines that were not asked before."""
+        """Query the engines that have not been queried yet."""
         for engine in engines:
             if engine.id not in self._asked:
                 self._asked.add(engine.id)
--- a/greengageflow/daemon/key_watch.py
+++ b/greengageflow/daemon/key_watch.py
@@ -1,4 +1,4 @@
-"""Keeps account keys trusted by what this host and its peers hear of the store."""
+"""Decides whether account keys are trusted, by how fresh the configuration is."""
 
 from collections.abc import Iterable
 
@@ -13,13 +13,13 @@
 
 
 class KeyWatch:
-    """Confirms keys, and logs when they are trusted and when not.
+    """Confirms keys, and logs when trust in them begins and ends.
 
     Args:
-        trust: What is decided by.
-        store: What this host heard of the store.
-        log: Takes a line for each change.
-        now: Present time, by a clock that goes on while the host is suspended.
+        trust: Decides whether keys are trusted.
+        store: This host's view of the store.
+        log: Gets an event for each change.
+        now: Current time, by a clock that includes suspension.
     """
 
     def __init__(
@@ -33,20 +33,20 @@
         self._trusted = False
 
     def awake(self, now: float) -> None:
-        """Note that the process runs."""
-        # After a pause the socket holds reports of before it, whose ages would be
-        # taken for fresh and keys trusted that were taken away meanwhile.
+        """Detect that the process was suspended; call this regularly."""
+        # After a suspension the socket buffer holds reports from before it. They would
+        # pass for fresh, and keys that were revoked meanwhile would be trusted.
         if now - self._awake_at > ASLEEP_S:
             self._doubt_until = now + ASLEEP_S
         self._awake_at = now
 
     def confirm(self, now: float, told: float, words: Iterable[StoreReport]) -> None:
-        """Take what is known of the store now.
+        """Update the trust in keys.
 
         Args:
-            now: Present time, by the clock that counts suspension.
-            told: Present time, by the clock of ``words``.
-            words: What peers know.
+            now: Current time, by the clock that includes suspension.
+            told: Current time, by the clock of ``words``.
+            words: Store reports of the peers.
         """
         self._trust.confirm(self._store.confirmed)
         words = list(words)
--- a/greengageflow/daemon/leaving_watch.py
+++ b/greengageflow/daemon/leaving_watch.py
@@ -1,4 +1,4 @@
-"""Takes endpoints' own signs that they leave, and tells other hosts."""
+"""Handles endpoints' notices that they are leaving, and forwards them to peers."""
 
 from collections.abc import Callable, Iterable
 from typing import Protocol
@@ -8,29 +8,34 @@
 from greengageflow.net.timers import Timers
 
 AGAIN_S = 0.25
-"""Seconds after which all hosts get a sign once more, against lost messages."""
+"""Delay before a sign is sent to all hosts once more in case of message loss, in
+seconds."""
 REPEAT_S = 1.0
 REPEAT_TO = 2
-"""Hosts drawn at random that get the signs each ``REPEAT_S``."""
+"""Number of random hosts that get the signs every ``REPEAT_S`` seconds."""
 REPEAT_FOR_S = 60.0
-"""Seconds for which a sign is repeated: for hosts that start while the list is away."""
+"""Time for which a sign is repeated, in seconds.
+
+This serves hosts that start while the endpoint list is unavailable.
+"""
 
 
 class LeavingSender(Protocol):
-    """Carries signs to other hosts, at best effort."""
+    """Sends signs to other hosts, with best effort."""
 
     def send_leaving(self, report: LeavingReport, most: int | None) -> None:
-        """Send signs to ``most`` hosts drawn at random; None for all."""
+        """Send signs to ``most`` random hosts, or to all if it is None."""
 
 
 class LeavingWatch:
-    """Stops new work for endpoints that say in an answer that they leave.
+    """Stops new work for endpoints that announce in an answer that they are leaving.
 
     Args:
         endpoints: Listed endpoints.
         timers: Timer service.
-        sender: Tells other hosts.
-        on_left: Takes the id of an endpoint and who said it: ``answer`` or ``peer``.
+        sender: Sends signs to other hosts.
+        on_left: Called with the id of a leaving endpoint and the source of the sign,
+            ``answer`` or ``peer``.
     """
 
     def __init__(
@@ -47,11 +52,11 @@
         self._signs: dict[LeavingEndpoint, float] = {}
 
     def start(self) -> None:
-        """Begin to repeat to other hosts what is known."""
+        """Begin to send the signs to random hosts periodically."""
         self._timers.every(REPEAT_S, self._repeat)
 
     def on_answer(self, endpoint: ListedEndpoint) -> None:
-        """Note that an endpoint said in an answer that it leaves."""
+        """Handle an answer in which an endpoint announced that it is leaving."""
         sign = LeavingEndpoint(endpoint.id, endpoint.born)
         if self._take(sign, "answer"):
             report = LeavingReport((sign,))
@@ -59,7 +64,7 @@
             self._timers.after(AGAIN_S, lambda: self._sender.send_leaving(report, None))
 
     def receive(self, signs: Iterable[LeavingEndpoint]) -> None:
-        """Take what other hosts were told by endpoints."""
+        """Apply signs from other hosts."""
         for sign in signs:
             self._take(sign, "peer")
 
--- a/greengageflow/daemon/quarantine_notes.py
+++ b/greengageflow/daemon/quarantine_notes.py
@@ -1,4 +1,4 @@
-"""Writes down crashes of endpoints and requests that are held back for them."""
+"""Logs and counts endpoint crashes and the requests quarantined for them."""
 
 from greengageflow.core.quarantine import Fingerprint, short_digest
 from greengageflow.daemon.crash_watch import EndpointStart
@@ -12,11 +12,11 @@
 
 
 class QuarantineNotes:
-    """Notes of ``CrashWatch`` in the decision log and on the metrics page.
+    """Reports on ``CrashWatch`` in the decision log and on the metrics page.
 
     Args:
-        log: Takes the lines.
-        page: Takes the counts.
+        log: Gets the events.
+        page: Gets the counts.
     """
 
     def __init__(self, log: DecisionLog, page: MetricsPage) -> None:
@@ -26,7 +26,7 @@
     def crashed(
         self, endpoint: EndpointStart, requests: frozenset[Fingerprint]
     ) -> None:
-        """Note a crash and the requests that may have caused it."""
+        """Record a crash and the requests that may have caused it."""
         self._page.count(PageMetric.ENDPOINT_CRASHES, endpoint.service)
         digests = sorted(map(short_digest, requests))
         self._log.write(
@@ -37,7 +37,7 @@
         )
 
     def held(self, fingerprint: Fingerprint, source: str, for_s: float) -> None:
-        """Note that a request is held back."""
+        """Record that a request is quarantined."""
         self._log.write(
             DecisionEvent.QUARANTINED,
             digest=short_digest(fingerprint),
@@ -46,17 +46,17 @@
         )
 
     def cleared(self, fingerprint: Fingerprint) -> None:
-        """Note that a good answer has cleared a request."""
+        """Record that a successful answer has cleared a request."""
         self._log.write(
             DecisionEvent.QUARANTINE_CLEARED, digest=short_digest(fingerprint)
         )
 
 
 class RouterQuarantineNotes:
-    """The same on the product's own interface, as events and by statsd.
+    """Reports on ``CrashWatch`` as log events and by statsd, for the product's own API.
 
     Args:
-        metrics: Takes the counts.
+        metrics: Gets the counts.
     """
 
     def __init__(self, metrics: Metrics) -> None:
@@ -65,7 +65,7 @@
     def crashed(
         self, endpoint: EndpointStart, requests: frozenset[Fingerprint]
     ) -> None:
-        """Note a crash and the requests that may have caused it."""
+        """Record a crash and the requests that may have caused it."""
         self._metrics.count(Metric.ENDPOINT_CRASHES, part=endpoint.id)
         digests = sorted(map(short_digest, requests))
         log(
@@ -76,7 +76,7 @@
         )
 
     def held(self, fingerprint: Fingerprint, source: str, for_s: float) -> None:
-        """Note that a request is held back."""
+        """Record that a request is quarantined."""
         log(
             Event.QUARANTINED,
             digest=short_digest(fingerprint),
@@ -85,5 +85,5 @@
         )
 
     def cleared(self, fingerprint: Fingerprint) -> None:
-        """Note that a good answer has cleared a request."""
+        """Record that a successful answer has cleared a request."""
         log(Event.QUARANTINE_CLEARED, digest=short_digest(fingerprint))
--- a/greengageflow/daemon/quarantine_store.py
+++ b/greengageflow/daemon/quarantine_store.py
@@ -1,7 +1,7 @@
-"""Requests that are held back, in the platform's store.
+"""Persists quarantined requests in the platform's store.
 
-Hosts learn of them from each other. When all have lost power at once, nobody knows
-them, and each would take endpoints down anew.
+Hosts normally learn of them from each other. If all hosts lose power at the same time
+this knowledge is lost, and each of the requests would crash endpoints again.
 """
 
 import json
@@ -25,22 +25,22 @@
 FIRST_LOOK_S = 1.0
 LOOK_EVERY_S = 2.0
 MOST_DROPPED = 8
-"""Old records that one host drops from the store when it reads them."""
+"""Maximum number of expired records that a host deletes after it has read them."""
 _DROPPED = b""
 
 Address = tuple[str, int]
 
 
 class QuarantineStore:
-    """Writes what this host found out, and reads once what others wrote.
+    """Writes the quarantine decisions of this host, and reads those of others once.
 
     Args:
         pool: Sends the calls.
         timers: Timer service.
         store: IP number and port of the store.
-        quarantine: Which requests are held back.
-        is_reader: Whether this host is among the few that read for others.
-        on_read: Takes what was read.
+        quarantine: Crash records of this host.
+        is_reader: Returns whether this host is one of the store's few readers.
+        on_read: Called with the records that were read.
     """
 
     def __init__(
@@ -64,20 +64,20 @@
 
     @property
     def calls(self) -> int:
-        """Calls of the store so far."""
+        """Number of calls to the store."""
         return self._topic.calls
 
     def start(self) -> None:
-        """Begin to look."""
+        """Begin to poll."""
         self._timers.after(FIRST_LOOK_S, self._look)
 
     def update(self, fingerprint: Fingerprint) -> None:
-        """Write whether a request is held back, again until the store has it."""
+        """Write a request's quarantine state, with retries until the store has it."""
         self._unwritten[fingerprint] = None
         self._write(fingerprint)
 
     def put_again(self) -> None:
-        """Write all that is held back once more, if this host writes for others."""
+        """Write all quarantined requests again, if this host is a reader."""
         if self._is_reader():
             held = self._quarantine.quarantined(self._timers.now)
             self._unwritten.update(dict.fromkeys(held))
@@ -131,7 +131,7 @@
 
 
 def _record(row: KeyedRecord) -> CrashRecord | None:
-    """Return a record of the store, or None for one that cannot be read."""
+    """Return a decoded record, or None if it is invalid."""
     try:
         fingerprint = bytes.fromhex(row.key)
         doc = json.loads(row.value or b"")
@@ -147,5 +147,5 @@
 def _names(values: Iterable[object]) -> tuple[str, ...]:
     names = tuple(values)
     if not all(isinstance(name, str) for name in names):
-        raise ValueError(f"not names: {names!r}")
+        raise ValueError(f"not all names are strings: {names!r}")
     return names
--- a/greengageflow/daemon/router_registry.py
+++ b/greengageflow/daemon/router_registry.py
@@ -1,4 +1,4 @@
-"""Where routers find each other when nobody that they know answers."""
+"""Discovery of other routers through the platform's store."""
 
 from collections.abc import Callable, Iterable
 from ipaddress import ip_address
@@ -17,21 +17,22 @@
 
 
 class RouterRegistry:
-    """Puts this router's address into the store, and looks for others there.
+    """Registers this router's address in the store, and looks up others there.
 
-    Settings name few hosts, and all of them may be gone when this one starts. Whoever
-    finds one router learns of the others from its reports, so that the addresses of
-    a few are enough; a call of each router at its start would be many at once.
+    The settings name only few hosts, and all of them may be down when this one starts.
+    One reachable router is enough to learn of all others from its reports. Therefore
+    only a few routers register: if each did so at its start, hundreds of calls could
+    reach the store at once.
 
     Args:
         pool: Sends the calls.
         timers: Timer service.
         store: IP number and port of the store.
-        host: This host.
-        own: Where it takes reports.
-        is_alone: Whether no other router is heard.
-        is_contact: Whether this one is among the few that others should find.
-        on_found: Takes addresses where routers may be.
+        host: Name of this host.
+        own: Address where this router receives reports.
+        is_alone: Returns whether this router gets reports from no other router.
+        is_contact: Returns whether this router is one of the few that register.
+        on_found: Called with addresses of registered routers.
     """
 
     def __init__(
@@ -57,15 +58,15 @@
 
     @property
     def calls(self) -> int:
-        """Calls of the store so far."""
+        """Number of calls to the store."""
         return self._topic.calls
 
     def start(self) -> None:
-        """Begin to look."""
+        """Begin to poll."""
         self._timers.after(FIRST_LOOK_S, self._look)
 
     def put_again(self) -> None:
-        """Write the address once more: the store came back without it."""
+        """Register again, since the store was restored without the address."""
         self._is_put = False
 
     def _put(self) -> None:
--- a/greengageflow/daemon/shared_topic.py
+++ b/greengageflow/daemon/shared_topic.py
@@ -1,4 +1,4 @@
-"""Short calls on one keyed topic that routers share in the platform's store."""
+"""Reads and writes a keyed topic that routers share in the platform's store."""
 
 from collections.abc import Callable
 
@@ -13,15 +13,15 @@
 
 
 class SharedTopic:
-    """Writes and reads keys of one topic.
+    """Client for one keyed topic.
 
     Args:
         pool: Sends the calls.
         store: IP number and port of the store.
-        topic: Its name.
+        topic: Name of the topic.
 
     Attributes:
-        calls: Calls so far.
+        calls: Number of calls to the store.
     """
 
     def __init__(self, pool: HttpPool, store: Address, topic: str) -> None:
@@ -31,11 +31,11 @@
         self._topic = topic
 
     def put(self, key: str, value: bytes, on_done: OnDone) -> None:
-        """Set the value of a key; an empty one drops the key."""
+        """Set the value of a key; an empty value deletes the key."""
         self._ask(*put_call(self._topic, key, value), on_done)
 
     def newest(self, after: str, on_done: OnDone) -> None:
-        """Read the newest record of each key, from the one after ``after`` on."""
+        """Read a page of the newest records, one per key, for keys after ``after``."""
         self._ask(*newest_call(self._topic, after), b"", on_done)
 
     def _ask(self, method: str, target: str, body: bytes, on_done: OnDone) -> None:
--- a/greengageflow/daemon/store_view.py
+++ b/greengageflow/daemon/store_view.py
@@ -1,4 +1,4 @@
-"""What the platform's store says: the configuration and the list of endpoints."""
+"""Local view of the platform's store: the configuration and the endpoint list."""
 
 from collections.abc import Callable, Iterable
 from random import Random
@@ -28,33 +28,34 @@
 from greengageflow.platform.records import RecordError, parse_config, parse_endpoint
 
 ERA_SPREAD_S = 1.0
-"""Seconds in which hosts that do not read for others read a list that was restored."""
+"""Time over which hosts spread their snapshot reads after the store was restored, in
+seconds. Readers don't wait."""
 UPDATE_BYTES = 24_000
-"""Bytes of records that one message to other hosts holds, where it holds several."""
+"""Maximum size of the records in one update, in bytes. A larger record goes alone."""
 
 
 class StoreView:
-    """Keeps what the store says, read by few hosts and by each when it must.
+    """Keeps a copy of the store's state.
 
-    A reader polls all the time, and passes changes on. The others read when a peer
-    knows of something newer that was not passed on to them, or when no peer has heard
-    from the store lately.
+    Readers poll the store continuously and publish changes to their peers. Other hosts
+    read only when a peer reports newer state of which they got no update, or when no
+    recent report confirms the store's state.
 
     Args:
         pool: Sends the calls.
         timers: Timer service.
         address: IP number and port of the store.
-        endpoints: The list to keep.
-        log: Takes a line for each change.
-        on_routing: Takes a new configuration.
-        on_change: Takes a change of the list.
-        on_update: Called when something changed that peers should hear of at once.
-        on_era: Takes the store's era when it came back older, for what this host had
-            written there.
-        on_read: Takes changes, for hosts that do not read themselves, and whether
-            they were read here, not told by a peer.
-        pace_s: Seconds between two reads of a part, for hosts that read.
-        clock: Returns a time that goes on while the host is suspended, in seconds.
+        endpoints: The endpoint list to update.
+        log: Gets an event for each change.
+        on_routing: Called with a new configuration.
+        on_change: Called with each change of the endpoint list.
+        on_update: Called after a change that must be reported to peers at once.
+        on_era: Called with the new era after the store was restored from a copy, so
+            that records which this host had written can be written again.
+        on_read: Called with each update for other hosts, and with whether this host
+            read it from the store rather than got it from a peer.
+        pace_s: Interval between two reads of a topic by a reader, in seconds.
+        clock: Returns the time in seconds, by a clock that includes suspension.
     """
 
     def __init__(
@@ -111,12 +112,12 @@
 
     @property
     def era(self) -> int:
-        """The store's era, as far as this host has seen it come back older."""
+        """Latest era of the store that this host has seen."""
         return self._era
 
     @property
     def calls(self) -> int:
-        """Calls of the store so far."""
+        """Number of calls to the store."""
         return self._config.calls + self._list.calls
 
     @property
@@ -129,21 +130,21 @@
         return paces * self._pace_s
 
     def _may_read(self, follower: TopicFollower, words: list[StoreReport]) -> bool:
-        """Return whether a read for want of other hosts' word may begin.
+        """Return whether a read because of stale reports may begin.
 
-        While the store is away each host would else ask it again and again, although
-        the first one that gets an answer tells the others.
+        This limits the load on a store that is down: otherwise each host would retry
+        all the time, although the first one to get an answer reports it to the others.
         """
         if self._role is not StoreRole.MEMBER or not words:
             return True
         return self._age_s(follower.asked_at) >= MEMBER_READ_INTERVAL_S
 
     def on_tick(self, role: StoreRole, words: list[StoreReport]) -> None:
-        """Read what is due.
+        """Begin the reads that are due.
 
         Args:
-            role: What this host does about the store.
-            words: What peers know of the store.
+            role: Role of this host in reading the store.
+            words: Store reports of the peers.
         """
         now = self._timers.now
         self._role = role
@@ -161,8 +162,8 @@
             heard_s = min(known.age_s, self._age_s(self.confirmed))
             stale = heard_s > self._stale_s and self._may_read(self._config, words)
             if reads and not behind:
-                # A wait for the whole pace would be known of only when the next one
-                # ends, at twice the pace: stale, so that all others read as well.
+                # A long poll over the whole interval would be confirmed only after two
+                # intervals. By then the state is stale and all other hosts read too.
                 self._config.read(self._pace_s / 2)
             elif behind or stale:
                 self._config.read()
@@ -183,13 +184,14 @@
         self._drop_held(now)
 
     def _waits_for_era(self, now: float, era: int) -> bool:
-        """Whether to wait with the whole list of a store that came back older.
+        """Return whether to delay the snapshot read after a restore of the store.
 
-        No peer passes on a whole list. All would read it at once.
+        Peers don't publish snapshots, so that all hosts have to read one. The random
+        delay keeps them from doing so at the same time.
 
         Args:
-            now: The time.
-            era: The store's latest era that a peer knows.
+            now: Current time.
+            era: Latest era of the store that any peer reports.
         """
         known = not self._list.is_known or era <= self._list.era
         if known or self._role is StoreRole.READER:
@@ -203,7 +205,7 @@
         return False
 
     def on_restore(self, era: int) -> None:
-        """Note that the store is of a later era than what is known of it here."""
+        """Handle a restore of the store, which begins a new era."""
         if era <= self._era:
             return
         before, self._era = self._era, era
@@ -212,14 +214,14 @@
         self._on_era(era)
 
     def _note_answers(self, now: float, words: Iterable[StoreReport]) -> None:
-        # A host that does not read for its zone may not read for long after the
-        # store's return; its peers' word is all it has of it.
+        # A host that is not a reader may not read for a long time after the store is
+        # back. It learns the end of the outage from its peers' reports.
         for word in words:
             age_s = min(word.config_age_s, word.list_age_s) + now - word.reported_at
             self._hold.on_answer(self._clock(), self._clock() - age_s)
 
     def _tell_in_place(self, before: float) -> None:
-        # Members wait only a little longer before they all read.
+        # Report at once: members read the store themselves only slightly later.
         if self._role is StoreRole.STANDBY and self._age_s(before) > self._stale_s:
             self._on_update()
 
@@ -230,15 +232,15 @@
     def _age_s(self, at: float) -> float:
         return self._clock() - at
 
-    # What hosts that read pass on.
+    # Updates between hosts.
 
     def take_update(self, update: StoreUpdate) -> None:
-        """Take over what another host read."""
+        """Apply an update that another host read from the store."""
         follower = self._config if update.topic is StoreTopic.CONFIG else self._list
         records = follower.take(update.since, update.end, update.records)
         match update.topic:
             case StoreTopic.CONFIG:
-                # The newest configuration counts, whatever was missed before it.
+                # Only the newest configuration matters, so gaps before it do no harm.
                 self.take_config(update.records, is_own=False)
             case StoreTopic.ENDPOINTS if records:
                 self.take_list(records, is_own=False)
@@ -253,7 +255,7 @@
     # The configuration.
 
     def config_heard(self, at: float) -> None:
-        """Note that the configuration was the newest at time ``at``."""
+        """Handle a confirmation that the configuration was the newest at ``at``."""
         self._tell_in_place(self.confirmed)
         if self._is_newest:
             self.confirmed = max(self.confirmed, at)
@@ -267,14 +269,14 @@
 
     @property
     def _is_newest(self) -> bool:
-        """Whether what the store says may be the newest configuration.
+        """Whether the store's configuration may be the newest one.
 
-        A store that came back older says nothing of keys that were taken away since.
+        A store that was restored from a copy may lack later revocations of keys.
         """
         return self.version >= self._peers_version or not self._is_readable
 
     def config_lost(self, text: str) -> None:
-        """Note that the configuration could not be read."""
+        """Handle a failed read of the configuration."""
         if self._lost_at is None:
             self._lost_at = self._clock()
             age_s = min(self._age_s(self.confirmed), 1e6)
@@ -285,7 +287,7 @@
     def take_config(
         self, records: Iterable[KeyedRecord], *, is_own: bool = True
     ) -> None:
-        """Take over the newest configuration among records, read here or by a peer."""
+        """Apply the newest configuration among records read here or by a peer."""
         taken = []
         for record in records:
             if record.key != CONFIG_KEY or record.value is None:
@@ -297,7 +299,7 @@
                 self._log.write(
                     DecisionEvent.CONFIG_IN_FORCE,
                     config=self.version,
-                    source=f"stays, a record cannot be read: {exc}",
+                    source=f"unchanged, invalid record: {exc}",
                     age_ms=0,
                 )
                 continue
@@ -315,10 +317,10 @@
                 self._on_update()
         self._pass_on(StoreTopic.CONFIG, taken[-1:], self._config.offset, is_own)
 
-    # The list of endpoints.
+    # The endpoint list.
 
     def list_heard(self, at: float) -> None:
-        """Note that the list was the newest at time ``at``."""
+        """Handle a confirmation that the endpoint list was the newest at ``at``."""
         self._tell_in_place(self.list_confirmed)
         self.list_confirmed = max(self.list_confirmed, at)
         self._store_answered()
@@ -328,7 +330,7 @@
             self._log.write(DecisionEvent.LIST_REGAINED, after_ms=round(1000 * after_s))
 
     def list_lost(self, text: str) -> None:
-        """Note that the list could not be read."""
+        """Handle a failed read of the endpoint list."""
         self._hold.on_failure(self._clock())
         if self._list_lost_at is None:
             self._list_lost_at = self._clock()
@@ -338,12 +340,12 @@
             )
 
     def take_list(self, records: Iterable[KeyedRecord], *, is_own: bool = True) -> None:
-        """Take over records of the list, read here or by a peer."""
+        """Apply endpoint records read here or by a peer."""
         taken = self._take_records(records)
         self._pass_on(StoreTopic.ENDPOINTS, taken, self._list.offset, is_own)
 
     def _take_records(self, records: Iterable[KeyedRecord]) -> list[KeyedRecord]:
-        """Take over records of the list; return those that changed something."""
+        """Apply endpoint records, and return those to publish."""
         self._store_answered()
         taken = []
         for record in records:
@@ -353,9 +355,10 @@
             if changes or was_held or record.key in self._held:
                 taken.append(record)
             if was_held or record.key in self._held:
-                # Nothing changes here, but peers read only when they hear of a change:
-                # one that needs no hold would go on using an endpoint that has left,
-                # and one that holds it as well would drop one that is listed again.
+                # The list here is unchanged, but the mark has to advance, since peers
+                # read only when it does. Otherwise a peer that holds no removals would
+                # go on using an endpoint that was removed, and a peer that holds this
+                # one would remove an endpoint that is listed again.
                 self._tell(record.offset + 1)
         return taken
 
@@ -364,34 +367,34 @@
             return self._drop(record.key)
         endpoint = self._endpoint(record)
         if endpoint is None:
-            # The newest entry counts: whoever wrote it, the one before is no longer.
+            # The newest record is valid even if unreadable: it replaced the old one.
             return self._drop(record.key)
         self._held.pop(endpoint.id, None)
         return self._endpoints.put(endpoint)
 
     def replace_list(self, records: Iterable[KeyedRecord]) -> None:
-        """Take over the whole list."""
+        """Replace the endpoint list by a snapshot."""
         self._store_answered()
         if self._is_restored:
             self._is_restored = False
             records = [one for one in records if not self._was_dropped(one)]
-            # Others have read up to marks of an era that is over.
+            # The marks that peers have are from an earlier era.
             self._tell(self._list.offset)
         listed = {record.key for record in records if record.value is not None}
         for gone in self._endpoints.ids() - listed:
             self._hand_on(list(self._drop(gone)), self.list_mark)
         self._take_records(sorted(records, key=lambda record: record.offset))
-        # A snapshot does not tell which removals came before its end, so that nobody
-        # may be told that it misses none.
+        # A snapshot lacks removed keys. Updates that claim to be complete up to its end
+        # would hide these removals from peers.
         self._publishers[StoreTopic.ENDPOINTS].reset(self._list.offset)
 
     def _was_dropped(self, record: KeyedRecord) -> bool:
-        """Whether a restored entry is one whose removal the store has lost."""
+        """Return whether a restored entry is one whose removal the store has lost."""
         endpoint = None if record.value is None else self._endpoint(record)
         return endpoint is not None and self._endpoints.was_dropped(endpoint)
 
     def on_restored_list(self, era: int) -> None:
-        """Note that the next whole list is from a copy."""
+        """Handle a restore of the store; the next snapshot comes from a copy."""
         self.on_restore(era)
         self._is_restored = True
 
--- a/greengageflow/daemon/topic_follower.py
+++ b/greengageflow/daemon/topic_follower.py
@@ -1,4 +1,4 @@
-"""Follows one keyed topic of the platform's store."""
+"""Reads a keyed topic of the platform's store incrementally."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import replace
@@ -28,40 +28,42 @@
 
 
 class TopicListener(Protocol):
-    """Takes what a topic holds."""
+    """Gets the records of a topic."""
 
     def on_era(self, era: int) -> None:
-        """Note that the store came back older; a snapshot of it follows."""
+        """Handle a restore of the store from a copy; a snapshot follows."""
 
     def on_snapshot(self, records: tuple[KeyedRecord, ...]) -> None:
-        """Take the newest record of every key, in place of all that was known."""
+        """Replace all earlier records by the newest record of every key."""
 
     def on_records(self, records: tuple[KeyedRecord, ...]) -> None:
-        """Take records that were added."""
+        """Apply records that were appended."""
 
     def on_heard(self, at: float) -> None:
-        """Note that all that was there at time ``at`` is known."""
+        """Handle a confirmation: all records written before ``at`` are applied."""
 
     def on_lost(self, text: str) -> None:
-        """Note that a read failed."""
+        """Handle a failed read; ``text`` is the reason."""
 
 
 class TopicFollower:
-    """Reads the newest record of each key, then what is added, when asked to.
+    """Reads a snapshot of a topic first, then appended records, on request.
 
-    When the store has forgotten what was asked for, or came back older, it begins
-    anew. After a read that failed it waits, longer each time.
+    It reads a new snapshot when the store no longer has the requested records or was
+    restored from a copy. After failed reads it backs off exponentially.
 
     Args:
         pool: Sends the calls.
         timers: Timer service.
         address: IP number and port of the store.
-        topic: Its name.
-        listener: Takes the records.
+        topic: Name of the topic.
+        listener: Gets the records.
         clock: Returns the time for ``on_heard``, in seconds.
 
     Attributes:
-        offset: Mark up to which the topic is known here.
+        calls: Number of calls to the store.
+        asked_at: Time of the last call, by ``clock``.
+        offset: Mark of the first record that has not been applied.
     """
 
     def __init__(
@@ -96,42 +98,42 @@
 
     @property
     def era(self) -> int:
-        """The store's era that is known here."""
+        """Era of the store in which records were last applied."""
         return era_of(self.offset)
 
     def begin_anew(self) -> None:
-        """Let the next read be one of all keys, since the store came back older."""
+        """Make the next read a snapshot, since the store was restored from a copy."""
         self._known = False
 
     @property
     def is_known(self) -> bool:
-        """Whether the topic was read, so that what others read can be taken over."""
+        """Whether a snapshot was read, so that peers' updates can be applied."""
         return self._known
 
     @property
     def idle(self) -> bool:
-        """Whether a read may begin now."""
+        """Whether a read may begin: none is in progress and no backoff applies."""
         return not self._asking and self._timers.now >= self._not_before
 
     def check(self) -> None:
-        """Give up a read of which nothing was heard for far too long."""
-        # The pool ends each call in time; should it ever not, this host would never
-        # read again and refuse all keys for good.
+        """Cancel a read that has far exceeded its timeout."""
+        # The pool times out each call. If it ever failed to, this host would never read
+        # again and would reject all keys for good.
         if self._asking and self._clock() - self.asked_at > LOST_S:
             self._exchange.cancel()
-            self._again("no end of a call")
+            self._again("call ended neither with an answer nor with a timeout")
 
     def hasten(self) -> None:
-        """Let the next read begin now, since another router got an answer.
+        """Skip the backoff of the first snapshot, since another router got an answer.
 
-        Once after each answer at most: the store may turn away this host alone.
+        At most once per successful read: the store may be refusing this host alone.
         """
         if not self._known and not self._hastened:
             self._hastened = True
             self._not_before = float("-inf")
 
     def read(self, wait_s: float = 0.0) -> None:
-        """Begin a read, which may wait ``wait_s`` seconds for a record."""
+        """Begin a read; the store may wait up to ``wait_s`` seconds for a record."""
         self._asking = True
         self._asked_from = self.offset
         if self._known:
@@ -144,10 +146,10 @@
     def take(
         self, since: int, end: int, records: Iterable[KeyedRecord]
     ) -> tuple[KeyedRecord, ...] | None:
-        """Take over what another router read up to ``end``.
+        """Advance over records that cover the marks from ``since`` to ``end``.
 
         Returns:
-            The records that are news here, or None when some before them are missing.
+            The records not applied before, or None if some before them are missing.
         """
         if not self._known or since > self.offset:
             return None
@@ -165,7 +167,7 @@
         self.asked_at = self._clock()
         asked = request(self._address, *call, b"", wait_s + ANSWER_S)
         if self._retry_s > FIRST_RETRY_S:
-            # Kept connections that fell silent together would cost a second each.
+            # If all pooled connections are dead, each retry would cost one second.
             asked = replace(asked, retry_stale=False)
         self._exchange = self._pool.fetch(
             asked, lambda result: self._take(result, on_good), PAGE_LIMIT
@@ -177,7 +179,7 @@
         if isinstance(result, Failure):
             self._again(f"{result.kind}: {result.message}")
         elif era_of_answer(result) < self.era:
-            # It was on its way when the store came back: what it says is lost there.
+            # Sent before the store was restored; the store has lost these records.
             self._asking = False
         elif is_forgotten(result) or self._is_outdated(era_of_answer(result)):
             self._known = False
@@ -189,7 +191,7 @@
                 self._again(str(exc))
 
     def _is_outdated(self, era: int) -> bool:
-        """Whether the answer to a read is of a later era than the read."""
+        """Return whether the era changed between the read and its answer."""
         if self._known:
             return era > era_of(self._asked_from)
         return bool(self._pages) and era != self._pages_era
@@ -204,7 +206,7 @@
         batch = parse_newest(response)
         era = era_of_answer(response)
         if not self._pages:
-            # Pages are no snapshot: what changed since the first one is read again.
+            # Pages are not atomic, so the records since the first are read again.
             self._first_end, self._pages_era = mark_of(era, batch.end), era
         self._pages.extend(_marked(batch.records, era))
         if batch.after:
@@ -221,7 +223,7 @@
     def _on_read(self, response: Response) -> None:
         batch = parse_read(response, offset_of(self._asked_from))
         era = era_of(self._asked_from)
-        # Others may have told of some of them since the call went out.
+        # Peers' updates may have covered some of them since the call.
         end = mark_of(era, batch.end)
         records = self.take(self._asked_from, end, _marked(batch.records, era))
         if records:
