--- a/tests/test_endpoint_signs.py
+++ b/tests/test_endpoint_signs.py
@@ -1,4 +1,4 @@
-"""What endpoints ask of a host in their answers, on real processes."""
+"""Leaving and backoff signals in endpoints' answers, with real processes."""
 
 from collections import Counter
 from concurrent.futures import ThreadPoolExecutor
@@ -49,15 +49,17 @@
 
 @PATHS
 def test_endpoint_that_says_that_it_leaves_gets_nothing_more_from_any_host(lab, path):
-    """The list learns of it late, or not at all while the store is away."""
+    """The endpoint list shows it late, or not at all while the store is down."""
     name = answerer(ask(lab, path))
     lab.fault(name, says_leaving=True)
     lab.store_fault(status=503)
-    wait_for(lambda: answerer(ask(lab, path)) == name, "its answer")
+    wait_for(
+        lambda: answerer(ask(lab, path)) == name, "an answer from the leaving endpoint"
+    )
     before = arrivals(lab, name)
     for _ in range(ENOUGH):
         assert ask(lab, path).status == 200
-    wait_for(lambda: LEAVING in lab.routers["r1"].stderr, "the other host knows")
+    wait_for(lambda: LEAVING in lab.routers["r1"].stderr, "the other host logs it")
     for _ in range(ENOUGH):
         assert ask(lab, path, "r1").status == 200
     assert arrivals(lab, name) == before
@@ -66,7 +68,7 @@
 
 @PATHS
 def test_endpoint_that_asks_for_backoff_is_left_alone(lab, path):
-    """An endpoint that turns requests away at once looks idle, and would get all."""
+    """An endpoint that rejects requests at once seems idle and would get them all."""
     name = answerer(ask(lab, path))
     lab.fault(name, backoff_s=600.0)
     before = arrivals(lab, name)
@@ -77,7 +79,8 @@
 
 @PATHS
 def test_request_waits_for_the_end_of_a_short_backoff(lab, path):
-    """All endpoints turn it away for a moment; it was refused though it might wait."""
+    """The request was rejected when all endpoints asked for a short backoff, although
+    it had time to wait."""
     kind = "scribe" if path in (CHAT, TALE) else "app"
     for number in range(3):
         lab.fault(f"{kind}-{number}", backoff_s=0.05, times=1)
@@ -88,7 +91,7 @@
 
 @pytest.mark.parametrize("path", [SAFE, TALE])
 def test_request_is_refused_at_once_while_all_endpoints_ask_for_backoff(lab, path):
-    """It would wait for a place in the queue that cannot come in time."""
+    """It would queue for a slot that can't become free in time."""
     kind = "scribe" if path == TALE else "app"
     for number in range(3):
         lab.fault(f"{kind}-{number}", backoff_s=600.0)
@@ -119,7 +122,7 @@
 
 
 def began(lab, kind):
-    """Return how many requests each endpoint began."""
+    """Return the number of requests that each endpoint started."""
     if kind == "engine":
         found = Counter(one["engine"] for one in executions(lab))
         return {name: found[name] for name in lab.engines}
@@ -131,7 +134,7 @@
 
 
 def ask_until(lab, kind, condition):
-    """Ask for more at once than one endpoint runs, so that each gets some."""
+    """Send more requests than one endpoint has slots, so that each gets some."""
     numbers = count()
     with ThreadPoolExecutor(2 * SLOTS) as pool:
 
@@ -145,14 +148,17 @@
 
 @KINDS
 def test_endpoint_that_says_that_it_leaves_gets_no_more_slots(kind):
-    """The same on the product's own interface, at a router that is not its owner."""
+    """The same on the product's own API, at a router that doesn't own the endpoint."""
     with Lab(PLANS[kind]) as lab:
         endpoints = lab.services if kind == "service" else lab.engines
         name = next(iter(endpoints))
         endpoints[name].fault(says_leaving=True)
         ask_until(lab, kind, lambda: name in lab.status("r1")["leaving"])
         for router in lab.routers:
-            wait_for(lambda r=router: name in lab.status(r)["leaving"], "all know")
+            wait_for(
+                lambda r=router: name in lab.status(r)["leaving"],
+                "all routers report it as leaving",
+            )
         before = began(lab, kind)[name]
         for number in range(ENOUGH):
             assert own_call(lab, kind, f"more-{number}") == 200
@@ -161,7 +167,7 @@
 
 @KINDS
 def test_endpoint_that_asks_for_backoff_gets_no_more_slots(kind):
-    """A router whose request was turned away asks its owner for no more."""
+    """A router whose request was rejected asks the endpoint's owner for no more."""
     with Lab(PLANS[kind]) as lab:
         endpoints = lab.services if kind == "service" else lab.engines
         name = next(iter(endpoints))
--- a/tests/test_held_removal.py
+++ b/tests/test_held_removal.py
@@ -1,4 +1,4 @@
-"""What one host tells of the platform's list while it holds back what it read."""
+"""Reports of a host on the endpoint list while it holds a removal."""
 
 import json
 from types import SimpleNamespace
@@ -18,10 +18,10 @@
 
 
 def test_a_host_that_holds_a_removal_back_still_tells_that_it_knows_of_it():
-    """The host that reads for its zone was cut from the store; after that it holds
-    removals for two seconds, since entries may have lapsed. Peers that were never cut
-    must hear at once that the list changed, and read it: they would send to the
-    endpoint that left for as long as the reader holds it."""
+    """After a reader was cut off from the store, it holds removals for two seconds,
+    since leases may have expired. It must still report the new mark at once, so that
+    peers that were not cut off read the removal. Otherwise they would send requests to
+    the removed endpoint during the reader's hold."""
     now, news = [100.0], []
     nothing = SimpleNamespace(write=lambda *_args, **_fields: None)
     endpoints = EndpointList()
--- a/tests/test_kept_parts.py
+++ b/tests/test_kept_parts.py
@@ -1,4 +1,4 @@
-"""A host that begins to place asks engines what they keep."""
+"""Queries for the prompt parts that engines have cached."""
 
 import json
 
@@ -19,7 +19,10 @@
 
 
 class Asked:
-    """Pool, timer service and log; engines answer from ``answers``, the last one on."""
+    """Stub of pool, timer service and log.
+
+    Engines give the ``answers`` in turn, and the last one from then on.
+    """
 
     now = 1.0
 
@@ -46,7 +49,7 @@
         self.lines.append((event.name, fields["endpoint"]))
 
     def start(self):
-        """Return the engine that a request for the shared part goes to."""
+        """Return the placement of a request that has the shared part."""
         job = Job(QueuedRequest("r", "a", 1.0, 0, 1.0, 2.0, 1.5), 1.0, PROMPT)
         (decision,) = self.book.submit(1.0, "model", job, "a")
         return decision.choice
@@ -54,8 +57,8 @@
 
 @pytest.mark.parametrize("name", ["e0", "e1", "e2"])
 def test_requests_go_where_their_parts_are_kept_though_nobody_sent_them(name):
-    """All hosts lose power; engines keep what they have read. The placer that begins
-    knew of none of it, and each shared part was read again, by any engine."""
+    """After all hosts lost power, the new placer knew nothing of the engines' prefix
+    caches, and shared prompt parts went through prefill again on any engine."""
     asked = Asked(Response(200, (), json.dumps(KEPT).encode()))
     asked.parts.ask(e for e in asked.engines if e.id == name)
     choice = asked.start()
--- a/tests/test_leaving_watch.py
+++ b/tests/test_leaving_watch.py
@@ -1,4 +1,4 @@
-"""Endpoints' own signs of leaving, passed on in a simulated fleet."""
+"""Propagation of endpoints' leaving notices through a simulated fleet."""
 
 import pytest
 from engine_stubs import endpoint
@@ -9,7 +9,7 @@
 
 
 class Host:
-    """The list and the watch of one router."""
+    """Endpoint list and leaving watch of one router."""
 
     def __init__(self, router):
         self.listed, self.lines = EndpointList(), []
@@ -28,7 +28,7 @@
 def test_sign_of_leaving_reaches_all_and_those_that_start_later(
     monkeypatch, size, zones
 ):
-    """A fifth of all datagrams is lost; the list says that the endpoint is ready."""
+    """A fifth of all datagrams is lost, and the list has the endpoint as ready."""
     network, routers = fleet(monkeypatch, size, zones, loss=0.2)
     hosts = [Host(router) for router in routers]
     network.run(8)
--- a/tests/test_quarantine_store.py
+++ b/tests/test_quarantine_store.py
@@ -1,4 +1,4 @@
-"""What hosts write of held back requests into the store, and who reads it."""
+"""Quarantine records in the store: which hosts write and read them."""
 
 import json
 from base64 import b64encode
@@ -15,7 +15,7 @@
 
 
 class World:
-    """Timer service and store of one host."""
+    """Simulated timer service and store of one host."""
 
     def __init__(self, *, reader=False, items=()):
         self.reader, self.down, self.items = reader, False, list(items)
@@ -77,7 +77,7 @@
 
 
 def test_a_host_reads_once_and_only_where_it_reads_for_others():
-    """At the start of hundreds each call of each of them would come at once."""
+    """Otherwise the start of hundreds of hosts would bring all their calls at once."""
     member, reader = World(), World(reader=True)
     for world in (member, reader):
         world.run(600)
@@ -126,7 +126,7 @@
 
 
 def test_records_that_are_over_are_dropped_wherever_they_stand():
-    """Those behind eight that are held back stayed in the store for good."""
+    """Expired records that came after eight valid ones were never deleted."""
     good = World()
     good.hold()
     _, live = good.written[0]
@@ -138,7 +138,7 @@
 
 
 def test_records_on_later_pages_are_read():
-    """What stands there would be run again after a loss of all hosts."""
+    """Requests on unread pages would be run again after a loss of all hosts."""
     good = World()
     good.hold()
     _, live = good.written[0]
--- a/tests/test_router_registry.py
+++ b/tests/test_router_registry.py
@@ -1,4 +1,4 @@
-"""Which routers put their addresses into the store, and who looks there."""
+"""Which routers register in the store, and which look up others there."""
 
 import json
 from base64 import b64encode
@@ -10,7 +10,7 @@
 
 
 class World:
-    """Timer service and store of one registry."""
+    """Simulated timer service and store of one registry."""
 
     def __init__(self, *, alone=False, contact=False):
         self.alone, self.contact, self.down = alone, contact, False
@@ -54,7 +54,7 @@
 
 
 def test_only_few_routers_of_a_fleet_call_the_store_for_it():
-    """At the start of hundreds each call of each of them would come at once."""
+    """Otherwise the start of hundreds of hosts would bring all their calls at once."""
     member, contact = World(), World(contact=True)
     for world in (member, contact):
         world.run(60)
--- a/tests/test_store_drill.py
+++ b/tests/test_store_drill.py
@@ -1,4 +1,4 @@
-"""The store goes away and comes back from a copy, with real routers and replicas."""
+"""Restores of the store from a copy, with real routers and replicas."""
 
 import pytest
 
@@ -45,12 +45,13 @@
 def all_saw(lab, times=1):
     wait_for(
         lambda: all(one.stderr.count(ERA) == times for one in lab.routers.values()),
-        "all have seen the era",
+        "all hosts logged the new era",
     )
 
 
 def test_key_that_was_taken_away_stays_away_and_later_changes_are_in_force(lab):
-    """By the copy it is good, and the next configuration stands at an old offset."""
+    """The copy still has the revoked key, and the next configuration gets an offset
+    that was used before."""
     copy(lab)
     lab.publish(with_key(5, SPARE))
     for router in lab.routers:
@@ -90,9 +91,9 @@
 
 
 def test_what_routers_wrote_is_written_again(lab):
-    """Settings name few hosts; one that starts would find nobody in the store."""
+    """The settings name few hosts, so that a new host needs addresses in the store."""
     copy(lab)
     wait_for(lambda: addresses(lab), "addresses")
     drill(lab)
     all_saw(lab)
-    wait_for(lambda: addresses(lab), "addresses once more")
+    wait_for(lambda: addresses(lab), "addresses registered again")
--- a/tests/test_store_eras.py
+++ b/tests/test_store_eras.py
@@ -1,4 +1,4 @@
-"""The store comes back from a copy some seconds old, in simulated time."""
+"""Restores of the store from a copy that is some seconds old, in simulated time."""
 
 import json
 
@@ -62,7 +62,7 @@
 
 
 def test_configuration_never_goes_back_and_the_next_one_is_known(store, hosts):
-    """Its offset is given out again, so that by offset alone it would be an old one."""
+    """Offsets are reused, so that by its offset the next version would seem old."""
     copy = store.copy()
     for version in range(2, 9):
         store.config(version)
@@ -101,7 +101,7 @@
 
 
 def test_endpoint_that_was_removed_is_not_used_again_by_a_copy(store, hosts):
-    """It may serve on for a while, and would be cut when it ends."""
+    """It may still serve for a while, but its requests would be cut when it ends."""
     copy = store.copy()
     store.endpoint("e2", listed=False)
     run(store, hosts, KNOWN_S)
@@ -112,7 +112,7 @@
         assert known(hosts) == [{"e1"}] * 3
     store.endpoint("e2")
     run(store, hosts, KNOWN_S)
-    assert known(hosts) == [{"e1", "e2"}] * 3, "it says itself that it is there"
+    assert known(hosts) == [{"e1", "e2"}] * 3, "registered again by the endpoint itself"
 
 
 def test_answer_that_was_on_its_way_changes_nothing(store, hosts):
@@ -138,7 +138,7 @@
 
 
 def test_host_that_starts_after_the_restore_trusts_no_older_configuration(store, hosts):
-    """A key that was taken away is good in it; others know a later one."""
+    """The restored version has a key that a later version, known to peers, revoked."""
     copy = store.copy()
     store.config(2)
     run(store, hosts, KNOWN_S)
@@ -188,7 +188,9 @@
         run(store, hosts, 0.1)
         at_once.append(sum(len(host.paths) for host in hosts[1:]) - paths)
     extra = [len(h.paths) - n for h, n in zip(hosts, before, strict=True)][1:]
-    assert max(extra) <= 3, "one of the list, and what is stale meanwhile"
+    assert max(extra) <= 3, (
+        "one snapshot of the list, and reads because of stale reports"
+    )
     assert max(at_once) <= 12
     assert {host.view.era for host in hosts} == {2}
 
@@ -204,7 +206,7 @@
 
 
 class Restores(RuleBasedStateMachine):
-    """Writes, restores, hosts that are cut off or start anew, in any order."""
+    """Random sequences of writes, restores and hosts that are cut off."""
 
     def __init__(self):
         super().__init__()
--- a/tests/test_store_return.py
+++ b/tests/test_store_return.py
@@ -1,4 +1,4 @@
-"""Hosts that began while the store was away, and its return."""
+"""Hosts that start during an outage of the store, and its return."""
 
 import pytest
 
@@ -19,7 +19,7 @@
 
 
 def test_the_first_host_with_an_answer_spares_the_others_their_pause(store):
-    """Each would else serve nobody until its own next try, up to a second later."""
+    """Otherwise each host would serve nobody until its backoff ends, up to a second."""
     hosts = []
     for _ in range(4):
         hosts.append(Host(store))
@@ -33,7 +33,7 @@
 
 
 def test_a_host_that_the_store_turns_away_alone_asks_no_more_often(store):
-    """Its peers' word says all the time that the store answers them."""
+    """Its peers report all the time that the store answers them."""
     store.down = False
     hosts = [Host(store, reads=True), Host(store)]
     run(store, hosts, 1)
--- a/tests/test_store_view.py
+++ b/tests/test_store_view.py
@@ -1,4 +1,4 @@
-"""Which hosts read the store and what they make of it, in simulated time."""
+"""Reads of the store and the resulting views of hosts, in simulated time."""
 
 import json
 from base64 import b64encode
@@ -34,7 +34,7 @@
 
 
 class Store:
-    """Two topics, as the store answers for them."""
+    """Simulates the store with two topics."""
 
     def __init__(self):
         self.now = 0.0
@@ -56,22 +56,22 @@
         self.put(SERVERS_TOPIC, name, doc if listed else None)
 
     def copy(self):
-        """Return what a later ``restore`` goes back to."""
+        """Return a backup for a later ``restore``."""
         return {topic: len(log) for topic, log in self.logs.items()}
 
     def restore(self, copy):
-        """Lose all that was written since a copy; give its offsets out again."""
+        """Lose all records written since a copy, so that their offsets are reused."""
         self.era += 1
         for topic, length in copy.items():
             del self.logs[topic][length:]
             self.firsts[topic] = min(self.firsts[topic], length)
 
     def forget(self):
-        """Keep no more than the newest record of each key that has a value."""
+        """Compact the topics: only the newest records can still be read."""
         self.firsts = {topic: len(log) for topic, log in self.logs.items()}
 
     def answer(self, path, asked_at):
-        """Return the answer to a call, or None while it waits for a record."""
+        """Return the answer to a call, or None while it long-polls for a record."""
         if self.down:
             return Failure(FailureKind.CONNECT, False, "refused")
         url = urlsplit(path)
@@ -104,7 +104,7 @@
 
 
 class Host:
-    """A view with its pool, timer service and decision log."""
+    """A store view with stubs of its pool, timer service and decision log."""
 
     def __init__(self, store, *, reads=False):
         self.store, self.reads, self.stuck = store, reads, False
@@ -171,7 +171,7 @@
 
 
 def run(store, hosts, seconds, lost=()):
-    """Go on for a time; of lost hosts only the last words are known."""
+    """Run the simulation; lost hosts don't run, but their last reports stay known."""
     last = {host: host.word() for host in lost}
     for _ in range(round(seconds / STEP_S)):
         store.now += STEP_S
@@ -219,20 +219,20 @@
 
 @pytest.fixture
 def zone(hosts):
-    """The same, where the reader's messages arrive."""
+    """The same hosts, with updates delivered from the reader to the others."""
     hosts[0].mates = hosts[1:]
     return hosts
 
 
 def test_changes_reach_the_zone_through_its_reader_alone(store, zone):
-    """Calls of the store must not grow with hosts times changes."""
+    """The number of store calls must not grow with hosts times changes."""
     before = [len(host.paths) for host in zone]
     for version in range(2, 12):
         store.config(version)
         store.endpoint(f"n{version}")
         store.endpoint(f"n{version - 3}", listed=False)
         run(store, zone, 1)
-        store.endpoint("e1")  # said again; changes nothing
+        store.endpoint("e1")  # repeated; changes nothing
         run(store, zone, 1)
     run(store, zone, PACE_S + 0.4)
     assert [host.view.version for host in zone] == [11] * 3
@@ -241,7 +241,7 @@
 
 
 def test_a_host_that_missed_a_change_reads_it(store, zone):
-    """A lost message must delay a removal by no more than a moment."""
+    """A lost update must delay a removal only briefly."""
     reader, *_ = zone
     reader.news_lost = True
     store.endpoint("e1", listed=False)
@@ -256,8 +256,8 @@
 
 
 def test_a_host_that_has_read_nothing_yet_takes_a_configuration(store, zone):
-    """It begins just as the reader passes one on; it must be in force there, and the
-    list, of which it knows nothing, must still be read."""
+    """A host starts as the reader publishes a configuration. The host must apply it,
+    and must still read the endpoint list, of which it has no snapshot."""
     late = Host(store)
     zone[0].mates.append(late)
     store.config(2)
@@ -268,8 +268,8 @@
 
 
 def test_what_a_snapshot_left_out_is_not_taken_for_known(store, zone):
-    """The reader was away for so long that the store forgot a removal. It tells of a
-    later change; a host that was not away must read the removal too."""
+    """The reader was cut off until the store had compacted a removal away, and then
+    publishes a later change. Other hosts must still read the removal."""
     reader, other, _ = zone
     store.endpoint("e1", listed=False)
     store.forget()
@@ -282,7 +282,8 @@
 
 
 def test_a_peer_tells_while_the_own_read_is_under_way(store, zone):
-    """Both bring the same records; none may be taken at a wrong place of the log."""
+    """A read and an update carry the same records; none may be applied twice or at a
+    wrong offset."""
     _, other, _ = zone
     other.stuck = True
     other.reads = True
@@ -298,8 +299,8 @@
 
 
 def test_others_read_when_nobody_has_heard_lately(store, hosts):
-    """The reader dies. Its last word gets old, and who sees that reads; the other
-    one hears of it, so that both together read about once in the stale time."""
+    """The reader fails and its last report becomes stale. Whichever host reads first
+    reports it to the other, so that both together read about once per stale time."""
     reader, *others = hosts
     before = sum(len(host.paths) for host in others)
     store.config(2)
@@ -311,7 +312,7 @@
 
 
 def test_members_leave_reading_to_a_standby_when_the_reader_is_lost(store, hosts):
-    """Else all hosts of a large fleet call the store at once."""
+    """Otherwise all hosts of a large fleet would call the store at once."""
     reader, standby, member = hosts
     standby.role = StoreRole.STANDBY
     before = len(member.paths)
@@ -323,7 +324,7 @@
 
 
 def test_members_spare_a_store_that_is_down(store, hosts):
-    """Each call of a fleet of hundreds is counted, and none brings anything."""
+    """Calls to a store that is down are useless and add up over hundreds of hosts."""
     reader, member, _ = hosts
     before = len(member.paths)
     store.down = True
@@ -336,15 +337,15 @@
 
 
 def test_marks_of_a_change_are_the_same_whenever_it_is_read(store, hosts):
-    """A host that read more than the last change must tell no higher mark for it:
-    the others would read once more for nothing."""
+    """A host that read past the last change must not report a higher mark for it, or
+    the others would read once more without need."""
     reader, other, _ = hosts
     for name in ("e3", "e4"):
         store.endpoint(name)
         run(store, [reader], 1)
     late = Host(store)
     run(store, [late], 1)
-    store.endpoint("e4")  # said again; changes nothing
+    store.endpoint("e4")  # repeated; changes nothing
     run(store, [reader], 1)
     run(store, [other], 3)
     marks = {host.view.list_mark for host in (reader, other, late)}
@@ -353,8 +354,8 @@
 
 @pytest.mark.parametrize("forgotten", [False, True])
 def test_entries_that_vanish_in_an_outage_are_held(store, hosts, forgotten):
-    """Entries lapse while the store is down. After its return live endpoints come
-    back within two seconds; without the hold all would be gone until then."""
+    """Leases expire while the store is down. Live endpoints register again within two
+    seconds after its return; without the hold there would be none until then."""
     host = hosts[0]
     host.changes.clear()
     store.down = True
@@ -376,16 +377,13 @@
 
 
 def test_a_removal_long_after_an_outage_is_taken_at_once_by_all(store, hosts):
-    """Callers' requests reached an endpoint 2.4 s after the store had acknowledged that
-    it was taken away. The store had been away for five seconds and back for three.
-    Three of nine hosts went on sending for 2.2 s after they had read the removal, just
-    those that had not read the list since the store's return.
-
-    Cause: removals are held after an outage, since entries lapse in it, and the hold
-    began with a host's own next read of the list instead of the store's return. A host
-    that does not read for its zone makes that read when something is removed.
-    Evidence: the three hosts' calls (none of the list since the return, one in the
-    second of the removal, none when they dropped it) and 2.2 s between the two.
+    """The hold must begin with the store's return, not with a host's next own read.
+
+    Hosts hold removals after an outage, since leases expire in it. A host that is not a
+    reader reads the list only when a removal is reported, and then began its hold. Seen
+    with an outage of 5 s and a removal 3 s after it: three of nine hosts sent requests
+    to the endpoint for 2.2 s after they had read its removal, and requests reached it
+    2.4 s after the store had acknowledged the removal.
     """
     store.down = True
     run(store, hosts, 5)
@@ -397,9 +395,9 @@
 
 
 def test_an_entry_that_lapses_after_the_first_read_is_held_as_well(store, hosts):
-    """The store is back and the first read brings nothing. Entries that nobody could
-    renew lapse only then, and are listed again a second later. Without a hold that
-    counts from the return the fleet has no endpoint meanwhile.
+    """Leases that could not be renewed may expire only after the first read that
+    follows an outage; the endpoints register again a second later. Without a hold that
+    counts from the store's return the fleet would have no endpoints meanwhile.
     """
     store.down = True
     run(store, hosts, 5)
@@ -411,14 +409,11 @@
 
 
 def test_an_entry_that_comes_back_during_the_hold_is_known_to_all(store, hosts):
-    """After an outage six of nine hosts dropped all eleven endpoints at the end of
-    their hold and had none for a second.
-
-    The entries had lapsed and were listed again within the hold. Only the hosts that
-    read for their zone knew: for them nothing had changed, so they told nobody, and the
-    others' hold ended with the removal still the last that they had read.
-    Evidence: no ENDPOINT_GONE at the three readers; 11 at each of the others two
-    seconds after the store's return, and 11 ENDPOINT_SEEN 1.1 s later.
+    """Readers must report an entry that is listed again within the hold, although their
+    own list doesn't change. Otherwise the other hosts' last record of it remains the
+    removal, and they remove it at the end of their hold. Seen after an outage: six of
+    nine hosts removed all eleven endpoints and had none for 1.1 s; the three readers
+    removed none.
     """
     store.down = True
     run(store, hosts, 5)
@@ -432,9 +427,9 @@
 
 
 def test_a_host_that_was_cut_off_alone_holds_nothing(store, hosts):
-    """The store refuses one host for seconds and serves the others, who drop what was
-    removed at once. The one must do so too when it reads again: it would send to
-    endpoints that have left long ago."""
+    """The store refuses one host for seconds but serves the others. That host must not
+    hold removals when it reads again, or it would send requests to endpoints that have
+    left long ago."""
     cut = hosts[2]
     cut.refused = True
     store.endpoint("e1", listed=False)
@@ -446,8 +441,8 @@
 
 
 def test_lines_tell_when_the_list_was_lost_and_what_was_held(store, hosts):
-    """Who reads only a host's lines sees its own outage of the list and each removal
-    that it kept back; without them a held removal looks like one that came late."""
+    """The decision log must show list outages and held removals; without these events a
+    held removal looks like a delayed one."""
     host = hosts[0]
     host.lines.clear()
     store.down = True
@@ -474,7 +469,7 @@
 
 
 def test_call_without_an_end_is_given_up(store, hosts):
-    """A call of which nothing is ever heard: the host would never read again."""
+    """Otherwise a call that never ends would keep the host from ever reading again."""
     host = hosts[0]
     host.stuck = True
     store.config(2)
@@ -508,8 +503,8 @@
 
 
 def test_a_read_after_one_that_failed_takes_a_new_connection(store, hosts):
-    """Kept connections to the store have all fallen silent. A retry on the second of
-    them would take its full time as well, and a key that was taken away run longer."""
+    """All pooled connections to the store are dead. A retry on another one would time
+    out as well, and revoked keys would be accepted for longer."""
     host = hosts[0]
     run(store, hosts, 1.0)
     host.kept.clear()
