--- a/greengageflow/daemon/gateway.py
+++ b/greengageflow/daemon/gateway.py
@@ -185,7 +185,7 @@
             on_update=self._exchange.report_soon,
             on_read=self._exchange.pass_on,
             on_era=self._on_era,
-            pace_s=read_interval_s(*settings.bounds.known_within_s),
+            poll_interval_s=read_interval_s(*settings.bounds.known_within_s),
             clock=clock,
         )
         self._keys = KeyWatch(self._trust, self._store, self._log, clock())
@@ -299,8 +299,8 @@
             loads=self._book.own_loads(),
             version=self._store.version,
             list_mark=self._store.list_mark,
-            config_age_s=clock() - self._store.confirmed,
-            list_age_s=clock() - self._store.list_confirmed,
+            config_age_s=clock() - self._store.config_confirmed_at,
+            list_age_s=clock() - self._store.list_confirmed_at,
             placed=self._book.recent_placements(now),
         )
 
@@ -329,7 +329,7 @@
 
     def on_store_update(self, update: StoreUpdate) -> None:
         """Take what another router read in the store."""
-        self._store.take_update(update)
+        self._store.apply_update(update)
 
     def on_crash_report(self, report: CrashReport) -> None:
         """Take which requests crashed endpoints."""
--- a/greengageflow/daemon/key_watch.py
+++ b/greengageflow/daemon/key_watch.py
@@ -48,7 +48,7 @@
             told: Current time, by the clock of ``words``.
             words: Store reports of the peers.
         """
-        self._trust.confirm(self._store.confirmed)
+        self._trust.confirm(self._store.config_confirmed_at)
         words = list(words)
         if words and now >= self._doubt_until:
             known = peer_config_state(told, self._store.version, words)
--- a/greengageflow/daemon/store_view.py
+++ b/greengageflow/daemon/store_view.py
@@ -27,10 +27,10 @@
 from greengageflow.platform.names import CONFIG_KEY, OPERATOR_TOPIC, SERVERS_TOPIC
 from greengageflow.platform.records import RecordError, parse_config, parse_endpoint
 
-ERA_SPREAD_S = 1.0
+SNAPSHOT_SPREAD_S = 1.0
 """Time over which hosts spread their snapshot reads after the store was restored, in
 seconds. Readers don't wait."""
-UPDATE_BYTES = 24_000
+MAX_UPDATE_BYTES = 24_000
 """Maximum size of the records in one update, in bytes. A larger record goes alone."""
 
 
@@ -54,7 +54,7 @@
             that records which this host had written can be written again.
         on_read: Called with each update for other hosts, and with whether this host
             read it from the store rather than got it from a peer.
-        pace_s: Interval between two reads of a topic by a reader, in seconds.
+        poll_interval_s: Interval between two reads of a topic by a reader, in seconds.
         clock: Returns the time in seconds, by a clock that includes suspension.
     """
 
@@ -71,13 +71,13 @@
         on_update: Callable[[], None],
         on_read: Callable[[StoreUpdate, bool], None],
         on_era: Callable[[int], None],
-        pace_s: float,
+        poll_interval_s: float,
         clock: Callable[[], float],
     ) -> None:
         self.version = 0
         self.list_mark = 0
-        self.confirmed = float("-inf")
-        self.list_confirmed = float("-inf")
+        self.config_confirmed_at = float("-inf")
+        self.list_confirmed_at = float("-inf")
         self._endpoints = endpoints
         self._log = log
         self._timers = timers
@@ -87,27 +87,27 @@
         self._on_read = on_read
         self._on_era = on_era
         self._era = 0
-        self._follow_era_at: float | None = None
-        self._is_restored = False
-        self._is_readable = True
+        self._snapshot_due_at: float | None = None
+        self._list_was_restored = False
+        self._is_config_valid = True
         self._peers_version = 0
-        self._spread = Random()
-        self._pace_s = pace_s
+        self._random = Random()
+        self._poll_interval_s = poll_interval_s
         self._role = StoreRole.READER
         self._clock = clock
-        self._lost_at: float | None = None
+        self._config_lost_at: float | None = None
         self._list_lost_at: float | None = None
-        self._held: dict[str, float] = {}
-        self._hold = OutageHold()
-        self._config_wait, self._list_wait = CatchUpTimer(), CatchUpTimer()
+        self._held_removals: dict[str, float] = {}
+        self._outage_hold = OutageHold()
+        self._config_catch_up, self._list_catch_up = CatchUpTimer(), CatchUpTimer()
         self._publishers = {
-            topic: UpdatePublisher(topic, UPDATE_BYTES) for topic in StoreTopic
+            topic: UpdatePublisher(topic, MAX_UPDATE_BYTES) for topic in StoreTopic
         }
-        self._config = TopicFollower(
-            pool, timers, address, OPERATOR_TOPIC, _ConfigTopic(self), clock=clock
+        self._config_follower = TopicFollower(
+            pool, timers, address, OPERATOR_TOPIC, _ConfigListener(self), clock=clock
         )
-        self._list = TopicFollower(
-            pool, timers, address, SERVERS_TOPIC, _ListTopic(self), clock=clock
+        self._list_follower = TopicFollower(
+            pool, timers, address, SERVERS_TOPIC, _ListListener(self), clock=clock
         )
 
     @property
@@ -118,72 +118,86 @@
     @property
     def calls(self) -> int:
         """Number of calls to the store."""
-        return self._config.calls + self._list.calls
+        return self._config_follower.calls + self._list_follower.calls
 
     @property
     def _stale_s(self) -> float:
-        paces = (
+        intervals = (
             STANDBY_STALE_INTERVALS
             if self._role is StoreRole.STANDBY
             else STALE_INTERVALS
         )
-        return paces * self._pace_s
+        return intervals * self._poll_interval_s
 
-    def _may_read(self, follower: TopicFollower, words: list[StoreReport]) -> bool:
+    def _may_read(self, follower: TopicFollower, reports: list[StoreReport]) -> bool:
         """Return whether a read because of stale reports may begin.
 
         This limits the load on a store that is down: otherwise each host would retry
         all the time, although the first one to get an answer reports it to the others.
         """
-        if self._role is not StoreRole.MEMBER or not words:
+        if self._role is not StoreRole.MEMBER or not reports:
             return True
-        return self._age_s(follower.asked_at) >= MEMBER_READ_INTERVAL_S
+        return self._age_s(follower.last_call_at) >= MEMBER_READ_INTERVAL_S
 
-    def on_tick(self, role: StoreRole, words: list[StoreReport]) -> None:
+    def on_tick(self, role: StoreRole, reports: list[StoreReport]) -> None:
         """Begin the reads that are due.
 
         Args:
             role: Role of this host in reading the store.
-            words: Store reports of the peers.
+            reports: Store reports of the peers.
         """
         now = self._timers.now
         self._role = role
         reads = role is StoreRole.READER
-        self._config.check()
-        self._list.check()
-        known = peer_config_state(now, self.version, words)
-        self._peers_version = known.mark
-        is_behind = known.mark > self.version
+        self._config_follower.cancel_overdue_read()
+        self._list_follower.cancel_overdue_read()
+        peer_state = peer_config_state(now, self.version, reports)
+        self._peers_version = peer_state.mark
+        is_behind = peer_state.mark > self.version
         if is_behind:
-            self._config.hasten()
-        if self._config.idle:
-            alone = reads or not self._config.is_known
-            behind = self._config_wait.is_due(now, is_behind, alone)
-            heard_s = min(known.age_s, self._age_s(self.confirmed))
-            stale = heard_s > self._stale_s and self._may_read(self._config, words)
-            if reads and not behind:
+            self._config_follower.skip_backoff()
+        if self._config_follower.can_read:
+            without_updates = reads or not self._config_follower.has_snapshot
+            must_catch_up = self._config_catch_up.is_due(
+                now, is_behind, without_updates
+            )
+            confirmed_age_s = min(
+                peer_state.age_s, self._age_s(self.config_confirmed_at)
+            )
+            is_stale = confirmed_age_s > self._stale_s and self._may_read(
+                self._config_follower, reports
+            )
+            if reads and not must_catch_up:
                 # A long poll over the whole interval would be confirmed only after two
                 # intervals. By then the state is stale and all other hosts read too.
-                self._config.read(self._pace_s / 2)
-            elif behind or stale:
-                self._config.read()
-        known = peer_list_state(now, self._list.offset, words)
-        is_behind = known.mark > self._list.offset
+                self._config_follower.read(self._poll_interval_s / 2)
+            elif must_catch_up or is_stale:
+                self._config_follower.read()
+        peer_state = peer_list_state(now, self._list_follower.offset, reports)
+        is_behind = peer_state.mark > self._list_follower.offset
         if is_behind:
-            self._list.hasten()
-        if self._list.idle and not self._waits_for_era(now, era_of(known.mark)):
-            alone = reads or not self._list.is_known
-            behind = self._list_wait.is_due(now, is_behind, alone)
-            heard_s = min(known.age_s, self._age_s(self.list_confirmed))
-            stale = heard_s > self._stale_s and self._may_read(self._list, words)
-            due = reads and self._age_s(self._list.asked_at) >= self._pace_s
-            if due or behind or stale:
-                self._list.read()
-        if self._hold.is_pending:
-            self._note_answers(now, words)
-        self._drop_held(now)
-
-    def _waits_for_era(self, now: float, era: int) -> bool:
+            self._list_follower.skip_backoff()
+        if self._list_follower.can_read and not self._delays_snapshot(
+            now, era_of(peer_state.mark)
+        ):
+            without_updates = reads or not self._list_follower.has_snapshot
+            must_catch_up = self._list_catch_up.is_due(now, is_behind, without_updates)
+            confirmed_age_s = min(peer_state.age_s, self._age_s(self.list_confirmed_at))
+            is_stale = confirmed_age_s > self._stale_s and self._may_read(
+                self._list_follower, reports
+            )
+            poll_is_due = (
+                reads
+                and self._age_s(self._list_follower.last_call_at)
+                >= self._poll_interval_s
+            )
+            if poll_is_due or must_catch_up or is_stale:
+                self._list_follower.read()
+        if self._outage_hold.is_pending:
+            self._note_reported_answers(now, reports)
+        self._remove_held(now)
+
+    def _delays_snapshot(self, now: float, era: int) -> bool:
         """Return whether to delay the snapshot read after a restore of the store.
 
         Peers don't publish snapshots, so that all hosts have to read one. The random
@@ -193,15 +207,17 @@
             now: Current time.
             era: Latest era of the store that any peer reports.
         """
-        known = not self._list.is_known or era <= self._list.era
-        if known or self._role is StoreRole.READER:
+        is_current = (
+            not self._list_follower.has_snapshot or era <= self._list_follower.era
+        )
+        if is_current or self._role is StoreRole.READER:
             return False
-        if self._follow_era_at is None:
-            self._follow_era_at = now + self._spread.uniform(0.0, ERA_SPREAD_S)
-        if now < self._follow_era_at:
+        if self._snapshot_due_at is None:
+            self._snapshot_due_at = now + self._random.uniform(0.0, SNAPSHOT_SPREAD_S)
+        if now < self._snapshot_due_at:
             return True
-        self._follow_era_at = None
-        self._list.begin_anew()
+        self._snapshot_due_at = None
+        self._list_follower.require_snapshot()
         return False
 
     def on_restore(self, era: int) -> None:
@@ -209,60 +225,68 @@
         if era <= self._era:
             return
         before, self._era = self._era, era
-        self._hold.on_restore(self._clock())
+        self._outage_hold.on_restore(self._clock())
         self._log.write(DecisionEvent.STORE_ERA, era=era, before=before)
         self._on_era(era)
 
-    def _note_answers(self, now: float, words: Iterable[StoreReport]) -> None:
+    def _note_reported_answers(
+        self, now: float, reports: Iterable[StoreReport]
+    ) -> None:
         # A host that is not a reader may not read for a long time after the store is
         # back. It learns the end of the outage from its peers' reports.
-        for word in words:
-            age_s = min(word.config_age_s, word.list_age_s) + now - word.reported_at
-            self._hold.on_answer(self._clock(), self._clock() - age_s)
+        for report in reports:
+            age_s = (
+                min(report.config_age_s, report.list_age_s) + now - report.reported_at
+            )
+            self._outage_hold.on_answer(self._clock(), self._clock() - age_s)
 
-    def _tell_in_place(self, before: float) -> None:
+    def _report_if_standby(self, before: float) -> None:
         # Report at once: members read the store themselves only slightly later.
         if self._role is StoreRole.STANDBY and self._age_s(before) > self._stale_s:
             self._on_update()
 
-    def _store_answered(self) -> None:
+    def _on_store_answer(self) -> None:
         now = self._clock()
-        self._hold.on_answer(now, now)
+        self._outage_hold.on_answer(now, now)
 
     def _age_s(self, at: float) -> float:
         return self._clock() - at
 
     # Updates between hosts.
 
-    def take_update(self, update: StoreUpdate) -> None:
+    def apply_update(self, update: StoreUpdate) -> None:
         """Apply an update that another host read from the store."""
-        follower = self._config if update.topic is StoreTopic.CONFIG else self._list
-        records = follower.take(update.since, update.end, update.records)
+        follower = (
+            self._config_follower
+            if update.topic is StoreTopic.CONFIG
+            else self._list_follower
+        )
+        records = follower.accept(update.since, update.end, update.records)
         match update.topic:
             case StoreTopic.CONFIG:
                 # Only the newest configuration matters, so gaps before it do no harm.
-                self.take_config(update.records, is_own=False)
+                self.apply_config(update.records, from_store=False)
             case StoreTopic.ENDPOINTS if records:
-                self.take_list(records, is_own=False)
+                self.apply_list_records(records, from_store=False)
 
-    def _pass_on(
-        self, topic: StoreTopic, records: list[KeyedRecord], end: int, is_own: bool
+    def _publish(
+        self, topic: StoreTopic, records: list[KeyedRecord], end: int, from_store: bool
     ) -> None:
         publisher = self._publishers[topic]
         for update in publisher.publish(self._timers.now, records, end):
-            self._on_read(update, is_own)
+            self._on_read(update, from_store)
 
     # The configuration.
 
-    def config_heard(self, at: float) -> None:
+    def on_config_confirmed(self, at: float) -> None:
         """Handle a confirmation that the configuration was the newest at ``at``."""
-        self._tell_in_place(self.confirmed)
+        self._report_if_standby(self.config_confirmed_at)
         if self._is_newest:
-            self.confirmed = max(self.confirmed, at)
-        self._store_answered()
-        if self._lost_at is not None:
-            after_s = self._clock() - self._lost_at
-            self._lost_at = None
+            self.config_confirmed_at = max(self.config_confirmed_at, at)
+        self._on_store_answer()
+        if self._config_lost_at is not None:
+            after_s = self._clock() - self._config_lost_at
+            self._config_lost_at = None
             self._log.write(
                 DecisionEvent.STORE_REGAINED, after_ms=round(1000 * after_s)
             )
@@ -273,29 +297,29 @@
 
         A store that was restored from a copy may lack later revocations of keys.
         """
-        return self.version >= self._peers_version or not self._is_readable
+        return self.version >= self._peers_version or not self._is_config_valid
 
-    def config_lost(self, text: str) -> None:
+    def on_config_read_failed(self, text: str) -> None:
         """Handle a failed read of the configuration."""
-        if self._lost_at is None:
-            self._lost_at = self._clock()
-            age_s = min(self._age_s(self.confirmed), 1e6)
+        if self._config_lost_at is None:
+            self._config_lost_at = self._clock()
+            age_s = min(self._age_s(self.config_confirmed_at), 1e6)
             self._log.write(
                 DecisionEvent.STORE_LOST, why=text, unheard_ms=round(1000 * age_s)
             )
 
-    def take_config(
-        self, records: Iterable[KeyedRecord], *, is_own: bool = True
+    def apply_config(
+        self, records: Iterable[KeyedRecord], *, from_store: bool = True
     ) -> None:
         """Apply the newest configuration among records read here or by a peer."""
-        taken = []
+        applied = []
         for record in records:
             if record.key != CONFIG_KEY or record.value is None:
                 continue
             try:
                 routing = parse_config(record.value)
             except RecordError as exc:
-                self._is_readable = False
+                self._is_config_valid = False
                 self._log.write(
                     DecisionEvent.CONFIG_IN_FORCE,
                     config=self.version,
@@ -304,106 +328,114 @@
                 )
                 continue
             if routing.version > self.version:
-                taken.append(record)
-                self._is_readable = True
+                applied.append(record)
+                self._is_config_valid = True
                 self.version = routing.version
                 self._log.write(
                     DecisionEvent.CONFIG_IN_FORCE,
                     config=self.version,
-                    source="store" if is_own else "peer",
-                    age_ms=round(1000 * min(self._age_s(self._config.asked_at), 1e6)),
+                    source="store" if from_store else "peer",
+                    age_ms=round(
+                        1000 * min(self._age_s(self._config_follower.last_call_at), 1e6)
+                    ),
                 )
                 self._on_routing(routing)
                 self._on_update()
-        self._pass_on(StoreTopic.CONFIG, taken[-1:], self._config.offset, is_own)
+        self._publish(
+            StoreTopic.CONFIG, applied[-1:], self._config_follower.offset, from_store
+        )
 
     # The endpoint list.
 
-    def list_heard(self, at: float) -> None:
+    def on_list_confirmed(self, at: float) -> None:
         """Handle a confirmation that the endpoint list was the newest at ``at``."""
-        self._tell_in_place(self.list_confirmed)
-        self.list_confirmed = max(self.list_confirmed, at)
-        self._store_answered()
+        self._report_if_standby(self.list_confirmed_at)
+        self.list_confirmed_at = max(self.list_confirmed_at, at)
+        self._on_store_answer()
         if self._list_lost_at is not None:
             after_s = self._age_s(self._list_lost_at)
             self._list_lost_at = None
             self._log.write(DecisionEvent.LIST_REGAINED, after_ms=round(1000 * after_s))
 
-    def list_lost(self, text: str) -> None:
+    def on_list_read_failed(self, text: str) -> None:
         """Handle a failed read of the endpoint list."""
-        self._hold.on_failure(self._clock())
+        self._outage_hold.on_failure(self._clock())
         if self._list_lost_at is None:
             self._list_lost_at = self._clock()
-            age_s = min(self._age_s(self.list_confirmed), 1e6)
+            age_s = min(self._age_s(self.list_confirmed_at), 1e6)
             self._log.write(
                 DecisionEvent.LIST_LOST, why=text, unheard_ms=round(1000 * age_s)
             )
 
-    def take_list(self, records: Iterable[KeyedRecord], *, is_own: bool = True) -> None:
+    def apply_list_records(
+        self, records: Iterable[KeyedRecord], *, from_store: bool = True
+    ) -> None:
         """Apply endpoint records read here or by a peer."""
-        taken = self._take_records(records)
-        self._pass_on(StoreTopic.ENDPOINTS, taken, self._list.offset, is_own)
+        applied = self._apply_records(records)
+        self._publish(
+            StoreTopic.ENDPOINTS, applied, self._list_follower.offset, from_store
+        )
 
-    def _take_records(self, records: Iterable[KeyedRecord]) -> list[KeyedRecord]:
+    def _apply_records(self, records: Iterable[KeyedRecord]) -> list[KeyedRecord]:
         """Apply endpoint records, and return those to publish."""
-        self._store_answered()
-        taken = []
+        self._on_store_answer()
+        applied = []
         for record in records:
-            was_held = record.key in self._held
-            changes = list(self._take_one(record))
-            self._hand_on(changes, record.offset + 1)
-            if changes or was_held or record.key in self._held:
-                taken.append(record)
-            if was_held or record.key in self._held:
+            was_held = record.key in self._held_removals
+            changes = list(self._apply_record(record))
+            self._announce(changes, record.offset + 1)
+            if changes or was_held or record.key in self._held_removals:
+                applied.append(record)
+            if was_held or record.key in self._held_removals:
                 # The list here is unchanged, but the mark has to advance, since peers
                 # read only when it does. Otherwise a peer that holds no removals would
                 # go on using an endpoint that was removed, and a peer that holds this
                 # one would remove an endpoint that is listed again.
-                self._tell(record.offset + 1)
-        return taken
+                self._advance_list_mark(record.offset + 1)
+        return applied
 
-    def _take_one(self, record: KeyedRecord) -> Iterable[ListChange]:
+    def _apply_record(self, record: KeyedRecord) -> Iterable[ListChange]:
         if record.value is None:
-            return self._drop(record.key)
-        endpoint = self._endpoint(record)
+            return self._remove(record.key)
+        endpoint = self._parse_endpoint(record)
         if endpoint is None:
             # The newest record is valid even if unreadable: it replaced the old one.
-            return self._drop(record.key)
-        self._held.pop(endpoint.id, None)
+            return self._remove(record.key)
+        self._held_removals.pop(endpoint.id, None)
         return self._endpoints.put(endpoint)
 
-    def replace_list(self, records: Iterable[KeyedRecord]) -> None:
+    def apply_list_snapshot(self, records: Iterable[KeyedRecord]) -> None:
         """Replace the endpoint list by a snapshot."""
-        self._store_answered()
-        if self._is_restored:
-            self._is_restored = False
-            records = [one for one in records if not self._was_dropped(one)]
+        self._on_store_answer()
+        if self._list_was_restored:
+            self._list_was_restored = False
+            records = [r for r in records if not self._was_removed(r)]
             # The marks that peers have are from an earlier era.
-            self._tell(self._list.offset)
+            self._advance_list_mark(self._list_follower.offset)
         listed = {record.key for record in records if record.value is not None}
-        for gone in self._endpoints.ids() - listed:
-            self._hand_on(list(self._drop(gone)), self.list_mark)
-        self._take_records(sorted(records, key=lambda record: record.offset))
+        for removed in self._endpoints.ids() - listed:
+            self._announce(list(self._remove(removed)), self.list_mark)
+        self._apply_records(sorted(records, key=lambda record: record.offset))
         # A snapshot lacks removed keys. Updates that claim to be complete up to its end
         # would hide these removals from peers.
-        self._publishers[StoreTopic.ENDPOINTS].reset(self._list.offset)
+        self._publishers[StoreTopic.ENDPOINTS].reset(self._list_follower.offset)
 
-    def _was_dropped(self, record: KeyedRecord) -> bool:
+    def _was_removed(self, record: KeyedRecord) -> bool:
         """Return whether a restored entry is one whose removal the store has lost."""
-        endpoint = None if record.value is None else self._endpoint(record)
+        endpoint = None if record.value is None else self._parse_endpoint(record)
         return endpoint is not None and self._endpoints.was_dropped(endpoint)
 
-    def on_restored_list(self, era: int) -> None:
+    def on_list_restored(self, era: int) -> None:
         """Handle a restore of the store; the next snapshot comes from a copy."""
         self.on_restore(era)
-        self._is_restored = True
+        self._list_was_restored = True
 
-    def _drop(self, endpoint: str) -> Iterable[ListChange]:
-        left_s = self._hold.remaining_s(self._clock())
+    def _remove(self, endpoint: str) -> Iterable[ListChange]:
+        left_s = self._outage_hold.remaining_s(self._clock())
         if left_s <= 0:
             return list(self._endpoints.drop(endpoint))
-        if endpoint not in self._held:
-            self._held[endpoint] = self._timers.now + left_s
+        if endpoint not in self._held_removals:
+            self._held_removals[endpoint] = self._timers.now + left_s
             self._log.write(
                 DecisionEvent.ENDPOINT_HELD,
                 endpoint=endpoint,
@@ -411,23 +443,25 @@
             )
         return []
 
-    def _drop_held(self, now: float) -> None:
-        due = [endpoint for endpoint, at in self._held.items() if at <= now]
-        for endpoint in due:
-            del self._held[endpoint]
-            self._hand_on(list(self._endpoints.drop(endpoint)), self.list_mark)
+    def _remove_held(self, now: float) -> None:
+        expired = [
+            endpoint for endpoint, at in self._held_removals.items() if at <= now
+        ]
+        for endpoint in expired:
+            del self._held_removals[endpoint]
+            self._announce(list(self._endpoints.drop(endpoint)), self.list_mark)
 
-    def _hand_on(self, changes: list[ListChange], mark: int) -> None:
+    def _announce(self, changes: list[ListChange], mark: int) -> None:
         for change in changes:
             self._on_change(change)
         if changes:
-            self._tell(mark)
+            self._advance_list_mark(mark)
 
-    def _tell(self, mark: int) -> None:
+    def _advance_list_mark(self, mark: int) -> None:
         self.list_mark = max(mark, self.list_mark)
         self._on_update()
 
-    def _endpoint(self, record: KeyedRecord) -> ListedEndpoint | None:
+    def _parse_endpoint(self, record: KeyedRecord) -> ListedEndpoint | None:
         try:
             return parse_endpoint(record.key, record.value)
         except RecordError as exc:
@@ -437,41 +471,41 @@
             return None
 
 
-class _ConfigTopic:
+class _ConfigListener:
     def __init__(self, view: StoreView) -> None:
         self._view = view
 
     def on_snapshot(self, records: tuple[KeyedRecord, ...]) -> None:
-        self._view.take_config(records)
+        self._view.apply_config(records)
 
     def on_era(self, era: int) -> None:
         self._view.on_restore(era)
 
     def on_records(self, records: tuple[KeyedRecord, ...]) -> None:
-        self._view.take_config(records)
+        self._view.apply_config(records)
 
-    def on_heard(self, at: float) -> None:
-        self._view.config_heard(at)
+    def on_confirmed(self, at: float) -> None:
+        self._view.on_config_confirmed(at)
 
-    def on_lost(self, text: str) -> None:
-        self._view.config_lost(text)
+    def on_read_failed(self, text: str) -> None:
+        self._view.on_config_read_failed(text)
 
 
-class _ListTopic:
+class _ListListener:
     def __init__(self, view: StoreView) -> None:
         self._view = view
 
     def on_snapshot(self, records: tuple[KeyedRecord, ...]) -> None:
-        self._view.replace_list(records)
+        self._view.apply_list_snapshot(records)
 
     def on_era(self, era: int) -> None:
-        self._view.on_restored_list(era)
+        self._view.on_list_restored(era)
 
     def on_records(self, records: tuple[KeyedRecord, ...]) -> None:
-        self._view.take_list(records)
+        self._view.apply_list_records(records)
 
-    def on_heard(self, at: float) -> None:
-        self._view.list_heard(at)
+    def on_confirmed(self, at: float) -> None:
+        self._view.on_list_confirmed(at)
 
-    def on_lost(self, text: str) -> None:
-        self._view.list_lost(text)
+    def on_read_failed(self, text: str) -> None:
+        self._view.on_list_read_failed(text)
--- a/greengageflow/daemon/topic_follower.py
+++ b/greengageflow/daemon/topic_follower.py
@@ -20,11 +20,11 @@
     request,
 )
 
-ANSWER_S = 1.0
-LOST_S = 6.0
-PAGE_LIMIT = 16 * 1_048_576
-FIRST_RETRY_S = 0.15
-LONGEST_RETRY_S = 1.0
+CALL_TIMEOUT_S = 1.0
+READ_TIMEOUT_S = 6.0
+MAX_PAGE_BYTES = 16 * 1_048_576
+MIN_BACKOFF_S = 0.15
+MAX_BACKOFF_S = 1.0
 
 
 class TopicListener(Protocol):
@@ -39,10 +39,10 @@
     def on_records(self, records: tuple[KeyedRecord, ...]) -> None:
         """Apply records that were appended."""
 
-    def on_heard(self, at: float) -> None:
+    def on_confirmed(self, at: float) -> None:
         """Handle a confirmation: all records written before ``at`` are applied."""
 
-    def on_lost(self, text: str) -> None:
+    def on_read_failed(self, text: str) -> None:
         """Handle a failed read; ``text`` is the reason."""
 
 
@@ -58,11 +58,11 @@
         address: IP number and port of the store.
         topic: Name of the topic.
         listener: Gets the records.
-        clock: Returns the time for ``on_heard``, in seconds.
+        clock: Returns the time for ``on_confirmed``, in seconds.
 
     Attributes:
         calls: Number of calls to the store.
-        asked_at: Time of the last call, by ``clock``.
+        last_call_at: Time of the last call, by ``clock``.
         offset: Mark of the first record that has not been applied.
     """
 
@@ -77,7 +77,7 @@
         clock: Callable[[], float],
     ) -> None:
         self.calls = 0
-        self.asked_at = float("-inf")
+        self.last_call_at = float("-inf")
         self.offset = 0
         self._pool = pool
         self._timers = timers
@@ -85,65 +85,65 @@
         self._topic = topic
         self._listener = listener
         self._clock = clock
-        self._asking = False
-        self._asked_from = 0
+        self._is_reading = False
+        self._read_from = 0
         self._exchange: Exchange | None = None
-        self._known = False
-        self._pages: list[KeyedRecord] = []
-        self._first_end = 0
-        self._not_before = float("-inf")
-        self._retry_s = FIRST_RETRY_S
-        self._hastened = False
-        self._pages_era = 0
+        self._has_snapshot = False
+        self._snapshot_records: list[KeyedRecord] = []
+        self._snapshot_mark = 0
+        self._next_read_at = float("-inf")
+        self._backoff_s = MIN_BACKOFF_S
+        self._backoff_skipped = False
+        self._snapshot_era = 0
 
     @property
     def era(self) -> int:
         """Era of the store in which records were last applied."""
         return era_of(self.offset)
 
-    def begin_anew(self) -> None:
+    def require_snapshot(self) -> None:
         """Make the next read a snapshot, since the store was restored from a copy."""
-        self._known = False
+        self._has_snapshot = False
 
     @property
-    def is_known(self) -> bool:
+    def has_snapshot(self) -> bool:
         """Whether a snapshot was read, so that peers' updates can be applied."""
-        return self._known
+        return self._has_snapshot
 
     @property
-    def idle(self) -> bool:
+    def can_read(self) -> bool:
         """Whether a read may begin: none is in progress and no backoff applies."""
-        return not self._asking and self._timers.now >= self._not_before
+        return not self._is_reading and self._timers.now >= self._next_read_at
 
-    def check(self) -> None:
+    def cancel_overdue_read(self) -> None:
         """Cancel a read that has far exceeded its timeout."""
         # The pool times out each call. If it ever failed to, this host would never read
         # again and would reject all keys for good.
-        if self._asking and self._clock() - self.asked_at > LOST_S:
+        if self._is_reading and self._clock() - self.last_call_at > READ_TIMEOUT_S:
             self._exchange.cancel()
-            self._again("call ended neither with an answer nor with a timeout")
+            self._on_failure("call ended neither with an answer nor with a timeout")
 
-    def hasten(self) -> None:
+    def skip_backoff(self) -> None:
         """Skip the backoff of the first snapshot, since another router got an answer.
 
         At most once per successful read: the store may be refusing this host alone.
         """
-        if not self._known and not self._hastened:
-            self._hastened = True
-            self._not_before = float("-inf")
+        if not self._has_snapshot and not self._backoff_skipped:
+            self._backoff_skipped = True
+            self._next_read_at = float("-inf")
 
     def read(self, wait_s: float = 0.0) -> None:
         """Begin a read; the store may wait up to ``wait_s`` seconds for a record."""
-        self._asking = True
-        self._asked_from = self.offset
-        if self._known:
+        self._is_reading = True
+        self._read_from = self.offset
+        if self._has_snapshot:
             call = read_call(self._topic, offset_of(self.offset), wait_s)
-            self._ask(call, wait_s, self._on_read)
+            self._call(call, wait_s, self._on_read)
         else:
-            self._pages = []
-            self._ask(newest_call(self._topic, ""), 0.0, self._on_newest)
+            self._snapshot_records = []
+            self._call(newest_call(self._topic, ""), 0.0, self._on_newest)
 
-    def take(
+    def accept(
         self, since: int, end: int, records: Iterable[KeyedRecord]
     ) -> tuple[KeyedRecord, ...] | None:
         """Advance over records that cover the marks from ``since`` to ``end``.
@@ -151,91 +151,93 @@
         Returns:
             The records not applied before, or None if some before them are missing.
         """
-        if not self._known or since > self.offset:
+        if not self._has_snapshot or since > self.offset:
             return None
-        fresh = tuple(record for record in records if record.offset >= self.offset)
+        unapplied = tuple(record for record in records if record.offset >= self.offset)
         self.offset = max(self.offset, end)
-        return fresh
+        return unapplied
 
-    def _ask(
+    def _call(
         self,
         call: tuple[str, str],
         wait_s: float,
-        on_good: Callable[[Response], None],
+        on_response: Callable[[Response], None],
     ) -> None:
         self.calls += 1
-        self.asked_at = self._clock()
-        asked = request(self._address, *call, b"", wait_s + ANSWER_S)
-        if self._retry_s > FIRST_RETRY_S:
+        self.last_call_at = self._clock()
+        outgoing = request(self._address, *call, b"", wait_s + CALL_TIMEOUT_S)
+        if self._backoff_s > MIN_BACKOFF_S:
             # If all pooled connections are dead, each retry would cost one second.
-            asked = replace(asked, retry_stale=False)
+            outgoing = replace(outgoing, retry_stale=False)
         self._exchange = self._pool.fetch(
-            asked, lambda result: self._take(result, on_good), PAGE_LIMIT
+            outgoing,
+            lambda result: self._on_result(result, on_response),
+            MAX_PAGE_BYTES,
         )
 
-    def _take(
-        self, result: Response | Failure, on_good: Callable[[Response], None]
+    def _on_result(
+        self, result: Response | Failure, on_response: Callable[[Response], None]
     ) -> None:
         if isinstance(result, Failure):
-            self._again(f"{result.kind}: {result.message}")
+            self._on_failure(f"{result.kind}: {result.message}")
         elif era_of_answer(result) < self.era:
             # Sent before the store was restored; the store has lost these records.
-            self._asking = False
+            self._is_reading = False
         elif is_forgotten(result) or self._is_outdated(era_of_answer(result)):
-            self._known = False
+            self._has_snapshot = False
             self.read()
         else:
             try:
-                on_good(result)
+                on_response(result)
             except StoreAnswerError as exc:
-                self._again(str(exc))
+                self._on_failure(str(exc))
 
     def _is_outdated(self, era: int) -> bool:
         """Return whether the era changed between the read and its answer."""
-        if self._known:
-            return era > era_of(self._asked_from)
-        return bool(self._pages) and era != self._pages_era
+        if self._has_snapshot:
+            return era > era_of(self._read_from)
+        return bool(self._snapshot_records) and era != self._snapshot_era
 
-    def _again(self, text: str) -> None:
-        self._asking = False
-        self._not_before = self._timers.now + self._retry_s
-        self._retry_s = min(LONGEST_RETRY_S, 2 * self._retry_s)
-        self._listener.on_lost(text)
+    def _on_failure(self, text: str) -> None:
+        self._is_reading = False
+        self._next_read_at = self._timers.now + self._backoff_s
+        self._backoff_s = min(MAX_BACKOFF_S, 2 * self._backoff_s)
+        self._listener.on_read_failed(text)
 
     def _on_newest(self, response: Response) -> None:
         batch = parse_newest(response)
         era = era_of_answer(response)
-        if not self._pages:
+        if not self._snapshot_records:
             # Pages are not atomic, so the records since the first are read again.
-            self._first_end, self._pages_era = mark_of(era, batch.end), era
-        self._pages.extend(_marked(batch.records, era))
+            self._snapshot_mark, self._snapshot_era = mark_of(era, batch.end), era
+        self._snapshot_records.extend(_with_marks(batch.records, era))
         if batch.after:
-            self._ask(newest_call(self._topic, batch.after), 0.0, self._on_newest)
+            self._call(newest_call(self._topic, batch.after), 0.0, self._on_newest)
             return
-        self._known = True
-        before, self.offset = self.offset, self._first_end
+        self._has_snapshot = True
+        before, self.offset = self.offset, self._snapshot_mark
         if before and era > era_of(before):
             self._listener.on_era(era)
-        records, self._pages = tuple(self._pages), []
+        records, self._snapshot_records = tuple(self._snapshot_records), []
         self._listener.on_snapshot(records)
-        self._heard()
+        self._on_success()
 
     def _on_read(self, response: Response) -> None:
-        batch = parse_read(response, offset_of(self._asked_from))
-        era = era_of(self._asked_from)
+        batch = parse_read(response, offset_of(self._read_from))
+        era = era_of(self._read_from)
         # Peers' updates may have covered some of them since the call.
         end = mark_of(era, batch.end)
-        records = self.take(self._asked_from, end, _marked(batch.records, era))
+        records = self.accept(self._read_from, end, _with_marks(batch.records, era))
         if records:
             self._listener.on_records(records)
-        self._heard()
+        self._on_success()
 
-    def _heard(self) -> None:
-        self._asking = False
-        self._retry_s = FIRST_RETRY_S
-        self._hastened = False
-        self._listener.on_heard(self.asked_at)
+    def _on_success(self) -> None:
+        self._is_reading = False
+        self._backoff_s = MIN_BACKOFF_S
+        self._backoff_skipped = False
+        self._listener.on_confirmed(self.last_call_at)
 
 
-def _marked(records: Iterable[KeyedRecord], era: int) -> tuple[KeyedRecord, ...]:
-    return tuple(replace(one, offset=mark_of(era, one.offset)) for one in records)
+def _with_marks(records: Iterable[KeyedRecord], era: int) -> tuple[KeyedRecord, ...]:
+    return tuple(replace(r, offset=mark_of(era, r.offset)) for r in records)
--- a/greengageflow/lab/_gateway_world.py
+++ b/greengageflow/lab/_gateway_world.py
@@ -149,7 +149,7 @@
             on_update=self.exchange.report_soon,
             on_read=self.exchange.pass_on,
             on_era=lambda _era: None,
-            pace_s=PACE_S,
+            poll_interval_s=PACE_S,
             clock=lambda: world.now,
         )
 
@@ -288,8 +288,8 @@
             served=dict(self._served.items(now, 1.0)),
             offered=dict(self._offered.items(now, 1.0)),
             loads=self.loads(),
-            config_age_s=now - view.confirmed,
-            list_age_s=now - view.list_confirmed,
+            config_age_s=now - view.config_confirmed_at,
+            list_age_s=now - view.list_confirmed_at,
             placed=self.placed(),
         )
 
@@ -320,7 +320,7 @@
 
     def on_store_update(self, news: StoreUpdate) -> None:
         """Take what another router read in the store."""
-        self.view.take_update(news)
+        self.view.apply_update(news)
 
     def on_totals(self, totals: FleetTotals) -> None:
         """Take the sums, and part each service's capacity."""
--- a/tests/test_held_removal.py
+++ b/tests/test_held_removal.py
@@ -36,12 +36,12 @@
         on_update=lambda: news.append(view.list_mark),
         on_read=lambda _news, _is_own: None,
         on_era=lambda _era: None,
-        pace_s=1.0,
+        poll_interval_s=1.0,
         clock=lambda: now[0],
     )
-    view.take_list([KeyedRecord("app-0", json.dumps(ENTRY).encode(), 4)])
-    view.list_lost("timeout")
+    view.apply_list_records([KeyedRecord("app-0", json.dumps(ENTRY).encode(), 4)])
+    view.on_list_read_failed("timeout")
     now[0] += 2 * MIN_OUTAGE_S
-    view.take_list([KeyedRecord("app-0", None, 7)])
+    view.apply_list_records([KeyedRecord("app-0", None, 7)])
     assert endpoints.ids() == {"app-0"}
     assert news == [5, 8] and view.list_mark == 8
--- a/tests/test_store_eras.py
+++ b/tests/test_store_eras.py
@@ -8,12 +8,12 @@
 
 from greengageflow.core.outage_hold import REMOVAL_HOLD_S
 from greengageflow.core.store_marks import MAX_ERA, era_of, mark_of, offset_of
-from greengageflow.daemon.store_view import ERA_SPREAD_S
+from greengageflow.daemon.store_view import SNAPSHOT_SPREAD_S
 from greengageflow.net.http_messages import Response
 from greengageflow.platform.store import era_of_answer
 from tests.test_store_view import PACE_S, Host, Store, run
 
-KNOWN_S = PACE_S + ERA_SPREAD_S + 1.0
+KNOWN_S = PACE_S + SNAPSHOT_SPREAD_S + 1.0
 
 
 @pytest.fixture
@@ -148,11 +148,11 @@
     everyone = [*hosts, late]
     run(store, everyone, KNOWN_S)
     assert late.view.version == 1
-    assert late.view.confirmed == float("-inf")
+    assert late.view.config_confirmed_at == float("-inf")
     store.config(2)
     run(store, everyone, KNOWN_S)
     assert late.view.version == 2
-    assert late.view.confirmed > float("-inf")
+    assert late.view.config_confirmed_at > float("-inf")
 
 
 def test_two_restores_in_a_row_and_one_that_a_host_has_not_seen(store, hosts):
--- a/tests/test_store_view.py
+++ b/tests/test_store_view.py
@@ -18,7 +18,7 @@
     StoreRole,
 )
 from greengageflow.daemon.store_view import StoreView
-from greengageflow.daemon.topic_follower import LOST_S
+from greengageflow.daemon.topic_follower import READ_TIMEOUT_S
 from greengageflow.net.http_messages import Failure, FailureKind, Response
 from greengageflow.net.report_codec import decode, encode
 from greengageflow.platform.names import (
@@ -124,12 +124,12 @@
             on_update=lambda: None,
             on_read=self.pass_on,
             on_era=self.eras.append,
-            pace_s=PACE_S,
+            poll_interval_s=PACE_S,
             clock=lambda: store.now,
         )
 
         store.hosts += 1
-        self.view._spread = Random(store.hosts)
+        self.view._random = Random(store.hosts)
 
     @property
     def now(self):
@@ -149,14 +149,14 @@
 
     def word(self):
         view, now = self.view, self.now
-        ages = now - view.confirmed, now - view.list_confirmed
+        ages = now - view.config_confirmed_at, now - view.list_confirmed_at
         return StoreReport(now, view.version, view.list_mark, *ages)
 
     def pass_on(self, news, _is_own):
         if self.reads and not self.news_lost:
             data = encode(news)
             for mate in self.mates:
-                mate.view.take_update(decode(data))
+                mate.view.apply_update(decode(data))
 
     def step(self, words):
         for call in list(self.open):
@@ -473,7 +473,7 @@
     host = hosts[0]
     host.stuck = True
     store.config(2)
-    run(store, [host], LOST_S - 1)
+    run(store, [host], READ_TIMEOUT_S - 1)
     stuck = list(host.open)
     assert len(stuck) == 2
     run(store, [host], 2.5)
