--- a/greengageflow/daemon/kept_parts.py
+++ b/greengageflow/daemon/cached_parts.py
@@ -18,22 +18,22 @@
 from greengageflow.platform.records import RecordError, parse_kept
 from greengageflow.platform.requests import kept_call
 
-ANSWER_S = 1.0
+CALL_TIMEOUT_S = 1.0
 """Connect and idle timeout of a query, in seconds."""
-AGAIN_S = 0.5
-MOST_TRIES = 3
-LARGEST = 1_048_576
+RETRY_DELAY_S = 0.5
+MAX_ATTEMPTS = 3
+MAX_RESPONSE_BYTES = 1_048_576
 """Maximum size of an answer, in bytes."""
 
 
-class PartsAsker(Protocol):
+class PartsLoader(Protocol):
     """Finds out which prompt parts engines have cached."""
 
-    def ask(self, engines: Iterable[ListedEndpoint]) -> None:
+    def load(self, engines: Iterable[ListedEndpoint]) -> None:
         """Query the engines that have not been queried yet."""
 
 
-class KeptParts:
+class CachedPartsLoader:
     """Queries each engine's prefix cache once, when this host begins to place for it.
 
     A new placer doesn't know which prompt parts are cached where. It would send
@@ -62,23 +62,23 @@
         self._book = book
         self._log = log
         self._on_leaving = on_leaving
-        self._asked: set[str] = set()
+        self._queried: set[str] = set()
 
-    def ask(self, engines: Iterable[ListedEndpoint]) -> None:
+    def load(self, engines: Iterable[ListedEndpoint]) -> None:
         """Query the engines that have not been queried yet."""
         for engine in engines:
-            if engine.id not in self._asked:
-                self._asked.add(engine.id)
-                self._try(engine, 1)
+            if engine.id not in self._queried:
+                self._queried.add(engine.id)
+                self._query(engine, 1)
 
-    def _try(self, engine: ListedEndpoint, number: int) -> None:
-        def done(result: Response | Failure) -> None:
-            self._take(engine, number, result)
+    def _query(self, engine: ListedEndpoint, attempt: int) -> None:
+        def on_done(result: Response | Failure) -> None:
+            self._on_result(engine, attempt, result)
 
-        self._pool.fetch(_bounded(kept_call(engine)), done, LARGEST)
+        self._pool.fetch(_with_timeouts(kept_call(engine)), on_done, MAX_RESPONSE_BYTES)
 
-    def _take(
-        self, engine: ListedEndpoint, number: int, result: Response | Failure
+    def _on_result(
+        self, engine: ListedEndpoint, attempt: int, result: Response | Failure
     ) -> None:
         if isinstance(result, Response) and says_leaving(result):
             self._on_leaving(engine)
@@ -87,8 +87,10 @@
                 raise RecordError(result.message)
             parts = parse_kept(result)
         except RecordError as exc:
-            if number < MOST_TRIES:
-                self._timers.after(AGAIN_S, lambda: self._try(engine, number + 1))
+            if attempt < MAX_ATTEMPTS:
+                self._timers.after(
+                    RETRY_DELAY_S, lambda: self._query(engine, attempt + 1)
+                )
                 return
             self._log.write(
                 DecisionEvent.PARTS_UNKNOWN, endpoint=engine.id, why=str(exc)
@@ -100,12 +102,12 @@
         )
 
 
-def _bounded(request: HttpRequest) -> HttpRequest:
+def _with_timeouts(request: HttpRequest) -> HttpRequest:
     return HttpRequest(
         request.method,
         request.ip,
         request.port,
         request.path,
-        connect_timeout_s=ANSWER_S,
-        idle_timeout_s=ANSWER_S,
+        connect_timeout_s=CALL_TIMEOUT_S,
+        idle_timeout_s=CALL_TIMEOUT_S,
     )
--- a/greengageflow/daemon/quarantine_notes.py
+++ b/greengageflow/daemon/crash_recorders.py
@@ -8,10 +8,10 @@
 from greengageflow.net.decision_log import DecisionLog
 from greengageflow.net.metrics_page import MetricsPage, PageMetric
 
-MOST_DIGESTS = 8
+MAX_LOGGED_DIGESTS = 8
 
 
-class QuarantineNotes:
+class GatewayCrashRecorder:
     """Reports on ``CrashWatch`` in the decision log and on the metrics page.
 
     Args:
@@ -23,7 +23,7 @@
         self._log = log
         self._page = page
 
-    def crashed(
+    def record_crash(
         self, endpoint: EndpointStart, requests: frozenset[Fingerprint]
     ) -> None:
         """Record a crash and the requests that may have caused it."""
@@ -33,10 +33,12 @@
             DecisionEvent.ENDPOINT_CRASHED,
             endpoint=endpoint.id,
             requests=len(digests),
-            digests=" ".join(digests[:MOST_DIGESTS]),
+            digests=" ".join(digests[:MAX_LOGGED_DIGESTS]),
         )
 
-    def held(self, fingerprint: Fingerprint, source: str, for_s: float) -> None:
+    def record_quarantine(
+        self, fingerprint: Fingerprint, source: str, for_s: float
+    ) -> None:
         """Record that a request is quarantined."""
         self._log.write(
             DecisionEvent.QUARANTINED,
@@ -45,14 +47,14 @@
             for_ms=round(1000 * for_s),
         )
 
-    def cleared(self, fingerprint: Fingerprint) -> None:
+    def record_clearance(self, fingerprint: Fingerprint) -> None:
         """Record that a successful answer has cleared a request."""
         self._log.write(
             DecisionEvent.QUARANTINE_CLEARED, digest=short_digest(fingerprint)
         )
 
 
-class RouterQuarantineNotes:
+class RouterCrashRecorder:
     """Reports on ``CrashWatch`` as log events and by statsd, for the product's own API.
 
     Args:
@@ -62,7 +64,7 @@
     def __init__(self, metrics: Metrics) -> None:
         self._metrics = metrics
 
-    def crashed(
+    def record_crash(
         self, endpoint: EndpointStart, requests: frozenset[Fingerprint]
     ) -> None:
         """Record a crash and the requests that may have caused it."""
@@ -72,10 +74,12 @@
             Event.ENDPOINT_CRASHED,
             endpoint=endpoint.id,
             requests=len(digests),
-            digests=" ".join(digests[:MOST_DIGESTS]),
+            digests=" ".join(digests[:MAX_LOGGED_DIGESTS]),
         )
 
-    def held(self, fingerprint: Fingerprint, source: str, for_s: float) -> None:
+    def record_quarantine(
+        self, fingerprint: Fingerprint, source: str, for_s: float
+    ) -> None:
         """Record that a request is quarantined."""
         log(
             Event.QUARANTINED,
@@ -84,6 +88,6 @@
             seconds=for_s,
         )
 
-    def cleared(self, fingerprint: Fingerprint) -> None:
+    def record_clearance(self, fingerprint: Fingerprint) -> None:
         """Record that a successful answer has cleared a request."""
         log(Event.QUARANTINE_CLEARED, digest=short_digest(fingerprint))
--- a/greengageflow/daemon/crash_watch.py
+++ b/greengageflow/daemon/crash_watch.py
@@ -8,23 +8,23 @@
 from greengageflow.net.connect_check import Address, Reach
 from greengageflow.net.timers import Timers
 
-CHECKS_S = (0.01, 0.1, 0.4)
+CHECK_DELAYS_S = (0.01, 0.1, 0.4)
 """Delays before each reachability check of an endpoint that cut a request, in seconds.
 
 A process that ends may close its listener some time after its connections.
 """
-AGAIN_S = 0.25
+RESEND_DELAY_S = 0.25
 """Delay before records are sent to all hosts once more in case of message loss, in
 seconds."""
-REPEAT_S = 1.0
-REPEAT_TO = 2
-"""Number of random hosts that get the records every ``REPEAT_S`` seconds.
+GOSSIP_INTERVAL_S = 1.0
+GOSSIP_FANOUT = 2
+"""Number of random hosts that get the records every ``GOSSIP_INTERVAL_S`` seconds.
 
 Hosts that start, or that missed all other messages, learn the records within seconds,
 whatever the number of hosts.
 """
-CHANGED_S = 10.0
-MOST_SENT = 128
+RECENT_CHANGE_S = 10.0
+MAX_SENT_RECORDS = 128
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,22 +54,26 @@
 class CrashReportSender(Protocol):
     """Sends crash records to other hosts, with best effort."""
 
-    def send_crashes(self, records: tuple[CrashRecord, ...], most: int | None) -> None:
-        """Send records to ``most`` random hosts, or to all if it is None."""
+    def send_crashes(
+        self, records: tuple[CrashRecord, ...], max_hosts: int | None
+    ) -> None:
+        """Send records to ``max_hosts`` random hosts, or to all if it is None."""
 
 
-class CrashNotes(Protocol):
+class CrashRecorder(Protocol):
     """Logs and counts crashes and quarantined requests."""
 
-    def crashed(
+    def record_crash(
         self, endpoint: EndpointStart, requests: frozenset[Fingerprint]
     ) -> None:
         """Record a crash and the requests that may have caused it."""
 
-    def held(self, fingerprint: Fingerprint, source: str, for_s: float) -> None:
+    def record_quarantine(
+        self, fingerprint: Fingerprint, source: str, for_s: float
+    ) -> None:
         """Record that a request is quarantined; ``source`` is ``crash`` or ``peer``."""
 
-    def cleared(self, fingerprint: Fingerprint) -> None:
+    def record_clearance(self, fingerprint: Fingerprint) -> None:
         """Record that a successful answer has cleared a request."""
 
 
@@ -84,7 +88,7 @@
         timers: Timer service.
         reachability: Checks endpoints.
         sender: Sends records to other hosts.
-        notes: Logs and counts.
+        recorder: Logs and counts.
         on_quarantined: Called with newly quarantined requests.
         on_decided: Called with each request that this host itself found to be
             quarantined, or to be quarantined no more.
@@ -96,7 +100,7 @@
         timers: Timers,
         reachability: Reachability,
         sender: CrashReportSender,
-        notes: CrashNotes,
+        recorder: CrashRecorder,
         on_quarantined: Callable[[frozenset[Fingerprint]], None],
         on_decided: Callable[[Fingerprint], None] = lambda _fingerprint: None,
     ) -> None:
@@ -104,14 +108,14 @@
         self._timers = timers
         self._reachability = reachability
         self._sender = sender
-        self._notes = notes
+        self._recorder = recorder
         self._on_quarantined = on_quarantined
         self._on_decided = on_decided
         self._checking: set[str] = set()
 
     def start(self) -> None:
         """Begin to send the records to random hosts periodically."""
-        self._timers.every(REPEAT_S, self._repeat)
+        self._timers.every(GOSSIP_INTERVAL_S, self._gossip)
 
     def on_cut(self, endpoint: EndpointStart, fingerprint: Fingerprint) -> None:
         """Handle a request that was cut after the endpoint may have started it."""
@@ -119,21 +123,23 @@
         self._quarantine.add_suspect(self._timers.now, start, fingerprint)
         if start not in self._checking:
             self._checking.add(start)
-            self._check_after(CHECKS_S, endpoint)
+            self._check_after(CHECK_DELAYS_S, endpoint)
 
-    def _check_after(self, waits_s: tuple[float, ...], endpoint: EndpointStart) -> None:
+    def _check_after(
+        self, delays_s: tuple[float, ...], endpoint: EndpointStart
+    ) -> None:
         def check() -> None:
-            self._reachability.check(endpoint.address, done)
+            self._reachability.check(endpoint.address, on_reach)
 
-        def done(reach: Reach) -> None:
-            if reach is not Reach.REFUSED and waits_s[1:]:
-                self._check_after(waits_s[1:], endpoint)
+        def on_reach(reach: Reach) -> None:
+            if reach is not Reach.REFUSED and delays_s[1:]:
+                self._check_after(delays_s[1:], endpoint)
             else:
-                self._settle(endpoint, reach)
+                self._on_checked(endpoint, reach)
 
-        self._timers.after(waits_s[0], check)
+        self._timers.after(delays_s[0], check)
 
-    def _settle(self, endpoint: EndpointStart, reach: Reach) -> None:
+    def _on_checked(self, endpoint: EndpointStart, reach: Reach) -> None:
         self._checking.discard(endpoint.start)
         if reach not in (Reach.REFUSED, Reach.CLOSED):
             self._quarantine.on_alive(endpoint.start)
@@ -141,7 +147,7 @@
         now = self._timers.now
         before = set(self._quarantine.quarantined(now))
         suspects = self._quarantine.on_crash(now, endpoint.start)
-        self._notes.crashed(endpoint, suspects)
+        self._recorder.record_crash(endpoint, suspects)
         held = set(self._quarantine.quarantined(now)) - before
         self._log_quarantined(held, "crash")
         self._send_all()
@@ -153,7 +159,7 @@
         now = self._timers.now
         was_held = self._quarantine.record(now, fingerprint) is not None
         if self._quarantine.on_success(now, fingerprint):
-            self._notes.cleared(fingerprint)
+            self._recorder.record_clearance(fingerprint)
             self._send_all()
             if was_held:
                 self._on_decided(fingerprint)
@@ -167,20 +173,22 @@
         found = frozenset(held)
         for fingerprint in found:
             left_s = self._quarantine.remaining_s(self._timers.now, fingerprint)
-            self._notes.held(fingerprint, source, left_s)
+            self._recorder.record_quarantine(fingerprint, source, left_s)
         if found:
             self._on_quarantined(found)
 
     def _send_all(self) -> None:
         self._send(None)
-        self._timers.after(AGAIN_S, lambda: self._send(None))
+        self._timers.after(RESEND_DELAY_S, lambda: self._send(None))
 
-    def _repeat(self) -> None:
+    def _gossip(self) -> None:
         if self._quarantine:
-            self._send(REPEAT_TO)
+            self._send(GOSSIP_FANOUT)
 
-    def _send(self, most: int | None) -> None:
+    def _send(self, max_hosts: int | None) -> None:
         now = self._timers.now
-        records = tuple(self._quarantine.records(now, CHANGED_S, MOST_SENT))
+        records = tuple(
+            self._quarantine.records(now, RECENT_CHANGE_S, MAX_SENT_RECORDS)
+        )
         if records:
-            self._sender.send_crashes(records, most)
+            self._sender.send_crashes(records, max_hosts)
--- a/greengageflow/daemon/endpoint_watch.py
+++ b/greengageflow/daemon/endpoint_watch.py
@@ -9,9 +9,9 @@
 from greengageflow.net.http_pool import Failure, HttpPool, HttpRequest, Response
 from greengageflow.net.timers import Timers
 
-INTERVAL_S = 1.0
-TIMEOUT_S = 1.0
-MOST_LATE = 10
+POLL_INTERVAL_S = 1.0
+POLL_TIMEOUT_S = 1.0
+MAX_STALE_REPORTS = 10
 """Maximum number of consecutive reports that may be from the previous generation."""
 
 
@@ -36,7 +36,8 @@
         timers: Timer service.
         owner: Gets the number of running requests.
         owns: Returns whether this router owns an endpoint.
-        left: Returns the newest generation of an endpoint that has left, or 0.
+        left_generation: Returns the newest generation of an endpoint that has left,
+            or 0.
         on_leaving: Called with the name of an endpoint that reports that it is
             leaving, and the source of the report.
         interval_s: Polling interval, in seconds.
@@ -48,70 +49,72 @@
         timers: Timers,
         owner: EndpointOwner,
         owns: Callable[[str], bool],
-        left: Callable[[str], int],
+        left_generation: Callable[[str], int],
         on_leaving: Callable[[str, str], None],
         *,
-        interval_s: float = INTERVAL_S,
+        interval_s: float = POLL_INTERVAL_S,
     ) -> None:
         self._pool = pool
         self._timers = timers
         self._owner = owner
         self._owns = owns
-        self._left = left
-        self._reports = LeavingReportFilter(MOST_LATE)
+        self._left_generation = left_generation
+        self._reports = LeavingReportFilter(MAX_STALE_REPORTS)
         self._on_leaving = on_leaving
         self._interval_s = interval_s
         self._cfg = FleetConfig()
 
     def start(self) -> None:
         """Begin to poll."""
-        self._timers.every(self._interval_s, self._round)
+        self._timers.every(self._interval_s, self._poll)
 
     def on_config(self, cfg: FleetConfig) -> None:
         """Apply a new configuration."""
         self._cfg = cfg
 
     def _on_report(self, endpoint: Endpoint, report: LoadReport) -> None:
-        says = report.leaving or report.running is not None
-        if says and self._is_sign(endpoint, report.leaving):
+        has_state = report.leaving or report.running is not None
+        if has_state and self._is_leaving_signal(endpoint, report.leaving):
             self._on_leaving(endpoint.name, "endpoint")
         if report.running is not None:
             self._owner.on_load(self._timers.now, endpoint.name, report.running)
 
-    def _is_sign(self, asked: Endpoint, leaving: bool) -> bool:
-        present = self._cfg.endpoints.get(asked.name)
-        if present is None or present.generation != asked.generation:
+    def _is_leaving_signal(self, polled: Endpoint, leaving: bool) -> bool:
+        current = self._cfg.endpoints.get(polled.name)
+        if current is None or current.generation != polled.generation:
             return False
-        return self._reports.accept(present, self._left(asked.name), leaving=leaving)
+        return self._reports.accept(
+            current, self._left_generation(polled.name), leaving=leaving
+        )
 
-    def _round(self) -> None:
+    def _poll(self) -> None:
         for name, endpoint in self._cfg.endpoints.items():
-            if self._speaks_load(endpoint) and self._owns(name):
-                self._ask(endpoint)
+            if self._reports_load(endpoint) and self._owns(name):
+                self._fetch_load(endpoint)
 
-    def _speaks_load(self, endpoint: Endpoint) -> bool:
+    def _reports_load(self, endpoint: Endpoint) -> bool:
         pool = self._cfg.pools.get(endpoint.pool)
         return pool is not None and pool.kind is PoolKind.MODEL
 
-    def _ask(self, endpoint: Endpoint) -> None:
-        def done(answer: Response | Failure) -> None:
-            if isinstance(answer, Response):
-                self._on_report(endpoint, _report_of(answer))
+    def _fetch_load(self, endpoint: Endpoint) -> None:
+        def on_response(response: Response | Failure) -> None:
+            if isinstance(response, Response):
+                self._on_report(endpoint, _parse_report(response))
 
-        req = HttpRequest(
+        request = HttpRequest(
             "GET",
             endpoint.host,
             endpoint.port,
             "/load",
-            connect_timeout_s=TIMEOUT_S,
-            idle_timeout_s=TIMEOUT_S,
+            connect_timeout_s=POLL_TIMEOUT_S,
+            idle_timeout_s=POLL_TIMEOUT_S,
         )
-        self._pool.fetch(req, done)
+        self._pool.fetch(request, on_response)
 
 
-def _report_of(answer: Response) -> LoadReport:
+def _parse_report(response: Response) -> LoadReport:
     try:
-        document = answer.json()
+        document = response.json()
     except ValueError:
         return LoadReport()
     match document:
--- a/greengageflow/daemon/gateway.py
+++ b/greengageflow/daemon/gateway.py
@@ -22,6 +22,8 @@
 from greengageflow.core.store_updates import StoreUpdate
 from greengageflow.core.trust import KeyTrust
 from greengageflow.daemon.arrivals import Arrivals
+from greengageflow.daemon.cached_parts import CachedPartsLoader
+from greengageflow.daemon.crash_recorders import GatewayCrashRecorder
 from greengageflow.daemon.crash_watch import CrashWatch
 from greengageflow.daemon.exchange_listener import Placed
 from greengageflow.daemon.fleet_exchange import FleetExchange
@@ -35,12 +37,10 @@
     settings_path,
 )
 from greengageflow.daemon.host_watch import HostWatch
-from greengageflow.daemon.kept_parts import KeptParts
 from greengageflow.daemon.key_watch import KeyWatch
 from greengageflow.daemon.leaving_watch import LeavingWatch
 from greengageflow.daemon.placement import Placement
 from greengageflow.daemon.program import Program
-from greengageflow.daemon.quarantine_notes import QuarantineNotes
 from greengageflow.daemon.quarantine_store import QuarantineStore
 from greengageflow.daemon.router_registry import RouterRegistry
 from greengageflow.daemon.store_view import StoreView
@@ -146,7 +146,7 @@
             self._exchange,
             self._forwarder.carry_out,
             self._log,
-            KeptParts(
+            CachedPartsLoader(
                 self._pool,
                 self._timers,
                 self._book,
@@ -159,7 +159,7 @@
             self._timers,
             ConnectCheck(self._timers).register(self),
             self._exchange,
-            QuarantineNotes(self._log, self._page),
+            GatewayCrashRecorder(self._log, self._page),
             self._forwarder.on_quarantined,
             lambda fingerprint: self._kept.update(fingerprint),
         )
@@ -195,7 +195,7 @@
             store,
             settings.host,
             own,
-            is_alone=lambda: not self._exchange.hosts,
+            is_isolated=lambda: not self._exchange.hosts,
             is_contact=self._is_contact,
             on_found=self._exchange.add_addresses,
         )
@@ -278,7 +278,7 @@
     # Other routers.
 
     def _on_datagram(self, data: bytes) -> None:
-        self._keys.awake(clock())
+        self._keys.on_tick(clock())
         self._exchange.receive(data)
 
     def report(self, number: int, sequence: int) -> PeerReport:
@@ -355,8 +355,8 @@
         )
 
     def _on_era(self, _era: int) -> None:
-        self._registry.put_again()
-        self._kept.put_again()
+        self._registry.rewrite()
+        self._kept.rewrite()
 
     def _on_change(self, change: ListChange) -> None:
         event = {
@@ -376,7 +376,7 @@
 
     def _on_tick(self) -> None:
         now, words = clock(), self._exchange.words()
-        self._keys.awake(now)
+        self._keys.on_tick(now)
         self._store.on_tick(self._exchange.store_role, words)
         self._keys.confirm(now, self._timers.now, words)
         self._forwarder.on_tick()
--- a/greengageflow/daemon/host_watch.py
+++ b/greengageflow/daemon/host_watch.py
@@ -8,7 +8,7 @@
 from greengageflow.net.decision_log import DecisionLog
 from greengageflow.net.timers import Timers
 
-FULL_LINE_S = 1.0
+FULL_LOG_INTERVAL_S = 1.0
 
 
 class HostWatch:
@@ -39,7 +39,7 @@
         self._running = running
         self._waiting = waiting
         self._lateness = Lateness(period_s)
-        self._full_at = float("-inf")
+        self._last_full_log_at = float("-inf")
 
     @property
     def worst_s(self) -> float:
@@ -49,8 +49,8 @@
     def on_full(self, connections: int, gave_way: int) -> None:
         """Log, at a limited rate, that the connection limit was reached."""
         now = self._timers.now
-        if now - self._full_at >= FULL_LINE_S:
-            self._full_at = now
+        if now - self._last_full_log_at >= FULL_LOG_INTERVAL_S:
+            self._last_full_log_at = now
             self._log.write(
                 DecisionEvent.CONNECTIONS_FULL,
                 connections=connections,
--- a/greengageflow/daemon/key_watch.py
+++ b/greengageflow/daemon/key_watch.py
@@ -8,8 +8,8 @@
 from greengageflow.net.decision_events import DecisionEvent
 from greengageflow.net.decision_log import DecisionLog
 
-ASLEEP_S = 0.5
-PEER_MARGIN_S = 0.3
+MAX_TICK_GAP_S = 0.5
+PEER_AGE_MARGIN_S = 0.3
 
 
 class KeyWatch:
@@ -28,37 +28,39 @@
         self._trust = trust
         self._store = store
         self._log = log
-        self._awake_at = self._untrusted_at = now
-        self._doubt_until = 0.0
+        self._last_tick_at = self._untrusted_at = now
+        self._ignore_reports_until = 0.0
         self._trusted = False
 
-    def awake(self, now: float) -> None:
+    def on_tick(self, now: float) -> None:
         """Detect that the process was suspended; call this regularly."""
         # After a suspension the socket buffer holds reports from before it. They would
         # pass for fresh, and keys that were revoked meanwhile would be trusted.
-        if now - self._awake_at > ASLEEP_S:
-            self._doubt_until = now + ASLEEP_S
-        self._awake_at = now
+        if now - self._last_tick_at > MAX_TICK_GAP_S:
+            self._ignore_reports_until = now + MAX_TICK_GAP_S
+        self._last_tick_at = now
 
-    def confirm(self, now: float, told: float, words: Iterable[StoreReport]) -> None:
+    def confirm(
+        self, now: float, reports_now: float, reports: Iterable[StoreReport]
+    ) -> None:
         """Update the trust in keys.
 
         Args:
             now: Current time, by the clock that includes suspension.
-            told: Current time, by the clock of ``words``.
-            words: Store reports of the peers.
+            reports_now: Current time, by the clock of ``reports``.
+            reports: Store reports of the peers.
         """
         self._trust.confirm(self._store.config_confirmed_at)
-        words = list(words)
-        if words and now >= self._doubt_until:
-            known = peer_config_state(told, self._store.version, words)
-            self._trust.confirm(now - known.age_s - PEER_MARGIN_S)
+        reports = list(reports)
+        if reports and now >= self._ignore_reports_until:
+            peer_state = peer_config_state(reports_now, self._store.version, reports)
+            self._trust.confirm(now - peer_state.age_s - PEER_AGE_MARGIN_S)
         trusted = self._trust.is_trusted(now)
         if trusted != self._trusted:
             self._trusted = trusted
-            self._note(now)
+            self._log_change(now)
 
-    def _note(self, now: float) -> None:
+    def _log_change(self, now: float) -> None:
         version = self._store.version
         if self._trusted:
             after_ms = round(1000 * (now - self._untrusted_at))
--- a/greengageflow/daemon/leaving_watch.py
+++ b/greengageflow/daemon/leaving_watch.py
@@ -7,13 +7,13 @@
 from greengageflow.core.leaving_report import LeavingEndpoint, LeavingReport
 from greengageflow.net.timers import Timers
 
-AGAIN_S = 0.25
+RESEND_DELAY_S = 0.25
 """Delay before a sign is sent to all hosts once more in case of message loss, in
 seconds."""
-REPEAT_S = 1.0
-REPEAT_TO = 2
-"""Number of random hosts that get the signs every ``REPEAT_S`` seconds."""
-REPEAT_FOR_S = 60.0
+GOSSIP_INTERVAL_S = 1.0
+GOSSIP_FANOUT = 2
+"""Number of random hosts that get the signs every ``GOSSIP_INTERVAL_S`` seconds."""
+GOSSIP_DURATION_S = 60.0
 """Time for which a sign is repeated, in seconds.
 
 This serves hosts that start while the endpoint list is unavailable.
@@ -23,8 +23,8 @@
 class LeavingSender(Protocol):
     """Sends signs to other hosts, with best effort."""
 
-    def send_leaving(self, report: LeavingReport, most: int | None) -> None:
-        """Send signs to ``most`` random hosts, or to all if it is None."""
+    def send_leaving(self, report: LeavingReport, max_hosts: int | None) -> None:
+        """Send signs to ``max_hosts`` random hosts, or to all if it is None."""
 
 
 class LeavingWatch:
@@ -34,7 +34,7 @@
         endpoints: Listed endpoints.
         timers: Timer service.
         sender: Sends signs to other hosts.
-        on_left: Called with the id of a leaving endpoint and the source of the sign,
+        on_leaving: Called with the id of a leaving endpoint and the source of the sign,
             ``answer`` or ``peer``.
     """
 
@@ -43,42 +43,44 @@
         endpoints: EndpointList,
         timers: Timers,
         sender: LeavingSender,
-        on_left: Callable[[str, str], None],
+        on_leaving: Callable[[str, str], None],
     ) -> None:
         self._endpoints = endpoints
         self._timers = timers
         self._sender = sender
-        self._on_left = on_left
+        self._on_leaving = on_leaving
         self._signs: dict[LeavingEndpoint, float] = {}
 
     def start(self) -> None:
         """Begin to send the signs to random hosts periodically."""
-        self._timers.every(REPEAT_S, self._repeat)
+        self._timers.every(GOSSIP_INTERVAL_S, self._gossip)
 
     def on_answer(self, endpoint: ListedEndpoint) -> None:
         """Handle an answer in which an endpoint announced that it is leaving."""
         sign = LeavingEndpoint(endpoint.id, endpoint.born)
-        if self._take(sign, "answer"):
+        if self._apply(sign, "answer"):
             report = LeavingReport((sign,))
             self._sender.send_leaving(report, None)
-            self._timers.after(AGAIN_S, lambda: self._sender.send_leaving(report, None))
+            self._timers.after(
+                RESEND_DELAY_S, lambda: self._sender.send_leaving(report, None)
+            )
 
     def receive(self, signs: Iterable[LeavingEndpoint]) -> None:
         """Apply signs from other hosts."""
         for sign in signs:
-            self._take(sign, "peer")
+            self._apply(sign, "peer")
 
-    def _take(self, sign: LeavingEndpoint, source: str) -> bool:
+    def _apply(self, sign: LeavingEndpoint, source: str) -> bool:
         if not self._endpoints.mark_leaving(sign.endpoint, sign.born):
             return False
         self._signs[sign] = self._timers.now
-        self._on_left(sign.endpoint, source)
+        self._on_leaving(sign.endpoint, source)
         return True
 
-    def _repeat(self) -> None:
+    def _gossip(self) -> None:
         now = self._timers.now
-        for sign, at in list(self._signs.items()):
-            if now - at > REPEAT_FOR_S:
+        for sign, received_at in list(self._signs.items()):
+            if now - received_at > GOSSIP_DURATION_S:
                 del self._signs[sign]
         if self._signs:
-            self._sender.send_leaving(LeavingReport(tuple(self._signs)), REPEAT_TO)
+            self._sender.send_leaving(LeavingReport(tuple(self._signs)), GOSSIP_FANOUT)
--- a/greengageflow/daemon/placement.py
+++ b/greengageflow/daemon/placement.py
@@ -21,7 +21,7 @@
 from greengageflow.core.router_table import Hello
 from greengageflow.core.service_dispatcher import ServiceDispatcher
 from greengageflow.core.service_scheduler import Decision, Job, RefuseJob, StartJob
-from greengageflow.daemon.kept_parts import PartsAsker
+from greengageflow.daemon.cached_parts import PartsLoader
 from greengageflow.daemon.pending_placements import PendingPlacement, PlaceSender, Run
 from greengageflow.errors import ErrorKind
 from greengageflow.net.decision_events import DecisionEvent
@@ -75,7 +75,7 @@
         sender: PlaceSender,
         carry_out: Callable[[Iterable[Decision]], None],
         log: DecisionLog,
-        parts: PartsAsker,
+        parts: PartsLoader,
     ) -> None:
         self.stopping = False
         self._host = own.host
@@ -383,7 +383,7 @@
         if now - self._placer_since >= STEADY_S:
             listed = filter(None, map(self._endpoints.get, self._owned or ()))
             engines = filter(self._book.is_engine, listed)
-            self._parts.ask(e for e in engines if self._book.is_available(now, e))
+            self._parts.load(e for e in engines if self._book.is_available(now, e))
         self._carry_out(self._desk.drop_silent_hosts(now))
 
     def _release(self, now: float) -> None:
--- a/greengageflow/daemon/quarantine_store.py
+++ b/greengageflow/daemon/quarantine_store.py
@@ -22,11 +22,11 @@
 from greengageflow.platform.names import QUARANTINE_TOPIC
 from greengageflow.platform.store import StoreAnswerError, parse_newest
 
-FIRST_LOOK_S = 1.0
-LOOK_EVERY_S = 2.0
-MOST_DROPPED = 8
+FIRST_POLL_DELAY_S = 1.0
+POLL_INTERVAL_S = 2.0
+MAX_TOMBSTONES = 8
 """Maximum number of expired records that a host deletes after it has read them."""
-_DROPPED = b""
+_TOMBSTONE = b""
 
 Address = tuple[str, int]
 
@@ -58,8 +58,8 @@
         self._quarantine = quarantine
         self._is_reader = is_reader
         self._on_read = on_read
-        self._is_read = False
-        self._unwritten: dict[Fingerprint, None] = {}
+        self._was_read = False
+        self._pending_writes: dict[Fingerprint, None] = {}
         self._pages: list[KeyedRecord] = []
 
     @property
@@ -69,35 +69,35 @@
 
     def start(self) -> None:
         """Begin to poll."""
-        self._timers.after(FIRST_LOOK_S, self._look)
+        self._timers.after(FIRST_POLL_DELAY_S, self._poll)
 
     def update(self, fingerprint: Fingerprint) -> None:
         """Write a request's quarantine state, with retries until the store has it."""
-        self._unwritten[fingerprint] = None
+        self._pending_writes[fingerprint] = None
         self._write(fingerprint)
 
-    def put_again(self) -> None:
+    def rewrite(self) -> None:
         """Write all quarantined requests again, if this host is a reader."""
         if self._is_reader():
             held = self._quarantine.quarantined(self._timers.now)
-            self._unwritten.update(dict.fromkeys(held))
+            self._pending_writes.update(dict.fromkeys(held))
 
-    def _look(self) -> None:
-        for fingerprint in list(self._unwritten):
+    def _poll(self) -> None:
+        for fingerprint in list(self._pending_writes):
             self._write(fingerprint)
-        if not self._is_read and self._is_reader():
+        if not self._was_read and self._is_reader():
             self._pages = []
             self._topic.newest("", self._on_newest)
-        self._timers.after(LOOK_EVERY_S, self._look)
+        self._timers.after(POLL_INTERVAL_S, self._poll)
 
     def _write(self, fingerprint: Fingerprint) -> None:
-        def done(result: Response | Failure) -> None:
+        def on_done(result: Response | Failure) -> None:
             if isinstance(result, Response) and result.status == 200:
-                self._unwritten.pop(fingerprint, None)
+                self._pending_writes.pop(fingerprint, None)
 
         record = self._quarantine.record(self._timers.now, fingerprint)
-        value = _DROPPED if record is None else _value(record)
-        self._topic.put(fingerprint.hex(), value, done)
+        value = _TOMBSTONE if record is None else _encode_record(record)
+        self._topic.put(fingerprint.hex(), value, on_done)
 
     def _on_newest(self, result: Response | Failure) -> None:
         if isinstance(result, Failure):
@@ -110,18 +110,18 @@
         if batch.after:
             self._topic.newest(batch.after, self._on_newest)
             return
-        self._is_read = True
-        records = [one for one in map(_record, self._pages) if one is not None]
+        self._was_read = True
+        records = [r for r in map(_decode_record, self._pages) if r is not None]
         self._pages = []
         self._on_read(records)
         now = self._timers.now
         held = set(self._quarantine.quarantined(now))
-        over = [one.fingerprint for one in records if one.fingerprint not in held]
-        for fingerprint in over[:MOST_DROPPED]:
+        expired = [r.fingerprint for r in records if r.fingerprint not in held]
+        for fingerprint in expired[:MAX_TOMBSTONES]:
             self.update(fingerprint)
 
 
-def _value(record: CrashRecord) -> bytes:
+def _encode_record(record: CrashRecord) -> bytes:
     doc = {
         "crashed": record.crashed,
         "cleared": record.cleared,
@@ -130,12 +130,12 @@
     return json.dumps(doc).encode()
 
 
-def _record(row: KeyedRecord) -> CrashRecord | None:
+def _decode_record(row: KeyedRecord) -> CrashRecord | None:
     """Return a decoded record, or None if it is invalid."""
     try:
         fingerprint = bytes.fromhex(row.key)
         doc = json.loads(row.value or b"")
-        crashed, cleared = map(_names, (doc["crashed"], doc["cleared"]))
+        crashed, cleared = map(_parse_names, (doc["crashed"], doc["cleared"]))
         age_s = max(0.0, time() - doc["at_ms"] / 1000)
     except (ValueError, TypeError, LookupError, OverflowError, RecursionError):
         return None
@@ -144,7 +144,7 @@
     return CrashRecord(fingerprint, crashed, cleared, age_s)
 
 
-def _names(values: Iterable[object]) -> tuple[str, ...]:
+def _parse_names(values: Iterable[object]) -> tuple[str, ...]:
     names = tuple(values)
     if not all(isinstance(name, str) for name in names):
         raise ValueError(f"not all names are strings: {names!r}")
--- a/greengageflow/daemon/router.py
+++ b/greengageflow/daemon/router.py
@@ -21,6 +21,7 @@
 from greengageflow.core.roster import Roster
 from greengageflow.daemon.config_follower import ConfigFollower
 from greengageflow.daemon.control import Control
+from greengageflow.daemon.crash_recorders import RouterCrashRecorder
 from greengageflow.daemon.crash_watch import CrashWatch
 from greengageflow.daemon.dispatch import Dispatcher
 from greengageflow.daemon.endpoint_run import EndpointRuns
@@ -28,7 +29,6 @@
 from greengageflow.daemon.observer import Observer
 from greengageflow.daemon.order_follower import OrderFollower
 from greengageflow.daemon.program import Program
-from greengageflow.daemon.quarantine_notes import RouterQuarantineNotes
 from greengageflow.daemon.status import StatusSource
 from greengageflow.events import Event as LogEvent
 from greengageflow.events import log, setup_logging
@@ -104,7 +104,7 @@
             self._timers,
             ConnectCheck(self._timers, source_ip=settings.ip).register(self),
             self._control,
-            RouterQuarantineNotes(self._metrics),
+            RouterCrashRecorder(self._metrics),
             self._requests.on_quarantined,
         )
         self._callers = CallerServer(
--- a/greengageflow/daemon/router_registry.py
+++ b/greengageflow/daemon/router_registry.py
@@ -10,8 +10,8 @@
 from greengageflow.platform.names import ROUTERS_TOPIC
 from greengageflow.platform.store import StoreAnswerError, parse_newest
 
-LOOK_EVERY_S = 2.0
-FIRST_LOOK_S = 1.0
+POLL_INTERVAL_S = 2.0
+FIRST_POLL_DELAY_S = 1.0
 
 Address = tuple[str, int]
 
@@ -29,8 +29,8 @@
         timers: Timer service.
         store: IP number and port of the store.
         host: Name of this host.
-        own: Address where this router receives reports.
-        is_alone: Returns whether this router gets reports from no other router.
+        own_address: Address where this router receives reports.
+        is_isolated: Returns whether this router gets reports from no other router.
         is_contact: Returns whether this router is one of the few that register.
         on_found: Called with addresses of registered routers.
     """
@@ -41,19 +41,19 @@
         timers: Timers,
         store: Address,
         host: str,
-        own: Address,
+        own_address: Address,
         *,
-        is_alone: Callable[[], bool],
+        is_isolated: Callable[[], bool],
         is_contact: Callable[[], bool],
         on_found: Callable[[Iterable[Address]], None],
     ) -> None:
         self._topic = SharedTopic(pool, store, ROUTERS_TOPIC)
         self._timers = timers
         self._host = host
-        self._own = own
-        self._is_alone = is_alone
+        self._own_address = own_address
+        self._is_isolated = is_isolated
         self._is_contact = is_contact
-        self._is_put = False
+        self._is_registered = False
         self._on_found = on_found
 
     @property
@@ -63,27 +63,27 @@
 
     def start(self) -> None:
         """Begin to poll."""
-        self._timers.after(FIRST_LOOK_S, self._look)
+        self._timers.after(FIRST_POLL_DELAY_S, self._poll)
 
-    def put_again(self) -> None:
+    def rewrite(self) -> None:
         """Register again, since the store was restored without the address."""
-        self._is_put = False
+        self._is_registered = False
 
-    def _put(self) -> None:
-        self._is_put = True
-        value = f"{self._own[0]}:{self._own[1]}".encode()
-        self._topic.put(self._host, value, self._on_put)
+    def _register(self) -> None:
+        self._is_registered = True
+        value = f"{self._own_address[0]}:{self._own_address[1]}".encode()
+        self._topic.put(self._host, value, self._on_registered)
 
-    def _on_put(self, result: Response | Failure) -> None:
+    def _on_registered(self, result: Response | Failure) -> None:
         if isinstance(result, Failure) or result.status != 200:
-            self._is_put = False
+            self._is_registered = False
 
-    def _look(self) -> None:
-        if not self._is_put and self._is_contact():
-            self._put()
-        if self._is_alone():
+    def _poll(self) -> None:
+        if not self._is_registered and self._is_contact():
+            self._register()
+        if self._is_isolated():
             self._topic.newest("", self._on_newest)
-        self._timers.after(LOOK_EVERY_S, self._look)
+        self._timers.after(POLL_INTERVAL_S, self._poll)
 
     def _on_newest(self, result: Response | Failure) -> None:
         if isinstance(result, Failure):
--- a/greengageflow/daemon/shared_topic.py
+++ b/greengageflow/daemon/shared_topic.py
@@ -32,13 +32,13 @@
 
     def put(self, key: str, value: bytes, on_done: OnDone) -> None:
         """Set the value of a key; an empty value deletes the key."""
-        self._ask(*put_call(self._topic, key, value), on_done)
+        self._call(*put_call(self._topic, key, value), on_done)
 
     def newest(self, after: str, on_done: OnDone) -> None:
         """Read a page of the newest records, one per key, for keys after ``after``."""
-        self._ask(*newest_call(self._topic, after), b"", on_done)
+        self._call(*newest_call(self._topic, after), b"", on_done)
 
-    def _ask(self, method: str, target: str, body: bytes, on_done: OnDone) -> None:
+    def _call(self, method: str, target: str, body: bytes, on_done: OnDone) -> None:
         self.calls += 1
-        asked = request(self._store, method, target, body, TIMEOUT_S)
-        self._pool.fetch(asked, on_done)
+        outgoing = request(self._store, method, target, body, TIMEOUT_S)
+        self._pool.fetch(outgoing, on_done)
--- a/tests/test_kept_parts.py
+++ b/tests/test_cached_parts.py
@@ -11,7 +11,7 @@
 from greengageflow.core.service_dispatcher import ServiceDispatcher
 from greengageflow.core.service_scheduler import Job
 from greengageflow.core.work_queue import QueuedRequest
-from greengageflow.daemon.kept_parts import MOST_TRIES, KeptParts
+from greengageflow.daemon.cached_parts import MAX_ATTEMPTS, CachedPartsLoader
 from greengageflow.net.http_messages import Failure, FailureKind, Response
 
 KEPT = {"epoch": "1", "next": 0, "held": [["", "shared", 4000, "m"]]}
@@ -36,7 +36,7 @@
         self.book = ServiceDispatcher(listed, "z", lambda: FleetRetryBudget(1, 9, 10.0))
         service = Service("model", 4, memory_tokens=100_000)
         self.book.on_routing(Routing(version=1, services={"model": service}))
-        self.parts = KeptParts(self, self, self.book, self, self.left.append)
+        self.parts = CachedPartsLoader(self, self, self.book, self, self.left.append)
 
     def fetch(self, request, on_done, _limit):
         self.asked.append((request.ip, request.port, request.path))
@@ -60,7 +60,7 @@
     """After all hosts lost power, the new placer knew nothing of the engines' prefix
     caches, and shared prompt parts went through prefill again on any engine."""
     asked = Asked(Response(200, (), json.dumps(KEPT).encode()))
-    asked.parts.ask(e for e in asked.engines if e.id == name)
+    asked.parts.load(e for e in asked.engines if e.id == name)
     choice = asked.start()
     assert (choice.endpoint.id, choice.reading) == (name, 100)
     assert asked.lines == [("PARTS_LEARNED", name)]
@@ -69,7 +69,7 @@
 def test_engines_are_asked_once():
     asked = Asked(Response(200, (), json.dumps(KEPT).encode()))
     for _ in range(3):
-        asked.parts.ask(asked.engines)
+        asked.parts.load(asked.engines)
     assert len(asked.asked) == 3
 
 
@@ -78,8 +78,8 @@
 )
 def test_an_engine_that_does_not_say_is_left_alone_after_some_tries(answer):
     asked = Asked(answer)
-    asked.parts.ask(asked.engines[:1])
-    assert len(asked.asked) == MOST_TRIES
+    asked.parts.load(asked.engines[:1])
+    assert len(asked.asked) == MAX_ATTEMPTS
     assert asked.lines == [("PARTS_UNKNOWN", "e0")]
     assert asked.start() is not None
 
@@ -88,5 +88,5 @@
     body = json.dumps(KEPT).encode()
     leaving = Response(200, (("server-leaving", "1"),), body)
     asked = Asked(Response(200, (), body), leaving)
-    asked.parts.ask(asked.engines[:2])
+    asked.parts.load(asked.engines[:2])
     assert asked.left == [asked.engines[1]]
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -104,7 +104,7 @@
             self,
             self.carry_out,
             self,
-            SimpleNamespace(ask=lambda engines: self.asked.update(map(ID, engines))),
+            SimpleNamespace(load=lambda engines: self.asked.update(map(ID, engines))),
         )
         self.placement.start()
         self.every(0.25, self.round)
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -16,7 +16,7 @@
     CrashRecord,
     Quarantine,
 )
-from greengageflow.daemon.crash_watch import CHECKS_S, CrashWatch
+from greengageflow.daemon.crash_watch import CHECK_DELAYS_S, CrashWatch
 from greengageflow.net.connect_check import Reach
 from tests.test_fleet_exchange import RouterStub, fleet
 
@@ -210,14 +210,14 @@
     def send_crashes(self, records, most):
         self.sent.append((records, most))
 
-    def crashed(self, endpoint, requests):
+    def record_crash(self, endpoint, requests):
         self.lines.append(("crashed", endpoint.id, len(requests)))
 
-    def held(self, fingerprint, source, for_s):
+    def record_quarantine(self, fingerprint, source, for_s):
         assert for_s > 0
         self.lines.append(("held", fingerprint, source))
 
-    def cleared(self, fingerprint):
+    def record_clearance(self, fingerprint):
         self.lines.append(("cleared", fingerprint))
 
 
@@ -233,7 +233,7 @@
 
 
 def test_crash_is_detected_behind_a_listening_proxy():
-    closed = [Reach.CLOSED] * len(CHECKS_S)
+    closed = [Reach.CLOSED] * len(CHECK_DELAYS_S)
     harness = WatchHarness(*closed, Reach.CLOSED, Reach.LISTENS, Reach.LISTENS)
     harness.watch.on_cut(endpoint("e1"), b"poison")
     assert harness.lines == [("crashed", "e1", 1)]
@@ -243,8 +243,8 @@
 
 def test_cut_counts_as_a_crash_only_if_connections_are_refused():
     """Running endpoints and broken links reset connections as well."""
-    alive = [Reach.LISTENS] * len(CHECKS_S)
-    unknown = [Reach.UNKNOWN] * len(CHECKS_S)
+    alive = [Reach.LISTENS] * len(CHECK_DELAYS_S)
+    unknown = [Reach.UNKNOWN] * len(CHECK_DELAYS_S)
     harness = WatchHarness(*alive, *unknown, Reach.REFUSED, Reach.REFUSED)
     for name in ("e1", "e2", "e3", "e4"):
         assert not harness.held_back
@@ -283,10 +283,10 @@
     def check(self, address, on_done):
         on_done(Reach.REFUSED)
 
-    def crashed(self, endpoint, requests):
+    def record_crash(self, endpoint, requests):
         pass
 
-    def held(self, fingerprint, source, for_s):
+    def record_quarantine(self, fingerprint, source, for_s):
         pass
 
     @property
--- a/tests/test_router_registry.py
+++ b/tests/test_router_registry.py
@@ -3,7 +3,7 @@
 import json
 from base64 import b64encode
 
-from greengageflow.daemon.router_registry import FIRST_LOOK_S, RouterRegistry
+from greengageflow.daemon.router_registry import FIRST_POLL_DELAY_S, RouterRegistry
 from greengageflow.net.http_messages import Failure, FailureKind, Response
 
 OWN = ("127.0.0.1", 7000)
@@ -21,7 +21,7 @@
             ("127.0.0.1", 9),
             "r1",
             OWN,
-            is_alone=lambda: self.alone,
+            is_isolated=lambda: self.alone,
             is_contact=lambda: self.contact,
             on_found=self.found.extend,
         )
@@ -75,7 +75,7 @@
 
 def test_a_router_that_hears_nobody_looks_there_until_it_does():
     world = World(alone=True, contact=True)
-    world.run(FIRST_LOOK_S + 0.1)
+    world.run(FIRST_POLL_DELAY_S + 0.1)
     assert (world.puts, world.looks) == (1, 1)
     assert world.found == [("127.0.0.2", 7000)]
     world.alone = False
