--- a/tests/soak_seeds.py
+++ b/tests/soak_seeds.py
@@ -61,7 +61,7 @@
         "Routers that were never cut off sent to a replica for 2.6 s after it left: "
         "the reader of their zone held the removal back and told of no change.",
         "product: the mark of what was read is told at once",
-        "test_a_host_that_holds_a_removal_back_still_tells_that_it_knows_of_it",
+        "test_held_removal_still_advances_the_reported_mark",
     ),
     FailedSeed(
         210,
@@ -88,6 +88,6 @@
         "A key ran 2.39 s after it was gone: connections to the store were silent, and "
         "by the log's times the poll and its first retry both timed out after 1 s.",
         "product: a read after one that failed takes a new connection",
-        "test_a_read_after_one_that_failed_takes_a_new_connection",
+        "test_read_after_a_failed_one_uses_a_new_connection",
     ),
 )
--- a/tests/test_held_removal.py
+++ b/tests/test_held_removal.py
@@ -17,24 +17,24 @@
 }
 
 
-def test_a_host_that_holds_a_removal_back_still_tells_that_it_knows_of_it():
+def test_held_removal_still_advances_the_reported_mark():
     """After a reader was cut off from the store, it holds removals for two seconds,
     since leases may have expired. It must still report the new mark at once, so that
     peers that were not cut off read the removal. Otherwise they would send requests to
     the removed endpoint during the reader's hold."""
-    now, news = [100.0], []
-    nothing = SimpleNamespace(write=lambda *_args, **_fields: None)
+    now, reported_marks = [100.0], []
+    null_log = SimpleNamespace(write=lambda *_args, **_fields: None)
     endpoints = EndpointList()
     view = StoreView(
         None,
         SimpleNamespace(now=100.0),
         ("127.0.0.1", 1),
         endpoints,
-        nothing,
+        null_log,
         on_routing=lambda _routing: None,
         on_change=lambda _change: None,
-        on_update=lambda: news.append(view.list_mark),
-        on_read=lambda _news, _is_own: None,
+        on_update=lambda: reported_marks.append(view.list_mark),
+        on_read=lambda _update, _from_store: None,
         on_era=lambda _era: None,
         poll_interval_s=1.0,
         clock=lambda: now[0],
@@ -44,4 +44,4 @@
     now[0] += 2 * MIN_OUTAGE_S
     view.apply_list_records([KeyedRecord("app-0", None, 7)])
     assert endpoints.ids() == {"app-0"}
-    assert news == [5, 8] and view.list_mark == 8
+    assert reported_marks == [5, 8] and view.list_mark == 8
--- a/tests/test_leaving_watch.py
+++ b/tests/test_leaving_watch.py
@@ -25,9 +25,7 @@
 
 
 @pytest.mark.parametrize(("size", "zones"), [(9, 3), (60, 4)])
-def test_sign_of_leaving_reaches_all_and_those_that_start_later(
-    monkeypatch, size, zones
-):
+def test_leaving_notice_reaches_all_hosts_and_late_starters(monkeypatch, size, zones):
     """A fifth of all datagrams is lost, and the list has the endpoint as ready."""
     network, routers = fleet(monkeypatch, size, zones, loss=0.2)
     hosts = [Host(router) for router in routers]
--- a/tests/test_quarantine_store.py
+++ b/tests/test_quarantine_store.py
@@ -20,7 +20,13 @@
     def __init__(self, *, reader=False, items=()):
         self.reader, self.down, self.items = reader, False, list(items)
         self.page = 500
-        self.now, self.due, self.written, self.reads, self.read = 0.0, [], [], 0, []
+        self.now, self.timers, self.written, self.reads, self.received = (
+            0.0,
+            [],
+            [],
+            0,
+            [],
+        )
         self.quarantine = Quarantine()
         self.store = QuarantineStore(
             self,
@@ -28,16 +34,16 @@
             ("127.0.0.1", 9),
             self.quarantine,
             is_reader=lambda: self.reader,
-            on_read=self.take,
+            on_read=self.on_records,
         )
         self.store.start()
 
-    def take(self, records):
-        self.read.extend(records)
+    def on_records(self, records):
+        self.received.extend(records)
         self.quarantine.receive(self.now, records)
 
     def after(self, delay_s, call):
-        self.due.append((self.now + delay_s, call))
+        self.timers.append((self.now + delay_s, call))
 
     def fetch(self, request, on_done):
         if self.down:
@@ -51,22 +57,22 @@
             self.reads += 1
             query = parse_qs(urlsplit(request.path).query)
             after = query.get("after", [""])[0]
-            items = sorted(self.items, key=lambda one: one["key"])
-            rest = [one for one in items if one["key"] > after]
+            items = sorted(self.items, key=lambda r: r["key"])
+            rest = [r for r in items if r["key"] > after]
             page, more = rest[: self.page], len(rest) > self.page
             doc = {"items": page, "truncated": more, "end": 1}
             on_done(Response(200, (), json.dumps(doc).encode()))
 
     def run(self, seconds):
         end = self.now + seconds
-        while self.due and min(self.due, key=lambda row: row[0])[0] <= end:
-            row = min(self.due, key=lambda row: row[0])
-            self.due.remove(row)
+        while self.timers and min(self.timers, key=lambda row: row[0])[0] <= end:
+            row = min(self.timers, key=lambda row: row[0])
+            self.timers.remove(row)
             self.now = row[0]
             row[1]()
         self.now = end
 
-    def hold(self):
+    def quarantine_request(self):
         for start in ("e1", "e2"):
             crash(self.quarantine, self.now, start, FINGERPRINT)
         self.store.update(FINGERPRINT)
@@ -76,7 +82,7 @@
     return {"key": key, "value": b64encode(value).decode(), "offset": 0}
 
 
-def test_a_host_reads_once_and_only_where_it_reads_for_others():
+def test_only_readers_read_and_only_once():
     """Otherwise the start of hundreds of hosts would bring all their calls at once."""
     member, reader = World(), World(reader=True)
     for world in (member, reader):
@@ -84,66 +90,68 @@
     assert (member.reads, reader.reads) == (0, 1)
 
 
-def test_what_one_host_wrote_is_held_back_at_one_that_starts():
+def test_starting_host_quarantines_stored_requests():
     first = World()
-    first.hold()
+    first.quarantine_request()
     late = World(reader=True, items=[item(*first.written[0])])
     late.run(3)
     assert late.quarantine.quarantined(late.now) == [FINGERPRINT]
     assert not late.written
 
 
-def test_a_record_is_written_again_until_the_store_has_it():
+def test_failed_writes_are_retried():
     world = World()
     world.down = True
-    world.hold()
+    world.quarantine_request()
     world.run(30)
     world.down = False
     world.run(30)
     assert len(world.written) == 1
 
 
-def test_a_cleared_request_is_dropped_from_the_store():
+def test_cleared_request_is_deleted_from_the_store():
     world = World()
-    world.hold()
+    world.quarantine_request()
     world.quarantine.on_success(1, FINGERPRINT)
     world.store.update(FINGERPRINT)
     assert world.written[-1] == (FINGERPRINT.hex(), b"")
 
 
-def test_a_record_that_is_over_is_dropped_by_who_reads_it():
-    old = {"crashed": ["e1", "e2"], "cleared": [], "at_ms": 0}
+def test_expired_record_is_deleted_by_its_reader():
+    expired_value = {"crashed": ["e1", "e2"], "cleared": [], "at_ms": 0}
     key = FINGERPRINT.hex()
-    world = World(reader=True, items=[item(key, json.dumps(old).encode())])
+    world = World(reader=True, items=[item(key, json.dumps(expired_value).encode())])
     world.run(3)
     assert not world.quarantine.quarantined(world.now)
     assert world.written == [(key, b"")]
-    assert world.read[0].age_s > QUARANTINE_S
+    assert world.received[0].age_s > QUARANTINE_S
 
 
 def key_of(number):
     return number.to_bytes(FINGERPRINT_BYTES, "big").hex()
 
 
-def test_records_that_are_over_are_dropped_wherever_they_stand():
+def test_expired_records_are_deleted_at_any_position():
     """Expired records that came after eight valid ones were never deleted."""
-    good = World()
-    good.hold()
-    _, live = good.written[0]
-    old = json.dumps({"crashed": ["e1", "e2"], "cleared": [], "at_ms": 0}).encode()
-    items = [item(key_of(number), live) for number in range(20)]
-    world = World(reader=True, items=[*items, item(key_of(90), old)])
+    other = World()
+    other.quarantine_request()
+    _, valid_value = other.written[0]
+    expired_value = json.dumps(
+        {"crashed": ["e1", "e2"], "cleared": [], "at_ms": 0}
+    ).encode()
+    items = [item(key_of(number), valid_value) for number in range(20)]
+    world = World(reader=True, items=[*items, item(key_of(90), expired_value)])
     world.run(3)
     assert world.written == [(key_of(90), b"")]
 
 
 def test_records_on_later_pages_are_read():
     """Requests on unread pages would be run again after a loss of all hosts."""
-    good = World()
-    good.hold()
-    _, live = good.written[0]
+    other = World()
+    other.quarantine_request()
+    _, valid_value = other.written[0]
     world = World(
-        reader=True, items=[item(key_of(number), live) for number in range(7)]
+        reader=True, items=[item(key_of(number), valid_value) for number in range(7)]
     )
     world.page = 3
     world.run(3)
@@ -156,10 +164,10 @@
     "value",
     [b"", b"\xff", b"[]", b"{}", b"[" * 100_000, b'{"crashed": 1, "cleared": []}'],
 )
-def test_records_that_cannot_be_read_do_not_hide_the_others(key, value):
-    good = World()
-    good.hold()
-    world = World(reader=True, items=[item(key, value), item(*good.written[0])])
+def test_invalid_records_are_skipped(key, value):
+    other = World()
+    other.quarantine_request()
+    world = World(reader=True, items=[item(key, value), item(*other.written[0])])
     world.run(3)
     assert world.quarantine.quarantined(world.now) == [FINGERPRINT]
 
@@ -175,7 +183,7 @@
 
 
 @given(JSON)
-def test_no_value_in_a_record_ends_the_reading(value):
+def test_no_record_value_breaks_the_read(value):
     key = "00" * FINGERPRINT_BYTES
     world = World(reader=True, items=[item(key, json.dumps(value).encode())])
     world.run(3)
--- a/tests/test_router_registry.py
+++ b/tests/test_router_registry.py
@@ -14,7 +14,13 @@
 
     def __init__(self, *, alone=False, contact=False):
         self.alone, self.contact, self.down = alone, contact, False
-        self.now, self.due, self.puts, self.looks, self.found = 0.0, [], 0, 0, []
+        self.now, self.timers, self.registrations, self.lookups, self.found = (
+            0.0,
+            [],
+            0,
+            0,
+            [],
+        )
         self.registry = RouterRegistry(
             self,
             self,
@@ -28,16 +34,16 @@
         self.registry.start()
 
     def after(self, delay_s, call):
-        self.due.append((self.now + delay_s, call))
+        self.timers.append((self.now + delay_s, call))
 
     def fetch(self, request, on_done):
         if self.down:
             on_done(Failure(FailureKind.CONNECT, False, "refused"))
         elif request.method == "POST":
-            self.puts += 1
+            self.registrations += 1
             on_done(Response(200, (), b"{}"))
         else:
-            self.looks += 1
+            self.lookups += 1
             value = b64encode(b"127.0.0.2:7000").decode()
             items = [{"key": "r2", "value": value, "offset": 0}]
             doc = {"items": items, "end": 1}
@@ -45,39 +51,39 @@
 
     def run(self, seconds):
         end = self.now + seconds
-        while self.due and min(self.due, key=lambda row: row[0])[0] <= end:
-            row = min(self.due, key=lambda row: row[0])
-            self.due.remove(row)
+        while self.timers and min(self.timers, key=lambda row: row[0])[0] <= end:
+            row = min(self.timers, key=lambda row: row[0])
+            self.timers.remove(row)
             self.now = row[0]
             row[1]()
         self.now = end
 
 
-def test_only_few_routers_of_a_fleet_call_the_store_for_it():
+def test_only_contacts_call_the_store_in_a_connected_fleet():
     """Otherwise the start of hundreds of hosts would bring all their calls at once."""
     member, contact = World(), World(contact=True)
     for world in (member, contact):
         world.run(60)
-    assert (member.puts, member.looks) == (0, 0)
-    assert (contact.puts, contact.looks) == (1, 0)
+    assert (member.registrations, member.lookups) == (0, 0)
+    assert (contact.registrations, contact.lookups) == (1, 0)
 
 
-def test_who_becomes_a_contact_is_found_from_then_on():
+def test_new_contact_registers_with_retries():
     world = World()
     world.run(10)
     world.down = world.contact = True
     world.run(5)
-    assert world.puts == 0
+    assert world.registrations == 0
     world.down = False
     world.run(5)
-    assert world.puts == 1
+    assert world.registrations == 1
 
 
-def test_a_router_that_hears_nobody_looks_there_until_it_does():
+def test_isolated_router_looks_up_peers_until_it_finds_one():
     world = World(alone=True, contact=True)
     world.run(FIRST_POLL_DELAY_S + 0.1)
-    assert (world.puts, world.looks) == (1, 1)
+    assert (world.registrations, world.lookups) == (1, 1)
     assert world.found == [("127.0.0.2", 7000)]
     world.alone = False
     world.run(20)
-    assert world.looks == 1
+    assert world.lookups == 1
--- a/tests/test_store_drill.py
+++ b/tests/test_store_drill.py
@@ -26,11 +26,11 @@
         yield lab
 
 
-def drill(lab, away_s=0.5):
+def restore_store(lab, away_s=0.5):
     lab.control(lab.store, "POST", "/restore", {"away_s": away_s})
 
 
-def copy(lab):
+def copy_store(lab):
     lab.control(lab.store, "POST", "/copy")
 
 
@@ -42,23 +42,25 @@
     wait_for(lambda: lab.ask(SAFE, router, key=key).status == 200, f"{key} is good")
 
 
-def all_saw(lab, times=1):
+def wait_for_era(lab, times=1):
     wait_for(
-        lambda: all(one.stderr.count(ERA) == times for one in lab.routers.values()),
+        lambda: all(
+            process.stderr.count(ERA) == times for process in lab.routers.values()
+        ),
         "all hosts logged the new era",
     )
 
 
-def test_key_that_was_taken_away_stays_away_and_later_changes_are_in_force(lab):
+def test_revoked_key_stays_revoked_after_a_restore_and_later_changes_apply(lab):
     """The copy still has the revoked key, and the next configuration gets an offset
     that was used before."""
-    copy(lab)
+    copy_store(lab)
     lab.publish(with_key(5, SPARE))
     for router in lab.routers:
         wait_key(lab, SPARE, router)
         assert lab.ask(SAFE, router).status in (401, 503)
-    drill(lab)
-    all_saw(lab)
+    restore_store(lab)
+    wait_for_era(lab)
     for router in lab.routers:
         wait_key(lab, SPARE, router)
         assert lab.ask(SAFE, router).status in (401, 503)
@@ -69,31 +71,31 @@
         assert lab.ask(SAFE, router, key=SPARE).status in (401, 503)
 
 
-def test_requests_are_served_through_a_drill_and_two_in_a_row(lab):
-    copy(lab)
+def test_requests_are_served_during_two_restores_in_a_row(lab):
+    copy_store(lab)
     for times in (1, 2):
-        drill(lab)
+        restore_store(lab)
         for number in range(6):
             router = f"r{number % 3}"
             assert lab.ask(SAFE, router).status == 200
             headers = generation(4, ("p", 50))
             assert lab.ask(CHAT, router, headers=headers).status == 200
-        all_saw(lab, times)
+        wait_for_era(lab, times)
     for name in lab.routers:
         address = lab.settings[name]["ip"], READY_PORT
         page = call(address, "GET", "/metrics").data.decode()
         assert "greengage_store_era 3.0" in page
 
 
-def addresses(lab):
+def registered_names(lab):
     path = f"{LOG_NEWEST}?topic={ROUTERS_TOPIC}&part=0"
     return {item["key"] for item in call(lab.store.address, "GET", path).json["items"]}
 
 
-def test_what_routers_wrote_is_written_again(lab):
+def test_routers_register_again_after_a_restore(lab):
     """The settings name few hosts, so that a new host needs addresses in the store."""
-    copy(lab)
-    wait_for(lambda: addresses(lab), "addresses")
-    drill(lab)
-    all_saw(lab)
-    wait_for(lambda: addresses(lab), "addresses registered again")
+    copy_store(lab)
+    wait_for(lambda: registered_names(lab), "addresses")
+    restore_store(lab)
+    wait_for_era(lab)
+    wait_for(lambda: registered_names(lab), "addresses registered again")
--- a/tests/test_store_eras.py
+++ b/tests/test_store_eras.py
@@ -11,9 +11,9 @@
 from greengageflow.daemon.store_view import SNAPSHOT_SPREAD_S
 from greengageflow.net.http_messages import Response
 from greengageflow.platform.store import era_of_answer
-from tests.test_store_view import PACE_S, Host, Store, run
+from tests.test_store_view import POLL_INTERVAL_S, Host, Store, run
 
-KNOWN_S = PACE_S + SNAPSHOT_SPREAD_S + 1.0
+SETTLE_S = POLL_INTERVAL_S + SNAPSHOT_SPREAD_S + 1.0
 
 
 @pytest.fixture
@@ -28,8 +28,8 @@
 
 @pytest.fixture
 def hosts(store):
-    hosts = [Host(store, reads=True), Host(store), Host(store)]
-    hosts[0].mates = hosts[1:]
+    hosts = [Host(store, is_reader=True), Host(store), Host(store)]
+    hosts[0].peers = hosts[1:]
     run(store, hosts, 2)
     return hosts
 
@@ -38,7 +38,7 @@
     return [host.view.version for host in hosts]
 
 
-def known(hosts):
+def listed_ids(hosts):
     return [host.endpoints.ids() for host in hosts]
 
 
@@ -61,61 +61,63 @@
     assert era_of_answer(Response(200, headers, b"")) == era
 
 
-def test_configuration_never_goes_back_and_the_next_one_is_known(store, hosts):
+def test_restore_does_not_revert_the_configuration_and_later_ones_apply(store, hosts):
     """Offsets are reused, so that by its offset the next version would seem old."""
     copy = store.copy()
     for version in range(2, 9):
         store.config(version)
-    run(store, hosts, KNOWN_S)
+    run(store, hosts, SETTLE_S)
     store.restore(copy)
-    run(store, hosts, KNOWN_S)
+    run(store, hosts, SETTLE_S)
     assert versions(hosts) == [8, 8, 8]
     store.config(8)
     store.config(9)
-    run(store, hosts, KNOWN_S)
+    run(store, hosts, SETTLE_S)
     assert versions(hosts) == [9, 9, 9]
     assert hosts[0].versions == list(range(1, 10))
 
 
-def test_change_at_an_offset_that_is_given_out_again_is_known(store, hosts):
+def test_change_at_a_reused_offset_is_applied(store, hosts):
     copy = store.copy()
     store.endpoint("lost")
-    run(store, hosts, KNOWN_S)
+    run(store, hosts, SETTLE_S)
     store.restore(copy)
     store.endpoint("e3")
-    run(store, hosts, KNOWN_S + REMOVAL_HOLD_S)
-    assert known(hosts) == [{"e1", "e2", "e3"}] * 3
+    run(store, hosts, SETTLE_S + REMOVAL_HOLD_S)
+    assert listed_ids(hosts) == [{"e1", "e2", "e3"}] * 3
 
 
-def test_endpoints_that_the_copy_lacks_stay_until_they_are_listed_again(store, hosts):
+def test_endpoints_missing_in_the_copy_stay_until_they_register_again(store, hosts):
     copy = store.copy()
     store.endpoint("e3")
-    run(store, hosts, KNOWN_S)
+    run(store, hosts, SETTLE_S)
     store.restore(copy)
     for _ in range(20):
         run(store, hosts, 0.1)
-        assert known(hosts) == [{"e1", "e2", "e3"}] * 3
+        assert listed_ids(hosts) == [{"e1", "e2", "e3"}] * 3
     store.endpoint("e3")
-    run(store, hosts, KNOWN_S + REMOVAL_HOLD_S)
-    assert known(hosts) == [{"e1", "e2", "e3"}] * 3
+    run(store, hosts, SETTLE_S + REMOVAL_HOLD_S)
+    assert listed_ids(hosts) == [{"e1", "e2", "e3"}] * 3
 
 
-def test_endpoint_that_was_removed_is_not_used_again_by_a_copy(store, hosts):
+def test_restore_does_not_bring_back_a_removed_endpoint(store, hosts):
     """It may still serve for a while, but its requests would be cut when it ends."""
     copy = store.copy()
     store.endpoint("e2", listed=False)
-    run(store, hosts, KNOWN_S)
-    assert known(hosts) == [{"e1"}] * 3
+    run(store, hosts, SETTLE_S)
+    assert listed_ids(hosts) == [{"e1"}] * 3
     store.restore(copy)
     for _ in range(40):
         run(store, hosts, 0.1)
-        assert known(hosts) == [{"e1"}] * 3
+        assert listed_ids(hosts) == [{"e1"}] * 3
     store.endpoint("e2")
-    run(store, hosts, KNOWN_S)
-    assert known(hosts) == [{"e1", "e2"}] * 3, "registered again by the endpoint itself"
+    run(store, hosts, SETTLE_S)
+    assert listed_ids(hosts) == [{"e1", "e2"}] * 3, (
+        "registered again by the endpoint itself"
+    )
 
 
-def test_answer_that_was_on_its_way_changes_nothing(store, hosts):
+def test_answer_from_before_the_restore_is_ignored(store, hosts):
     reader = hosts[0]
     reader.stuck = True
     run(store, hosts, 1)
@@ -132,50 +134,52 @@
             reader.open.remove(call)
             call.on_done(answer)
     store.config(3)
-    run(store, hosts, KNOWN_S)
+    run(store, hosts, SETTLE_S)
     assert versions(hosts) == [3, 3, 3]
-    assert known(hosts) == [{"e1", "e2"}] * 3
+    assert listed_ids(hosts) == [{"e1", "e2"}] * 3
 
 
-def test_host_that_starts_after_the_restore_trusts_no_older_configuration(store, hosts):
+def test_host_started_after_a_restore_does_not_trust_the_older_configuration(
+    store, hosts
+):
     """The restored version has a key that a later version, known to peers, revoked."""
     copy = store.copy()
     store.config(2)
-    run(store, hosts, KNOWN_S)
+    run(store, hosts, SETTLE_S)
     store.restore(copy)
     run(store, hosts, 0.2)
     late = Host(store)
     everyone = [*hosts, late]
-    run(store, everyone, KNOWN_S)
+    run(store, everyone, SETTLE_S)
     assert late.view.version == 1
     assert late.view.config_confirmed_at == float("-inf")
     store.config(2)
-    run(store, everyone, KNOWN_S)
+    run(store, everyone, SETTLE_S)
     assert late.view.version == 2
     assert late.view.config_confirmed_at > float("-inf")
 
 
-def test_two_restores_in_a_row_and_one_that_a_host_has_not_seen(store, hosts):
+def test_two_restores_while_one_host_is_cut_off(store, hosts):
     copy = store.copy()
-    cut = hosts[2]
-    for round_ in range(2, 4):
-        cut.refused = True
-        store.config(round_)
+    cut_off = hosts[2]
+    for version in range(2, 4):
+        cut_off.refused = True
+        store.config(version)
         run(store, hosts, 1)
         store.restore(copy)
         run(store, hosts, 1)
-    cut.refused = False
+    cut_off.refused = False
     store.config(4)
     store.endpoint("e4")
-    run(store, hosts, KNOWN_S + 4)
+    run(store, hosts, SETTLE_S + 4)
     assert versions(hosts) == [4, 4, 4]
-    assert known(hosts) == [{"e1", "e2", "e4"}] * 3
+    assert listed_ids(hosts) == [{"e1", "e2", "e4"}] * 3
     assert {host.view.era for host in hosts} == {3}
 
 
-def test_hosts_that_leave_reading_to_others_read_the_list_once_and_not_together(store):
-    hosts = [Host(store, reads=True), *(Host(store) for _ in range(30))]
-    hosts[0].mates = hosts[1:]
+def test_members_spread_their_snapshot_reads_after_a_restore(store):
+    hosts = [Host(store, is_reader=True), *(Host(store) for _ in range(30))]
+    hosts[0].peers = hosts[1:]
     run(store, hosts, 4)
     copy = store.copy()
     store.endpoint("e3")
@@ -195,14 +199,14 @@
     assert {host.view.era for host in hosts} == {2}
 
 
-def test_era_is_told_once_and_logged(store, hosts):
+def test_new_era_is_reported_and_logged_once(store, hosts):
     run(store, hosts, 5)
     assert [host.eras for host in hosts] == [[], [], []]
     store.restore(store.copy())
-    run(store, hosts, KNOWN_S)
+    run(store, hosts, SETTLE_S)
     assert [host.eras for host in hosts] == [[2], [2], [2]]
     for host in hosts:
-        assert [name for name, _ in host.lines].count("STORE_ERA") == 1
+        assert [name for name, _ in host.events].count("STORE_ERA") == 1
 
 
 class Restores(RuleBasedStateMachine):
@@ -214,8 +218,12 @@
         self.version = 1
         self.store.config(1)
         self.store.endpoint("e0")
-        self.hosts = [Host(self.store, reads=True), Host(self.store), Host(self.store)]
-        self.hosts[0].mates = self.hosts[1:]
+        self.hosts = [
+            Host(self.store, is_reader=True),
+            Host(self.store),
+            Host(self.store),
+        ]
+        self.hosts[0].peers = self.hosts[1:]
         self.highest = [0, 0, 0]
         self.copies = [self.store.copy()]
         self._run(2.0)
@@ -242,7 +250,7 @@
         self.copies = self.copies[-1:]
 
     @rule(host=st.integers(0, 2), refused=st.booleans())
-    def cut(self, host, refused):
+    def cut_off(self, host, refused):
         self.hosts[host].refused = refused
 
     @rule(seconds=st.sampled_from([0.1, 0.7, 2.0]))
@@ -261,7 +269,7 @@
         self.version += 1
         self.store.config(self.version)
         self.store.endpoint("e9")
-        self._run(KNOWN_S + REMOVAL_HOLD_S + 5.0)
+        self._run(SETTLE_S + REMOVAL_HOLD_S + 5.0)
         listed = {}
         for key, value in self.store.logs["keyed.servers"]:
             listed[key] = bool(value) and json.loads(value)["state"] == "ready"
--- a/tests/test_store_return.py
+++ b/tests/test_store_return.py
@@ -14,11 +14,11 @@
     return store
 
 
-def knows(host):
+def is_up_to_date(host):
     return host.view.version == 1 and host.endpoints.ids() == {"e1"}
 
 
-def test_the_first_host_with_an_answer_spares_the_others_their_pause(store):
+def test_first_answer_ends_the_backoff_of_other_hosts(store):
     """Otherwise each host would serve nobody until its backoff ends, up to a second."""
     hosts = []
     for _ in range(4):
@@ -26,21 +26,21 @@
         run(store, hosts, 0.25)
     run(store, hosts, 4)
     store.down = False
-    while not any(map(knows, hosts)):
+    while not any(map(is_up_to_date, hosts)):
         run(store, hosts, STEP_S)
     run(store, hosts, 3 * STEP_S)
-    assert all(map(knows, hosts))
+    assert all(map(is_up_to_date, hosts))
 
 
-def test_a_host_that_the_store_turns_away_alone_asks_no_more_often(store):
+def test_host_refused_by_the_store_alone_keeps_its_backoff(store):
     """Its peers report all the time that the store answers them."""
     store.down = False
-    hosts = [Host(store, reads=True), Host(store)]
+    hosts = [Host(store, is_reader=True), Host(store)]
     run(store, hosts, 1)
-    alone = Host(store)
-    alone.refused = True
-    run(store, [*hosts, alone], 10)
-    assert len(alone.paths) <= 2 * (10 + 5)
-    alone.refused = False
-    run(store, [*hosts, alone], 1.2)
-    assert knows(alone)
+    refused_host = Host(store)
+    refused_host.refused = True
+    run(store, [*hosts, refused_host], 10)
+    assert len(refused_host.paths) <= 2 * (10 + 5)
+    refused_host.refused = False
+    run(store, [*hosts, refused_host], 1.2)
+    assert is_up_to_date(refused_host)
--- a/tests/test_store_view.py
+++ b/tests/test_store_view.py
@@ -29,8 +29,8 @@
 )
 
 STEP_S = 0.05
-LAST = {"n9", "n10", "n11"}
-PACE_S = 0.6
+STILL_LISTED = {"n9", "n10", "n11"}
+POLL_INTERVAL_S = 0.6
 
 
 class Store:
@@ -70,7 +70,7 @@
         """Compact the topics: only the newest records can still be read."""
         self.firsts = {topic: len(log) for topic, log in self.logs.items()}
 
-    def answer(self, path, asked_at):
+    def answer(self, path, called_at):
         """Return the answer to a call, or None while it long-polls for a record."""
         if self.down:
             return Failure(FailureKind.CONNECT, False, "refused")
@@ -91,7 +91,7 @@
             return Response(410, self.headers, b"")
         if (
             begin == len(log)
-            and self.now < asked_at + int(query.get("wait_ms", 0)) / 1e3
+            and self.now < called_at + int(query.get("wait_ms", 0)) / 1e3
         ):
             return None
         rows = [bytes([len(key)]) + key.encode() + value for key, value in log[begin:]]
@@ -106,11 +106,11 @@
 class Host:
     """A store view with stubs of its pool, timer service and decision log."""
 
-    def __init__(self, store, *, reads=False):
-        self.store, self.reads, self.stuck = store, reads, False
+    def __init__(self, store, *, is_reader=False):
+        self.store, self.is_reader, self.stuck = store, is_reader, False
         self.refused, self.role = False, StoreRole.MEMBER
-        self.mates, self.news_lost = [], False
-        self.kept, self.lines, self.eras = [], [], []
+        self.peers, self.drops_updates = [], False
+        self.retry_stale_flags, self.events, self.eras = [], [], []
         self.paths, self.open, self.changes, self.versions = [], [], [], []
         self.endpoints = EndpointList()
         self.view = StoreView(
@@ -122,9 +122,9 @@
             on_routing=lambda routing: self.versions.append(routing.version),
             on_change=lambda change: self.changes.append((change.what, change.id)),
             on_update=lambda: None,
-            on_read=self.pass_on,
+            on_read=self.deliver,
             on_era=self.eras.append,
-            poll_interval_s=PACE_S,
+            poll_interval_s=POLL_INTERVAL_S,
             clock=lambda: store.now,
         )
 
@@ -137,28 +137,28 @@
 
     def write(self, event, **fields):
         json.dumps(fields, allow_nan=False)
-        self.lines.append((event.name, fields.get("endpoint", "")))
+        self.events.append((event.name, fields.get("endpoint", "")))
 
     def fetch(self, request, on_done, limit):
         call = SimpleNamespace(path=request.path, at=self.now, on_done=on_done)
         call.cancel = lambda: self.open.remove(call)
         self.paths.append(request.path)
-        self.kept.append(request.retry_stale)
+        self.retry_stale_flags.append(request.retry_stale)
         self.open.append(call)
         return call
 
-    def word(self):
+    def report(self):
         view, now = self.view, self.now
         ages = now - view.config_confirmed_at, now - view.list_confirmed_at
         return StoreReport(now, view.version, view.list_mark, *ages)
 
-    def pass_on(self, news, _is_own):
-        if self.reads and not self.news_lost:
-            data = encode(news)
-            for mate in self.mates:
-                mate.view.apply_update(decode(data))
+    def deliver(self, update, _from_store):
+        if self.is_reader and not self.drops_updates:
+            data = encode(update)
+            for peer in self.peers:
+                peer.view.apply_update(decode(data))
 
-    def step(self, words):
+    def step(self, reports):
         for call in list(self.open):
             result = None if self.stuck else self.store.answer(call.path, call.at)
             if self.refused:
@@ -166,19 +166,19 @@
             if result is not None:
                 self.open.remove(call)
                 call.on_done(result)
-        role = StoreRole.READER if self.reads else self.role
-        self.view.on_tick(role, words)
+        role = StoreRole.READER if self.is_reader else self.role
+        self.view.on_tick(role, reports)
 
 
 def run(store, hosts, seconds, lost=()):
     """Run the simulation; lost hosts don't run, but their last reports stay known."""
-    last = {host: host.word() for host in lost}
+    last_reports = {host: host.report() for host in lost}
     for _ in range(round(seconds / STEP_S)):
         store.now += STEP_S
-        words = {host: host.word() for host in hosts}
+        reports = {host: host.report() for host in hosts}
         for host in hosts:
-            others = [word for other, word in words.items() if other is not host]
-            host.step([*others, *last.values()])
+            others = [report for other, report in reports.items() if other is not host]
+            host.step([*others, *last_reports.values()])
 
 
 @pytest.fixture
@@ -192,7 +192,7 @@
 
 @pytest.fixture
 def hosts(store):
-    hosts = [Host(store, reads=True), Host(store), Host(store)]
+    hosts = [Host(store, is_reader=True), Host(store), Host(store)]
     run(store, hosts, 2)
     return hosts
 
@@ -202,14 +202,14 @@
     run(store, hosts, 20)
     reader, *others = (len(h.paths) - n for h, n in zip(hosts, before, strict=True))
     assert others == [0, 0]
-    assert 2 * 20 / PACE_S - 12 <= reader <= 3 * 20 / PACE_S + 2
+    assert 2 * 20 / POLL_INTERVAL_S - 12 <= reader <= 3 * 20 / POLL_INTERVAL_S + 2
 
 
-def test_others_read_when_a_peer_knows_a_newer_mark(store, hosts):
+def test_members_read_when_a_peer_reports_a_newer_mark(store, hosts):
     before = [len(host.paths) for host in hosts]
     store.config(2)
     store.endpoint("e3")
-    run(store, hosts, PACE_S + 0.4)
+    run(store, hosts, POLL_INTERVAL_S + 0.4)
     assert [host.view.version for host in hosts] == [2, 2, 2]
     assert [host.endpoints.ids() for host in hosts] == [{"e1", "e2", "e3"}] * 3
     run(store, hosts, 5)
@@ -220,11 +220,11 @@
 @pytest.fixture
 def zone(hosts):
     """The same hosts, with updates delivered from the reader to the others."""
-    hosts[0].mates = hosts[1:]
+    hosts[0].peers = hosts[1:]
     return hosts
 
 
-def test_changes_reach_the_zone_through_its_reader_alone(store, zone):
+def test_updates_from_the_reader_save_the_members_reads(store, zone):
     """The number of store calls must not grow with hosts times changes."""
     before = [len(host.paths) for host in zone]
     for version in range(2, 12):
@@ -234,40 +234,40 @@
         run(store, zone, 1)
         store.endpoint("e1")  # repeated; changes nothing
         run(store, zone, 1)
-    run(store, zone, PACE_S + 0.4)
+    run(store, zone, POLL_INTERVAL_S + 0.4)
     assert [host.view.version for host in zone] == [11] * 3
-    assert [host.endpoints.ids() for host in zone] == [{"e1", "e2", *LAST}] * 3
+    assert [host.endpoints.ids() for host in zone] == [{"e1", "e2", *STILL_LISTED}] * 3
     assert [len(h.paths) - n for h, n in zip(zone, before, strict=True)][1:] == [0, 0]
 
 
-def test_a_host_that_missed_a_change_reads_it(store, zone):
+def test_host_that_missed_an_update_reads_the_change(store, zone):
     """A lost update must delay a removal only briefly."""
     reader, *_ = zone
-    reader.news_lost = True
+    reader.drops_updates = True
     store.endpoint("e1", listed=False)
-    run(store, zone, PACE_S + 0.2 + UPDATE_TIMEOUT_S)
+    run(store, zone, POLL_INTERVAL_S + 0.2 + UPDATE_TIMEOUT_S)
     assert [host.endpoints.ids() for host in zone] == [{"e2"}] * 3
-    reader.news_lost = False
+    reader.drops_updates = False
     before = [len(host.paths) for host in zone]
     store.endpoint("e2", listed=False)
-    run(store, zone, PACE_S + 0.4)
+    run(store, zone, POLL_INTERVAL_S + 0.4)
     assert [host.endpoints.ids() for host in zone] == [set()] * 3
     assert [len(h.paths) - n for h, n in zip(zone, before, strict=True)][1:] == [0, 0]
 
 
-def test_a_host_that_has_read_nothing_yet_takes_a_configuration(store, zone):
+def test_host_without_a_snapshot_applies_a_configuration_update(store, zone):
     """A host starts as the reader publishes a configuration. The host must apply it,
     and must still read the endpoint list, of which it has no snapshot."""
     late = Host(store)
-    zone[0].mates.append(late)
+    zone[0].peers.append(late)
     store.config(2)
-    run(store, [zone[0]], PACE_S)
+    run(store, [zone[0]], POLL_INTERVAL_S)
     assert late.view.version == 2 and late.versions == [2]
     run(store, [*zone, late], 1)
     assert late.endpoints.ids() == {"e1", "e2"}
 
 
-def test_what_a_snapshot_left_out_is_not_taken_for_known(store, zone):
+def test_removal_missing_in_the_readers_snapshot_still_reaches_members(store, zone):
     """The reader was cut off until the store had compacted a removal away, and then
     publishes a later change. Other hosts must still read the removal."""
     reader, other, _ = zone
@@ -276,29 +276,29 @@
     store.endpoint("e2")
     run(store, [reader], 2)
     store.endpoint("e3")
-    run(store, zone, PACE_S + 0.4 + UPDATE_TIMEOUT_S)
+    run(store, zone, POLL_INTERVAL_S + 0.4 + UPDATE_TIMEOUT_S)
     assert reader.endpoints.ids() == {"e2", "e3"}
     assert other.endpoints.ids() == {"e2", "e3"}
 
 
-def test_a_peer_tells_while_the_own_read_is_under_way(store, zone):
+def test_update_during_an_own_read_is_applied_once(store, zone):
     """A read and an update carry the same records; none may be applied twice or at a
     wrong offset."""
     _, other, _ = zone
     other.stuck = True
-    other.reads = True
-    run(store, zone, PACE_S + 0.1)
+    other.is_reader = True
+    run(store, zone, POLL_INTERVAL_S + 0.1)
     store.endpoint("e3")
-    run(store, zone, PACE_S + 0.1)
+    run(store, zone, POLL_INTERVAL_S + 0.1)
     assert other.endpoints.ids() == {"e1", "e2", "e3"}
     other.stuck = False
     store.endpoint("e4")
-    run(store, zone, PACE_S + 0.4)
+    run(store, zone, POLL_INTERVAL_S + 0.4)
     assert other.endpoints.ids() == {"e1", "e2", "e3", "e4"}
     assert other.view.list_mark == 4
 
 
-def test_others_read_when_nobody_has_heard_lately(store, hosts):
+def test_members_read_when_all_reports_are_stale(store, hosts):
     """The reader fails and its last report becomes stale. Whichever host reads first
     reports it to the other, so that both together read about once per stale time."""
     reader, *others = hosts
@@ -311,19 +311,19 @@
     assert 8 <= sum(len(host.paths) for host in others) - before <= 60
 
 
-def test_members_leave_reading_to_a_standby_when_the_reader_is_lost(store, hosts):
+def test_standby_reads_in_place_of_a_lost_reader(store, hosts):
     """Otherwise all hosts of a large fleet would call the store at once."""
     reader, standby, member = hosts
     standby.role = StoreRole.STANDBY
     before = len(member.paths)
     store.endpoint("e1", listed=False)
-    standby.mates = [member]
+    standby.peers = [member]
     run(store, [standby, member], 10, lost=[reader])
     assert member.endpoints.ids() == {"e2"}
     assert len(member.paths) - before <= 1
 
 
-def test_members_spare_a_store_that_is_down(store, hosts):
+def test_members_limit_their_calls_to_a_store_that_is_down(store, hosts):
     """Calls to a store that is down are useless and add up over hundreds of hosts."""
     reader, member, _ = hosts
     before = len(member.paths)
@@ -336,7 +336,7 @@
     assert [host.endpoints.ids() for host in hosts] == [{"e1", "e2", "e3"}] * 3
 
 
-def test_marks_of_a_change_are_the_same_whenever_it_is_read(store, hosts):
+def test_mark_of_a_change_does_not_depend_on_the_time_of_the_read(store, hosts):
     """A host that read past the last change must not report a higher mark for it, or
     the others would read once more without need."""
     reader, other, _ = hosts
@@ -353,7 +353,7 @@
 
 
 @pytest.mark.parametrize("forgotten", [False, True])
-def test_entries_that_vanish_in_an_outage_are_held(store, hosts, forgotten):
+def test_removals_during_an_outage_are_held(store, hosts, forgotten):
     """Leases expire while the store is down. Live endpoints register again within two
     seconds after its return; without the hold there would be none until then."""
     host = hosts[0]
@@ -372,11 +372,11 @@
     assert host.endpoints.ids() == {"e1"}
     assert host.changes == [("gone", "e2")]
     store.endpoint("e1", listed=False)
-    run(store, [host], PACE_S + 0.2)
+    run(store, [host], POLL_INTERVAL_S + 0.2)
     assert not host.endpoints.ids(), "without an outage nothing is held"
 
 
-def test_a_removal_long_after_an_outage_is_taken_at_once_by_all(store, hosts):
+def test_removal_long_after_an_outage_is_applied_at_once_by_all(store, hosts):
     """The hold must begin with the store's return, not with a host's next own read.
 
     Hosts hold removals after an outage, since leases expire in it. A host that is not a
@@ -390,11 +390,11 @@
     store.down = False
     run(store, hosts, 3)
     store.endpoint("e1", listed=False)
-    run(store, hosts, 2 * PACE_S)
+    run(store, hosts, 2 * POLL_INTERVAL_S)
     assert [host.endpoints.ids() for host in hosts] == [{"e2"}] * 3
 
 
-def test_an_entry_that_lapses_after_the_first_read_is_held_as_well(store, hosts):
+def test_removal_after_the_first_read_that_follows_an_outage_is_held(store, hosts):
     """Leases that could not be renewed may expire only after the first read that
     follows an outage; the endpoints register again a second later. Without a hold that
     counts from the store's return the fleet would have no endpoints meanwhile.
@@ -408,7 +408,7 @@
     assert [host.endpoints.ids() for host in hosts] == [{"e1", "e2"}] * 3
 
 
-def test_an_entry_that_comes_back_during_the_hold_is_known_to_all(store, hosts):
+def test_entry_listed_again_during_the_hold_reaches_all_hosts(store, hosts):
     """Readers must report an entry that is listed again within the hold, although their
     own list doesn't change. Otherwise the other hosts' last record of it remains the
     removal, and they remove it at the end of their hold. Seen after an outage: six of
@@ -426,7 +426,7 @@
     assert not any(("gone", "e1") in host.changes for host in hosts)
 
 
-def test_a_host_that_was_cut_off_alone_holds_nothing(store, hosts):
+def test_host_that_was_cut_off_alone_holds_no_removals(store, hosts):
     """The store refuses one host for seconds but serves the others. That host must not
     hold removals when it reads again, or it would send requests to endpoints that have
     left long ago."""
@@ -440,21 +440,21 @@
     assert [host.endpoints.ids() for host in hosts] == [{"e2"}] * 3
 
 
-def test_lines_tell_when_the_list_was_lost_and_what_was_held(store, hosts):
+def test_list_outages_and_held_removals_are_logged(store, hosts):
     """The decision log must show list outages and held removals; without these events a
     held removal looks like a delayed one."""
     host = hosts[0]
-    host.lines.clear()
+    host.events.clear()
     store.down = True
     run(store, [host], 3)
     store.endpoint("e1", listed=False)
     store.down = False
     run(store, [host], REMOVAL_HOLD_S + 1.5)
-    lines = [line for line in host.lines if not line[0].startswith("STORE_")]
-    assert lines == [("LIST_LOST", ""), ("ENDPOINT_HELD", "e1"), ("LIST_REGAINED", "")]
+    events = [line for line in host.events if not line[0].startswith("STORE_")]
+    assert events == [("LIST_LOST", ""), ("ENDPOINT_HELD", "e1"), ("LIST_REGAINED", "")]
 
 
-def test_forgotten_records_lead_to_a_new_snapshot(store, hosts):
+def test_compacted_records_lead_to_a_new_snapshot(store, hosts):
     host = hosts[0]
     store.endpoint("e1", listed=False)
     store.endpoint("e3")
@@ -468,7 +468,7 @@
     assert sum(path.startswith(LOG_NEWEST) for path in host.paths) == 4
 
 
-def test_call_without_an_end_is_given_up(store, hosts):
+def test_overdue_call_is_cancelled(store, hosts):
     """Otherwise a call that never ends would keep the host from ever reading again."""
     host = hosts[0]
     host.stuck = True
@@ -483,7 +483,7 @@
     assert host.view.version == 2
 
 
-def test_configuration_never_becomes_an_older_one(store, hosts):
+def test_older_configuration_is_ignored(store, hosts):
     for version in (4, 3, 2, 4):
         store.config(version)
         run(store, hosts, 1)
@@ -493,7 +493,7 @@
         assert host.view.version == 4 and host.versions == [1, 4]
 
 
-def test_snapshot_after_an_outage_brings_no_older_configuration(store, hosts):
+def test_older_configuration_in_a_snapshot_is_ignored(store, hosts):
     store.config(4)
     run(store, hosts, 1)
     store.config(3)
@@ -502,15 +502,15 @@
     assert [host.view.version for host in hosts] == [4, 4, 4]
 
 
-def test_a_read_after_one_that_failed_takes_a_new_connection(store, hosts):
+def test_read_after_a_failed_one_uses_a_new_connection(store, hosts):
     """All pooled connections to the store are dead. A retry on another one would time
     out as well, and revoked keys would be accepted for longer."""
     host = hosts[0]
     run(store, hosts, 1.0)
-    host.kept.clear()
+    host.retry_stale_flags.clear()
     store.down = True
     run(store, hosts, 3.0)
-    assert host.kept and not any(host.kept[2:])
+    assert host.retry_stale_flags and not any(host.retry_stale_flags[2:])
     store.down = False
     run(store, hosts, 3.0)
-    assert host.kept[-1]
+    assert host.retry_stale_flags[-1]
