--- a/greengageflow/daemon/store_view.py
+++ b/greengageflow/daemon/store_view.py
@@ -399,7 +399,7 @@
             return self._remove(record.key)
         endpoint = self._parse_endpoint(record)
         if endpoint is None:
-            # The newest record is valid even if unreadable: it replaced the old one.
+            # An invalid record still replaces the earlier one of the endpoint.
             return self._remove(record.key)
         self._held_removals.pop(endpoint.id, None)
         return self._endpoints.put(endpoint)
