--- a/greengageflow/daemon/crash_watch.py
+++ b/greengageflow/daemon/crash_watch.py
@@ -90,7 +90,7 @@
         sender: Sends records to other hosts.
         recorder: Logs and counts.
         on_quarantined: Called with newly quarantined requests.
-        on_decided: Called with each request that this host itself found to be
+        on_quarantine_change: Called with each request that this host itself found to be
             quarantined, or to be quarantined no more.
     """
 
@@ -102,7 +102,7 @@
         sender: CrashReportSender,
         recorder: CrashRecorder,
         on_quarantined: Callable[[frozenset[Fingerprint]], None],
-        on_decided: Callable[[Fingerprint], None] = lambda _fingerprint: None,
+        on_quarantine_change: Callable[[Fingerprint], None] = lambda _fingerprint: None,
     ) -> None:
         self._quarantine = quarantine
         self._timers = timers
@@ -110,7 +110,7 @@
         self._sender = sender
         self._recorder = recorder
         self._on_quarantined = on_quarantined
-        self._on_decided = on_decided
+        self._on_quarantine_change = on_quarantine_change
         self._checking: set[str] = set()
 
     def start(self) -> None:
@@ -148,29 +148,31 @@
         before = set(self._quarantine.quarantined(now))
         suspects = self._quarantine.on_crash(now, endpoint.start)
         self._recorder.record_crash(endpoint, suspects)
-        held = set(self._quarantine.quarantined(now)) - before
-        self._log_quarantined(held, "crash")
+        fingerprints = set(self._quarantine.quarantined(now)) - before
+        self._report_quarantined(fingerprints, "crash")
         self._send_all()
-        for fingerprint in held:
-            self._on_decided(fingerprint)
+        for fingerprint in fingerprints:
+            self._on_quarantine_change(fingerprint)
 
-    def on_good_answer(self, fingerprint: Fingerprint) -> None:
+    def on_successful_answer(self, fingerprint: Fingerprint) -> None:
         """Handle a successful answer to a request."""
         now = self._timers.now
-        was_held = self._quarantine.record(now, fingerprint) is not None
+        was_quarantined = self._quarantine.record(now, fingerprint) is not None
         if self._quarantine.on_success(now, fingerprint):
             self._recorder.record_clearance(fingerprint)
             self._send_all()
-            if was_held:
-                self._on_decided(fingerprint)
+            if was_quarantined:
+                self._on_quarantine_change(fingerprint)
 
     def receive(self, records: Iterable[CrashRecord]) -> None:
         """Merge the records of another host."""
-        held = self._quarantine.receive(self._timers.now, records)
-        self._log_quarantined(held, "peer")
+        fingerprints = self._quarantine.receive(self._timers.now, records)
+        self._report_quarantined(fingerprints, "peer")
 
-    def _log_quarantined(self, held: Iterable[Fingerprint], source: str) -> None:
-        found = frozenset(held)
+    def _report_quarantined(
+        self, fingerprints: Iterable[Fingerprint], source: str
+    ) -> None:
+        found = frozenset(fingerprints)
         for fingerprint in found:
             left_s = self._quarantine.remaining_s(self._timers.now, fingerprint)
             self._recorder.record_quarantine(fingerprint, source, left_s)
--- a/greengageflow/daemon/dispatch.py
+++ b/greengageflow/daemon/dispatch.py
@@ -325,7 +325,7 @@
                 self._cut(flight, end)
 
     def _complete(self, flight: Flight, end: Completed) -> None:
-        self.crashes.on_good_answer(flight.fingerprint)
+        self.crashes.on_successful_answer(flight.fingerprint)
         served = end.usage.completion_tokens if end.usage else flight.pieces
         self._give_back(flight.grant, flight, served=float(served))
         self._runs.answer_completed(flight, end)
@@ -338,7 +338,7 @@
         if end.leaving:
             self._on_leaving(flight.endpoint.name, "answer")
         if end.status < HTTPStatus.MULTIPLE_CHOICES:
-            self.crashes.on_good_answer(flight.fingerprint)
+            self.crashes.on_successful_answer(flight.fingerprint)
         self._give_back(
             flight.grant, flight, served=flight.cost, backoff_s=end.backoff_s
         )
--- a/greengageflow/daemon/forwarder.py
+++ b/greengageflow/daemon/forwarder.py
@@ -262,7 +262,7 @@
         self.placement.answered(flight.id, endpoint, good)
         self.placement.left(flight.id, endpoint)
         if note.good:
-            self.crashes.on_good_answer(flight.fingerprint)
+            self.crashes.on_successful_answer(flight.fingerprint)
         if not spoiled and note.status < 500:
             self._answer(flight, body)
         elif flight.repeatable and flight.runs_left and self._go_on(flight, "failed"):
@@ -329,7 +329,7 @@
         """Note that a stream ended in order."""
         head = flight.attempt.head
         self.placement.left(flight.id, flight.attempt.endpoint)
-        self.crashes.on_good_answer(flight.fingerprint)
+        self.crashes.on_successful_answer(flight.fingerprint)
         if flight.phase is not Phase.STREAMING:
             flight.reply.begin(head.status, headers_for_caller(head))
         else:
--- a/greengageflow/daemon/store_view.py
+++ b/greengageflow/daemon/store_view.py
@@ -148,7 +148,7 @@
         """
         now = self._timers.now
         self._role = role
-        reads = role is StoreRole.READER
+        is_reader = role is StoreRole.READER
         self._config_follower.cancel_overdue_read()
         self._list_follower.cancel_overdue_read()
         peer_state = peer_config_state(now, self.version, reports)
@@ -157,7 +157,7 @@
         if is_behind:
             self._config_follower.skip_backoff()
         if self._config_follower.can_read:
-            without_updates = reads or not self._config_follower.has_snapshot
+            without_updates = is_reader or not self._config_follower.has_snapshot
             must_catch_up = self._config_catch_up.is_due(
                 now, is_behind, without_updates
             )
@@ -167,7 +167,7 @@
             is_stale = confirmed_age_s > self._stale_s and self._may_read(
                 self._config_follower, reports
             )
-            if reads and not must_catch_up:
+            if is_reader and not must_catch_up:
                 # A long poll over the whole interval would be confirmed only after two
                 # intervals. By then the state is stale and all other hosts read too.
                 self._config_follower.read(self._poll_interval_s / 2)
@@ -180,14 +180,14 @@
         if self._list_follower.can_read and not self._delays_snapshot(
             now, era_of(peer_state.mark)
         ):
-            without_updates = reads or not self._list_follower.has_snapshot
+            without_updates = is_reader or not self._list_follower.has_snapshot
             must_catch_up = self._list_catch_up.is_due(now, is_behind, without_updates)
             confirmed_age_s = min(peer_state.age_s, self._age_s(self.list_confirmed_at))
             is_stale = confirmed_age_s > self._stale_s and self._may_read(
                 self._list_follower, reports
             )
             poll_is_due = (
-                reads
+                is_reader
                 and self._age_s(self._list_follower.last_call_at)
                 >= self._poll_interval_s
             )
