--- a/greengageflow/daemon/leaving_watch.py
+++ b/greengageflow/daemon/leaving_watch.py
@@ -8,23 +8,23 @@
 from greengageflow.net.timers import Timers
 
 RESEND_DELAY_S = 0.25
-"""Delay before a sign is sent to all hosts once more in case of message loss, in
+"""Delay before a notice is sent to all hosts once more in case of message loss, in
 seconds."""
 GOSSIP_INTERVAL_S = 1.0
 GOSSIP_FANOUT = 2
-"""Number of random hosts that get the signs every ``GOSSIP_INTERVAL_S`` seconds."""
+"""Number of random hosts that get the notices every ``GOSSIP_INTERVAL_S`` seconds."""
 GOSSIP_DURATION_S = 60.0
-"""Time for which a sign is repeated, in seconds.
+"""Time for which a notice is repeated, in seconds.
 
 This serves hosts that start while the endpoint list is unavailable.
 """
 
 
 class LeavingSender(Protocol):
-    """Sends signs to other hosts, with best effort."""
+    """Sends notices to other hosts, with best effort."""
 
     def send_leaving(self, report: LeavingReport, max_hosts: int | None) -> None:
-        """Send signs to ``max_hosts`` random hosts, or to all if it is None."""
+        """Send notices to ``max_hosts`` random hosts, or to all if it is None."""
 
 
 class LeavingWatch:
@@ -33,8 +33,8 @@
     Args:
         endpoints: Listed endpoints.
         timers: Timer service.
-        sender: Sends signs to other hosts.
-        on_leaving: Called with the id of a leaving endpoint and the source of the sign,
+        sender: Sends notices to other hosts.
+        on_leaving: Called with the id of a leaving endpoint and the source of it,
             ``answer`` or ``peer``.
     """
 
@@ -52,7 +52,7 @@
         self._signs: dict[LeavingEndpoint, float] = {}
 
     def start(self) -> None:
-        """Begin to send the signs to random hosts periodically."""
+        """Begin to send the notices to random hosts periodically."""
         self._timers.every(GOSSIP_INTERVAL_S, self._gossip)
 
     def on_answer(self, endpoint: ListedEndpoint) -> None:
@@ -66,7 +66,7 @@
             )
 
     def receive(self, signs: Iterable[LeavingEndpoint]) -> None:
-        """Apply signs from other hosts."""
+        """Apply notices from other hosts."""
         for sign in signs:
             self._apply(sign, "peer")
 
