--- a/greengageflow/daemon/cached_parts.py
+++ b/greengageflow/daemon/cached_parts.py
@@ -44,7 +44,7 @@
     Args:
         pool: Sends the calls.
         timers: Timer service.
-        book: Gets the cached parts.
+        dispatcher: Gets the cached parts.
         log: Gets an event for each engine.
         on_leaving: Called with an engine that reports in its answer that it leaves.
     """
@@ -53,13 +53,13 @@
         self,
         pool: HttpPool,
         timers: Timers,
-        book: ServiceDispatcher,
+        dispatcher: ServiceDispatcher,
         log: DecisionLog,
         on_leaving: Callable[[ListedEndpoint], None],
     ) -> None:
         self._pool = pool
         self._timers = timers
-        self._book = book
+        self._dispatcher = dispatcher
         self._log = log
         self._on_leaving = on_leaving
         self._queried: set[str] = set()
@@ -96,7 +96,7 @@
                 DecisionEvent.PARTS_UNKNOWN, endpoint=engine.id, why=str(exc)
             )
             return
-        self._book.on_cached_parts(self._timers.now, engine, parts)
+        self._dispatcher.on_cached_parts(self._timers.now, engine, parts)
         self._log.write(
             DecisionEvent.PARTS_LEARNED, endpoint=engine.id, parts=len(parts)
         )
--- a/greengageflow/daemon/endpoint_watch.py
+++ b/greengageflow/daemon/endpoint_watch.py
@@ -59,7 +59,7 @@
         self._owner = owner
         self._owns = owns
         self._left_generation = left_generation
-        self._reports = LeavingReportFilter(MAX_STALE_REPORTS)
+        self._report_filter = LeavingReportFilter(MAX_STALE_REPORTS)
         self._on_leaving = on_leaving
         self._interval_s = interval_s
         self._cfg = FleetConfig()
@@ -83,7 +83,7 @@
         current = self._cfg.endpoints.get(polled.name)
         if current is None or current.generation != polled.generation:
             return False
-        return self._reports.accept(
+        return self._report_filter.accept(
             current, self._left_generation(polled.name), leaving=leaving
         )
 
--- a/greengageflow/daemon/leaving_watch.py
+++ b/greengageflow/daemon/leaving_watch.py
@@ -49,7 +49,7 @@
         self._timers = timers
         self._sender = sender
         self._on_leaving = on_leaving
-        self._signs: dict[LeavingEndpoint, float] = {}
+        self._notices: dict[LeavingEndpoint, float] = {}
 
     def start(self) -> None:
         """Begin to send the notices to random hosts periodically."""
@@ -57,30 +57,32 @@
 
     def on_answer(self, endpoint: ListedEndpoint) -> None:
         """Handle an answer in which an endpoint announced that it is leaving."""
-        sign = LeavingEndpoint(endpoint.id, endpoint.born)
-        if self._apply(sign, "answer"):
-            report = LeavingReport((sign,))
+        notice = LeavingEndpoint(endpoint.id, endpoint.born)
+        if self._apply(notice, "answer"):
+            report = LeavingReport((notice,))
             self._sender.send_leaving(report, None)
             self._timers.after(
                 RESEND_DELAY_S, lambda: self._sender.send_leaving(report, None)
             )
 
-    def receive(self, signs: Iterable[LeavingEndpoint]) -> None:
+    def receive(self, notices: Iterable[LeavingEndpoint]) -> None:
         """Apply notices from other hosts."""
-        for sign in signs:
-            self._apply(sign, "peer")
+        for notice in notices:
+            self._apply(notice, "peer")
 
-    def _apply(self, sign: LeavingEndpoint, source: str) -> bool:
-        if not self._endpoints.mark_leaving(sign.endpoint, sign.born):
+    def _apply(self, notice: LeavingEndpoint, source: str) -> bool:
+        if not self._endpoints.mark_leaving(notice.endpoint, notice.born):
             return False
-        self._signs[sign] = self._timers.now
-        self._on_leaving(sign.endpoint, source)
+        self._notices[notice] = self._timers.now
+        self._on_leaving(notice.endpoint, source)
         return True
 
     def _gossip(self) -> None:
         now = self._timers.now
-        for sign, received_at in list(self._signs.items()):
+        for notice, received_at in list(self._notices.items()):
             if now - received_at > GOSSIP_DURATION_S:
-                del self._signs[sign]
-        if self._signs:
-            self._sender.send_leaving(LeavingReport(tuple(self._signs)), GOSSIP_FANOUT)
+                del self._notices[notice]
+        if self._notices:
+            self._sender.send_leaving(
+                LeavingReport(tuple(self._notices)), GOSSIP_FANOUT
+            )
--- a/tests/test_cached_parts.py
+++ b/tests/test_cached_parts.py
@@ -33,11 +33,13 @@
         listed = EndpointList()
         for engine in self.engines:
             list(listed.put(engine))
-        self.book = ServiceDispatcher(listed, "z", lambda: FleetRetryBudget(1, 9, 10.0))
+        self.dispatcher = ServiceDispatcher(
+            listed, "z", lambda: FleetRetryBudget(1, 9, 10.0)
+        )
         service = Service("model", 4, memory_tokens=100_000)
-        self.book.on_routing(Routing(version=1, services={"model": service}))
+        self.dispatcher.on_routing(Routing(version=1, services={"model": service}))
         self.parts = CachedPartsLoader(
-            self, self, self.book, self, self.leaving_engines.append
+            self, self, self.dispatcher, self, self.leaving_engines.append
         )
 
     def fetch(self, request, on_done, _limit):
@@ -53,7 +55,7 @@
     def place(self):
         """Return the placement of a request that has the shared part."""
         job = Job(QueuedRequest("r", "a", 1.0, 0, 1.0, 2.0, 1.5), 1.0, PROMPT)
-        (decision,) = self.book.submit(1.0, "model", job, "a")
+        (decision,) = self.dispatcher.submit(1.0, "model", job, "a")
         return decision.choice
 
 
