--- a/greengageflow/daemon/leaving_watch.py
+++ b/greengageflow/daemon/leaving_watch.py
@@ -34,7 +34,7 @@
         endpoints: Listed endpoints.
         timers: Timer service.
         sender: Sends notices to other hosts.
-        on_leaving: Called with the id of a leaving endpoint and the source of it,
+        on_leaving: Called with the id of a leaving endpoint and the notice's source,
             ``answer`` or ``peer``.
     """
 
