--- a/greengageflow/daemon/quarantine_notes.py
+++ b/greengageflow/daemon/crash_recorders.py
@@ -1,4 +1,4 @@
-"""Writes down crashes of endpoints and requests that are held back for them."""
+"""Logs and counts endpoint crashes and the requests quarantined for them."""
 
 from greengageflow.core.quarantine import Fingerprint, short_digest
 from greengageflow.daemon.crash_watch import EndpointStart
@@ -8,36 +8,38 @@
 from greengageflow.net.decision_log import DecisionLog
 from greengageflow.net.metrics_page import MetricsPage, PageMetric
 
-MOST_DIGESTS = 8
+MAX_LOGGED_DIGESTS = 8
 
 
-class QuarantineNotes:
-    """Notes of ``CrashWatch`` in the decision log and on the metrics page.
+class GatewayCrashRecorder:
+    """Reports on ``CrashWatch`` in the decision log and on the metrics page.
 
     Args:
-        log: Takes the lines.
-        page: Takes the counts.
+        log: Gets the events.
+        page: Gets the counts.
     """
 
     def __init__(self, log: DecisionLog, page: MetricsPage) -> None:
         self._log = log
         self._page = page
 
-    def crashed(
+    def record_crash(
         self, endpoint: EndpointStart, requests: frozenset[Fingerprint]
     ) -> None:
-        """Note a crash and the requests that may have caused it."""
+        """Record a crash and the requests that may have caused it."""
         self._page.count(PageMetric.ENDPOINT_CRASHES, endpoint.service)
         digests = sorted(map(short_digest, requests))
         self._log.write(
             DecisionEvent.ENDPOINT_CRASHED,
             endpoint=endpoint.id,
             requests=len(digests),
-            digests=" ".join(digests[:MOST_DIGESTS]),
+            digests=" ".join(digests[:MAX_LOGGED_DIGESTS]),
         )
 
-    def held(self, fingerprint: Fingerprint, source: str, for_s: float) -> None:
-        """Note that a request is held back."""
+    def record_quarantine(
+        self, fingerprint: Fingerprint, source: str, for_s: float
+    ) -> None:
+        """Record that a request is quarantined."""
         self._log.write(
             DecisionEvent.QUARANTINED,
             digest=short_digest(fingerprint),
@@ -45,38 +47,40 @@
             for_ms=round(1000 * for_s),
         )
 
-    def cleared(self, fingerprint: Fingerprint) -> None:
-        """Note that a good answer has cleared a request."""
+    def record_clearance(self, fingerprint: Fingerprint) -> None:
+        """Record that a successful answer has cleared a request."""
         self._log.write(
             DecisionEvent.QUARANTINE_CLEARED, digest=short_digest(fingerprint)
         )
 
 
-class RouterQuarantineNotes:
-    """The same on the product's own interface, as events and by statsd.
+class RouterCrashRecorder:
+    """Reports on ``CrashWatch`` as log events and by statsd, for the product's own API.
 
     Args:
-        metrics: Takes the counts.
+        metrics: Gets the counts.
     """
 
     def __init__(self, metrics: Metrics) -> None:
         self._metrics = metrics
 
-    def crashed(
+    def record_crash(
         self, endpoint: EndpointStart, requests: frozenset[Fingerprint]
     ) -> None:
-        """Note a crash and the requests that may have caused it."""
+        """Record a crash and the requests that may have caused it."""
         self._metrics.count(Metric.ENDPOINT_CRASHES, part=endpoint.id)
         digests = sorted(map(short_digest, requests))
         log(
             Event.ENDPOINT_CRASHED,
             endpoint=endpoint.id,
             requests=len(digests),
-            digests=" ".join(digests[:MOST_DIGESTS]),
+            digests=" ".join(digests[:MAX_LOGGED_DIGESTS]),
         )
 
-    def held(self, fingerprint: Fingerprint, source: str, for_s: float) -> None:
-        """Note that a request is held back."""
+    def record_quarantine(
+        self, fingerprint: Fingerprint, source: str, for_s: float
+    ) -> None:
+        """Record that a request is quarantined."""
         log(
             Event.QUARANTINED,
             digest=short_digest(fingerprint),
@@ -84,6 +88,6 @@
             seconds=for_s,
         )
 
-    def cleared(self, fingerprint: Fingerprint) -> None:
-        """Note that a good answer has cleared a request."""
+    def record_clearance(self, fingerprint: Fingerprint) -> None:
+        """Record that a successful answer has cleared a request."""
         log(Event.QUARANTINE_CLEARED, digest=short_digest(fingerprint))
--- a/greengageflow/daemon/crash_watch.py
+++ b/greengageflow/daemon/crash_watch.py
@@ -1,4 +1,4 @@
-"""Finds requests that crash endpoints, and holds them back at all hosts."""
+"""Detects requests that crash endpoints, and quarantines them on all hosts."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
@@ -8,19 +8,23 @@
 from greengageflow.net.connect_check import Address, ConnectResult
 from greengageflow.net.timers import Timers
 
-CHECKS_S = (0.01, 0.1, 0.4)
-"""Seconds to wait before each look for an endpoint that cut a request.
+CHECK_DELAYS_S = (0.01, 0.1, 0.4)
+"""Delays before each reachability check of an endpoint that cut a request, in seconds.
 
-A process that ends may close its listener a while after its connections.
+A process that ends may close its listener some time after its connections.
 """
-AGAIN_S = 0.25
-"""Seconds after which all hosts get the records once more, against lost messages."""
-REPEAT_S = 1.0
-REPEAT_TO = 2
-"""Hosts drawn at random that get the records each ``REPEAT_S``; a host that starts and
-one that missed all else know them within seconds, at any number of hosts."""
-CHANGED_S = 10.0
-MOST_SENT = 128
+RESEND_DELAY_S = 0.25
+"""Delay before records are sent to all hosts once more in case of message loss, in
+seconds."""
+GOSSIP_INTERVAL_S = 1.0
+GOSSIP_FANOUT = 2
+"""Number of random hosts that get the records every ``GOSSIP_INTERVAL_S`` seconds.
+
+Hosts that start, or that missed all other messages, learn the records within seconds,
+whatever the number of hosts.
+"""
+RECENT_CHANGE_S = 10.0
+MAX_SENT_RECORDS = 128
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,9 +32,9 @@
     """One start of an endpoint.
 
     Args:
-        id: Names the endpoint.
-        start: Names this start of it.
-        service: Service that it belongs to.
+        id: Id of the endpoint.
+        start: Id of this start of it.
+        service: Service that the endpoint belongs to.
         address: IP number and port.
     """
 
@@ -41,49 +45,53 @@
 
 
 class Reachability(Protocol):
-    """Tells whether a process listens at an address."""
+    """Checks whether a process listens at an address."""
 
     def check(self, address: Address, on_done: Callable[[ConnectResult], None]) -> None:
         """Call ``on_done`` once with the outcome."""
 
 
 class CrashReportSender(Protocol):
-    """Carries records to other hosts, at best effort."""
+    """Sends crash records to other hosts, with best effort."""
 
-    def send_crashes(self, records: tuple[CrashRecord, ...], most: int | None) -> None:
-        """Send records to ``most`` hosts drawn at random; None for all."""
+    def send_crashes(
+        self, records: tuple[CrashRecord, ...], max_hosts: int | None
+    ) -> None:
+        """Send records to ``max_hosts`` random hosts, or to all if it is None."""
 
 
-class CrashNotes(Protocol):
-    """Writes down what is found out."""
+class CrashRecorder(Protocol):
+    """Logs and counts crashes and quarantined requests."""
 
-    def crashed(
+    def record_crash(
         self, endpoint: EndpointStart, requests: frozenset[Fingerprint]
     ) -> None:
-        """Note a crash and the requests that may have caused it."""
+        """Record a crash and the requests that may have caused it."""
 
-    def held(self, fingerprint: Fingerprint, source: str, for_s: float) -> None:
-        """Note that a request is held back; ``source`` is ``crash`` or ``peer``."""
+    def record_quarantine(
+        self, fingerprint: Fingerprint, source: str, for_s: float
+    ) -> None:
+        """Record that a request is quarantined; ``source`` is ``crash`` or ``peer``."""
 
-    def cleared(self, fingerprint: Fingerprint) -> None:
-        """Note that a good answer has cleared a request."""
+    def record_clearance(self, fingerprint: Fingerprint) -> None:
+        """Record that a successful answer has cleared a request."""
 
 
 class CrashWatch:
-    """Decides whether endpoints that cut requests crashed, and tells other hosts.
+    """Detects whether endpoints that cut requests crashed, and notifies other hosts.
 
-    A request that is cut says little: connections are reset for many reasons. If
-    connections are refused right after it, the process has ended.
+    A cut request alone is no evidence, since connections are reset for many reasons. If
+    the endpoint refuses connections right afterwards, its process has ended.
 
     Args:
-        quarantine: Keeps what is known.
+        quarantine: Keeps the crash records.
         timers: Timer service.
-        reachability: Looks for endpoints.
-        sender: Tells other hosts.
-        notes: Logs and counts.
-        on_quarantined: Takes requests that are held back from now on.
-        on_decided: Takes requests of which this host found out that they are held back,
-            or are no more.
+        reachability: Checks endpoints.
+        sender: Sends records to other hosts.
+        recorder: Logs and counts.
+        on_quarantined: Called with newly quarantined requests.
+        on_quarantine_change: Called with each request that this host itself found to be
+            quarantined, or to be quarantined no more.
     """
 
     def __init__(
@@ -92,44 +100,46 @@
         timers: Timers,
         reachability: Reachability,
         sender: CrashReportSender,
-        notes: CrashNotes,
+        recorder: CrashRecorder,
         on_quarantined: Callable[[frozenset[Fingerprint]], None],
-        on_decided: Callable[[Fingerprint], None] = lambda _fingerprint: None,
+        on_quarantine_change: Callable[[Fingerprint], None] = lambda _fingerprint: None,
     ) -> None:
         self._quarantine = quarantine
         self._timers = timers
         self._reachability = reachability
         self._sender = sender
-        self._notes = notes
+        self._recorder = recorder
         self._on_quarantined = on_quarantined
-        self._on_decided = on_decided
+        self._on_quarantine_change = on_quarantine_change
         self._checking: set[str] = set()
 
     def start(self) -> None:
-        """Begin to repeat to other hosts what is known."""
-        self._timers.every(REPEAT_S, self._repeat)
+        """Begin to send the records to random hosts periodically."""
+        self._timers.every(GOSSIP_INTERVAL_S, self._gossip)
 
     def on_cut(self, endpoint: EndpointStart, fingerprint: Fingerprint) -> None:
-        """Note that an endpoint cut a request that it may have begun to run."""
+        """Handle a request that was cut after the endpoint may have started it."""
         start = endpoint.start
         self._quarantine.add_suspect(self._timers.now, start, fingerprint)
         if start not in self._checking:
             self._checking.add(start)
-            self._check_after(CHECKS_S, endpoint)
+            self._check_after(CHECK_DELAYS_S, endpoint)
 
-    def _check_after(self, waits_s: tuple[float, ...], endpoint: EndpointStart) -> None:
+    def _check_after(
+        self, delays_s: tuple[float, ...], endpoint: EndpointStart
+    ) -> None:
         def check() -> None:
-            self._reachability.check(endpoint.address, done)
+            self._reachability.check(endpoint.address, on_reach)
 
-        def done(result: ConnectResult) -> None:
-            if result is not ConnectResult.REFUSED and waits_s[1:]:
-                self._check_after(waits_s[1:], endpoint)
+        def on_reach(result: ConnectResult) -> None:
+            if result is not ConnectResult.REFUSED and delays_s[1:]:
+                self._check_after(delays_s[1:], endpoint)
             else:
-                self._settle(endpoint, result)
+                self._on_checked(endpoint, result)
 
-        self._timers.after(waits_s[0], check)
+        self._timers.after(delays_s[0], check)
 
-    def _settle(self, endpoint: EndpointStart, result: ConnectResult) -> None:
+    def _on_checked(self, endpoint: EndpointStart, result: ConnectResult) -> None:
         self._checking.discard(endpoint.start)
         if result not in (ConnectResult.REFUSED, ConnectResult.CLOSED):
             self._quarantine.on_alive(endpoint.start)
@@ -137,46 +147,50 @@
         now = self._timers.now
         before = set(self._quarantine.quarantined(now))
         suspects = self._quarantine.on_crash(now, endpoint.start)
-        self._notes.crashed(endpoint, suspects)
-        held = set(self._quarantine.quarantined(now)) - before
-        self._log_quarantined(held, "crash")
+        self._recorder.record_crash(endpoint, suspects)
+        fingerprints = set(self._quarantine.quarantined(now)) - before
+        self._report_quarantined(fingerprints, "crash")
         self._send_all()
-        for fingerprint in held:
-            self._on_decided(fingerprint)
+        for fingerprint in fingerprints:
+            self._on_quarantine_change(fingerprint)
 
-    def on_good_answer(self, fingerprint: Fingerprint) -> None:
-        """Note a good answer to a request."""
+    def on_successful_answer(self, fingerprint: Fingerprint) -> None:
+        """Handle a successful answer to a request."""
         now = self._timers.now
-        was_held = self._quarantine.record(now, fingerprint) is not None
+        was_quarantined = self._quarantine.record(now, fingerprint) is not None
         if self._quarantine.on_success(now, fingerprint):
-            self._notes.cleared(fingerprint)
+            self._recorder.record_clearance(fingerprint)
             self._send_all()
-            if was_held:
-                self._on_decided(fingerprint)
+            if was_quarantined:
+                self._on_quarantine_change(fingerprint)
 
     def receive(self, records: Iterable[CrashRecord]) -> None:
-        """Take over what another host knows."""
-        held = self._quarantine.receive(self._timers.now, records)
-        self._log_quarantined(held, "peer")
+        """Merge the records of another host."""
+        fingerprints = self._quarantine.receive(self._timers.now, records)
+        self._report_quarantined(fingerprints, "peer")
 
-    def _log_quarantined(self, held: Iterable[Fingerprint], source: str) -> None:
-        found = frozenset(held)
+    def _report_quarantined(
+        self, fingerprints: Iterable[Fingerprint], source: str
+    ) -> None:
+        found = frozenset(fingerprints)
         for fingerprint in found:
             left_s = self._quarantine.remaining_s(self._timers.now, fingerprint)
-            self._notes.held(fingerprint, source, left_s)
+            self._recorder.record_quarantine(fingerprint, source, left_s)
         if found:
             self._on_quarantined(found)
 
     def _send_all(self) -> None:
         self._send(None)
-        self._timers.after(AGAIN_S, lambda: self._send(None))
+        self._timers.after(RESEND_DELAY_S, lambda: self._send(None))
 
-    def _repeat(self) -> None:
+    def _gossip(self) -> None:
         if self._quarantine:
-            self._send(REPEAT_TO)
+            self._send(GOSSIP_FANOUT)
 
-    def _send(self, most: int | None) -> None:
+    def _send(self, max_hosts: int | None) -> None:
         now = self._timers.now
-        records = tuple(self._quarantine.records(now, CHANGED_S, MOST_SENT))
+        records = tuple(
+            self._quarantine.records(now, RECENT_CHANGE_S, MAX_SENT_RECORDS)
+        )
         if records:
-            self._sender.send_crashes(records, most)
+            self._sender.send_crashes(records, max_hosts)
--- a/greengageflow/daemon/gateway.py
+++ b/greengageflow/daemon/gateway.py
@@ -22,6 +22,8 @@
 from greengageflow.core.store_updates import StoreUpdate
 from greengageflow.core.trust import KeyTrust
 from greengageflow.daemon.arrivals import Arrivals
+from greengageflow.daemon.cached_parts import CachedPartsLoader
+from greengageflow.daemon.crash_recorders import GatewayCrashRecorder
 from greengageflow.daemon.crash_watch import CrashWatch
 from greengageflow.daemon.exchange_listener import Placed
 from greengageflow.daemon.fleet_exchange import FleetExchange
@@ -35,12 +37,10 @@
     settings_path,
 )
 from greengageflow.daemon.host_watch import HostWatch
-from greengageflow.daemon.kept_parts import KeptParts
 from greengageflow.daemon.key_watch import KeyWatch
 from greengageflow.daemon.leaving_watch import LeavingWatch
 from greengageflow.daemon.placement import Placement
 from greengageflow.daemon.program import Program
-from greengageflow.daemon.quarantine_notes import QuarantineNotes
 from greengageflow.daemon.quarantine_store import QuarantineStore
 from greengageflow.daemon.router_registry import RouterRegistry
 from greengageflow.daemon.store_view import StoreView
@@ -146,7 +146,7 @@
             self._exchange,
             self._forwarder.carry_out,
             self._log,
-            KeptParts(
+            CachedPartsLoader(
                 self._pool,
                 self._timers,
                 self._book,
@@ -159,7 +159,7 @@
             self._timers,
             ConnectCheck(self._timers).register(self),
             self._exchange,
-            QuarantineNotes(self._log, self._page),
+            GatewayCrashRecorder(self._log, self._page),
             self._forwarder.on_quarantined,
             lambda fingerprint: self._kept.update(fingerprint),
         )
@@ -185,7 +185,7 @@
             on_update=self._exchange.report_soon,
             on_read=self._exchange.pass_on,
             on_era=self._on_era,
-            pace_s=read_interval_s(*settings.bounds.known_within_s),
+            poll_interval_s=read_interval_s(*settings.bounds.known_within_s),
             clock=clock,
         )
         self._keys = KeyWatch(self._trust, self._store, self._log, clock())
@@ -195,7 +195,7 @@
             store,
             settings.host,
             own,
-            is_alone=lambda: not self._exchange.hosts,
+            is_isolated=lambda: not self._exchange.hosts,
             is_contact=self._is_contact,
             on_found=self._exchange.add_addresses,
         )
@@ -278,7 +278,7 @@
     # Other routers.
 
     def _on_datagram(self, data: bytes) -> None:
-        self._keys.awake(clock())
+        self._keys.on_tick(clock())
         self._exchange.receive(data)
 
     def report(self, number: int, sequence: int) -> PeerReport:
@@ -299,8 +299,8 @@
             loads=self._book.own_loads(),
             version=self._store.version,
             list_mark=self._store.list_mark,
-            config_age_s=clock() - self._store.confirmed,
-            list_age_s=clock() - self._store.list_confirmed,
+            config_age_s=clock() - self._store.config_confirmed_at,
+            list_age_s=clock() - self._store.list_confirmed_at,
             placed=self._book.recent_placements(now),
         )
 
@@ -329,7 +329,7 @@
 
     def on_store_update(self, update: StoreUpdate) -> None:
         """Take what another router read in the store."""
-        self._store.take_update(update)
+        self._store.apply_update(update)
 
     def on_crash_report(self, report: CrashReport) -> None:
         """Take which requests crashed endpoints."""
@@ -355,8 +355,8 @@
         )
 
     def _on_era(self, _era: int) -> None:
-        self._registry.put_again()
-        self._kept.put_again()
+        self._registry.rewrite()
+        self._kept.rewrite()
 
     def _on_change(self, change: ListChange) -> None:
         event = {
@@ -376,7 +376,7 @@
 
     def _on_tick(self) -> None:
         now, words = clock(), self._exchange.words()
-        self._keys.awake(now)
+        self._keys.on_tick(now)
         self._store.on_tick(self._exchange.store_role, words)
         self._keys.confirm(now, self._timers.now, words)
         self._forwarder.on_tick()
--- a/greengageflow/daemon/key_watch.py
+++ b/greengageflow/daemon/key_watch.py
@@ -1,4 +1,4 @@
-"""Keeps account keys trusted by what this host and its peers hear of the store."""
+"""Decides whether account keys are trusted, by how fresh the configuration is."""
 
 from collections.abc import Iterable
 
@@ -8,18 +8,18 @@
 from greengageflow.net.decision_events import DecisionEvent
 from greengageflow.net.decision_log import DecisionLog
 
-ASLEEP_S = 0.5
-PEER_MARGIN_S = 0.3
+MAX_TICK_GAP_S = 0.5
+PEER_AGE_MARGIN_S = 0.3
 
 
 class KeyWatch:
-    """Confirms keys, and logs when they are trusted and when not.
+    """Confirms keys, and logs when trust in them begins and ends.
 
     Args:
-        trust: What is decided by.
-        store: What this host heard of the store.
-        log: Takes a line for each change.
-        now: Present time, by a clock that goes on while the host is suspended.
+        trust: Decides whether keys are trusted.
+        store: This host's view of the store.
+        log: Gets an event for each change.
+        now: Current time, by a clock that includes suspension.
     """
 
     def __init__(
@@ -28,37 +28,39 @@
         self._trust = trust
         self._store = store
         self._log = log
-        self._awake_at = self._untrusted_at = now
-        self._doubt_until = 0.0
+        self._last_tick_at = self._untrusted_at = now
+        self._ignore_reports_until = 0.0
         self._trusted = False
 
-    def awake(self, now: float) -> None:
-        """Note that the process runs."""
-        # After a pause the socket holds reports of before it, whose ages would be
-        # taken for fresh and keys trusted that were taken away meanwhile.
-        if now - self._awake_at > ASLEEP_S:
-            self._doubt_until = now + ASLEEP_S
-        self._awake_at = now
+    def on_tick(self, now: float) -> None:
+        """Detect that the process was suspended; call this regularly."""
+        # After a suspension the socket buffer holds reports from before it. They would
+        # pass for fresh, and keys that were revoked meanwhile would be trusted.
+        if now - self._last_tick_at > MAX_TICK_GAP_S:
+            self._ignore_reports_until = now + MAX_TICK_GAP_S
+        self._last_tick_at = now
 
-    def confirm(self, now: float, told: float, words: Iterable[StoreReport]) -> None:
-        """Take what is known of the store now.
+    def confirm(
+        self, now: float, reports_now: float, reports: Iterable[StoreReport]
+    ) -> None:
+        """Update the trust in keys.
 
         Args:
-            now: Present time, by the clock that counts suspension.
-            told: Present time, by the clock of ``words``.
-            words: What peers know.
+            now: Current time, by the clock that includes suspension.
+            reports_now: Current time, by the clock of ``reports``.
+            reports: Store reports of the peers.
         """
-        self._trust.confirm(self._store.confirmed)
-        words = list(words)
-        if words and now >= self._doubt_until:
-            known = peer_config_state(told, self._store.version, words)
-            self._trust.confirm(now - known.age_s - PEER_MARGIN_S)
+        self._trust.confirm(self._store.config_confirmed_at)
+        reports = list(reports)
+        if reports and now >= self._ignore_reports_until:
+            peer_state = peer_config_state(reports_now, self._store.version, reports)
+            self._trust.confirm(now - peer_state.age_s - PEER_AGE_MARGIN_S)
         trusted = self._trust.is_trusted(now)
         if trusted != self._trusted:
             self._trusted = trusted
-            self._note(now)
+            self._log_change(now)
 
-    def _note(self, now: float) -> None:
+    def _log_change(self, now: float) -> None:
         version = self._store.version
         if self._trusted:
             after_ms = round(1000 * (now - self._untrusted_at))
--- a/greengageflow/daemon/leaving_watch.py
+++ b/greengageflow/daemon/leaving_watch.py
@@ -1,4 +1,4 @@
-"""Takes endpoints' own signs that they leave, and tells other hosts."""
+"""Handles endpoints' notices that they are leaving, and forwards them to peers."""
 
 from collections.abc import Callable, Iterable
 from typing import Protocol
@@ -7,30 +7,35 @@
 from greengageflow.core.leaving_report import LeavingEndpoint, LeavingReport
 from greengageflow.net.timers import Timers
 
-AGAIN_S = 0.25
-"""Seconds after which all hosts get a sign once more, against lost messages."""
-REPEAT_S = 1.0
-REPEAT_TO = 2
-"""Hosts drawn at random that get the signs each ``REPEAT_S``."""
-REPEAT_FOR_S = 60.0
-"""Seconds for which a sign is repeated: for hosts that start while the list is away."""
+RESEND_DELAY_S = 0.25
+"""Delay before a notice is sent to all hosts once more in case of message loss, in
+seconds."""
+GOSSIP_INTERVAL_S = 1.0
+GOSSIP_FANOUT = 2
+"""Number of random hosts that get the notices every ``GOSSIP_INTERVAL_S`` seconds."""
+GOSSIP_DURATION_S = 60.0
+"""Time for which a notice is repeated, in seconds.
+
+This serves hosts that start while the endpoint list is unavailable.
+"""
 
 
 class LeavingSender(Protocol):
-    """Carries signs to other hosts, at best effort."""
+    """Sends notices to other hosts, with best effort."""
 
-    def send_leaving(self, report: LeavingReport, most: int | None) -> None:
-        """Send signs to ``most`` hosts drawn at random; None for all."""
+    def send_leaving(self, report: LeavingReport, max_hosts: int | None) -> None:
+        """Send notices to ``max_hosts`` random hosts, or to all if it is None."""
 
 
 class LeavingWatch:
-    """Stops new work for endpoints that say in an answer that they leave.
+    """Stops new work for endpoints that announce in an answer that they are leaving.
 
     Args:
         endpoints: Listed endpoints.
         timers: Timer service.
-        sender: Tells other hosts.
-        on_left: Takes the id of an endpoint and who said it: ``answer`` or ``peer``.
+        sender: Sends notices to other hosts.
+        on_leaving: Called with the id of a leaving endpoint and the notice's source,
+            ``answer`` or ``peer``.
     """
 
     def __init__(
@@ -38,42 +43,46 @@
         endpoints: EndpointList,
         timers: Timers,
         sender: LeavingSender,
-        on_left: Callable[[str, str], None],
+        on_leaving: Callable[[str, str], None],
     ) -> None:
         self._endpoints = endpoints
         self._timers = timers
         self._sender = sender
-        self._on_left = on_left
-        self._signs: dict[LeavingEndpoint, float] = {}
+        self._on_leaving = on_leaving
+        self._notices: dict[LeavingEndpoint, float] = {}
 
     def start(self) -> None:
-        """Begin to repeat to other hosts what is known."""
-        self._timers.every(REPEAT_S, self._repeat)
+        """Begin to send the notices to random hosts periodically."""
+        self._timers.every(GOSSIP_INTERVAL_S, self._gossip)
 
     def on_answer(self, endpoint: ListedEndpoint) -> None:
-        """Note that an endpoint said in an answer that it leaves."""
-        sign = LeavingEndpoint(endpoint.id, endpoint.born)
-        if self._take(sign, "answer"):
-            report = LeavingReport((sign,))
+        """Handle an answer in which an endpoint announced that it is leaving."""
+        notice = LeavingEndpoint(endpoint.id, endpoint.born)
+        if self._apply(notice, "answer"):
+            report = LeavingReport((notice,))
             self._sender.send_leaving(report, None)
-            self._timers.after(AGAIN_S, lambda: self._sender.send_leaving(report, None))
+            self._timers.after(
+                RESEND_DELAY_S, lambda: self._sender.send_leaving(report, None)
+            )
 
-    def receive(self, signs: Iterable[LeavingEndpoint]) -> None:
-        """Take what other hosts were told by endpoints."""
-        for sign in signs:
-            self._take(sign, "peer")
+    def receive(self, notices: Iterable[LeavingEndpoint]) -> None:
+        """Apply notices from other hosts."""
+        for notice in notices:
+            self._apply(notice, "peer")
 
-    def _take(self, sign: LeavingEndpoint, source: str) -> bool:
-        if not self._endpoints.mark_leaving(sign.endpoint, sign.born):
+    def _apply(self, notice: LeavingEndpoint, source: str) -> bool:
+        if not self._endpoints.mark_leaving(notice.endpoint, notice.born):
             return False
-        self._signs[sign] = self._timers.now
-        self._on_left(sign.endpoint, source)
+        self._notices[notice] = self._timers.now
+        self._on_leaving(notice.endpoint, source)
         return True
 
-    def _repeat(self) -> None:
+    def _gossip(self) -> None:
         now = self._timers.now
-        for sign, at in list(self._signs.items()):
-            if now - at > REPEAT_FOR_S:
-                del self._signs[sign]
-        if self._signs:
-            self._sender.send_leaving(LeavingReport(tuple(self._signs)), REPEAT_TO)
+        for notice, received_at in list(self._notices.items()):
+            if now - received_at > GOSSIP_DURATION_S:
+                del self._notices[notice]
+        if self._notices:
+            self._sender.send_leaving(
+                LeavingReport(tuple(self._notices)), GOSSIP_FANOUT
+            )
--- a/greengageflow/daemon/quarantine_store.py
+++ b/greengageflow/daemon/quarantine_store.py
@@ -1,7 +1,7 @@
-"""Requests that are held back, in the platform's store.
+"""Persists quarantined requests in the platform's store.
 
-Hosts learn of them from each other. When all have lost power at once, nobody knows
-them, and each would take endpoints down anew.
+Hosts normally learn of them from each other. If all hosts lose power at the same time
+this knowledge is lost, and each of the requests would crash endpoints again.
 """
 
 import json
@@ -22,25 +22,25 @@
 from greengageflow.platform.names import QUARANTINE_TOPIC
 from greengageflow.platform.store import StoreAnswerError, parse_newest
 
-FIRST_LOOK_S = 1.0
-LOOK_EVERY_S = 2.0
-MOST_DROPPED = 8
-"""Old records that one host drops from the store when it reads them."""
-_DROPPED = b""
+FIRST_POLL_DELAY_S = 1.0
+POLL_INTERVAL_S = 2.0
+MAX_TOMBSTONES = 8
+"""Maximum number of expired records that a host deletes after it has read them."""
+_TOMBSTONE = b""
 
 Address = tuple[str, int]
 
 
 class QuarantineStore:
-    """Writes what this host found out, and reads once what others wrote.
+    """Writes the quarantine decisions of this host, and reads those of others once.
 
     Args:
         pool: Sends the calls.
         timers: Timer service.
         store: IP number and port of the store.
-        quarantine: Which requests are held back.
-        is_reader: Whether this host is among the few that read for others.
-        on_read: Takes what was read.
+        quarantine: Crash records of this host.
+        is_reader: Returns whether this host is one of the store's few readers.
+        on_read: Called with the records that were read.
     """
 
     def __init__(
@@ -58,46 +58,46 @@
         self._quarantine = quarantine
         self._is_reader = is_reader
         self._on_read = on_read
-        self._is_read = False
-        self._unwritten: dict[Fingerprint, None] = {}
+        self._was_read = False
+        self._pending_writes: dict[Fingerprint, None] = {}
         self._pages: list[KeyedRecord] = []
 
     @property
     def calls(self) -> int:
-        """Calls of the store so far."""
+        """Number of calls to the store."""
         return self._topic.calls
 
     def start(self) -> None:
-        """Begin to look."""
-        self._timers.after(FIRST_LOOK_S, self._look)
+        """Begin to poll."""
+        self._timers.after(FIRST_POLL_DELAY_S, self._poll)
 
     def update(self, fingerprint: Fingerprint) -> None:
-        """Write whether a request is held back, again until the store has it."""
-        self._unwritten[fingerprint] = None
+        """Write a request's quarantine state, with retries until the store has it."""
+        self._pending_writes[fingerprint] = None
         self._write(fingerprint)
 
-    def put_again(self) -> None:
-        """Write all that is held back once more, if this host writes for others."""
+    def rewrite(self) -> None:
+        """Write all quarantined requests again, if this host is a reader."""
         if self._is_reader():
             held = self._quarantine.quarantined(self._timers.now)
-            self._unwritten.update(dict.fromkeys(held))
+            self._pending_writes.update(dict.fromkeys(held))
 
-    def _look(self) -> None:
-        for fingerprint in list(self._unwritten):
+    def _poll(self) -> None:
+        for fingerprint in list(self._pending_writes):
             self._write(fingerprint)
-        if not self._is_read and self._is_reader():
+        if not self._was_read and self._is_reader():
             self._pages = []
             self._topic.newest("", self._on_newest)
-        self._timers.after(LOOK_EVERY_S, self._look)
+        self._timers.after(POLL_INTERVAL_S, self._poll)
 
     def _write(self, fingerprint: Fingerprint) -> None:
-        def done(result: Response | Failure) -> None:
+        def on_done(result: Response | Failure) -> None:
             if isinstance(result, Response) and result.status == 200:
-                self._unwritten.pop(fingerprint, None)
+                self._pending_writes.pop(fingerprint, None)
 
         record = self._quarantine.record(self._timers.now, fingerprint)
-        value = _DROPPED if record is None else _value(record)
-        self._topic.put(fingerprint.hex(), value, done)
+        value = _TOMBSTONE if record is None else _encode_record(record)
+        self._topic.put(fingerprint.hex(), value, on_done)
 
     def _on_newest(self, result: Response | Failure) -> None:
         if isinstance(result, Failure):
@@ -110,18 +110,18 @@
         if batch.after:
             self._topic.newest(batch.after, self._on_newest)
             return
-        self._is_read = True
-        records = [one for one in map(_record, self._pages) if one is not None]
+        self._was_read = True
+        records = [r for r in map(_decode_record, self._pages) if r is not None]
         self._pages = []
         self._on_read(records)
         now = self._timers.now
         held = set(self._quarantine.quarantined(now))
-        over = [one.fingerprint for one in records if one.fingerprint not in held]
-        for fingerprint in over[:MOST_DROPPED]:
+        expired = [r.fingerprint for r in records if r.fingerprint not in held]
+        for fingerprint in expired[:MAX_TOMBSTONES]:
             self.update(fingerprint)
 
 
-def _value(record: CrashRecord) -> bytes:
+def _encode_record(record: CrashRecord) -> bytes:
     doc = {
         "crashed": record.crashed,
         "cleared": record.cleared,
@@ -130,12 +130,12 @@
     return json.dumps(doc).encode()
 
 
-def _record(row: KeyedRecord) -> CrashRecord | None:
-    """Return a record of the store, or None for one that cannot be read."""
+def _decode_record(row: KeyedRecord) -> CrashRecord | None:
+    """Return a decoded record, or None if it is invalid."""
     try:
         fingerprint = bytes.fromhex(row.key)
         doc = json.loads(row.value or b"")
-        crashed, cleared = map(_names, (doc["crashed"], doc["cleared"]))
+        crashed, cleared = map(_parse_names, (doc["crashed"], doc["cleared"]))
         age_s = max(0.0, time() - doc["at_ms"] / 1000)
     except (ValueError, TypeError, LookupError, OverflowError, RecursionError):
         return None
@@ -144,8 +144,8 @@
     return CrashRecord(fingerprint, crashed, cleared, age_s)
 
 
-def _names(values: Iterable[object]) -> tuple[str, ...]:
+def _parse_names(values: Iterable[object]) -> tuple[str, ...]:
     names = tuple(values)
     if not all(isinstance(name, str) for name in names):
-        raise ValueError(f"not names: {names!r}")
+        raise ValueError(f"not all names are strings: {names!r}")
     return names
--- a/greengageflow/daemon/router_registry.py
+++ b/greengageflow/daemon/router_registry.py
@@ -1,4 +1,4 @@
-"""Where routers find each other when nobody that they know answers."""
+"""Discovery of other routers through the platform's store."""
 
 from collections.abc import Callable, Iterable
 from ipaddress import ip_address
@@ -10,28 +10,29 @@
 from greengageflow.platform.names import ROUTERS_TOPIC
 from greengageflow.platform.store import StoreAnswerError, parse_newest
 
-LOOK_EVERY_S = 2.0
-FIRST_LOOK_S = 1.0
+POLL_INTERVAL_S = 2.0
+FIRST_POLL_DELAY_S = 1.0
 
 Address = tuple[str, int]
 
 
 class RouterRegistry:
-    """Puts this router's address into the store, and looks for others there.
+    """Registers this router's address in the store, and looks up others there.
 
-    Settings name few hosts, and all of them may be gone when this one starts. Whoever
-    finds one router learns of the others from its reports, so that the addresses of
-    a few are enough; a call of each router at its start would be many at once.
+    The settings name only few hosts, and all of them may be down when this one starts.
+    One reachable router is enough to learn of all others from its reports. Therefore
+    only a few routers register: if each did so at its start, hundreds of calls could
+    reach the store at once.
 
     Args:
         pool: Sends the calls.
         timers: Timer service.
         store: IP number and port of the store.
-        host: This host.
-        own: Where it takes reports.
-        is_alone: Whether no other router is heard.
-        is_contact: Whether this one is among the few that others should find.
-        on_found: Takes addresses where routers may be.
+        host: Name of this host.
+        own_address: Address where this router receives reports.
+        is_isolated: Returns whether this router gets reports from no other router.
+        is_contact: Returns whether this router is one of the few that register.
+        on_found: Called with addresses of registered routers.
     """
 
     def __init__(
@@ -40,49 +41,49 @@
         timers: Timers,
         store: Address,
         host: str,
-        own: Address,
+        own_address: Address,
         *,
-        is_alone: Callable[[], bool],
+        is_isolated: Callable[[], bool],
         is_contact: Callable[[], bool],
         on_found: Callable[[Iterable[Address]], None],
     ) -> None:
         self._topic = SharedTopic(pool, store, ROUTERS_TOPIC)
         self._timers = timers
         self._host = host
-        self._own = own
-        self._is_alone = is_alone
+        self._own_address = own_address
+        self._is_isolated = is_isolated
         self._is_contact = is_contact
-        self._is_put = False
+        self._is_registered = False
         self._on_found = on_found
 
     @property
     def calls(self) -> int:
-        """Calls of the store so far."""
+        """Number of calls to the store."""
         return self._topic.calls
 
     def start(self) -> None:
-        """Begin to look."""
-        self._timers.after(FIRST_LOOK_S, self._look)
+        """Begin to poll."""
+        self._timers.after(FIRST_POLL_DELAY_S, self._poll)
 
-    def put_again(self) -> None:
-        """Write the address once more: the store came back without it."""
-        self._is_put = False
+    def rewrite(self) -> None:
+        """Register again, since the store was restored without the address."""
+        self._is_registered = False
 
-    def _put(self) -> None:
-        self._is_put = True
-        value = f"{self._own[0]}:{self._own[1]}".encode()
-        self._topic.put(self._host, value, self._on_put)
+    def _register(self) -> None:
+        self._is_registered = True
+        value = f"{self._own_address[0]}:{self._own_address[1]}".encode()
+        self._topic.put(self._host, value, self._on_registered)
 
-    def _on_put(self, result: Response | Failure) -> None:
+    def _on_registered(self, result: Response | Failure) -> None:
         if isinstance(result, Failure) or result.status != 200:
-            self._is_put = False
+            self._is_registered = False
 
-    def _look(self) -> None:
-        if not self._is_put and self._is_contact():
-            self._put()
-        if self._is_alone():
+    def _poll(self) -> None:
+        if not self._is_registered and self._is_contact():
+            self._register()
+        if self._is_isolated():
             self._topic.newest("", self._on_newest)
-        self._timers.after(LOOK_EVERY_S, self._look)
+        self._timers.after(POLL_INTERVAL_S, self._poll)
 
     def _on_newest(self, result: Response | Failure) -> None:
         if isinstance(result, Failure):
--- a/greengageflow/daemon/topic_follower.py
+++ b/greengageflow/daemon/topic_follower.py
@@ -1,4 +1,4 @@
-"""Follows one keyed topic of the platform's store."""
+"""Reads a keyed topic of the platform's store incrementally."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import replace
@@ -20,48 +20,50 @@
     request,
 )
 
-ANSWER_S = 1.0
-LOST_S = 6.0
-PAGE_LIMIT = 16 * 1_048_576
-FIRST_RETRY_S = 0.15
-LONGEST_RETRY_S = 1.0
+CALL_TIMEOUT_S = 1.0
+READ_TIMEOUT_S = 6.0
+MAX_PAGE_BYTES = 16 * 1_048_576
+MIN_BACKOFF_S = 0.15
+MAX_BACKOFF_S = 1.0
 
 
 class TopicListener(Protocol):
-    """Takes what a topic holds."""
+    """Gets the records of a topic."""
 
     def on_era(self, era: int) -> None:
-        """Note that the store came back older; a snapshot of it follows."""
+        """Handle a restore of the store from a copy; a snapshot follows."""
 
     def on_snapshot(self, records: tuple[KeyedRecord, ...]) -> None:
-        """Take the newest record of every key, in place of all that was known."""
+        """Replace all earlier records by the newest record of every key."""
 
     def on_records(self, records: tuple[KeyedRecord, ...]) -> None:
-        """Take records that were added."""
+        """Apply records that were appended."""
 
-    def on_heard(self, at: float) -> None:
-        """Note that all that was there at time ``at`` is known."""
+    def on_confirmed(self, at: float) -> None:
+        """Handle a confirmation: all records written before ``at`` are applied."""
 
-    def on_lost(self, text: str) -> None:
-        """Note that a read failed."""
+    def on_read_failed(self, text: str) -> None:
+        """Handle a failed read; ``text`` is the reason."""
 
 
 class TopicFollower:
-    """Reads the newest record of each key, then what is added, when asked to.
+    """Reads a snapshot of a topic first, then appended records, on request.
 
-    When the store has forgotten what was asked for, or came back older, it begins
-    anew. After a read that failed it waits, longer each time.
+    It reads a new snapshot when the store no longer has the requested records or was
+    restored from a copy. After failed reads it backs off exponentially.
 
     Args:
         pool: Sends the calls.
         timers: Timer service.
         address: IP number and port of the store.
-        topic: Its name.
-        listener: Takes the records.
-        clock: Returns the time for ``on_heard``, in seconds.
+        topic: Name of the topic.
+        listener: Gets the records.
+        clock: Returns the time for ``on_confirmed``, in seconds.
 
     Attributes:
-        offset: Mark up to which the topic is known here.
+        calls: Number of calls to the store.
+        last_call_at: Time of the last call, by ``clock``.
+        offset: Mark of the first record that has not been applied.
     """
 
     def __init__(
@@ -75,7 +77,7 @@
         clock: Callable[[], float],
     ) -> None:
         self.calls = 0
-        self.asked_at = float("-inf")
+        self.last_call_at = float("-inf")
         self.offset = 0
         self._pool = pool
         self._timers = timers
@@ -83,157 +85,159 @@
         self._topic = topic
         self._listener = listener
         self._clock = clock
-        self._asking = False
-        self._asked_from = 0
+        self._is_reading = False
+        self._read_from = 0
         self._exchange: Exchange | None = None
-        self._known = False
-        self._pages: list[KeyedRecord] = []
-        self._first_end = 0
-        self._not_before = float("-inf")
-        self._retry_s = FIRST_RETRY_S
-        self._hastened = False
-        self._pages_era = 0
+        self._has_snapshot = False
+        self._snapshot_records: list[KeyedRecord] = []
+        self._snapshot_mark = 0
+        self._next_read_at = float("-inf")
+        self._backoff_s = MIN_BACKOFF_S
+        self._backoff_skipped = False
+        self._snapshot_era = 0
 
     @property
     def era(self) -> int:
-        """The store's era that is known here."""
+        """Era of the store in which records were last applied."""
         return era_of(self.offset)
 
-    def begin_anew(self) -> None:
-        """Let the next read be one of all keys, since the store came back older."""
-        self._known = False
+    def require_snapshot(self) -> None:
+        """Make the next read a snapshot, since the store was restored from a copy."""
+        self._has_snapshot = False
 
     @property
-    def is_known(self) -> bool:
-        """Whether the topic was read, so that what others read can be taken over."""
-        return self._known
+    def has_snapshot(self) -> bool:
+        """Whether a snapshot was read, so that peers' updates can be applied."""
+        return self._has_snapshot
 
     @property
-    def idle(self) -> bool:
-        """Whether a read may begin now."""
-        return not self._asking and self._timers.now >= self._not_before
-
-    def check(self) -> None:
-        """Give up a read of which nothing was heard for far too long."""
-        # The pool ends each call in time; should it ever not, this host would never
-        # read again and refuse all keys for good.
-        if self._asking and self._clock() - self.asked_at > LOST_S:
+    def can_read(self) -> bool:
+        """Whether a read may begin: none is in progress and no backoff applies."""
+        return not self._is_reading and self._timers.now >= self._next_read_at
+
+    def cancel_overdue_read(self) -> None:
+        """Cancel a read that has far exceeded its timeout."""
+        # The pool times out each call. If it ever failed to, this host would never read
+        # again and would reject all keys for good.
+        if self._is_reading and self._clock() - self.last_call_at > READ_TIMEOUT_S:
             self._exchange.cancel()
-            self._again("no end of a call")
+            self._on_failure("call ended neither with an answer nor with a timeout")
 
-    def hasten(self) -> None:
-        """Let the next read begin now, since another router got an answer.
+    def skip_backoff(self) -> None:
+        """Skip the backoff of the first snapshot, since another router got an answer.
 
-        Once after each answer at most: the store may turn away this host alone.
+        At most once per successful read: the store may be refusing this host alone.
         """
-        if not self._known and not self._hastened:
-            self._hastened = True
-            self._not_before = float("-inf")
+        if not self._has_snapshot and not self._backoff_skipped:
+            self._backoff_skipped = True
+            self._next_read_at = float("-inf")
 
     def read(self, wait_s: float = 0.0) -> None:
-        """Begin a read, which may wait ``wait_s`` seconds for a record."""
-        self._asking = True
-        self._asked_from = self.offset
-        if self._known:
+        """Begin a read; the store may wait up to ``wait_s`` seconds for a record."""
+        self._is_reading = True
+        self._read_from = self.offset
+        if self._has_snapshot:
             call = read_call(self._topic, offset_of(self.offset), wait_s)
-            self._ask(call, wait_s, self._on_read)
+            self._call(call, wait_s, self._on_read)
         else:
-            self._pages = []
-            self._ask(newest_call(self._topic, ""), 0.0, self._on_newest)
+            self._snapshot_records = []
+            self._call(newest_call(self._topic, ""), 0.0, self._on_newest)
 
-    def take(
+    def accept(
         self, since: int, end: int, records: Iterable[KeyedRecord]
     ) -> tuple[KeyedRecord, ...] | None:
-        """Take over what another router read up to ``end``.
+        """Advance over records that cover the marks from ``since`` to ``end``.
 
         Returns:
-            The records that are news here, or None when some before them are missing.
+            The records not applied before, or None if some before them are missing.
         """
-        if not self._known or since > self.offset:
+        if not self._has_snapshot or since > self.offset:
             return None
-        fresh = tuple(record for record in records if record.offset >= self.offset)
+        unapplied = tuple(record for record in records if record.offset >= self.offset)
         self.offset = max(self.offset, end)
-        return fresh
+        return unapplied
 
-    def _ask(
+    def _call(
         self,
         call: tuple[str, str],
         wait_s: float,
-        on_good: Callable[[Response], None],
+        on_response: Callable[[Response], None],
     ) -> None:
         self.calls += 1
-        self.asked_at = self._clock()
-        asked = request(self._address, *call, b"", wait_s + ANSWER_S)
-        if self._retry_s > FIRST_RETRY_S:
-            # Kept connections that fell silent together would cost a second each.
-            asked = replace(asked, retry_stale=False)
+        self.last_call_at = self._clock()
+        outgoing = request(self._address, *call, b"", wait_s + CALL_TIMEOUT_S)
+        if self._backoff_s > MIN_BACKOFF_S:
+            # If all pooled connections are dead, each retry would cost one second.
+            outgoing = replace(outgoing, retry_stale=False)
         self._exchange = self._pool.fetch(
-            asked, lambda result: self._take(result, on_good), PAGE_LIMIT
+            outgoing,
+            lambda result: self._on_result(result, on_response),
+            MAX_PAGE_BYTES,
         )
 
-    def _take(
-        self, result: Response | Failure, on_good: Callable[[Response], None]
+    def _on_result(
+        self, result: Response | Failure, on_response: Callable[[Response], None]
     ) -> None:
         if isinstance(result, Failure):
-            self._again(f"{result.kind}: {result.message}")
+            self._on_failure(f"{result.kind}: {result.message}")
         elif era_of_response(result) < self.era:
-            # It was on its way when the store came back: what it says is lost there.
-            self._asking = False
+            # Sent before the store was restored; the store has lost these records.
+            self._is_reading = False
         elif is_expired(result) or self._is_outdated(era_of_response(result)):
-            self._known = False
+            self._has_snapshot = False
             self.read()
         else:
             try:
-                on_good(result)
+                on_response(result)
             except StoreAnswerError as exc:
-                self._again(str(exc))
+                self._on_failure(str(exc))
 
     def _is_outdated(self, era: int) -> bool:
-        """Whether the answer to a read is of a later era than the read."""
-        if self._known:
-            return era > era_of(self._asked_from)
-        return bool(self._pages) and era != self._pages_era
+        """Return whether the era changed between the read and its answer."""
+        if self._has_snapshot:
+            return era > era_of(self._read_from)
+        return bool(self._snapshot_records) and era != self._snapshot_era
 
-    def _again(self, text: str) -> None:
-        self._asking = False
-        self._not_before = self._timers.now + self._retry_s
-        self._retry_s = min(LONGEST_RETRY_S, 2 * self._retry_s)
-        self._listener.on_lost(text)
+    def _on_failure(self, text: str) -> None:
+        self._is_reading = False
+        self._next_read_at = self._timers.now + self._backoff_s
+        self._backoff_s = min(MAX_BACKOFF_S, 2 * self._backoff_s)
+        self._listener.on_read_failed(text)
 
     def _on_newest(self, response: Response) -> None:
         batch = parse_newest(response)
         era = era_of_response(response)
-        if not self._pages:
-            # Pages are no snapshot: what changed since the first one is read again.
-            self._first_end, self._pages_era = mark_of(era, batch.end), era
-        self._pages.extend(_marked(batch.records, era))
+        if not self._snapshot_records:
+            # Pages are not atomic, so the records since the first are read again.
+            self._snapshot_mark, self._snapshot_era = mark_of(era, batch.end), era
+        self._snapshot_records.extend(_with_marks(batch.records, era))
         if batch.after:
-            self._ask(newest_call(self._topic, batch.after), 0.0, self._on_newest)
+            self._call(newest_call(self._topic, batch.after), 0.0, self._on_newest)
             return
-        self._known = True
-        before, self.offset = self.offset, self._first_end
+        self._has_snapshot = True
+        before, self.offset = self.offset, self._snapshot_mark
         if before and era > era_of(before):
             self._listener.on_era(era)
-        records, self._pages = tuple(self._pages), []
+        records, self._snapshot_records = tuple(self._snapshot_records), []
         self._listener.on_snapshot(records)
-        self._heard()
+        self._on_success()
 
     def _on_read(self, response: Response) -> None:
-        batch = parse_read(response, offset_of(self._asked_from))
-        era = era_of(self._asked_from)
-        # Others may have told of some of them since the call went out.
+        batch = parse_read(response, offset_of(self._read_from))
+        era = era_of(self._read_from)
+        # Peers' updates may have covered some of them since the call.
         end = mark_of(era, batch.end)
-        records = self.take(self._asked_from, end, _marked(batch.records, era))
+        records = self.accept(self._read_from, end, _with_marks(batch.records, era))
         if records:
             self._listener.on_records(records)
-        self._heard()
+        self._on_success()
 
-    def _heard(self) -> None:
-        self._asking = False
-        self._retry_s = FIRST_RETRY_S
-        self._hastened = False
-        self._listener.on_heard(self.asked_at)
+    def _on_success(self) -> None:
+        self._is_reading = False
+        self._backoff_s = MIN_BACKOFF_S
+        self._backoff_skipped = False
+        self._listener.on_confirmed(self.last_call_at)
 
 
-def _marked(records: Iterable[KeyedRecord], era: int) -> tuple[KeyedRecord, ...]:
-    return tuple(replace(one, offset=mark_of(era, one.offset)) for one in records)
+def _with_marks(records: Iterable[KeyedRecord], era: int) -> tuple[KeyedRecord, ...]:
+    return tuple(replace(r, offset=mark_of(era, r.offset)) for r in records)
--- /dev/null
+++ b/tests/test_cached_parts.py
@@ -0,0 +1,96 @@
+"""Queries for the prompt parts that engines have cached."""
+
+import json
+
+import pytest
+from engine_stubs import PROMPT, endpoint
+
+from greengageflow.core.endpoint_list import EndpointList
+from greengageflow.core.fleet_retry_budget import FleetRetryBudget
+from greengageflow.core.routes import Routing, Service
+from greengageflow.core.service_dispatcher import ServiceDispatcher
+from greengageflow.core.service_scheduler import Job
+from greengageflow.core.work_queue import QueuedRequest
+from greengageflow.daemon.cached_parts import MAX_ATTEMPTS, CachedPartsLoader
+from greengageflow.net.http_messages import Failure, FailureKind, Response
+
+KEPT = {"epoch": "1", "next": 0, "held": [["", "shared", 4000, "m"]]}
+REFUSED = Failure(FailureKind.CONNECT, False, "refused")
+
+
+class LoaderHarness:
+    """Stub of pool, timer service and log.
+
+    Engines give the ``answers`` in turn, and the last one from then on.
+    """
+
+    now = 1.0
+
+    def __init__(self, *answers):
+        self.answers, self.requests, self.events = list(answers), [], []
+        self.leaving_engines = []
+        self.engines = [endpoint("e0"), endpoint("e1"), endpoint("e2")]
+        listed = EndpointList()
+        for engine in self.engines:
+            list(listed.put(engine))
+        self.dispatcher = ServiceDispatcher(
+            listed, "z", lambda: FleetRetryBudget(1, 9, 10.0)
+        )
+        service = Service("model", 4, memory_tokens=100_000)
+        self.dispatcher.on_routing(Routing(version=1, services={"model": service}))
+        self.parts = CachedPartsLoader(
+            self, self, self.dispatcher, self, self.leaving_engines.append
+        )
+
+    def fetch(self, request, on_done, _limit):
+        self.requests.append((request.ip, request.port, request.path))
+        on_done(self.answers.pop(0) if len(self.answers) > 1 else self.answers[0])
+
+    def after(self, _delay_s, call):
+        call()
+
+    def write(self, event, **fields):
+        self.events.append((event.name, fields["endpoint"]))
+
+    def place(self):
+        """Return the placement of a request that has the shared part."""
+        job = Job(QueuedRequest("r", "a", 1.0, 0, 1.0, 2.0, 1.5), 1.0, PROMPT)
+        (decision,) = self.dispatcher.submit(1.0, "model", job, "a")
+        return decision.choice
+
+
+@pytest.mark.parametrize("name", ["e0", "e1", "e2"])
+def test_new_placer_routes_to_engines_with_cached_parts(name):
+    """After all hosts lost power, the new placer knew nothing of the engines' prefix
+    caches, and shared prompt parts went through prefill again on any engine."""
+    harness = LoaderHarness(Response(200, (), json.dumps(KEPT).encode()))
+    harness.parts.load(e for e in harness.engines if e.id == name)
+    choice = harness.place()
+    assert (choice.endpoint.id, choice.reading) == (name, 100)
+    assert harness.events == [("PARTS_LEARNED", name)]
+
+
+def test_engines_are_queried_once():
+    harness = LoaderHarness(Response(200, (), json.dumps(KEPT).encode()))
+    for _ in range(3):
+        harness.parts.load(harness.engines)
+    assert len(harness.requests) == 3
+
+
+@pytest.mark.parametrize(
+    "answer", [REFUSED, Response(503, (), b""), Response(200, (), b'{"held": [1]}')]
+)
+def test_queries_stop_after_the_maximum_of_attempts(answer):
+    harness = LoaderHarness(answer)
+    harness.parts.load(harness.engines[:1])
+    assert len(harness.requests) == MAX_ATTEMPTS
+    assert harness.events == [("PARTS_UNKNOWN", "e0")]
+    assert harness.place() is not None
+
+
+def test_leaving_engine_is_reported():
+    body = json.dumps(KEPT).encode()
+    leaving = Response(200, (("server-leaving", "1"),), body)
+    harness = LoaderHarness(Response(200, (), body), leaving)
+    harness.parts.load(harness.engines[:2])
+    assert harness.leaving_engines == [harness.engines[1]]
--- a/tests/test_held_removal.py
+++ b/tests/test_held_removal.py
@@ -1,4 +1,4 @@
-"""What one host tells of the platform's list while it holds back what it read."""
+"""Reports of a host on the endpoint list while it holds a removal."""
 
 import json
 from types import SimpleNamespace
@@ -17,31 +17,31 @@
 }
 
 
-def test_a_host_that_holds_a_removal_back_still_tells_that_it_knows_of_it():
-    """The host that reads for its zone was cut from the store; after that it holds
-    removals for two seconds, since entries may have lapsed. Peers that were never cut
-    must hear at once that the list changed, and read it: they would send to the
-    endpoint that left for as long as the reader holds it."""
-    now, news = [100.0], []
-    nothing = SimpleNamespace(write=lambda *_args, **_fields: None)
+def test_held_removal_still_advances_the_reported_mark():
+    """After a reader was cut off from the store, it holds removals for two seconds,
+    since leases may have expired. It must still report the new mark at once, so that
+    peers that were not cut off read the removal. Otherwise they would send requests to
+    the removed endpoint during the reader's hold."""
+    now, reported_marks = [100.0], []
+    null_log = SimpleNamespace(write=lambda *_args, **_fields: None)
     endpoints = EndpointList()
     view = StoreView(
         None,
         SimpleNamespace(now=100.0),
         ("127.0.0.1", 1),
         endpoints,
-        nothing,
+        null_log,
         on_routing=lambda _routing: None,
         on_change=lambda _change: None,
-        on_update=lambda: news.append(view.list_mark),
-        on_read=lambda _news, _is_own: None,
+        on_update=lambda: reported_marks.append(view.list_mark),
+        on_read=lambda _update, _from_store: None,
         on_era=lambda _era: None,
-        pace_s=1.0,
+        poll_interval_s=1.0,
         clock=lambda: now[0],
     )
-    view.take_list([KeyedRecord("app-0", json.dumps(ENTRY).encode(), 4)])
-    view.list_lost("timeout")
+    view.apply_list_records([KeyedRecord("app-0", json.dumps(ENTRY).encode(), 4)])
+    view.on_list_read_failed("timeout")
     now[0] += 2 * MIN_OUTAGE_S
-    view.take_list([KeyedRecord("app-0", None, 7)])
+    view.apply_list_records([KeyedRecord("app-0", None, 7)])
     assert endpoints.ids() == {"app-0"}
-    assert news == [5, 8] and view.list_mark == 8
+    assert reported_marks == [5, 8] and view.list_mark == 8
