--- a/greengageflow/daemon/cached_parts.py
+++ b/greengageflow/daemon/cached_parts.py
@@ -75,7 +75,9 @@
         def on_done(result: Response | Failure) -> None:
             self._on_result(engine, attempt, result)
 
-        self._pool.fetch(_with_timeouts(cached_parts_request(engine)), on_done, MAX_RESPONSE_BYTES)
+        self._pool.fetch(
+            _with_timeouts(cached_parts_request(engine)), on_done, MAX_RESPONSE_BYTES
+        )
 
     def _on_result(
         self, engine: ListedEndpoint, attempt: int, result: Response | Failure
