--- a/greengageflow/daemon/__init__.py
+++ b/greengageflow/daemon/__init__.py
@@ -1,4 +1,4 @@
-"""The router programs."""
+"""Daemons of the router processes."""
 
 import sys
 from types import ModuleType
@@ -7,8 +7,9 @@
 def _import_circuits() -> None:
     """Import ``circuits`` without ``pkg_resources``.
 
-    It is imported there for a namespace that nobody needs, and takes a sixth of the
-    time in which a host that was restarted begins to serve.
+    ``circuits`` imports it only to declare a namespace package, which is not used
+    here. The import takes a sixth of the time that a restarted host needs until it
+    serves requests.
     """
     name = "pkg_resources"
     if name in sys.modules:
--- a/greengageflow/daemon/arrivals.py
+++ b/greengageflow/daemon/arrivals.py
@@ -1,4 +1,4 @@
-"""Turns requests away unread while the host is late."""
+"""Sheds requests before they are parsed while the event loop is overloaded."""
 
 from collections.abc import Callable
 
@@ -14,15 +14,16 @@
 
 
 class Arrivals:
-    """Looks at the first bytes of each request.
+    """Admission control on the first bytes of each request.
 
     Args:
-        load: How long the rounds of the event loop are.
+        load: Duration of the event loop's iterations.
         timers: Timer service.
-        log: Takes a line a second with what was turned away.
-        page: Counts it.
-        account_of: Returns whose a request is, from its first bytes. Unknown keys are
-            one account: each its own, whoever makes them up would be read first.
+        log: Gets one summary line per second while requests are shed.
+        page: Counts shed requests.
+        account_of: Returns the client account of a request, from its first bytes. All
+            unknown keys count as one account; if each were an account of its own, a
+            caller could get priority by making up keys.
     """
 
     def __init__(
@@ -44,11 +45,11 @@
 
     @property
     def is_closing(self) -> bool:
-        """Whether the host is so late that some requests may be turned away."""
+        """Whether the event loop is so slow that requests may be shed."""
         return self._load.average_s(self._timers.now) > OVERLOAD_ROUND_S
 
     def turns_away(self, data: bytes) -> bool:
-        """Return whether a request that begins with ``data`` is not read."""
+        """Return whether to shed a request whose first bytes are ``data``."""
         now = self._timers.now
         account = self._account_of(data)
         present_s, average_s = self._load.present_s(now), self._load.average_s(now)
--- a/greengageflow/daemon/exchange_listener.py
+++ b/greengageflow/daemon/exchange_listener.py
@@ -1,4 +1,4 @@
-"""What the exchange between routers asks of its router and hands to it."""
+"""Interface between the fleet exchange and its router."""
 
 from collections.abc import Mapping
 from typing import Protocol
@@ -15,34 +15,34 @@
 
 
 class ExchangeListener(Protocol):
-    """What the exchange asks of the router and hands to it."""
+    """Provides this router's state and receives that of its peers."""
 
     def report(self, number: int, sequence: int) -> PeerReport:
-        """Return the present report of this router."""
+        """Return the current report of this router."""
 
     def loads(self) -> Mapping[str, LoadShare]:
-        """Return what this router has under way, by endpoint."""
+        """Return the load that this router puts on each endpoint."""
 
     def placed(self) -> Placed:
-        """Return prompt parts and the endpoints that they were sent to lately."""
+        """Return recently sent prompt prefixes and their endpoints."""
 
     def on_placed(self, placed: Placed) -> None:
-        """Take where other routers sent prompt parts."""
+        """Handle prompt prefixes that other routers sent to endpoints."""
 
     def on_loads(self, loads: Mapping[str, LoadShare]) -> None:
-        """Take what other routers have under way, when that changed."""
+        """Handle a change of the load that other routers put on each endpoint."""
 
     def on_totals(self, totals: FleetTotals) -> None:
-        """Take the sums of all other routers, after each round."""
+        """Handle the totals of all other routers, after each round."""
 
     def on_store_update(self, update: StoreUpdate) -> None:
-        """Take what another router read in the platform's store."""
+        """Handle what another router read from the platform's store."""
 
     def on_crash_report(self, report: CrashReport) -> None:
-        """Take which requests crashed endpoints."""
+        """Handle a report of requests that crashed endpoints."""
 
     def on_leaving_report(self, report: LeavingReport) -> None:
-        """Take which endpoints said that they leave."""
+        """Handle a report of endpoints that announced that they leave."""
 
     def on_place_message(self, message: PlacementMessage) -> None:
-        """Take what another router asks or tells of a request's place."""
+        """Handle a placement message of another router."""
--- a/greengageflow/daemon/fleet_exchange.py
+++ b/greengageflow/daemon/fleet_exchange.py
@@ -1,7 +1,7 @@
-"""Tells the other routers of this one, and this one of the others.
+"""Exchange of load, membership and store state between routers.
 
-A small fleet tells everybody everything. In a larger one each router tells the relays
-of its zone, and hears sums from them; see ``core.fleet_sums``.
+In a small fleet each router reports to all others (full mesh). In a larger one it
+reports to the relays of its zone, which send back aggregates; see ``core.fleet_sums``.
 """
 
 from collections.abc import Iterable, Mapping
@@ -48,23 +48,24 @@
 SAME_S = 0.02
 
 SETTLE_S = 1.5
-"""Time from the start in which a router does not take itself for one that reads.
+"""Seconds after the start in which a router does not become a store reader.
 
-It has heard few others by then. When a whole fleet begins, each would read all along.
+It has discovered few peers by then. When a whole fleet starts, every router would
+otherwise read the store.
 """
 
 Address = tuple[str, int]
 
 
 class FleetExchange:
-    """Sends what this router has to tell, and adds up what others tell.
+    """Sends this router's state to its peers and aggregates theirs.
 
     Args:
         own: This router.
-        link: Carries the datagrams.
+        link: Sends datagrams.
         timers: Timer service.
-        seeds: Addresses through which others are found.
-        listener: The router.
+        seeds: Addresses through which peers are discovered.
+        listener: Provides this router's state and receives that of its peers.
     """
 
     def __init__(
@@ -101,13 +102,13 @@
         self._hello_cache = HelloCache()
 
     def start(self) -> None:
-        """Begin to tell."""
+        """Start the periodic messages."""
         self._began = self._now
         self._link.start()
         self._round()
         self._timers.every(NOTICE_S, self._turn)
 
-    # What is known.
+    # Membership and state.
 
     @property
     def _now(self) -> float:
@@ -124,30 +125,30 @@
 
     @property
     def hosts(self) -> int:
-        """Other routers that live."""
+        """Number of other live routers."""
         return self._table.count(self._now, self._quiet_s)
 
     def routers(self) -> list[Hello]:
-        """Return the live routers that are not stopping, this one with them."""
+        """Return the live routers that are not stopping, including this one."""
         own = replace(self._own, stopping=self.stopping)
         rows = [*self._table.live(self._now, self._quiet_s), own]
         return [row for row in rows if not row.stopping]
 
     def send_to(self, to: Address, message: PlacementMessage) -> None:
-        """Send one router a message, at best effort."""
+        """Send one router a message without a delivery guarantee."""
         self._link.send(to, encode(message))
 
     def send_crashes(self, records: tuple[CrashRecord, ...], most: int | None) -> None:
-        """Send which requests crashed endpoints.
+        """Send records of requests that crashed endpoints.
 
         Args:
-            records: What is known.
-            most: Routers that get it, drawn at random; None for all.
+            records: Crash records.
+            most: Maximum number of recipients, drawn at random; None for all.
         """
         self._send(encode(CrashReport(records)), self._some(most))
 
     def send_leaving(self, report: LeavingReport, most: int | None) -> None:
-        """Send which endpoints said that they leave, as ``send_crashes`` does."""
+        """Send which endpoints announced that they leave, to at most ``most`` peers."""
         self._send(encode(report), self._some(most))
 
     def _some(self, most: int | None) -> set[Address]:
@@ -157,14 +158,14 @@
         return set(self._random.sample(sorted(known), min(most, len(known))))
 
     def pass_on(self, update: StoreUpdate, is_own: bool) -> None:
-        """Send others what was read in the platform's store.
+        """Send peers what was read from the platform's store.
 
         Args:
             update: What was read.
-            is_own: This router read it; else a peer did.
+            is_own: Whether this router read it; otherwise a peer did.
         """
         if is_own and self.store_role is not StoreRole.MEMBER:
-            # Also by one that stands by: the store may turn all readers away.
+            # A standby forwards it too: the store may refuse all readers.
             self._send(encode(update), self._zone_mates() | self._other_relays())
         elif not is_own and self._relays_to_zone:
             self._send(encode(update), self._zone_mates())
@@ -183,10 +184,11 @@
 
     @property
     def store_role(self) -> StoreRole:
-        """What this router does about the platform's store.
+        """Role of this router in reading the platform's store.
 
-        Routers that see it differently for a while read once too often, or notice
-        that nobody does (``store_duty.STALE_INTERVALS``): nothing hangs on agreement.
+        Routers need not agree on it. If their views differ for a while, there is an
+        extra reader, or no reader until the routers notice that their state is stale
+        (``store_duty.STALE_INTERVALS``).
         """
         if self._now - self._began < SETTLE_S:
             return StoreRole.MEMBER
@@ -200,7 +202,7 @@
         return StoreRole.MEMBER
 
     def words(self) -> list[StoreReport]:
-        """Return what other routers know of the store."""
+        """Return the store state that other routers reported."""
         now = self._now
         at, words = self._words
         if now - at > SAME_S:
@@ -210,16 +212,16 @@
         return words
 
     def add_addresses(self, addresses: Iterable[Address]) -> None:
-        """Take note of where other routers may be."""
+        """Add addresses at which other routers may be."""
         for address in addresses:
             if address != self._own.address and address not in self._addresses:
                 self._addresses[address] = self._now
                 self._announcer.add([address])
 
-    # What comes in.
+    # Received messages.
 
     def receive(self, data: bytes) -> None:
-        """Take a datagram."""
+        """Handle a datagram."""
         now = self._now
         if (hello := self._hello_cache.get(data)) is not None:
             self._on_hello(now, hello)
@@ -267,8 +269,9 @@
         self._listener.on_placed(message.placed)
 
     def _on_sum(self, now: float, message: SumReport | SumDelta) -> None:
-        # Hellos of a few a round miss a router now and then; whoever forgot
-        # the first relay so would tell others, and its sums would lack them.
+        # Each round sends hellos to a few routers only, so one may be missed for a
+        # while. A router that dropped the first relay for that would report to others,
+        # and the first relay's sums would lack it.
         self._table.touch(now, message.host, message.boot)
         sums = self._relayed.sums
         match sums.put(now, message):
@@ -287,10 +290,10 @@
         self._addresses[hello.address] = now
         self.add_addresses(hello.peers)
 
-    # What goes out.
+    # Sent messages.
 
     def report_soon(self) -> None:
-        """Send a whole report at the next turn, for changes that cannot wait."""
+        """Send a full report at the next turn, for urgent changes."""
         self._report_due = True
 
     def _turn(self) -> None:
@@ -308,7 +311,7 @@
             self._relayed.drop_silent_relays(self._now, self._quiet_s)
             self._relay()
             self._on_changed()
-            # The second relay needs notices only while it stands in for the first.
+            # The second relay needs notices only while it replaces the first.
             is_missed = self._relayed.is_fleet_sum_overdue(self._now)
             self._notice(self._own_relays(RELAYS_PER_ZONE if is_missed else 1))
         elif self._wanted:
@@ -386,8 +389,8 @@
 
     def _turns_of_hello(self) -> set[Address]:
         to = set(self._ring.next(self._addresses, HELLOS_A_ROUND))
-        # One seed a round: all seeds each round made them hear the whole fleet four
-        # times a second.
+        # One seed per round: with all seeds in each round, a seed got a hello from
+        # every router of the fleet four times per second.
         seeds = sorted(self._seeds)
         if seeds:
             to.add(seeds[self._number % len(seeds)])
@@ -399,10 +402,11 @@
             self._send(encode(own), to)
 
     def _round(self) -> None:
-        # First, lest a fault in one round end all and others drop a live router.
+        # Scheduled first: otherwise an exception in one round ends all later rounds,
+        # and peers drop a live router.
         self._timers.after(PERIOD_S * self._random.uniform(0.9, 1.1), self._round)
         now = self._now
-        # An address that was told of and never answered is some dead host's.
+        # An address from peers that never answered belongs to a dead host.
         forget_s = max(FORGET_S, 2 * self._quiet_s)
         for address, at in list(self._addresses.items()):
             if now - at > forget_s:
@@ -410,15 +414,15 @@
                 self._announcer.remove(address)
         self._tell()
         if self._is_large:
-            # Announcer and reports tell addresses; these stay the same for their
-            # receivers' sake.
+            # Addresses are sent by the announcer and in reports. Without them these
+            # hellos stay identical, so that receivers can cache the decoded message.
             self._say_hello(self._turns_of_hello(), ())
         self._listener.on_totals(self._others())
 
-    # Sums.
+    # Aggregates.
 
     def _others(self) -> FleetTotals:
-        """Return the sums of all other routers."""
+        """Return the totals of all other routers."""
         now = self._now
         if not self._is_large:
             return sum_reports(now, self._book.live(now), USAGE_DECAY_S)
--- a/greengageflow/daemon/gateway.py
+++ b/greengageflow/daemon/gateway.py
@@ -1,4 +1,4 @@
-"""``greengage-gateway``: the daemon of one host on the users' platform."""
+"""``greengage-gateway``: router daemon of one host on the users' platform."""
 
 import sys
 from collections.abc import Mapping
@@ -65,19 +65,20 @@
 
 
 def clock() -> float:
-    """Return steady seconds that count the time in which the host was suspended.
+    """Return monotonic seconds, including time in which the host was suspended.
 
-    A host that sleeps and wakes up would otherwise take what it knew for fresh.
+    With a clock that stops during suspension, a resumed host would treat stale keys
+    and configuration as fresh.
     """
     return clock_gettime(CLOCK_BOOTTIME)
 
 
 class Gateway(Program):
-    """All parts of one router process on the users' platform.
+    """All components of one router process on the users' platform.
 
     Args:
-        settings: Checked settings.
-        path: Where they were read, for SIGHUP.
+        settings: Validated settings.
+        path: File from which to reload them on SIGHUP.
     """
 
     channel = "gateway"
@@ -282,7 +283,7 @@
         self._exchange.receive(data)
 
     def report(self, number: int, sequence: int) -> PeerReport:
-        """Return the present report of this router."""
+        """Return the current report of this router."""
         now = self._timers.now
         gossip = self._settings.gossip
         return PeerReport(
@@ -305,42 +306,42 @@
         )
 
     def loads(self) -> Mapping[str, LoadShare]:
-        """Return what this router has under way, by endpoint."""
+        """Return the load that this router puts on each endpoint."""
         return self._book.own_loads()
 
     def placed(self) -> Placed:
-        """Return prompt parts and the endpoints that they were sent to lately."""
+        """Return recently sent prompt prefixes and their endpoints."""
         return self._book.recent_placements(self._timers.now)
 
     def on_placed(self, placed: Placed) -> None:
-        """Take where other routers sent prompt parts."""
+        """Handle prompt prefixes that other routers sent to endpoints."""
         self._book.on_placements(self._timers.now, placed)
 
     def on_loads(self, loads: Mapping[str, LoadShare]) -> None:
-        """Take what other routers have under way."""
+        """Handle a change of the load that other routers put on each endpoint."""
         self._book.on_loads(loads)
 
     def on_totals(self, totals: FleetTotals) -> None:
-        """Take the sums of all other routers."""
+        """Handle the totals of all other routers."""
         now = self._timers.now
         self._notes.totals_at = now
         self._placement.on_round()
         self._forwarder.carry_out(self._book.on_totals(now, totals))
 
     def on_store_update(self, update: StoreUpdate) -> None:
-        """Take what another router read in the store."""
+        """Handle what another router read from the store."""
         self._store.take_update(update)
 
     def on_crash_report(self, report: CrashReport) -> None:
-        """Take which requests crashed endpoints."""
+        """Handle a report of requests that crashed endpoints."""
         self._crashes.receive(report.records)
 
     def on_leaving_report(self, report: LeavingReport) -> None:
-        """Take which endpoints said that they leave."""
+        """Handle a report of endpoints that announced that they leave."""
         self._leaving.receive(report.endpoints)
 
     def on_place_message(self, message: PlacementMessage) -> None:
-        """Take what another router asks or tells of a request's place."""
+        """Handle a placement message of another router."""
         self._placement.receive(message)
 
     # The store.
@@ -372,7 +373,7 @@
         if change.what == "gone":
             self._book.forget_endpoint(change.id)
 
-    # Life.
+    # Lifecycle.
 
     def _on_tick(self) -> None:
         now, words = clock(), self._exchange.words()
@@ -398,7 +399,7 @@
         self._timers.every(FLUSH_INTERVAL_S, self._log.flush)
 
     def _reload(self) -> None:
-        """Read the settings again; what may change while running is taken over."""
+        """Reload the settings and apply those that can change at run time."""
         try:
             cfg = load_gateway_settings(self._path)
         except ExceptionGroup as group:
@@ -443,11 +444,11 @@
 
 
 def run(settings: str = "") -> None:
-    """Run one router until it is told to stop (SIGTERM).
+    """Run one gateway until SIGTERM.
 
     Args:
-        settings: Path of the JSON settings; by default the one that the
-            platform names in the environment.
+        settings: Path of the JSON settings; by default the one that the platform
+            sets in the environment.
     """
     setup_logging(sink=sys.stdout)
     path = settings_path(settings)
@@ -463,8 +464,8 @@
 def main() -> None:
     """Run the program."""
     if not sys.argv[1:]:
-        # As the platform starts it: the command line's library is half a tenth of a
-        # second of processor time, in which a small host is not back yet.
+        # The platform starts it without arguments. Importing ``fire`` takes 0.05 s of
+        # processor time, by which a small host would serve later after a restart.
         run()
         return
     import fire  # noqa: PLC0415
--- a/greengageflow/daemon/gateway_pages.py
+++ b/greengageflow/daemon/gateway_pages.py
@@ -1,4 +1,4 @@
-"""What the balancer and who reads metrics get from a gateway."""
+"""Readiness and metrics pages of a gateway."""
 
 from collections.abc import Callable, Mapping
 
@@ -9,25 +9,29 @@
 
 
 class GatewayPages:
-    """Answers with readiness and with the metrics page; a caller server's handler.
+    """Caller server handler that serves readiness and metrics.
 
     Args:
         page: The metrics.
-        unready: Returns why the balancer should send nothing here, or None.
-        waiting: Returns the requests that wait.
-        running: Returns the requests that were sent.
-        callers: Tells of callers' connections.
-        late: Returns the seconds by which the event loop was late.
-        peers: Returns the other routers that are heard.
+        unready: Returns the reason for which the balancer should send no requests, or
+            None.
+        waiting: Returns the number of queued requests.
+        running: Returns the number of requests sent to endpoints.
+        callers: Server whose connections are counted.
+        late: Returns the event loop's worst delay, in seconds.
+        peers: Returns the number of other live routers.
         version: Returns the version of the configuration.
-        unheard: Returns the seconds since it was known to be the newest.
-        control_bytes: Returns bytes of reports that came in and went out.
-        control_too_long: Returns messages that were left out because of their length.
-        store_calls: Returns the calls of the store.
-        dropped: Returns the log lines dropped by cause.
-        era: Returns the store's era, 0 until it came back older.
-        quarantined: Returns the requests that are held back for crashes.
-        stale_retries: Returns the requests sent again on a new connection.
+        unheard: Returns the seconds since the configuration was last confirmed to be
+            the latest.
+        control_bytes: Returns the bytes of control messages received and sent.
+        control_too_long: Returns the number of control messages that were dropped
+            because they exceed the maximum length.
+        store_calls: Returns the number of calls to the store.
+        dropped: Returns the number of dropped log lines by cause.
+        era: Returns the store's era; 0 until the store is first restored to an older
+            state.
+        quarantined: Returns the number of requests quarantined after crashes.
+        stale_retries: Returns the number of requests sent again on a new connection.
     """
 
     def __init__(
@@ -74,9 +78,9 @@
         page.read(PageMetric.LOG_LINES_DROPPED, lambda: dict(dropped()))
 
     def on_call(self, call: PageCall) -> None:
-        """Answer with the metrics page."""
+        """Respond with the metrics page."""
         headers = (("Content-Type", CONTENT_TYPE),)
         call.reply.raw(200, headers, self._page.render())
 
     def on_gone(self, call: PageCall) -> None:
-        """Forget nothing: pages are answered at once."""
+        """Do nothing: pages are served synchronously, so no state is kept."""
--- a/greengageflow/daemon/gateway_settings.py
+++ b/greengageflow/daemon/gateway_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a router on the users' platform, JSON, checked at the start."""
+"""Settings of a gateway on the users' platform, read from JSON and validated."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -30,18 +30,19 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetBounds:
-    """What the operators ask of the fleet.
+    """Limits that the operators set for the fleet.
 
     Args:
         grace_s: Time from SIGTERM to the end of the process, in seconds.
-        revoke_ms: Time after which a key that was taken away must not work, in
-            milliseconds; None when keys are trusted without the store.
-        config_apply_ms: Time after which a configuration must be in force, in
+        revoke_ms: Time within which a revoked key must stop working, in milliseconds;
+            None if keys are trusted while the store is unreachable.
+        config_apply_ms: Time within which a configuration must be in force, in
             milliseconds.
-        drain_ms: Time after which a leaving endpoint gets nothing, in milliseconds.
-        budget_ratio: Repeats allowed for each request of a caller.
-        budget_slack: Repeats of the whole fleet beside it, in a window.
-        budget_window_s: Length of that window, in seconds.
+        drain_ms: Time within which a leaving endpoint must get no more requests, in
+            milliseconds.
+        budget_ratio: Retry budget per caller request.
+        budget_slack: Additional retries of the whole fleet per window.
+        budget_window_s: Length of the retry budget's window, in seconds.
     """
 
     grace_s: float = 8.0
@@ -54,34 +55,34 @@
 
     @property
     def known_within_s(self) -> tuple[float, ...]:
-        """Times within which changes in the store must be known, in seconds."""
-        # Keys are refused from the bound on without word; half of it leaves time to
-        # read again before that when a read is lost.
+        """Times within which changes in the store must be read, in seconds."""
+        # Keys are refused once the store has not confirmed them for ``revoke_s``. Half
+        # of it leaves time for another read before that if one is lost.
         return self.config_apply_ms / 1000, self.drain_ms / 1000, self.revoke_s / 2
 
     @property
     def revoke_s(self) -> float:
-        """Seconds for which keys are trusted without word from the store."""
+        """Seconds for which keys are trusted without confirmation by the store."""
         return float("inf") if self.revoke_ms is None else self.revoke_ms / 1000
 
 
 @dataclass(frozen=True, slots=True)
 class GatewaySettings:
-    """Settings of one router.
+    """Settings of one gateway.
 
     Args:
         host: Host name, unique in the fleet.
         zone: Availability zone of the host.
         ip: IP number of the host.
-        callers: Where callers connect.
-        ready: Where the balancer asks whether the router is ready.
-        store: The platform's store.
-        gossip: UDP address for other routers.
-        metrics: Where the metrics page is served, or None.
-        seeds: Such addresses of hosts through which others are found.
-        bounds: What the operators ask of the fleet.
-        quarantine: When requests that crash endpoints are held back.
-        max_files: Descriptors that the process may have; None for its own limit.
+        callers: Listening address for callers.
+        ready: Listening address for the balancer's readiness checks.
+        store: Address of the platform's store.
+        gossip: UDP address for messages between routers.
+        metrics: Listening address of the metrics page, or None.
+        seeds: Gossip addresses of hosts through which other routers are discovered.
+        bounds: Limits that the operators set for the fleet.
+        quarantine: When requests that crash endpoints are quarantined.
+        max_files: Maximum number of file descriptors; None for the process's limit.
     """
 
     host: str
@@ -99,7 +100,7 @@
 
     @property
     def files(self) -> FileBudget:
-        """Descriptors of the process, shared out."""
+        """File descriptors of the process, divided among their uses."""
         own, _ = getrlimit(RLIMIT_NOFILE)
         return FileBudget(min(own, self.max_files or own))
 
@@ -155,7 +156,7 @@
 
 
 def settings_path(given: str, variables: Mapping[str, str] = environ) -> str:
-    """Return the path of the settings: the one given, or that of the variable."""
+    """Return the given settings path, or else that of the environment variable."""
     return given or variables.get(SETTINGS_VARIABLE, "")
 
 
@@ -163,7 +164,7 @@
     """Return the settings in a JSON file.
 
     Raises:
-        ExceptionGroup: Holds one ``Fault`` for everything wrong, or the
-            ``OSError`` of a file that cannot be read.
+        ExceptionGroup: Holds one ``Fault`` per invalid setting, or the ``OSError`` of
+            a file that cannot be read.
     """
     return run(_CHECK, read_document(path), path)
--- a/greengageflow/daemon/pending_placements.py
+++ b/greengageflow/daemon/pending_placements.py
@@ -1,4 +1,4 @@
-"""Requests of this host that placers were asked for, or placed."""
+"""State of this host's requests that are placed by other hosts."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -10,26 +10,26 @@
 
 
 class PlaceSender(Protocol):
-    """Carries messages to other hosts."""
+    """Sends placement messages to other hosts."""
 
     def routers(self) -> list[Hello]:
-        """Return the live hosts that are not stopping, this one with them."""
+        """Return the live hosts that are not stopping, including this one."""
 
     def send_to(self, to: tuple[str, int], message: PlacementMessage) -> None:
-        """Send a message, at best effort."""
+        """Send a message without a delivery guarantee."""
 
 
 @dataclass(slots=True)
 class PendingPlacement:
-    """A request that a placer was asked for, or that is held back.
+    """A request that waits for a placer's answer, or for a placer to be chosen.
 
     Args:
-        placer: The host that was asked; empty while none was.
+        placer: Host that was asked to place it; empty while it is held back.
         service: Service that runs it.
         job: The request.
         account: Client account.
-        at: Time at which it was asked for.
-        queued: The placer has it in its queue.
+        at: Time at which the placement was requested.
+        queued: Whether the placer has it in its queue.
     """
 
     placer: str
@@ -42,14 +42,14 @@
 
 @dataclass(slots=True)
 class Run:
-    """A request that an endpoint was sent by a placer's word.
+    """A request that was sent to the endpoint chosen by a placer.
 
     Args:
-        placer: The host that placed it.
-        endpoint: Where it was sent.
-        reading: Prompt tokens of it to read.
-        memory: Tokens that it takes in the endpoint's memory.
-        live: The endpoint works on it.
+        placer: Host that placed it.
+        endpoint: Endpoint that runs it.
+        reading: Prompt tokens still to prefill.
+        memory: Tokens that it occupies in the endpoint's memory.
+        live: Whether the endpoint is working on it.
     """
 
     placer: str
--- a/greengageflow/daemon/placement.py
+++ b/greengageflow/daemon/placement.py
@@ -1,4 +1,4 @@
-"""Where requests are decided: at this host, or by the placer of their engine."""
+"""Decides requests on this host or through the placer of their engine."""
 
 from collections.abc import Callable, Iterable, Iterator
 
@@ -34,36 +34,37 @@
 ROLLS_ON_S = 2.0
 SETTLE_S = 1.0
 ALONE_S = 0.3
-"""Seconds from its start for which a host that knows no other holds requests back.
+"""Seconds after the start for which a host that knows no peer holds requests back.
 
-When all begin at once, each would send the engines what the whole fleet may.
+When all hosts start at once, each would otherwise send the engines as many requests as
+the whole fleet may.
 """
 BEGIN_S = 3.0
 LOOK_S = 0.05
 STEADY_S = 0.3
-"""Seconds as placer after which engines are asked what they keep.
+"""Seconds as placer after which engines are asked for their cached prefixes.
 
-A host that starts takes itself for the only one until it has heard of others, which
-takes a round; nine of them would ask each engine.
+A starting host considers itself the only one until it discovers its peers, which takes
+a round. Without the delay, nine starting hosts would all ask each engine.
 """
 LATE_WORD_S = 0.1
 
 
 class Placement:
-    """Hands requests to the placer of their engine, and places those of others.
+    """Sends requests to the placer of their engine and places those of other hosts.
 
-    A request whose placer does not answer in ``ANSWER_S`` is decided here, and the
-    placer is left alone for ``MUTE_S``.
+    If a placer does not answer within ``ANSWER_S``, its requests are decided on this
+    host, and no request is sent to it for ``MUTE_S``.
 
     Args:
         own: This host.
-        book: Decides what is decided here.
+        book: Decides the requests that are decided on this host.
         endpoints: Listed endpoints.
         timers: Timer service.
-        sender: Carries messages.
-        carry_out: Takes decisions on requests of this host.
-        log: Takes a line when a placer falls silent or this host becomes one.
-        parts: Learns what the engines keep for which this host places.
+        sender: Sends messages to other hosts.
+        carry_out: Carries out decisions on requests of this host.
+        log: Gets a line when a placer stops answering or this host's role changes.
+        parts: Asks the engines that this host places for their cached prefixes.
     """
 
     def __init__(
@@ -98,7 +99,7 @@
         self._begun_at = float("-inf")
 
     def start(self) -> None:
-        """Begin to tell placers what runs."""
+        """Start sending periodic snapshots to placers."""
         self._begun_at = self._timers.now
         self._timers.every(ROLL_S, self._roll)
         self._look()
@@ -108,32 +109,32 @@
         return self._timers.now - self._begun_at < BEGIN_S
 
     def _look(self) -> None:
-        # A round is a long time for requests that are held back.
+        # A whole round would delay the held-back requests too long.
         if self._begins and self._table.is_alone:
             self.on_round()
             self._timers.after(LOOK_S, self._look)
 
     @property
     def placed(self) -> int:
-        """Requests of other hosts that wait or run by this one's word."""
+        """Number of requests of other hosts that this host queued or placed."""
         return len(self._desk)
 
     # Requests of this host.
 
     @property
     def waiting(self) -> int:
-        """Requests of this host that wait, here or at a placer."""
+        """Number of this host's requests that are queued here or at a placer."""
         return self._book.waiting - self._desk.waiting + len(self._pending)
 
     def placer(self, request: str) -> str:
-        """Return the host that placed a request, or empty when this one did."""
+        """Return the host that placed a request; empty if this one did."""
         run = self._runs.get(request)
         return run.placer if run else ""
 
     def submit(
         self, now: float, service: str, job: Job, account: str
     ) -> Iterator[Decision]:
-        """Ask for a place for a request, and yield what can be decided here."""
+        """Request a placement, and yield the decisions made on this host."""
         self._book.count_request(now, service)
         if job.prompt is not None and self._holds_back(now):
             held = PendingPlacement("", service, job, account, now, queued=True)
@@ -198,7 +199,7 @@
             )
 
     def _decide_here(self, which: Callable[[PendingPlacement], bool]) -> None:
-        """Decide here what was asked and has no answer."""
+        """Decide matching requests that await a placer's answer on this host."""
         now = self._timers.now
         for request, asked in list(self._pending.items()):
             if which(asked) and self._pending.pop(request, None) is not None:
@@ -215,13 +216,13 @@
     def sent(
         self, now: float, request: str, choice: Choice, prompt: Prompt | None
     ) -> None:
-        """Note that a request was sent to an endpoint."""
+        """Record that a request was sent to an endpoint."""
         run = self._runs.get(request)
         if run is None or run.endpoint.id != choice.endpoint.id or not run.live:
             self._book.on_request_sent(now, request, choice, prompt)
 
     def first_event(self, now: float, request: str, endpoint: ListedEndpoint) -> None:
-        """Note the first event of a request's answer."""
+        """Record the first event of a request's response."""
         self._book.on_first_event(now, request, endpoint)
         run = self._runs.get(request)
         if run is not None and run.live:
@@ -229,21 +230,21 @@
             self._note(request, run, PlacementEventKind.FIRST_EVENT)
 
     def answered(self, request: str, endpoint: ListedEndpoint, good: bool) -> None:
-        """Note an endpoint's answer."""
+        """Record whether an endpoint's response was good."""
         self._book.on_answer(endpoint, good)
         run = self._runs.get(request)
         if run is not None and run.live and not good:
             self._note(request, run, PlacementEventKind.FAILED)
 
     def silent(self, now: float, request: str, endpoint: ListedEndpoint) -> bool:
-        """Note that an endpoint did not answer; True when it begins to rest."""
+        """Record a missing response; return whether the endpoint's backoff starts."""
         run = self._runs.get(request)
         if run is not None and run.live:
             self._note(request, run, PlacementEventKind.SILENT)
         return self._book.on_no_answer(now, endpoint)
 
     def left(self, request: str, endpoint: ListedEndpoint) -> None:
-        """Note that an endpoint no longer works on a request."""
+        """Record that an endpoint no longer works on a request."""
         self._book.on_request_released(request, endpoint)
         run = self._runs.get(request)
         if run is not None and run.live:
@@ -251,7 +252,7 @@
             self._note(request, run, PlacementEventKind.ENDED)
 
     def ended(self, now: float, service: str, request: str) -> Iterator[Decision]:
-        """Note that a request has its answer, or its caller is gone."""
+        """Record that a request was answered or its caller disconnected."""
         asked = self._pending.pop(request, None)
         if asked is not None:
             self._tell(asked.placer, request, PlacementEventKind.ENDED)
@@ -261,7 +262,8 @@
         yield from self._book.on_request_end(now, service, request)
 
     def _note(self, request: str, run: Run, happened: PlacementEventKind) -> None:
-        # An endpoint may have got another placer since, which has it from a roll.
+        # The endpoint's placer may have changed since; the new one knows the request
+        # from a snapshot.
         for host in {run.placer, self._table.owner(run.endpoint.id)}:
             self._tell(host, request, happened)
 
@@ -274,10 +276,10 @@
         else:
             self._send(host, note)
 
-    # What others tell.
+    # Messages of other hosts.
 
     def receive(self, message: PlacementMessage) -> None:
-        """Take a message of another host."""
+        """Handle a message of another host."""
         now = self._timers.now
         match message:
             case PlacementRequest():
@@ -290,8 +292,8 @@
                 self._carry_out(self._desk.on_snapshot(now, message))
 
     def _on_ask(self, now: float, ask: PlacementRequest) -> None:
-        # A host that began while cut off from the store knows no endpoint, and would
-        # refuse the requests of all; others know theirs and decide.
+        # A host that started while partitioned from the store knows no endpoints and
+        # would refuse all requests; the asking hosts know endpoints and can decide.
         if not self._places(now) or not self._endpoints.usable(ask.service):
             self._answer(ask, Verdict.PASS)
             return
@@ -300,7 +302,7 @@
             self._answer(ask, Verdict.QUEUED)
 
     def _places(self, now: float) -> bool:
-        # Where all began together there was no placer before, and nothing runs.
+        # If all hosts started together, there was no placer before and nothing runs.
         fresh = self._begins and self._table.started_together
         settled = fresh or now - self._placer_since >= SETTLE_S
         return self._host in self._table.placers and settled and not self.stopping
@@ -317,7 +319,7 @@
             self._sender.send_to(address, message)
 
     def on_decision(self, decision: Decision) -> None:
-        """Tell another host what was decided of its request."""
+        """Send another host the decision on its request."""
         told = self._desk.on_decision(self._timers.now, decision)
         if told is not None:
             self._send(*told)
@@ -325,11 +327,12 @@
     def _on_answer(self, now: float, answer: PlacementAnswer) -> None:
         self._on_heard(now, answer.host)
         asked = self._pending.get(answer.request)
-        # Each process numbers its requests from 1: an answer to the one before this
-        # would start another request, even at an endpoint of another service.
+        # Each process numbers its requests from 1, so an answer meant for the host's
+        # previous process would start an unrelated request, possibly at an endpoint
+        # of another service.
         other = answer.boot != self._boot
         if other or asked is None or asked.placer != answer.host:
-            # What it holds for a request that is decided goes with the next roll.
+            # The next snapshot frees what the placer reserved for a decided request.
             return
         match answer.verdict:
             case Verdict.QUEUED:
@@ -367,7 +370,7 @@
     # The fleet.
 
     def on_round(self) -> None:
-        """Take over who lives; called a few times a second."""
+        """Update the membership and the placers; called a few times per second."""
         now = self._timers.now
         changed = self._table.update(self._sender.routers())
         if self._host not in self._table.placers:
@@ -387,7 +390,7 @@
         self._carry_out(self._desk.drop_silent_hosts(now))
 
     def _release(self, now: float) -> None:
-        """Place the requests that were held back, once others are known."""
+        """Place the held-back requests once other hosts are known."""
         if self._holds_back(now):
             return
         for request, asked in list(self._pending.items()):
@@ -408,10 +411,10 @@
             )
 
     def _roll(self) -> None:
-        """Tell each placer all that runs or waits there."""
+        """Send each placer a snapshot of what it queued or placed for this host."""
         now = self._timers.now
-        # An answer that was lost leaves a place at the placer of which this host knows
-        # nothing: it goes on saying what it has, if only that it has nothing.
+        # A lost answer leaves a reservation at the placer that this host does not know
+        # of. Snapshots therefore continue for a while, even if they are empty.
         rolls: dict[str, list[PlacementEntry]] = {
             host: [] for host, until in self._roll_until.items() if now < until
         }
--- a/greengageflow/daemon/program.py
+++ b/greengageflow/daemon/program.py
@@ -1,4 +1,4 @@
-"""What the programs of a host have in common, whatever they serve."""
+"""Base class of the daemons."""
 
 from circuits import BaseComponent, Event, handler
 from loguru import logger
@@ -10,15 +10,16 @@
 
 
 class Program(BaseComponent):
-    """Root of the parts of one process, on one poller and one timer service.
+    """Root component of a process, with one poller and one timer service.
 
-    A handler that fails is logged and costs its own event only. SIGTERM and SIGINT
-    begin a planned stop; the process ends when ``stop`` is called.
+    An exception in a handler is logged and affects only the event being handled.
+    SIGTERM and SIGINT begin a graceful shutdown; the process ends when ``stop`` is
+    called.
     """
 
     def __init__(self) -> None:
         super().__init__()
-        # Registered first, or each socket component would bring its own poller.
+        # Registered first; otherwise each socket component adds a poller of its own.
         self._poller = SocketPoller().register(self)
         self._timers = Timers().register(self)
 
@@ -31,7 +32,7 @@
 
     @handler("signal", channel="*", priority=100)
     def _on_signal(self, event: Event, *_args: object) -> None:
-        # The default handler ends the loop at once, which would cut every answer.
+        # The default handler ends the loop at once, which would truncate all responses.
         event.stop()
         self._begin_stop()
 
