--- a/greengageflow/daemon/fleet_exchange.py
+++ b/greengageflow/daemon/fleet_exchange.py
@@ -271,7 +271,7 @@
     def _on_sum(self, now: float, message: SumReport | SumDelta) -> None:
         # Each round sends hellos to a few routers only, so one may be missed for a
         # while. A router that dropped the first relay for that would report to others,
-        # and the first relay's sums would lack it.
+        # and the first relay's sums would lack that router.
         self._table.touch(now, message.host, message.boot)
         sums = self._relayed.sums
         match sums.put(now, message):
--- a/tests/test_fleet_exchange.py
+++ b/tests/test_fleet_exchange.py
@@ -1,7 +1,7 @@
-"""Sums over a fleet of routers, on a network in memory and in simulated time.
+"""Aggregates over a fleet of routers, on a simulated network and clock.
 
-Work fades while a report is under way, by design; ``USAGE_DECAY_S`` is set so long
-here that sums come out exactly.
+Usage in a report decays while the report is in transit; ``USAGE_DECAY_S`` is infinite
+here so that the expected aggregates are exact.
 """
 
 from collections import Counter
@@ -26,7 +26,7 @@
 
 
 class Network:
-    """Carries datagrams and keeps the time; what is lost depends on no order."""
+    """Simulated network and clock; datagram loss does not depend on event order."""
 
     def __init__(self, loss=0.0):
         self.now = 0.0
@@ -166,7 +166,7 @@
 
 
 def wrong(routers):
-    """Return the routers whose sums are not those of all the others."""
+    """Yield the routers whose totals differ from the sum of all other routers."""
     for router in routers:
         others = merge(
             FleetTotals(one.work, one.asked, one.share, 1)
@@ -190,14 +190,14 @@
 @FLEETS
 @pytest.mark.parametrize("loss", [0.0, 0.2])
 def test_each_router_knows_the_sums_of_all_others(monkeypatch, size, zones, loss):
-    """Sums that are right at one moment may lack someone at the next: each router
-    must count on the same relays, also when it missed a few of their hellos."""
+    """Routers that disagree on the relays, for example after missing a few of their
+    hellos, report to the wrong ones, and totals lose a router from time to time."""
     network, routers = fleet(monkeypatch, size, zones, loss)
     most = []
     for _ in range(20 if not loss else 32):
         network.run(0.5)
         most.append(max(router.totals.hosts for router in routers))
-    assert max(most) == size - 1, "nobody is counted twice while the fleet comes up"
+    assert max(most) == size - 1, "no router is counted twice while the fleet starts"
     for _ in range(20 if not loss else 1):
         network.run(0.3)
         assert not list(wrong(routers))
@@ -209,9 +209,9 @@
 
 @pytest.mark.parametrize("dead", [1, 2])
 def test_relay_that_dies_is_replaced_and_sums_go_on(monkeypatch, dead):
-    """A router without sums takes itself for the only one, and would begin what the
-    whole fleet may: members must have the second relay's sums before those of the
-    first one lapse. When both die at once, the zone goes without for a while."""
+    """A router without totals acts as the only one and starts as many requests as the
+    whole fleet may. Members must get the second relay's totals before those of the
+    first expire. If both die at once, the zone has no totals for a while."""
     network, routers = fleet(monkeypatch, 60, 4)
     network.run(10)
     for index in range(dead):
@@ -226,9 +226,8 @@
 
 
 def test_relays_that_die_together_are_replaced_before_they_count_as_dead(monkeypatch):
-    """A zone's members would else take themselves for the only routers for long: a
-    router counts as dead when its hello has not come round, in seconds that grow with
-    the fleet."""
+    """The time-out after which a router without hellos counts as dead grows with the
+    fleet. If the zone waited for it, its members would act as the only routers."""
     network, routers = fleet(monkeypatch, 100, 4)
     network.run(10)
     for index in (0, 4):
@@ -241,8 +240,8 @@
 
 @pytest.mark.parametrize("size", [30, 60])
 def test_traffic_of_a_router_is_bounded(monkeypatch, size):
-    """All bounds are per second. A member's are the same for any fleet; a relay's
-    grow with its zone, and a seed hears each router's hellos beside that."""
+    """All limits are per second. A member's do not depend on the fleet's size, a
+    relay's grow with its zone, and a seed also receives hellos of all routers."""
     network, routers = fleet(monkeypatch, size, 4)
     network.run(10)
     network.count_anew()
@@ -267,7 +266,7 @@
 
 
 def test_what_comes_late_or_twice_is_left_out():
-    """Datagrams overtake each other; an old one must not undo a newer one."""
+    """Datagrams are reordered; an old one must not overwrite a newer one."""
     report = RouterStub(Network(), 1, "z", ()).report(5, 8)
     old, again = replace(report, number=4), replace(report, boot=2, number=1)
     book = PeerTable("other")
@@ -293,8 +292,8 @@
 
 
 def test_round_that_fails_is_not_the_last_one(monkeypatch):
-    """One listener's fault, then silence for good: the others would drop a router
-    that runs, and it would never hear of it."""
+    """After an exception in its listener, a router must keep sending reports;
+    otherwise its peers drop a running router for good."""
     network, routers = fleet(monkeypatch, 3, 1)
 
     def fail(totals):
@@ -315,7 +314,8 @@
 
 @pytest.mark.parametrize(("size", "zones"), [(9, 3), (60, 4)])
 def test_two_routers_read_the_store_and_few_stand_by(monkeypatch, size, zones):
-    """Calls of the store grow with those that read, at the start of all above all."""
+    """Load on the store grows with the number of readers, most of all when a whole
+    fleet starts."""
     network, routers = fleet(monkeypatch, size, zones)
     network.run(SETTLE_S / 2)
     assert roles(routers)[StoreRole.READER] == 0
@@ -326,7 +326,7 @@
 
 
 def test_routers_that_hear_nobody_read_for_themselves(monkeypatch):
-    """A router that is cut off from all others must not wait for their word."""
+    """A router partitioned from all others must not wait for their updates."""
     network, (router,) = fleet(monkeypatch, 1, 1)
     network.run(SETTLE_S + 0.1)
     assert router.exchange.store_role is StoreRole.READER
@@ -336,7 +336,7 @@
 def test_what_one_router_reads_reaches_each_one_and_does_not_go_round(
     monkeypatch, role
 ):
-    """The store may turn all readers away, while one that stands by is served."""
+    """The store may refuse all readers while it serves a standby."""
     network, routers = fleet(monkeypatch, 60, 4)
     network.run(8.0)
     record = KeyedRecord("e1", b"{}", 7)
@@ -356,8 +356,8 @@
 
 @pytest.mark.parametrize("size", [60, 200])
 def test_a_fleet_that_begins_at_once_knows_all_its_routers_soon(monkeypatch, size):
-    """After the loss of all hosts: until they know each other, they disagree on who
-    relays and who places, and decide on part of what the others do."""
+    """After a restart of all hosts, routers that have not discovered each other
+    disagree on relays and placers and decide on partial load information."""
     network, routers = fleet(monkeypatch, size, 5)
     network.run(2.0)
     known = sorted(router.exchange.hosts for router in routers)
@@ -365,7 +365,7 @@
 
 
 def test_a_router_that_begins_again_is_known_to_all_soon(monkeypatch):
-    """And knows them, though it begins with a seed's address alone."""
+    """It also discovers them all, though it starts with the address of one seed."""
     network, routers = fleet(monkeypatch, 100, 5)
     network.run(12.0)
     routers[50].stop()
--- a/tests/test_gateway_bounds.py
+++ b/tests/test_gateway_bounds.py
@@ -1,4 +1,4 @@
-"""Gateways at the bounds of log, descriptors and connections, on real processes."""
+"""Gateways at the limits of log, descriptors and connections, as real processes."""
 
 import json
 import os
@@ -36,7 +36,7 @@
 
 
 class BoundLab(PlatformLab):
-    """A lab whose gateways may open few files and write to a pipe nobody reads."""
+    """A lab whose gateways may open few files or log to a pipe that nobody reads."""
 
     files = None
     piped = False
@@ -66,7 +66,7 @@
         return self.routers[name]
 
     def dropped(self):
-        """Return the lines dropped since the buffer was full."""
+        """Return the number of log lines dropped because the buffer was full."""
         address = self.settings["r0"]["ip"], METRICS_PORT
         found = DROPPED.search(call(address, "GET", "/metrics").data.decode())
         return float(found[1]) if found else 0.0
@@ -81,9 +81,10 @@
 
 
 def test_a_reader_of_the_log_that_has_stopped_delays_no_request():
-    """The collector behind a gateway's standard output stops reading. Pipe and buffer
-    fill and lines are dropped, which the metrics page counts; every request is served.
-    When the collector reads on it gets whole lines and how many are missing.
+    """The log collector stops reading a gateway's standard output. Pipe and buffer
+    fill, and the gateway drops lines and counts them in its metrics; all requests are
+    served. Once the collector resumes, it gets complete lines and the number of
+    dropped ones.
     """
     with PipedLab() as lab, closing(lab.client()) as client:
 
@@ -100,12 +101,12 @@
 
 
 def test_callers_connections_leave_descriptors_for_all_else():
-    """Callers open more connections than the process may have files, and keep them.
-    New callers got no answer, nor did the balancer, and the process spun; nothing of
-    its lines told why.
+    """Callers open and keep more connections than the process may have descriptors.
+    The process then answered neither new callers nor the balancer, spun, and logged
+    no reason.
 
-    Connections on which nothing is asked give way, so that files are left for new
-    callers, endpoints and readiness: each request is served all the while.
+    Idle connections must be closed instead, so that descriptors remain for new
+    callers, endpoints and readiness checks, and every request is served.
     """
     with FewFilesLab() as lab:
         idle = [lab.client() for _ in range(2 * FEW_FILES)]
@@ -120,9 +121,9 @@
 
 
 def test_callers_that_all_wait_for_answers_leave_descriptors_for_readiness():
-    """Every caller's connection has a request under way, so that none may give way. A
-    host that can take nobody must say so to the balancer, which then asks elsewhere,
-    and serve again when there is room."""
+    """No caller connection is idle, so none can be closed. The host must report that
+    it is not ready, so that the balancer uses other hosts, and must serve again once
+    connections are free."""
     shape = PlatformShape(plain_options={"slots": 2 * FEW_FILES})
     with FewFilesLab(shape) as lab:
         lab.fault("app-0", hang=True, times=FEW_FILES)
@@ -130,13 +131,13 @@
         busy = []
 
         def is_full_with_one_more():
-            # Some that have not asked yet give way to later ones.
+            # Connections without a request yet are closed in favour of later ones.
             busy.append(lab.client())
             with suppress(OSError):
                 busy[-1].send(SAFE, key=KEY, deadline_ms=60_000)
             return lab.ready("r0") == 503
 
-        wait_for(is_full_with_one_more, "it says that it can take nobody")
+        wait_for(is_full_with_one_more, "the host reports that it is full")
         for one in busy:
             one.close()
         lab.fault("app-0")
@@ -146,8 +147,8 @@
 
 
 def test_two_thousand_idle_connections_cost_nobody_an_answer():
-    """Callers keep 2,000 connections open and ask for nothing. Others are served, and
-    the idle ones still work afterwards."""
+    """Callers keep 2,000 idle connections open. Other callers are served, and the idle
+    connections still work afterwards."""
     with BoundLab() as lab:
         idle = [lab.client() for _ in range(2000)]
         own = f"/proc/{lab.routers['r0'].pid}/fd"
@@ -159,9 +160,9 @@
 
 
 def test_slots_of_a_plain_service_come_back_when_their_host_is_lost():
-    """A gateway has taken up the whole of a plain endpoint, and another knows it and
-    refuses. The first one is killed: its requests end with its connections, and the
-    other serves with the endpoint again.
+    """One gateway uses all slots of a plain endpoint, and another knows this from load
+    reports and refuses requests. When the first is killed, its requests end with its
+    connections, and the other must use the endpoint again.
     """
     options = {"slots": 1, "queue": 4}
     shape = PlatformShape(routers=2, plain=1, plain_options=options)
@@ -182,7 +183,7 @@
         def status():
             return lab.ask(LONG, "r1", deadline_ms=1500).status
 
-        wait_for(lambda: status() == 429, "the other one knows")
+        wait_for(lambda: status() == 429, "the other gateway refuses")
         assert {status() for _ in range(3)} == {429}
         lab.routers["r0"].kill()
         wait_for(lambda: status() == 200, "served again")
--- a/tests/test_gateway_cuts.py
+++ b/tests/test_gateway_cuts.py
@@ -1,4 +1,4 @@
-"""Gateways whose words to each other or to the store are lost, on real processes."""
+"""Gateways partitioned from each other or from the store, as real processes."""
 
 import re
 from contextlib import contextmanager
@@ -22,11 +22,11 @@
 
 
 class CutLab(PlatformLab):
-    """Gateways that reach the store and each other only by the fault proxy.
+    """Gateways that reach the store and each other only through the fault proxy.
 
-    A gateway names its own address to others, so in all that reaches a gateway or the
-    store the addresses of all of them are replaced by those of their relays; a cut
-    would otherwise be passed by.
+    Gateways advertise their own addresses. The proxy replaces these by its relay
+    addresses in all messages to gateways and the store; otherwise gateways would
+    bypass a partition.
     """
 
     def __init__(self):
@@ -70,7 +70,7 @@
     def all_know(self, counts):
         wait_for(
             lambda: [self.peers(name) for name in self.settings] == counts,
-            f"gateways hear {counts} others",
+            f"gateways count {counts} peers",
         )
 
     @contextmanager
@@ -81,9 +81,9 @@
 
 
 def test_a_cut_in_one_direction_between_gateways():
-    """The first gateway, which reads the store for its zone, hears the second one but
-    is not heard by it. All go on serving, a new route and a key that was taken away
-    reach both sides, and the second one counts the first again after the cut.
+    """The first gateway, a store reader, receives from the second one, but its own
+    messages to it are lost. All gateways keep serving, a new route and a revoked key
+    take effect on all of them, and the second counts the first again after the cut.
     """
     with CutLab() as lab:
         lab.all_know([2, 2, 2])
@@ -105,10 +105,10 @@
 
 
 def test_a_gateway_cut_off_from_all_and_restarted_meanwhile():
-    """A gateway loses the store and its peers, and its process is killed and started
-    again before the cut ends. It knows no configuration then, says that it is not
-    ready and refuses with 503, by which callers may come back, and runs nothing. After
-    the cut it serves without help.
+    """A gateway is partitioned from the store and its peers and restarted before the
+    cut ends. It has no configuration then, reports that it is not ready, refuses
+    requests with 503, which callers may retry, and runs none. After the cut it serves
+    again without intervention.
     """
     with CutLab() as lab:
         lab.all_know([2, 2, 2])
--- a/tests/test_platform_answers.py
+++ b/tests/test_platform_answers.py
@@ -1,4 +1,4 @@
-"""Lost, foreign and spoiled answers of the platform's replicas, through one router."""
+"""Lost, unsolicited and malformed responses of replicas, through one router."""
 
 import json
 from hashlib import sha256
@@ -37,7 +37,7 @@
 
 
 def outcome(client: PlatformClient, path: str, **options):
-    """Return the id and the answer, None for a connection that ended before."""
+    """Return the request's id and the answer; None if the connection ended early."""
     name = client.send(path, **{"key": KEY, **options})
     try:
         return name, client.answer()
@@ -47,8 +47,9 @@
 
 @pytest.mark.parametrize("how", ["close", "reset"])
 def test_lost_answer_of_what_may_run_once_is_not_asked_for_again(lab, how):
-    """A replica runs the request and its answer is lost. A second replica would run
-    it twice; an answer that promises "not run" would have the caller do so."""
+    """A replica runs a non-idempotent request and its response is lost. A retry at a
+    second replica would run it twice, and so would a status that promises the caller
+    that it did not run."""
     for name in ("app-0", "app-1"):
         lab.fault(name, lose=how)
     for _ in range(5):
@@ -71,8 +72,8 @@
     ids=["cut", "reset", "spoilt"],
 )
 def test_answer_that_is_not_whole_never_looks_whole(lab, path, fault):
-    """A replica's answer is cut, reset or no HTTP at all: the caller gets a failure
-    or a cut, or the whole answer of another run where it may run again."""
+    """A replica's response is cut, reset or not HTTP. The caller gets an error or a
+    closed connection, or a complete response of a retry if the route allows one."""
     for name in ("app-0", "app-1"):
         lab.fault(name, **fault)
     name, answer = outcome(lab.client(), path, deadline_ms=3000)
@@ -93,9 +94,9 @@
 @pytest.mark.parametrize("extra", [{"extra": "at_once"}, {"extra": "late"}])
 @pytest.mark.parametrize("path", [SAFE, UNSAFE])
 def test_foreign_answer_reaches_no_caller(lab, path, extra):
-    """A replica sends a second answer, of no request, after a whole one, at once or
-    when the connection may already carry the next request: that request must not
-    take it, and nobody may get bytes that were not asked for."""
+    """A replica sends an unsolicited second response after a complete one, at once or
+    when the connection may already carry the next request. It must neither answer
+    that request nor reach any caller."""
     for name in ("app-0", "app-1"):
         lab.fault(name, extra_s=0.01, **extra)
     clients = [lab.client() for _ in range(4)]
@@ -113,8 +114,8 @@
 
 
 def test_early_answer_leaves_the_rest_of_the_body_in_its_place(lab):
-    """A replica answers before it has read a long body and reads on: the rest of
-    that body, and no other request, must follow on the connection."""
+    """A replica responds before it has read a long body and then reads on. The rest of
+    that body must follow on the connection before any other request."""
     for name in ("app-0", "app-1"):
         lab.fault(name, early=True)
     body = bytes(range(256)) * 4000
@@ -130,26 +131,26 @@
 
 
 def held(lab, path, count):
-    """Have that many requests begin and hang at the plain replicas."""
+    """Start ``count`` requests that hang at the plain replicas."""
     for name in ("app-0", "app-1"):
         lab.fault(name, hang=True)
     clients = [lab.client() for _ in range(count)]
     names = [client.send(path, key=KEY) for client in clients]
-    wait_for(lambda: all(lab.begun(name) for name in names), "all begun")
+    wait_for(lambda: all(lab.begun(name) for name in names), "all runs started")
     return clients, names
 
 
 @pytest.mark.parametrize("path", [SAFE, UNSAFE])
 def test_what_is_refused_never_runs(lab, path):
-    """All places of the replicas are taken. Whoever is refused then must not run,
-    also not when places are free again; nobody may wait for his deadline."""
+    """All slots of the replicas are taken. A refused request must not run, even after
+    slots become free, and must be refused well before its deadline."""
     clients, _ = held(lab, path, 4)
     refused = [outcome(lab.client(), path, deadline_ms=3000) for _ in range(4)]
     for client in clients:
         client.close()
     for name in ("app-0", "app-1"):
         lab.fault(name)
-    assert wait_for(lambda: lab.ask(path).status == 200, "places are free again")
+    assert wait_for(lambda: lab.ask(path).status == 200, "slots are free again")
     for name, answer in refused:
         assert answer.status in PROMISES and not lab.begun(name)
         assert float(answer.headers["retry-after"]) < 3
@@ -157,8 +158,8 @@
 
 @pytest.mark.parametrize("reset", [False, True])
 def test_request_ends_at_its_replica_when_its_caller_leaves(lab, reset):
-    """The caller leaves; the replica, which would hang for 20 s, must be told by the
-    end of its connection."""
+    """The caller disconnects. The replica, which would hang for 20 s, must notice this
+    because the router closes its connection."""
     (client,), (name,) = held(lab, UNSAFE, 1)
     client.close(reset=reset)
     wait_for(lambda: lab.runs(name)[0]["ended"], "the run ended")
@@ -176,8 +177,8 @@
 
 
 def test_request_that_found_no_place_is_not_sent_again_when_its_caller_left(lab):
-    """All replicas turn a request away and its caller leaves; then places become free:
-    a later request gets one, and the one that was left never runs."""
+    """All replicas refuse a request and its caller disconnects. Once slots are free, a
+    later request gets one, and the abandoned request never runs."""
     clients, _ = held(lab, SAFE, 4)
     waiting = lab.client()
     left = waiting.send(SAFE, key=KEY)
@@ -192,9 +193,9 @@
 
 
 def test_stream_that_stands_still_is_not_cut_when_nothing_else_can_go_on(lab):
-    """The only engine stands still for longer than the router likes and then goes on.
-    With no other engine to go on at, a router that gave up on it would cut the stream;
-    its caller must get it whole."""
+    """The only engine stalls for longer than the router's stall time-out and then
+    resumes. Without another engine to move to, abandoning it would cut the stream; the
+    caller must get the complete stream."""
     client = lab.client()
     name = client.send(CHAT, key=KEY, headers=generation(600, ("e1", 50)))
     client.head()
@@ -210,8 +211,8 @@
 
 
 def test_stream_that_stands_still_goes_back_when_the_next_engine_is_dead():
-    """An engine stands still, and the stream is moved to one that has crashed and is
-    still listed. The first goes on soon; its caller must get the stream whole."""
+    """An engine stalls, and its stream is moved to one that has crashed but is still
+    listed. The first resumes soon; the caller must get the complete stream."""
     with PlatformLab(PlatformShape(engines=2)) as lab:
         client = lab.client()
         name = client.send(CHAT, key=KEY, headers=generation(600, ("e1", 50)))
--- a/tests/test_platform_path.py
+++ b/tests/test_platform_path.py
@@ -1,4 +1,4 @@
-"""The whole path of the platform's requests through one router."""
+"""End-to-end requests of the platform through one router."""
 
 import json
 from hashlib import sha256
@@ -55,8 +55,8 @@
 
 
 def test_headers_that_are_the_systems_to_set_are_not_passed_on(lab):
-    """A caller names a tenant, a hold and another run's memory in its headers; a
-    replica that got them would charge another tenant or go on with its prompt."""
+    """A caller sends headers for a tenant, a hold and another run's KV cache. A replica
+    that got them would charge another tenant or continue with its prompt."""
     mine = {TENANT: "tenant-9", HOLD: "h1", PIN_MS: "100", KV_FROM: "127.0.0.1:1/x"}
     answer = lab.ask(UNSAFE, headers={**mine, EXPECT_REPLICA: "i-other"})
     (run,) = lab.runs(answer.id)
@@ -89,7 +89,7 @@
 
 
 def test_events_come_as_they_are_made(lab):
-    """A stream of minutes: its first event must be there long before its end."""
+    """The first event of a stream that takes minutes must not wait for its end."""
     client = lab.client()
     name = client.send(CHAT, key=KEY, headers=generation(50_000, ("c1", 50)))
     client.head()
@@ -112,7 +112,11 @@
 
 
 def torn_stream(lab, path, tokens=2000):
-    """Begin a stream, tear it at its replica after an event, return the client."""
+    """Start a stream and cut it at its replica after the first event.
+
+    Returns:
+        The request's id, the events read so far, and the iterator over the rest.
+    """
     client = lab.client()
     name = client.send(path, key=KEY, headers=generation(tokens, ("d1", 50)))
     assert client.head().status == 200
@@ -123,22 +127,22 @@
 
 
 def test_torn_stream_goes_on_at_another_replica_without_a_gap(lab):
-    """A replica stops in the middle of an event; the caller must see each event
-    once and whole, the later ones from the other replica."""
+    """A replica's stream breaks off within an event. The caller must get each event
+    once and complete, the later ones from the other replica."""
     name, seen, events = torn_stream(lab, CHAT, tokens=200)
     seen.extend(events)
     assert [event.id for event in seen] == list(range(1, 101))
     assert {json.loads(event.data)["run"] for event in seen} == {name}
     runs = sorted(lab.begun(name), key=lambda run: run["begun"])
-    # On a busy machine the second may stand still for long and be left for a third.
+    # On a busy machine the second run may stall and be replaced by a third.
     assert (runs[0]["outcome"], runs[-1]["outcome"]) == ("cut", "done")
     assert runs[0]["replica"] != runs[1]["replica"]
     assert int(runs[1]["last_event_id"]) >= 1
 
 
 def test_torn_stream_that_may_not_go_on_looks_torn(lab):
-    """The same on a route that is not resumable: no second run, and an end that the
-    caller cannot take for a whole answer."""
+    """On a route that is not resumable there is no second run, and the caller must be
+    able to tell that the response is incomplete."""
     name, seen, events = torn_stream(lab, TALE)
     with pytest.raises(Torn):
         seen.extend(events)
