--- a/greengageflow/daemon/forwarder.py
+++ b/greengageflow/daemon/forwarder.py
@@ -189,7 +189,7 @@
         flight.phase = Phase.SENT
         flight.first_sent_at = now
         flight.predicted_s = choice.wait_s
-        self._notes.sent(now, flight, choice, self.placement.placer(flight.id))
+        self._notes.sent(now, flight, choice, self.placement.placer_of(flight.id))
         self._send(flight, choice)
 
     def _send(self, flight: ForwardFlight, choice: Choice) -> None:
@@ -198,7 +198,7 @@
         flight.choice = choice
         flight.moved_at = now
         flight.run_began_at = None
-        self.placement.sent(now, flight.id, choice, flight.req.prompt)
+        self.placement.on_request_sent(now, flight.id, choice, flight.req.prompt)
         request = outgoing(
             flight.req,
             choice.endpoint,
@@ -231,7 +231,7 @@
         now = self._timers.now
         attempt = flight.attempt
         if attempt.events == len(frames):
-            self.placement.first_event(now, flight.id, attempt.endpoint)
+            self.placement.on_first_event(now, flight.id, attempt.endpoint)
             flight.may_have_run = True
             flight.run_began_at = now
         if flight.phase is not Phase.STREAMING:
@@ -259,8 +259,8 @@
         flight.runs += 1
         spoiled = not note.good and note.status < 400
         good = note.good or 400 <= note.status < 500
-        self.placement.answered(flight.id, endpoint, good)
-        self.placement.left(flight.id, endpoint)
+        self.placement.on_response(flight.id, endpoint, good)
+        self.placement.on_request_released(flight.id, endpoint)
         if note.good:
             self.crashes.on_good_answer(flight.fingerprint)
         if not spoiled and note.status < 500:
@@ -275,7 +275,7 @@
 
     def _on_not_run(self, flight: ForwardFlight, note: AnswerNote) -> None:
         endpoint = flight.attempt.endpoint
-        self.placement.left(flight.id, endpoint)
+        self.placement.on_request_released(flight.id, endpoint)
         if note.backoff_s:
             self._on_backoff(endpoint, note.backoff_s)
         else:
@@ -328,7 +328,7 @@
     def on_end(self, flight: ForwardFlight) -> None:
         """Note that a stream ended in order."""
         head = flight.attempt.head
-        self.placement.left(flight.id, flight.attempt.endpoint)
+        self.placement.on_request_released(flight.id, flight.attempt.endpoint)
         self.crashes.on_good_answer(flight.fingerprint)
         if flight.phase is not Phase.STREAMING:
             flight.reply.begin(head.status, headers_for_caller(head))
@@ -366,7 +366,7 @@
             return False
         flight.may_have_run = True
         flight.stale_retry_at = endpoint.id
-        self.placement.left(flight.id, endpoint)
+        self.placement.on_request_released(flight.id, endpoint)
         self._move(flight, flight.choice, failure.message)
         return True
 
@@ -376,8 +376,8 @@
 
     def _note_failure(self, flight: ForwardFlight, failure: Failure) -> None:
         endpoint = flight.attempt.endpoint
-        rests = self.placement.silent(self._timers.now, flight.id, endpoint)
-        self.placement.left(flight.id, endpoint)
+        rests = self.placement.on_no_response(self._timers.now, flight.id, endpoint)
+        self.placement.on_request_released(flight.id, endpoint)
         self._notes.suspect(flight, failure.message, rests)
         if failure.sent:
             flight.may_have_run = True
@@ -461,7 +461,7 @@
     def _stop_attempt(self, flight: ForwardFlight) -> None:
         if flight.attempt is not None:
             flight.attempt.cancel()
-            self.placement.left(flight.id, flight.attempt.endpoint)
+            self.placement.on_request_released(flight.id, flight.attempt.endpoint)
 
     def _answer_error(self, flight: ForwardFlight, exc: RouterError) -> None:
         if flight.may_have_run and exc.status in RAN_NOT:
@@ -481,7 +481,7 @@
         del self._by_call[flight.call_key]
         flight.timer.cancel()
         now = self._timers.now
-        self.carry_out(self.placement.ended(now, flight.service, flight.id))
+        self.carry_out(self.placement.on_request_end(now, flight.service, flight.id))
 
 
 class _FlightListener:
--- a/greengageflow/daemon/pending_placements.py
+++ b/greengageflow/daemon/pending_placements.py
@@ -9,7 +9,7 @@
 from greengageflow.core.service_scheduler import Job
 
 
-class PlaceSender(Protocol):
+class PlacementSender(Protocol):
     """Sends placement messages to other hosts."""
 
     def routers(self) -> list[Hello]:
@@ -28,7 +28,7 @@
         service: Service that runs it.
         job: The request.
         account: Client account.
-        at: Time at which the placement was requested.
+        requested_at: Time at which the placement was requested.
         queued: Whether the placer has it in its queue.
     """
 
@@ -36,24 +36,24 @@
     service: str
     job: Job
     account: str
-    at: float
+    requested_at: float
     queued: bool = False
 
 
 @dataclass(slots=True)
-class Run:
+class PlacedRun:
     """A request that was sent to the endpoint chosen by a placer.
 
     Args:
         placer: Host that placed it.
         endpoint: Endpoint that runs it.
-        reading: Prompt tokens still to prefill.
+        prefill_tokens: Prompt tokens still to prefill.
         memory: Tokens that it occupies in the endpoint's memory.
-        live: Whether the endpoint is working on it.
+        active: Whether the endpoint is working on it.
     """
 
     placer: str
     endpoint: ListedEndpoint
-    reading: float
+    prefill_tokens: float
     memory: float
-    live: bool = True
+    active: bool = True
--- a/greengageflow/daemon/placement.py
+++ b/greengageflow/daemon/placement.py
@@ -22,43 +22,47 @@
 from greengageflow.core.service_dispatcher import ServiceDispatcher
 from greengageflow.core.service_scheduler import Decision, Job, RefuseJob, StartJob
 from greengageflow.daemon.kept_parts import PartsAsker
-from greengageflow.daemon.pending_placements import PendingPlacement, PlaceSender, Run
+from greengageflow.daemon.pending_placements import (
+    PendingPlacement,
+    PlacedRun,
+    PlacementSender,
+)
 from greengageflow.errors import ErrorKind
 from greengageflow.net.decision_events import DecisionEvent
 from greengageflow.net.decision_log import DecisionLog
 from greengageflow.net.timers import Timers
 
-ANSWER_S = 0.15
-MUTE_S = 1.0
-ROLL_S = 0.5
-ROLLS_ON_S = 2.0
-SETTLE_S = 1.0
-ALONE_S = 0.3
+ANSWER_TIMEOUT_S = 0.15
+PLACER_BACKOFF_S = 1.0
+SNAPSHOT_INTERVAL_S = 0.5
+SNAPSHOT_LINGER_S = 2.0
+NEW_PLACER_DELAY_S = 1.0
+DISCOVERY_HOLD_S = 0.3
 """Seconds after the start for which a host that knows no peer holds requests back.
 
 When all hosts start at once, each would otherwise send the engines as many requests as
 the whole fleet may.
 """
-BEGIN_S = 3.0
-LOOK_S = 0.05
-STEADY_S = 0.3
+STARTUP_S = 3.0
+DISCOVERY_POLL_S = 0.05
+CACHE_QUERY_DELAY_S = 0.3
 """Seconds as placer after which engines are asked for their cached prefixes.
 
 A starting host considers itself the only one until it discovers its peers, which takes
 a round. Without the delay, nine starting hosts would all ask each engine.
 """
-LATE_WORD_S = 0.1
+REFUSAL_GRACE_S = 0.1
 
 
 class Placement:
     """Sends requests to the placer of their engine and places those of other hosts.
 
-    If a placer does not answer within ``ANSWER_S``, its requests are decided on this
-    host, and no request is sent to it for ``MUTE_S``.
+    If a placer does not answer within ``ANSWER_TIMEOUT_S``, its requests are decided
+    on this host, and no request is sent to it for ``PLACER_BACKOFF_S``.
 
     Args:
         own: This host.
-        book: Decides the requests that are decided on this host.
+        dispatcher: Decides the requests that are decided on this host.
         endpoints: Listed endpoints.
         timers: Timer service.
         sender: Sends messages to other hosts.
@@ -70,10 +74,10 @@
     def __init__(
         self,
         own: Hello,
-        book: ServiceDispatcher,
+        dispatcher: ServiceDispatcher,
         endpoints: EndpointList,
         timers: Timers,
-        sender: PlaceSender,
+        sender: PlacementSender,
         carry_out: Callable[[Iterable[Decision]], None],
         log: DecisionLog,
         parts: PartsAsker,
@@ -82,51 +86,55 @@
         self._host = own.host
         self._zone = own.zone
         self._boot = own.boot
-        self._book = book
+        self._dispatcher = dispatcher
         self._endpoints = endpoints
         self._timers = timers
         self._sender = sender
         self._carry_out = carry_out
         self._log = log
         self._parts = parts
-        self._desk = RemotePlacements(own.host, book)
+        self._remote_placements = RemotePlacements(own.host, dispatcher)
         self._pending: dict[str, PendingPlacement] = {}
-        self._runs: dict[str, Run] = {}
-        self._table = PlacerTable(own.host, MUTE_S)
+        self._runs: dict[str, PlacedRun] = {}
+        self._table = PlacerTable(own.host, PLACER_BACKOFF_S)
         self._owned: frozenset[str] | None = None
-        self._roll_until: dict[str, float] = {}
+        self._snapshots_until: dict[str, float] = {}
         self._placer_since = float("inf")
-        self._begun_at = float("-inf")
+        self._started_at = float("-inf")
 
     def start(self) -> None:
         """Start sending periodic snapshots to placers."""
-        self._begun_at = self._timers.now
-        self._timers.every(ROLL_S, self._roll)
-        self._look()
+        self._started_at = self._timers.now
+        self._timers.every(SNAPSHOT_INTERVAL_S, self._send_snapshots)
+        self._poll_membership()
 
     @property
-    def _begins(self) -> bool:
-        return self._timers.now - self._begun_at < BEGIN_S
+    def _is_starting(self) -> bool:
+        return self._timers.now - self._started_at < STARTUP_S
 
-    def _look(self) -> None:
+    def _poll_membership(self) -> None:
         # A whole round would delay the held-back requests too long.
-        if self._begins and self._table.is_alone:
+        if self._is_starting and self._table.is_alone:
             self.on_round()
-            self._timers.after(LOOK_S, self._look)
+            self._timers.after(DISCOVERY_POLL_S, self._poll_membership)
 
     @property
-    def placed(self) -> int:
+    def remote_count(self) -> int:
         """Number of requests of other hosts that this host queued or placed."""
-        return len(self._desk)
+        return len(self._remote_placements)
 
     # Requests of this host.
 
     @property
     def waiting(self) -> int:
         """Number of this host's requests that are queued here or at a placer."""
-        return self._book.waiting - self._desk.waiting + len(self._pending)
+        return (
+            self._dispatcher.waiting
+            - self._remote_placements.waiting
+            + len(self._pending)
+        )
 
-    def placer(self, request: str) -> str:
+    def placer_of(self, request: str) -> str:
         """Return the host that placed a request; empty if this one did."""
         run = self._runs.get(request)
         return run.placer if run else ""
@@ -135,62 +143,66 @@
         self, now: float, service: str, job: Job, account: str
     ) -> Iterator[Decision]:
         """Request a placement, and yield the decisions made on this host."""
-        self._book.count_request(now, service)
-        if job.prompt is not None and self._holds_back(now):
+        self._dispatcher.count_request(now, service)
+        if job.prompt is not None and self._holds_requests(now):
             held = PendingPlacement("", service, job, account, now, queued=True)
             self._pending[job.queued_request.id] = held
             return
         yield from self._place(now, service, job, account)
 
-    def _holds_back(self, now: float) -> bool:
-        return self._table.is_alone and now - self._begun_at < ALONE_S
+    def _holds_requests(self, now: float) -> bool:
+        return self._table.is_alone and now - self._started_at < DISCOVERY_HOLD_S
 
     def _place(
         self, now: float, service: str, job: Job, account: str
     ) -> Iterator[Decision]:
         placer = self._placer_for(now, service, job.prompt)
         if not placer:
-            yield from self._book.submit(
+            yield from self._dispatcher.submit(
                 now, service, job, account, count_for_budget=False
             )
             return
         request = job.queued_request.id
         self._pending[request] = PendingPlacement(placer, service, job, account, now)
-        self._roll_until[placer] = now + ROLLS_ON_S
-        avoid = self._book.unavailable_endpoints(now, service)
-        ask = placement_request(
+        self._snapshots_until[placer] = now + SNAPSHOT_LINGER_S
+        avoid = self._dispatcher.unavailable_endpoints(now, service)
+        message = placement_request(
             self._host, self._boot, now, service, job, account, avoid, self._zone
         )
-        self._send(placer, ask)
-        self._timers.after(ANSWER_S, lambda: self._on_silence(request))
+        self._send(placer, message)
+        self._timers.after(ANSWER_TIMEOUT_S, lambda: self._on_answer_timeout(request))
 
     def _placer_for(self, now: float, service: str, prompt: Prompt | None) -> str:
         if prompt is None:
             return ""
-        home = home_of(prompt.affinity, self._book.available_endpoints(now, service))
+        home = home_of(
+            prompt.affinity, self._dispatcher.available_endpoints(now, service)
+        )
         placer = self._table.owner(home.id) if home else ""
         return placer if self._table.is_available(now, placer) else ""
 
-    def _on_silence(self, request: str) -> None:
-        asked = self._pending.get(request)
-        if asked is None:
+    def _on_answer_timeout(self, request: str) -> None:
+        pending = self._pending.get(request)
+        if pending is None:
             return
-        if not asked.queued:
-            self._on_mute(asked.placer)
+        if not pending.queued:
+            self._on_placer_timeout(pending.placer)
             return
-        late_s = asked.job.queued_request.expires_at - self._timers.now + LATE_WORD_S
+        late_s = (
+            pending.job.queued_request.expires_at - self._timers.now + REFUSAL_GRACE_S
+        )
         if late_s > 0:
-            self._timers.after(late_s, lambda: self._on_silence(request))
+            self._timers.after(late_s, lambda: self._on_answer_timeout(request))
         else:
-            self._decide_here(lambda other: other is asked)
+            self._decide_locally(lambda other: other is pending)
 
-    def _on_mute(self, placer: str) -> None:
+    def _on_placer_timeout(self, placer: str) -> None:
         if self._table.on_timeout(self._timers.now, placer):
             asked = sum(1 for other in self._pending.values() if other.placer == placer)
             self._log.write(DecisionEvent.PLACER_SILENT, placer=placer, asked=asked)
-        self._decide_here(lambda other: other.placer == placer)
+        self._decide_locally(lambda other: other.placer == placer)
 
-    def _on_heard(self, now: float, placer: str) -> None:
+    def _on_placer_answered(self, now: float, placer: str) -> None:
         silent_s = self._table.on_answer(now, placer)
         if silent_s is not None:
             after_ms = round(1000 * silent_s)
@@ -198,83 +210,91 @@
                 DecisionEvent.PLACER_HEARD, placer=placer, after_ms=after_ms
             )
 
-    def _decide_here(self, which: Callable[[PendingPlacement], bool]) -> None:
+    def _decide_locally(self, matches: Callable[[PendingPlacement], bool]) -> None:
         """Decide matching requests that await a placer's answer on this host."""
         now = self._timers.now
-        for request, asked in list(self._pending.items()):
-            if which(asked) and self._pending.pop(request, None) is not None:
+        for request, pending in list(self._pending.items()):
+            if matches(pending) and self._pending.pop(request, None) is not None:
                 self._carry_out(
-                    self._book.submit(
+                    self._dispatcher.submit(
                         now,
-                        asked.service,
-                        asked.job,
-                        asked.account,
+                        pending.service,
+                        pending.job,
+                        pending.account,
                         count_for_budget=False,
                     )
                 )
 
-    def sent(
+    def on_request_sent(
         self, now: float, request: str, choice: Choice, prompt: Prompt | None
     ) -> None:
         """Record that a request was sent to an endpoint."""
         run = self._runs.get(request)
-        if run is None or run.endpoint.id != choice.endpoint.id or not run.live:
-            self._book.on_request_sent(now, request, choice, prompt)
+        if run is None or run.endpoint.id != choice.endpoint.id or not run.active:
+            self._dispatcher.on_request_sent(now, request, choice, prompt)
 
-    def first_event(self, now: float, request: str, endpoint: ListedEndpoint) -> None:
+    def on_first_event(
+        self, now: float, request: str, endpoint: ListedEndpoint
+    ) -> None:
         """Record the first event of a request's response."""
-        self._book.on_first_event(now, request, endpoint)
+        self._dispatcher.on_first_event(now, request, endpoint)
         run = self._runs.get(request)
-        if run is not None and run.live:
-            run.reading = 0.0
-            self._note(request, run, PlacementEventKind.FIRST_EVENT)
+        if run is not None and run.active:
+            run.prefill_tokens = 0.0
+            self._report_event(request, run, PlacementEventKind.FIRST_EVENT)
 
-    def answered(self, request: str, endpoint: ListedEndpoint, good: bool) -> None:
+    def on_response(self, request: str, endpoint: ListedEndpoint, good: bool) -> None:
         """Record whether an endpoint's response was good."""
-        self._book.on_answer(endpoint, good)
+        self._dispatcher.on_answer(endpoint, good)
         run = self._runs.get(request)
-        if run is not None and run.live and not good:
-            self._note(request, run, PlacementEventKind.FAILED)
+        if run is not None and run.active and not good:
+            self._report_event(request, run, PlacementEventKind.FAILED)
 
-    def silent(self, now: float, request: str, endpoint: ListedEndpoint) -> bool:
+    def on_no_response(
+        self, now: float, request: str, endpoint: ListedEndpoint
+    ) -> bool:
         """Record a missing response; return whether the endpoint's backoff starts."""
         run = self._runs.get(request)
-        if run is not None and run.live:
-            self._note(request, run, PlacementEventKind.SILENT)
-        return self._book.on_no_answer(now, endpoint)
+        if run is not None and run.active:
+            self._report_event(request, run, PlacementEventKind.SILENT)
+        return self._dispatcher.on_no_answer(now, endpoint)
 
-    def left(self, request: str, endpoint: ListedEndpoint) -> None:
+    def on_request_released(self, request: str, endpoint: ListedEndpoint) -> None:
         """Record that an endpoint no longer works on a request."""
-        self._book.on_request_released(request, endpoint)
+        self._dispatcher.on_request_released(request, endpoint)
         run = self._runs.get(request)
-        if run is not None and run.live:
-            run.live = False
-            self._note(request, run, PlacementEventKind.ENDED)
+        if run is not None and run.active:
+            run.active = False
+            self._report_event(request, run, PlacementEventKind.ENDED)
 
-    def ended(self, now: float, service: str, request: str) -> Iterator[Decision]:
+    def on_request_end(
+        self, now: float, service: str, request: str
+    ) -> Iterator[Decision]:
         """Record that a request was answered or its caller disconnected."""
-        asked = self._pending.pop(request, None)
-        if asked is not None:
-            self._tell(asked.placer, request, PlacementEventKind.ENDED)
+        pending = self._pending.pop(request, None)
+        if pending is not None:
+            self._send_event(pending.placer, request, PlacementEventKind.ENDED)
         run = self._runs.pop(request, None)
-        if run is not None and run.live:
-            self._note(request, run, PlacementEventKind.ENDED)
-        yield from self._book.on_request_end(now, service, request)
+        if run is not None and run.active:
+            self._report_event(request, run, PlacementEventKind.ENDED)
+        yield from self._dispatcher.on_request_end(now, service, request)
 
-    def _note(self, request: str, run: Run, happened: PlacementEventKind) -> None:
+    def _report_event(
+        self, request: str, run: PlacedRun, kind: PlacementEventKind
+    ) -> None:
         # The endpoint's placer may have changed since; the new one knows the request
         # from a snapshot.
         for host in {run.placer, self._table.owner(run.endpoint.id)}:
-            self._tell(host, request, happened)
+            self._send_event(host, request, kind)
 
-    def _tell(self, host: str, request: str, happened: PlacementEventKind) -> None:
-        note = PlacementEvent(
-            host=self._host, boot=self._boot, request=request, kind=happened
+    def _send_event(self, host: str, request: str, kind: PlacementEventKind) -> None:
+        event = PlacementEvent(
+            host=self._host, boot=self._boot, request=request, kind=kind
         )
         if host == self._host:
-            self._carry_out(self._desk.on_event(self._timers.now, note))
+            self._carry_out(self._remote_placements.on_event(self._timers.now, event))
         else:
-            self._send(host, note)
+            self._send(host, event)
 
     # Messages of other hosts.
 
@@ -283,35 +303,35 @@
         now = self._timers.now
         match message:
             case PlacementRequest():
-                self._on_ask(now, message)
+                self._on_request(now, message)
             case PlacementAnswer():
                 self._on_answer(now, message)
             case PlacementEvent():
-                self._carry_out(self._desk.on_event(now, message))
+                self._carry_out(self._remote_placements.on_event(now, message))
             case PlacementSnapshot():
-                self._carry_out(self._desk.on_snapshot(now, message))
+                self._carry_out(self._remote_placements.on_snapshot(now, message))
 
-    def _on_ask(self, now: float, ask: PlacementRequest) -> None:
+    def _on_request(self, now: float, message: PlacementRequest) -> None:
         # A host that started while partitioned from the store knows no endpoints and
         # would refuse all requests; the asking hosts know endpoints and can decide.
-        if not self._places(now) or not self._endpoints.usable(ask.service):
-            self._answer(ask, Verdict.PASS)
+        if not self._is_placing(now) or not self._endpoints.usable(message.service):
+            self._send_answer(message, Verdict.PASS)
             return
-        self._carry_out(self._desk.on_request(now, ask))
-        if self._desk.is_waiting(ask):
-            self._answer(ask, Verdict.QUEUED)
+        self._carry_out(self._remote_placements.on_request(now, message))
+        if self._remote_placements.is_waiting(message):
+            self._send_answer(message, Verdict.QUEUED)
 
-    def _places(self, now: float) -> bool:
+    def _is_placing(self, now: float) -> bool:
         # If all hosts started together, there was no placer before and nothing runs.
-        fresh = self._begins and self._table.started_together
-        settled = fresh or now - self._placer_since >= SETTLE_S
+        fresh = self._is_starting and self._table.started_together
+        settled = fresh or now - self._placer_since >= NEW_PLACER_DELAY_S
         return self._host in self._table.placers and settled and not self.stopping
 
-    def _answer(self, ask: PlacementRequest, verdict: Verdict) -> None:
+    def _send_answer(self, message: PlacementRequest, verdict: Verdict) -> None:
         answer = PlacementAnswer(
-            host=self._host, boot=ask.boot, request=ask.request, verdict=verdict
+            host=self._host, boot=message.boot, request=message.request, verdict=verdict
         )
-        self._send(ask.host, answer)
+        self._send(message.host, answer)
 
     def _send(self, host: str, message: PlacementMessage) -> None:
         address = self._table.address(host)
@@ -320,26 +340,26 @@
 
     def on_decision(self, decision: Decision) -> None:
         """Send another host the decision on its request."""
-        told = self._desk.on_decision(self._timers.now, decision)
-        if told is not None:
-            self._send(*told)
+        reply = self._remote_placements.on_decision(self._timers.now, decision)
+        if reply is not None:
+            self._send(*reply)
 
     def _on_answer(self, now: float, answer: PlacementAnswer) -> None:
-        self._on_heard(now, answer.host)
-        asked = self._pending.get(answer.request)
+        self._on_placer_answered(now, answer.host)
+        pending = self._pending.get(answer.request)
         # Each process numbers its requests from 1, so an answer meant for the host's
         # previous process would start an unrelated request, possibly at an endpoint
         # of another service.
-        other = answer.boot != self._boot
-        if other or asked is None or asked.placer != answer.host:
+        is_stale = answer.boot != self._boot
+        if is_stale or pending is None or pending.placer != answer.host:
             # The next snapshot frees what the placer reserved for a decided request.
             return
         match answer.verdict:
             case Verdict.QUEUED:
-                asked.queued = True
+                pending.queued = True
             case Verdict.PASS:
-                self._table.on_pass(now, answer.host, ANSWER_S)
-                self._decide_here(lambda other: other is asked)
+                self._table.on_pass(now, answer.host, ANSWER_TIMEOUT_S)
+                self._decide_locally(lambda other: other is pending)
             case Verdict.REFUSE:
                 del self._pending[answer.request]
                 refusal = RefuseJob(
@@ -350,22 +370,24 @@
                 )
                 self._carry_out([refusal])
             case Verdict.START:
-                self._on_start(asked, answer)
+                self._on_start(pending, answer)
 
-    def _on_start(self, asked: PendingPlacement, answer: PlacementAnswer) -> None:
+    def _on_start(self, pending: PendingPlacement, answer: PlacementAnswer) -> None:
         endpoint = self._endpoints.get(answer.endpoint)
         now = self._timers.now
-        if endpoint is None or not self._book.is_available(now, endpoint):
-            self._tell(asked.placer, answer.request, PlacementEventKind.ENDED)
-            self._decide_here(lambda other: other is asked)
+        if endpoint is None or not self._dispatcher.is_available(now, endpoint):
+            self._send_event(pending.placer, answer.request, PlacementEventKind.ENDED)
+            self._decide_locally(lambda other: other is pending)
             return
         del self._pending[answer.request]
-        prompt = asked.job.prompt
+        prompt = pending.job.prompt
         memory = prompt.tokens_in + prompt.tokens_out
-        self._runs[answer.request] = Run(asked.placer, endpoint, answer.reading, memory)
+        self._runs[answer.request] = PlacedRun(
+            pending.placer, endpoint, answer.reading, memory
+        )
         source = self._endpoints.get(answer.fetch_from)
         choice = Choice(endpoint, answer.reading, answer.wait_s, source)
-        self._carry_out([StartJob(asked.job.queued_request, choice)])
+        self._carry_out([StartJob(pending.job.queued_request, choice)])
 
     # The fleet.
 
@@ -379,63 +401,65 @@
             self._placer_since = now
         if changed:
             placers = self._table.placers
-            self._decide_here(lambda asked: asked.placer not in ("", *placers))
-            self._roll()
-        self._own()
-        self._release(now)
-        if now - self._placer_since >= STEADY_S:
+            self._decide_locally(lambda pending: pending.placer not in ("", *placers))
+            self._send_snapshots()
+        self._update_owned_engines()
+        self._place_held(now)
+        if now - self._placer_since >= CACHE_QUERY_DELAY_S:
             listed = filter(None, map(self._endpoints.get, self._owned or ()))
-            engines = filter(self._book.is_engine, listed)
-            self._parts.ask(e for e in engines if self._book.is_available(now, e))
-        self._carry_out(self._desk.drop_silent_hosts(now))
+            engines = filter(self._dispatcher.is_engine, listed)
+            self._parts.ask(e for e in engines if self._dispatcher.is_available(now, e))
+        self._carry_out(self._remote_placements.drop_silent_hosts(now))
 
-    def _release(self, now: float) -> None:
+    def _place_held(self, now: float) -> None:
         """Place the held-back requests once other hosts are known."""
-        if self._holds_back(now):
+        if self._holds_requests(now):
             return
-        for request, asked in list(self._pending.items()):
-            if not asked.placer and self._pending.pop(request, None) is not None:
+        for request, pending in list(self._pending.items()):
+            if not pending.placer and self._pending.pop(request, None) is not None:
                 self._carry_out(
-                    self._place(now, asked.service, asked.job, asked.account)
+                    self._place(now, pending.service, pending.job, pending.account)
                 )
 
-    def _own(self) -> None:
+    def _update_owned_engines(self) -> None:
         owned = self._table.owned(self._endpoints.ids())
         if owned != self._owned:
             self._owned = owned
-            self._book.set_owned_engines(owned)
+            self._dispatcher.set_owned_engines(owned)
             self._log.write(
                 DecisionEvent.PLACING,
                 placers=" ".join(self._table.placers),
                 endpoints=len(owned or ()),
             )
 
-    def _roll(self) -> None:
+    def _send_snapshots(self) -> None:
         """Send each placer a snapshot of what it queued or placed for this host."""
         now = self._timers.now
         # A lost answer leaves a reservation at the placer that this host does not know
         # of. Snapshots therefore continue for a while, even if they are empty.
-        rolls: dict[str, list[PlacementEntry]] = {
-            host: [] for host, until in self._roll_until.items() if now < until
+        snapshots: dict[str, list[PlacementEntry]] = {
+            host: [] for host, until in self._snapshots_until.items() if now < until
         }
-        for request, asked in self._pending.items():
-            if asked.placer:
-                rolls.setdefault(asked.placer, []).append(PlacementEntry(request))
+        for request, pending in self._pending.items():
+            if pending.placer:
+                snapshots.setdefault(pending.placer, []).append(PlacementEntry(request))
         for request, run in self._runs.items():
-            if run.live:
-                placed = PlacementEntry(
-                    request, run.endpoint.id, run.reading, run.memory
+            if run.active:
+                entry = PlacementEntry(
+                    request, run.endpoint.id, run.prefill_tokens, run.memory
+                )
+                snapshots.setdefault(self._table.owner(run.endpoint.id), []).append(
+                    entry
                 )
-                rolls.setdefault(self._table.owner(run.endpoint.id), []).append(placed)
-        self._roll_until = {
-            host: now + ROLLS_ON_S if runs else self._roll_until[host]
-            for host, runs in rolls.items()
+        self._snapshots_until = {
+            host: now + SNAPSHOT_LINGER_S if entries else self._snapshots_until[host]
+            for host, entries in snapshots.items()
         }
-        for host, runs in rolls.items():
-            roll = PlacementSnapshot(
-                host=self._host, boot=self._boot, entries=tuple(runs)
+        for host, entries in snapshots.items():
+            snapshot = PlacementSnapshot(
+                host=self._host, boot=self._boot, entries=tuple(entries)
             )
             if host == self._host:
-                self._carry_out(self._desk.on_snapshot(now, roll))
+                self._carry_out(self._remote_placements.on_snapshot(now, snapshot))
             else:
-                self._send(host, roll)
+                self._send(host, snapshot)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -30,11 +30,11 @@
 from greengageflow.core.service_scheduler import Job, RefuseJob, StartJob
 from greengageflow.core.work_queue import QueuedRequest
 from greengageflow.daemon.placement import (
-    ALONE_S,
-    ANSWER_S,
-    LOOK_S,
-    MUTE_S,
-    SETTLE_S,
+    ANSWER_TIMEOUT_S,
+    DISCOVERY_HOLD_S,
+    DISCOVERY_POLL_S,
+    NEW_PLACER_DELAY_S,
+    PLACER_BACKOFF_S,
     Placement,
 )
 from greengageflow.net.report_codec import ReportError, decode, encode
@@ -56,7 +56,7 @@
         rows = [host.hello for host in self.hosts.values()]
         self.placer = placers_among(rows)[0]
         self.others = [h for name, h in self.hosts.items() if name != self.placer]
-        self.run(SETTLE_S + 0.3)
+        self.run(NEW_PLACER_DELAY_S + 0.3)
 
     def at(self, when, call):
         heappush(self._heap, (when, next(self._order), call))
@@ -153,7 +153,9 @@
                 self.placement.on_decision(decision)
             elif isinstance(decision, StartJob):
                 self.started[decision.request] = self.now
-                self.placement.sent(self.now, decision.request, decision.choice, PROMPT)
+                self.placement.on_request_sent(
+                    self.now, decision.request, decision.choice, PROMPT
+                )
             elif isinstance(decision, RefuseJob):
                 self.refused[decision.request] = decision
 
@@ -167,8 +169,8 @@
         return name
 
     def end(self, name):
-        self.placement.left(name, self.endpoints.get("e0"))
-        self.carry_out(self.placement.ended(self.now, "model", name))
+        self.placement.on_request_released(name, self.endpoints.get("e0"))
+        self.carry_out(self.placement.on_request_end(self.now, "model", name))
 
 
 def test_requests_of_all_hosts_together_respect_engine_slots():
@@ -201,12 +203,12 @@
     host = fleet.others[0]
     fleet.unreachable.add(fleet.placer)
     first = host.ask()
-    fleet.run(ANSWER_S + 0.01)
+    fleet.run(ANSWER_TIMEOUT_S + 0.01)
     assert host.started[first] <= fleet.now
     second = host.ask()
     assert second in host.started
     fleet.unreachable.clear()
-    fleet.run(MUTE_S)
+    fleet.run(PLACER_BACKOFF_S)
     third = host.ask()
     assert third not in host.started
     fleet.run(0.01)
@@ -338,7 +340,7 @@
     (host,) = fleet.hosts.values()
     host = fleet.restart(host)
     name = host.ask()
-    fleet.run(ALONE_S + 2 * LOOK_S)
+    fleet.run(DISCOVERY_HOLD_S + 2 * DISCOVERY_POLL_S)
     assert name in host.started
 
 
