--- a/greengageflow/daemon/gateway.py
+++ b/greengageflow/daemon/gateway.py
@@ -21,7 +21,6 @@
 from greengageflow.core.store_duty import StoreRole, read_interval_s
 from greengageflow.core.store_updates import StoreUpdate
 from greengageflow.core.trust import KeyTrust
-from greengageflow.daemon.arrivals import Arrivals
 from greengageflow.daemon.crash_watch import CrashWatch
 from greengageflow.daemon.exchange_listener import Placed
 from greengageflow.daemon.fleet_exchange import FleetExchange
@@ -38,6 +37,7 @@
 from greengageflow.daemon.kept_parts import KeptParts
 from greengageflow.daemon.key_watch import KeyWatch
 from greengageflow.daemon.leaving_watch import LeavingWatch
+from greengageflow.daemon.load_shedder import LoadShedder
 from greengageflow.daemon.placement import Placement
 from greengageflow.daemon.program import Program
 from greengageflow.daemon.quarantine_notes import QuarantineNotes
@@ -57,10 +57,10 @@
 from greengageflow.platform.interfaces import CallerInterface, ReadyInterface
 from greengageflow.settings_file import Address
 
-TICK_S = 0.05
-STOP_TICK_S = 0.05
-LEAVE_BALANCER_S = 2.6
-EXIT_EARLY_S = 0.4
+TICK_INTERVAL_S = 0.05
+STOP_CHECK_INTERVAL_S = 0.05
+BALANCER_DRAIN_S = 2.6
+EXIT_MARGIN_S = 0.4
 VERSION = "0.2.0"
 
 
@@ -88,22 +88,24 @@
         self._settings = settings
         self._path = path
         self._boot = int(time() * 1000)
-        self._stop_began = 0.0
+        self._stop_started_at = 0.0
         self._pool = HttpPool(
             self._timers, max_idle=64, max_idle_of_all=settings.files.idle
         ).register(self)
         self._log = DecisionLog(sys.stdout.fileno(), settings.host)
-        self._page = MetricsPage()
-        self._trust = KeyTrust(settings.bounds.revoke_s)
+        self._metrics = MetricsPage()
+        self._key_trust = KeyTrust(settings.bounds.revoke_s)
         self._endpoints = EndpointList()
-        self._book = ServiceDispatcher(
+        self._service_dispatcher = ServiceDispatcher(
             self._endpoints,
             settings.zone,
             self._budget,
             min_hosts=len({settings.gossip, *settings.seeds}),
         )
-        self._notes = ForwardNotes(self._log, self._page, self._book)
-        self._admission = ForwardAdmission(self._timers, self._trust, clock)
+        self._forward_notes = ForwardNotes(
+            self._log, self._metrics, self._service_dispatcher
+        )
+        self._admission = ForwardAdmission(self._timers, self._key_trust, clock)
         self._quarantine = Quarantine(
             crashes=settings.quarantine.crashes, hold_s=settings.quarantine.hold_s
         )
@@ -111,9 +113,9 @@
             self._pool,
             self._timers,
             self._endpoints,
-            self._book,
+            self._service_dispatcher,
             self._admission,
-            self._notes,
+            self._forward_notes,
             self._quarantine,
         )
         self._add_fleet()
@@ -129,7 +131,7 @@
         settings = self._settings
         own = (settings.gossip.ip, settings.gossip.port)
         store = (settings.store.ip, settings.store.port)
-        self._link = GossipLink(*own, self._on_datagram).register(self)
+        self._gossip_link = GossipLink(*own, self._on_datagram).register(self)
         hello = Hello(
             host=settings.host,
             boot=self._boot,
@@ -138,10 +140,12 @@
             zone=settings.zone,
         )
         seeds = [(seed.ip, seed.port) for seed in settings.seeds]
-        self._exchange = FleetExchange(hello, self._link, self._timers, seeds, self)
+        self._exchange = FleetExchange(
+            hello, self._gossip_link, self._timers, seeds, self
+        )
         self._placement = self._forwarder.placement = Placement(
             hello,
-            self._book,
+            self._service_dispatcher,
             self._endpoints,
             self._timers,
             self._exchange,
@@ -150,32 +154,32 @@
             KeptParts(
                 self._pool,
                 self._timers,
-                self._book,
+                self._service_dispatcher,
                 self._log,
-                lambda engine: self._leaving.on_answer(engine),
+                lambda engine: self._leaving_watch.on_answer(engine),
             ),
         )
-        self._crashes = self._forwarder.crashes = CrashWatch(
+        self._crash_watch = self._forwarder.crashes = CrashWatch(
             self._quarantine,
             self._timers,
             ConnectCheck(self._timers).register(self),
             self._exchange,
-            QuarantineNotes(self._log, self._page),
+            QuarantineNotes(self._log, self._metrics),
             self._forwarder.on_quarantined,
-            lambda fingerprint: self._kept.update(fingerprint),
+            lambda fingerprint: self._quarantine_store.update(fingerprint),
         )
-        self._leaving = self._forwarder.leaving = LeavingWatch(
-            self._endpoints, self._timers, self._exchange, self._on_left
+        self._leaving_watch = self._forwarder.leaving = LeavingWatch(
+            self._endpoints, self._timers, self._exchange, self._on_endpoint_leaving
         )
-        self._kept = QuarantineStore(
+        self._quarantine_store = QuarantineStore(
             self._pool,
             self._timers,
             store,
             self._quarantine,
-            is_reader=self._is_contact,
-            on_read=self._crashes.receive,
+            is_reader=self._contacts_store,
+            on_read=self._crash_watch.receive,
         )
-        self._store = StoreView(
+        self._store_view = StoreView(
             self._pool,
             self._timers,
             store,
@@ -186,10 +190,12 @@
             on_update=self._exchange.report_soon,
             on_read=self._exchange.pass_on,
             on_era=self._on_era,
-            pace_s=read_interval_s(*settings.bounds.known_within_s),
+            pace_s=read_interval_s(*settings.bounds.read_deadlines_s),
             clock=clock,
         )
-        self._keys = KeyWatch(self._trust, self._store, self._log, clock())
+        self._key_watch = KeyWatch(
+            self._key_trust, self._store_view, self._log, clock()
+        )
         self._registry = RouterRegistry(
             self._pool,
             self._timers,
@@ -197,22 +203,22 @@
             settings.host,
             own,
             is_alone=lambda: not self._exchange.hosts,
-            is_contact=self._is_contact,
+            is_contact=self._contacts_store,
             on_found=self._exchange.add_addresses,
         )
 
-    def _is_contact(self) -> bool:
+    def _contacts_store(self) -> bool:
         alone = not self._exchange.hosts
         return alone or self._exchange.store_role is not StoreRole.MEMBER
 
     def _add_servers(self) -> None:
         settings = self._settings
         interface = CallerInterface()
-        arrivals = Arrivals(
+        shedder = LoadShedder(
             self._poller.load,
             self._timers,
             self._log,
-            self._page,
+            self._metrics,
             lambda data: self._admission.account_of(interface.key(data)),
         )
         self._callers = CallerServer(
@@ -222,34 +228,39 @@
             self._timers,
             interface=interface,
             max_connections=settings.files.callers,
-            gate=arrivals,
-            on_full=lambda *counts: self._watch.on_full(*counts),
+            gate=shedder,
+            on_full=lambda *counts: self._host_watch.on_full(*counts),
         ).register(self)
-        self._watch = HostWatch(
+        self._host_watch = HostWatch(
             self._timers,
             self._log,
             self._callers,
             running=lambda: self._in_flight,
             waiting=lambda: self._placement.waiting,
-            period_s=TICK_S,
+            period_s=TICK_INTERVAL_S,
         )
         pages = GatewayPages(
-            self._page,
+            self._metrics,
             unready=self._unready,
             waiting=lambda: self._placement.waiting,
             running=lambda: self._in_flight,
             callers=self._callers,
-            late=lambda: self._watch.worst_s,
+            loop_delay_s=lambda: self._host_watch.worst_s,
             peers=lambda: self._exchange.hosts,
-            version=lambda: self._store.version,
-            unheard=lambda: self._trust.age_s(clock()),
-            control_bytes=lambda: (self._link.bytes_in, self._link.bytes_out),
-            control_too_long=lambda: self._link.too_long,
+            version=lambda: self._store_view.version,
+            config_age_s=lambda: self._key_trust.age_s(clock()),
+            control_bytes=lambda: (
+                self._gossip_link.bytes_in,
+                self._gossip_link.bytes_out,
+            ),
+            control_too_long=lambda: self._gossip_link.too_long,
             store_calls=lambda: (
-                self._store.calls + self._registry.calls + self._kept.calls
+                self._store_view.calls
+                + self._registry.calls
+                + self._quarantine_store.calls
             ),
             dropped=lambda: self._log.dropped,
-            era=lambda: self._store.era,
+            era=lambda: self._store_view.era,
             quarantined=lambda: len(self._quarantine.quarantined(self._timers.now)),
             stale_retries=lambda: self._pool.stale_retries,
         )
@@ -279,7 +290,7 @@
     # Other routers.
 
     def _on_datagram(self, data: bytes) -> None:
-        self._keys.awake(clock())
+        self._key_watch.awake(clock())
         self._exchange.receive(data)
 
     def report(self, number: int, sequence: int) -> PeerReport:
@@ -295,50 +306,50 @@
             port=gossip.port,
             zone=self._settings.zone,
             stopping=self._forwarder.stopping,
-            served=self._book.recent_work(now),
-            offered=self._book.recent_demand(now),
-            loads=self._book.own_loads(),
-            version=self._store.version,
-            list_mark=self._store.list_mark,
-            config_age_s=clock() - self._store.confirmed,
-            list_age_s=clock() - self._store.list_confirmed,
-            placed=self._book.recent_placements(now),
+            served=self._service_dispatcher.recent_work(now),
+            offered=self._service_dispatcher.recent_demand(now),
+            loads=self._service_dispatcher.own_loads(),
+            version=self._store_view.version,
+            list_mark=self._store_view.list_mark,
+            config_age_s=clock() - self._store_view.confirmed,
+            list_age_s=clock() - self._store_view.list_confirmed,
+            placed=self._service_dispatcher.recent_placements(now),
         )
 
     def loads(self) -> Mapping[str, LoadShare]:
         """Return the load that this router puts on each endpoint."""
-        return self._book.own_loads()
+        return self._service_dispatcher.own_loads()
 
     def placed(self) -> Placed:
         """Return recently sent prompt prefixes and their endpoints."""
-        return self._book.recent_placements(self._timers.now)
+        return self._service_dispatcher.recent_placements(self._timers.now)
 
     def on_placed(self, placed: Placed) -> None:
         """Handle prompt prefixes that other routers sent to endpoints."""
-        self._book.on_placements(self._timers.now, placed)
+        self._service_dispatcher.on_placements(self._timers.now, placed)
 
     def on_loads(self, loads: Mapping[str, LoadShare]) -> None:
         """Handle a change of the load that other routers put on each endpoint."""
-        self._book.on_loads(loads)
+        self._service_dispatcher.on_loads(loads)
 
     def on_totals(self, totals: FleetTotals) -> None:
         """Handle the totals of all other routers."""
         now = self._timers.now
-        self._notes.totals_at = now
+        self._forward_notes.totals_at = now
         self._placement.on_round()
-        self._forwarder.carry_out(self._book.on_totals(now, totals))
+        self._forwarder.carry_out(self._service_dispatcher.on_totals(now, totals))
 
     def on_store_update(self, update: StoreUpdate) -> None:
         """Handle what another router read from the store."""
-        self._store.take_update(update)
+        self._store_view.take_update(update)
 
     def on_crash_report(self, report: CrashReport) -> None:
         """Handle a report of requests that crashed endpoints."""
-        self._crashes.receive(report.records)
+        self._crash_watch.receive(report.records)
 
     def on_leaving_report(self, report: LeavingReport) -> None:
         """Handle a report of endpoints that announced that they leave."""
-        self._leaving.receive(report.endpoints)
+        self._leaving_watch.receive(report.endpoints)
 
     def on_place_message(self, message: PlacementMessage) -> None:
         """Handle a placement message of another router."""
@@ -350,14 +361,14 @@
         self._forwarder.on_routing(routing)
         self._callers.set_bounds(routing.bounds)
 
-    def _on_left(self, endpoint: str, source: str) -> None:
+    def _on_endpoint_leaving(self, endpoint: str, source: str) -> None:
         self._log.write(
             DecisionEvent.ENDPOINT_LEAVING, endpoint=endpoint, source=source
         )
 
     def _on_era(self, _era: int) -> None:
         self._registry.put_again()
-        self._kept.put_again()
+        self._quarantine_store.put_again()
 
     def _on_change(self, change: ListChange) -> None:
         event = {
@@ -371,17 +382,17 @@
             fields |= {"service": listed.service, "zone": listed.zone}
         self._log.write(event, **fields)
         if change.what == "gone":
-            self._book.forget_endpoint(change.id)
+            self._service_dispatcher.forget_endpoint(change.id)
 
     # Lifecycle.
 
     def _on_tick(self) -> None:
         now, words = clock(), self._exchange.words()
-        self._keys.awake(now)
-        self._store.on_tick(self._exchange.store_role, words)
-        self._keys.confirm(now, self._timers.now, words)
+        self._key_watch.awake(now)
+        self._store_view.on_tick(self._exchange.store_role, words)
+        self._key_watch.confirm(now, self._timers.now, words)
         self._forwarder.on_tick()
-        self._watch.on_tick()
+        self._host_watch.on_tick()
 
     @handler("started", channel="*")
     def _on_started(self, *_args: object) -> None:
@@ -391,11 +402,11 @@
         signal(SIGHUP, lambda *_args: self._timers.after(0, self._reload))
         self._exchange.start()
         self._placement.start()
-        self._crashes.start()
-        self._leaving.start()
+        self._crash_watch.start()
+        self._leaving_watch.start()
         self._registry.start()
-        self._kept.start()
-        self._timers.every(TICK_S, self._on_tick)
+        self._quarantine_store.start()
+        self._timers.every(TICK_INTERVAL_S, self._on_tick)
         self._timers.every(FLUSH_INTERVAL_S, self._log.flush)
 
     def _reload(self) -> None:
@@ -420,19 +431,19 @@
         )
         self._forwarder.stopping = self._exchange.stopping = True
         self._placement.stopping = True
-        self._stop_began = self._timers.now
+        self._stop_started_at = self._timers.now
         self._callers.end_with_answers()
-        self._timers.after(LEAVE_BALANCER_S, self._refuse_new)
+        self._timers.after(BALANCER_DRAIN_S, self._refuse_new)
 
     def _refuse_new(self) -> None:
         self._forwarder.refusing = True
         self._callers.drain()
-        self._timers.every(STOP_TICK_S, self._stop_when_done)
+        self._timers.every(STOP_CHECK_INTERVAL_S, self._stop_when_done)
 
     def _stop_when_done(self) -> None:
-        waited_s = self._timers.now - self._stop_began
+        waited_s = self._timers.now - self._stop_started_at
         busy = self._forwarder.flights or self._callers.answering
-        if busy and waited_s < self._settings.bounds.grace_s - EXIT_EARLY_S:
+        if busy and waited_s < self._settings.bounds.grace_s - EXIT_MARGIN_S:
             return
         self._log.write(
             DecisionEvent.STOPPED,
--- a/greengageflow/daemon/gateway_pages.py
+++ b/greengageflow/daemon/gateway_pages.py
@@ -18,11 +18,11 @@
         waiting: Returns the number of queued requests.
         running: Returns the number of requests sent to endpoints.
         callers: Server whose connections are counted.
-        late: Returns the event loop's worst delay, in seconds.
+        loop_delay_s: Returns the event loop's worst delay, in seconds.
         peers: Returns the number of other live routers.
         version: Returns the version of the configuration.
-        unheard: Returns the seconds since the configuration was last confirmed to be
-            the latest.
+        config_age_s: Returns the seconds since the configuration was last confirmed to
+            be the latest.
         control_bytes: Returns the bytes of control messages received and sent.
         control_too_long: Returns the number of control messages that were dropped
             because they exceed the maximum length.
@@ -42,10 +42,10 @@
         waiting: Callable[[], int],
         running: Callable[[], int],
         callers: CallerServer,
-        late: Callable[[], float],
+        loop_delay_s: Callable[[], float],
         peers: Callable[[], int],
         version: Callable[[], int],
-        unheard: Callable[[], float],
+        config_age_s: Callable[[], float],
         control_bytes: Callable[[], tuple[int, int]],
         control_too_long: Callable[[], int],
         store_calls: Callable[[], int],
@@ -62,13 +62,13 @@
         page.read(PageMetric.CONNECTIONS_TAKEN, lambda: callers.taken)
         page.read(PageMetric.ABANDONED, lambda: callers.abandoned)
         page.read(PageMetric.CONNECTIONS_WAITING, lambda: callers.unaccepted)
-        page.read(PageMetric.LOOP_LATE, late)
+        page.read(PageMetric.LOOP_LATE, loop_delay_s)
         page.read(PageMetric.PEERS_LIVE, peers)
         page.read(PageMetric.CONFIG_VERSION, version)
         page.read(PageMetric.STORE_ERA, era)
         page.read(PageMetric.QUARANTINED, quarantined)
         page.read(PageMetric.STALE_RETRIES, stale_retries)
-        page.read(PageMetric.STORE_UNHEARD, unheard)
+        page.read(PageMetric.STORE_UNHEARD, config_age_s)
         page.read(PageMetric.STORE_CALLS, lambda: {"sent": store_calls()})
         page.read(
             PageMetric.CONTROL_BYTES,
--- a/greengageflow/daemon/gateway_settings.py
+++ b/greengageflow/daemon/gateway_settings.py
@@ -54,7 +54,7 @@
     budget_window_s: float = 10.0
 
     @property
-    def known_within_s(self) -> tuple[float, ...]:
+    def read_deadlines_s(self) -> tuple[float, ...]:
         """Times within which changes in the store must be read, in seconds."""
         # Keys are refused once the store has not confirmed them for ``revoke_s``. Half
         # of it leaves time for another read before that if one is lost.
--- a/greengageflow/daemon/arrivals.py
+++ b/greengageflow/daemon/load_shedder.py
@@ -10,10 +10,10 @@
 from greengageflow.net.metrics_page import MetricsPage, PageMetric
 from greengageflow.net.timers import Timers
 
-LINE_S = 1.0
+LOG_INTERVAL_S = 1.0
 
 
-class Arrivals:
+class LoadShedder:
     """Admission control on the first bytes of each request.
 
     Args:
@@ -40,8 +40,8 @@
         self._page = page
         self._account_of = account_of
         self._gate = ArrivalGate()
-        self._accounts: set[str] = set()
-        self._count = 0
+        self._shed_accounts: set[str] = set()
+        self._shed_requests = 0
 
     @property
     def is_closing(self) -> bool:
@@ -57,19 +57,19 @@
             return False
         self._page.count(PageMetric.REQUESTS, "refused")
         self._page.count(PageMetric.REFUSALS, ErrorKind.HOST_BUSY.value)
-        if not self._count:
-            self._timers.after(LINE_S, self._tell)
-        self._count += 1
-        self._accounts.add(account)
+        if not self._shed_requests:
+            self._timers.after(LOG_INTERVAL_S, self._log_shed_requests)
+        self._shed_requests += 1
+        self._shed_accounts.add(account)
         return True
 
-    def _tell(self) -> None:
+    def _log_shed_requests(self) -> None:
         round_ms = round(1000 * self._load.average_s(self._timers.now))
         self._log.write(
             DecisionEvent.TURNED_AWAY,
-            requests=self._count,
-            accounts=len(self._accounts),
+            requests=self._shed_requests,
+            accounts=len(self._shed_accounts),
             round_ms=round_ms,
         )
-        self._count = 0
-        self._accounts.clear()
+        self._shed_requests = 0
+        self._shed_accounts.clear()
--- a/tests/test_arrival_gate.py
+++ b/tests/test_arrival_gate.py
@@ -7,7 +7,7 @@
 
 from greengageflow.core.arrival_gate import ArrivalGate
 from greengageflow.core.loop_load import LoopLoad
-from greengageflow.daemon.arrivals import Arrivals
+from greengageflow.daemon.load_shedder import LoadShedder
 
 READ_S, REJECT_S, ABANDONED_S = 0.0035, 0.0007, 0.0003
 """Seconds on half a core to read a request, reject it, or find it abandoned."""
@@ -140,7 +140,7 @@
     load = SimpleNamespace(present_s=lambda _now: 0.05, average_s=lambda _now: 0.2)
     timers = SimpleNamespace(now=0.0, after=lambda *_args: None)
     accounts_by_key = {"held": "account"}
-    arrivals = Arrivals(
+    shedder = LoadShedder(
         load,
         timers,
         SimpleNamespace(write=lambda *_args, **_fields: None),
@@ -150,7 +150,7 @@
     for number in range(15_000):
         timers.now += 0.002
         for key in (f"made-up-{number}", *["held"] * (number % 750 == 0)):
-            read = not arrivals.turns_away(key.encode())
+            read = not shedder.turns_away(key.encode())
             sent = counts.setdefault(key == "held", [0, 0])
             sent[0] += 1
             sent[1] += read
