--- a/greengageflow/daemon/exchange_listener.py
+++ b/greengageflow/daemon/exchange_listener.py
@@ -11,7 +11,7 @@
 from greengageflow.core.quarantine import CrashReport
 from greengageflow.core.store_updates import StoreUpdate
 
-Placed = tuple[tuple[str, str], ...]
+Placements = tuple[tuple[str, str], ...]
 
 
 class ExchangeListener(Protocol):
@@ -23,10 +23,10 @@
     def loads(self) -> Mapping[str, LoadShare]:
         """Return the load that this router puts on each endpoint."""
 
-    def placed(self) -> Placed:
+    def recent_placements(self) -> Placements:
         """Return recently sent prompt prefixes and their endpoints."""
 
-    def on_placed(self, placed: Placed) -> None:
+    def on_placements(self, placements: Placements) -> None:
         """Handle prompt prefixes that other routers sent to endpoints."""
 
     def on_loads(self, loads: Mapping[str, LoadShare]) -> None:
@@ -44,5 +44,5 @@
     def on_leaving_report(self, report: LeavingReport) -> None:
         """Handle a report of endpoints that announced that they leave."""
 
-    def on_place_message(self, message: PlacementMessage) -> None:
+    def on_placement_message(self, message: PlacementMessage) -> None:
         """Handle a placement message of another router."""
--- a/greengageflow/daemon/fleet_exchange.py
+++ b/greengageflow/daemon/fleet_exchange.py
@@ -37,17 +37,17 @@
 from greengageflow.net.report_codec import ReportError, decode, encode
 from greengageflow.net.timers import Timers
 
-MESH_MOST = 14
-PERIOD_S = 0.25
-NOTICE_S = 0.05
-HELLOS_A_ROUND = 10
-ANNOUNCED_A_TURN = 25
-TOLD_PEERS = 8
-QUIET_S = 1.5
-FORGET_S = 10.0
-SAME_S = 0.02
-
-SETTLE_S = 1.5
+RELAY_MIN_PEERS = 14
+REPORT_INTERVAL_S = 0.25
+NOTICE_INTERVAL_S = 0.05
+HELLOS_PER_ROUND = 10
+ANNOUNCED_PER_TURN = 25
+MAX_PEERS_PER_MESSAGE = 8
+PEER_TIMEOUT_S = 1.5
+ADDRESS_TIMEOUT_S = 10.0
+STORE_STATES_CACHE_S = 0.02
+
+READER_DELAY_S = 1.5
 """Seconds after the start in which a router does not become a store reader.
 
 It has discovered few peers by then. When a whole fleet starts, every router would
@@ -82,19 +82,21 @@
         self._timers = timers
         self._seeds = set(seeds) - {own.address}
         self._listener = listener
-        self._table = RouterTable(own)
-        self._book = PeerTable(own.host)
-        self._relayed = RelayAggregator(own, self._table, self._book, USAGE_DECAY_S)
+        self._router_table = RouterTable(own)
+        self._peer_table = PeerTable(own.host)
+        self._relay_aggregator = RelayAggregator(
+            own, self._router_table, self._peer_table, USAGE_DECAY_S
+        )
         self._mesh_loads = ZoneLoads()
-        self._words: tuple[float, list[StoreReport]] = (float("-inf"), [])
+        self._store_states: tuple[float, list[StoreReport]] = (float("-inf"), [])
         self._addresses: dict[Address, float] = {}
-        self._began = float("inf")
+        self._started_at = float("inf")
         self._number = 0
         self._sequence = 0
-        self._told: Mapping[str, LoadShare] = {}
-        self._changed = False
+        self._reported_loads: Mapping[str, LoadShare] = {}
+        self._loads_changed = False
         self._report_due = False
-        self._wanted = False
+        self._is_full_sum_requested = False
         self._turns = 0
         self._random = Random(own.host)
         self._ring = HelloRing(self._random)
@@ -103,10 +105,10 @@
 
     def start(self) -> None:
         """Start the periodic messages."""
-        self._began = self._now
+        self._started_at = self._now
         self._link.start()
         self._round()
-        self._timers.every(NOTICE_S, self._turn)
+        self._timers.every(NOTICE_INTERVAL_S, self._on_turn)
 
     # Membership and state.
 
@@ -116,48 +118,56 @@
 
     @property
     def _is_large(self) -> bool:
-        return len(self._addresses) >= MESH_MOST
+        return len(self._addresses) >= RELAY_MIN_PEERS
 
     @property
-    def _quiet_s(self) -> float:
-        rounds = max(1.0, len(self._addresses) / HELLOS_A_ROUND)
-        return QUIET_S if not self._is_large else QUIET_S + 2.5 * rounds * PERIOD_S
+    def _peer_timeout_s(self) -> float:
+        rounds = max(1.0, len(self._addresses) / HELLOS_PER_ROUND)
+        return (
+            PEER_TIMEOUT_S
+            if not self._is_large
+            else PEER_TIMEOUT_S + 2.5 * rounds * REPORT_INTERVAL_S
+        )
 
     @property
     def hosts(self) -> int:
         """Number of other live routers."""
-        return self._table.count(self._now, self._quiet_s)
+        return self._router_table.count(self._now, self._peer_timeout_s)
 
     def routers(self) -> list[Hello]:
         """Return the live routers that are not stopping, including this one."""
         own = replace(self._own, stopping=self.stopping)
-        rows = [*self._table.live(self._now, self._quiet_s), own]
+        rows = [*self._router_table.live(self._now, self._peer_timeout_s), own]
         return [row for row in rows if not row.stopping]
 
     def send_to(self, to: Address, message: PlacementMessage) -> None:
         """Send one router a message without a delivery guarantee."""
         self._link.send(to, encode(message))
 
-    def send_crashes(self, records: tuple[CrashRecord, ...], most: int | None) -> None:
+    def send_crashes(
+        self, records: tuple[CrashRecord, ...], max_peers: int | None
+    ) -> None:
         """Send records of requests that crashed endpoints.
 
         Args:
             records: Crash records.
-            most: Maximum number of recipients, drawn at random; None for all.
+            max_peers: Maximum number of recipients, drawn at random; None for all.
         """
-        self._send(encode(CrashReport(records)), self._some(most))
-
-    def send_leaving(self, report: LeavingReport, most: int | None) -> None:
-        """Send which endpoints announced that they leave, to at most ``most`` peers."""
-        self._send(encode(report), self._some(most))
-
-    def _some(self, most: int | None) -> set[Address]:
-        known = self._everybody()
-        if most is None:
-            return known
-        return set(self._random.sample(sorted(known), min(most, len(known))))
+        self._send(encode(CrashReport(records)), self._sample_addresses(max_peers))
+
+    def send_leaving(self, report: LeavingReport, max_peers: int | None) -> None:
+        """Send which endpoints announced that they leave, to ``max_peers`` peers."""
+        self._send(encode(report), self._sample_addresses(max_peers))
+
+    def _sample_addresses(self, max_peers: int | None) -> set[Address]:
+        addresses = self._all_addresses()
+        if max_peers is None:
+            return addresses
+        return set(
+            self._random.sample(sorted(addresses), min(max_peers, len(addresses)))
+        )
 
-    def pass_on(self, update: StoreUpdate, is_own: bool) -> None:
+    def forward_update(self, update: StoreUpdate, is_own: bool) -> None:
         """Send peers what was read from the platform's store.
 
         Args:
@@ -166,21 +176,23 @@
         """
         if is_own and self.store_role is not StoreRole.MEMBER:
             # A standby forwards it too: the store may refuse all readers.
-            self._send(encode(update), self._zone_mates() | self._other_relays())
+            self._send(encode(update), self._zone_peers() | self._other_relays())
         elif not is_own and self._relays_to_zone:
-            self._send(encode(update), self._zone_mates())
+            self._send(encode(update), self._zone_peers())
 
     @property
     def _relays_to_zone(self) -> bool:
-        now, quiet_s = self._now, self._quiet_s
-        stands_in = self._is_large and self._relayed.is_relay(now, quiet_s)
-        return stands_in or self._leads_zone
+        now, peer_timeout_s = self._now, self._peer_timeout_s
+        is_acting_relay = self._is_large and self._relay_aggregator.is_relay(
+            now, peer_timeout_s
+        )
+        return is_acting_relay or self._leads_zone
 
     @property
     def _leads_zone(self) -> bool:
-        relays = self._table.relays(self._now, self._quiet_s)
-        found = relays.get(self._own.zone)
-        return not found or found[0].host == self._own.host
+        relays = self._router_table.relays(self._now, self._peer_timeout_s)
+        zone_relays = relays.get(self._own.zone)
+        return not zone_relays or zone_relays[0].host == self._own.host
 
     @property
     def store_role(self) -> StoreRole:
@@ -190,9 +202,9 @@
         extra reader, or no reader until the routers notice that their state is stale
         (``store_duty.STALE_INTERVALS``).
         """
-        if self._now - self._began < SETTLE_S:
+        if self._now - self._started_at < READER_DELAY_S:
             return StoreRole.MEMBER
-        relays = self._table.relays(self._now, self._quiet_s)
+        relays = self._router_table.relays(self._now, self._peer_timeout_s)
         reading = sorted(relays)[:READER_ZONES]
         zone = relays.get(self._own.zone, ())
         if not zone or (self._leads_zone and self._own.zone in reading):
@@ -201,15 +213,18 @@
             return StoreRole.STANDBY
         return StoreRole.MEMBER
 
-    def words(self) -> list[StoreReport]:
+    def store_states(self) -> list[StoreReport]:
         """Return the store state that other routers reported."""
         now = self._now
-        at, words = self._words
-        if now - at > SAME_S:
-            words = [store_state_of(one.report, one.at) for one in self._book.live(now)]
-            words += self._relayed.store_states(now)
-            self._words = now, words
-        return words
+        at, store_states = self._store_states
+        if now - at > STORE_STATES_CACHE_S:
+            store_states = [
+                store_state_of(peer.report, peer.at)
+                for peer in self._peer_table.live(now)
+            ]
+            store_states += self._relay_aggregator.store_states(now)
+            self._store_states = now, store_states
+        return store_states
 
     def add_addresses(self, addresses: Iterable[Address]) -> None:
         """Add addresses at which other routers may be."""
@@ -230,17 +245,19 @@
             message = decode(data)
         except ReportError:
             return
-        self._words = (float("-inf"), [])
+        self._store_states = (float("-inf"), [])
         match message:
-            case PeerReport() if self._book.put(now, message):
+            case PeerReport() if self._peer_table.put(now, message):
                 self._on_hello(now, _hello(message))
-            case LoadNotice() if self._book.apply_notice(message):
-                self._changed = True
+            case LoadNotice() if self._peer_table.apply_notice(message):
+                self._loads_changed = True
             case SumReport() | SumDelta():
                 self._on_sum(now, message)
                 return
             case FullSumRequest():
-                self._wanted |= self._relayed.request_full_sum(now, message.fleet_wide)
+                self._is_full_sum_requested |= self._relay_aggregator.request_full_sum(
+                    now, message.fleet_wide
+                )
                 return
             case Hello():
                 if not message.peers:
@@ -262,133 +279,139 @@
                 | PlacementEvent()
                 | PlacementSnapshot()
             ):
-                self._listener.on_place_message(message)
+                self._listener.on_placement_message(message)
                 return
             case _:
                 return
-        self._listener.on_placed(message.placed)
+        self._listener.on_placements(message.placed)
 
     def _on_sum(self, now: float, message: SumReport | SumDelta) -> None:
         # Each round sends hellos to a few routers only, so one may be missed for a
         # while. A router that dropped the first relay for that would report to others,
         # and the first relay's sums would lack that router.
-        self._table.touch(now, message.host, message.boot)
-        sums = self._relayed.sums
+        self._router_table.touch(now, message.host, message.boot)
+        sums = self._relay_aggregator.sums
         match sums.put(now, message):
             case SumOutcome.NEW:
-                self._changed = True
-                self._listener.on_placed(sums.placed(message.host, message.fleet_wide))
+                self._loads_changed = True
+                self._listener.on_placements(
+                    sums.placed(message.host, message.fleet_wide)
+                )
             case SumOutcome.MISSED:
                 data = encode(FullSumRequest(fleet_wide=message.fleet_wide))
-                self._send(data, self._table.addresses(message.host))
+                self._send(data, self._router_table.addresses(message.host))
 
     def _on_hello(self, now: float, hello: Hello) -> None:
         if hello.host == self._own.host:
             return
-        if self._table.put(now, hello):
+        if self._router_table.put(now, hello):
             self._announcer.on_start(now, hello.address)
         self._addresses[hello.address] = now
         self.add_addresses(hello.peers)
 
     # Sent messages.
 
-    def report_soon(self) -> None:
+    def schedule_report(self) -> None:
         """Send a full report at the next turn, for urgent changes."""
         self._report_due = True
 
-    def _turn(self) -> None:
+    def _on_turn(self) -> None:
         self._turns += 1
-        announced = self._announcer.next_batch(self._now, ANNOUNCED_A_TURN)
-        self._say_hello(announced, self._told_peers() if announced else ())
+        announced = self._announcer.next_batch(self._now, ANNOUNCED_PER_TURN)
+        self._send_hello(announced, self._sample_peers() if announced else ())
         if self._report_due:
             self._report_due = False
-            self._tell()
+            self._send_report()
         if not self._is_large:
-            self._on_changed()
-            self._notice(self._everybody())
+            self._publish_loads()
+            self._send_notice(self._all_addresses())
         elif self._turns % relay_turns(len(self._addresses)) == 0:
-            self._wanted = False
-            self._relayed.drop_silent_relays(self._now, self._quiet_s)
-            self._relay()
-            self._on_changed()
+            self._is_full_sum_requested = False
+            self._relay_aggregator.drop_silent_relays(self._now, self._peer_timeout_s)
+            self._send_sums()
+            self._publish_loads()
             # The second relay needs notices only while it replaces the first.
-            is_missed = self._relayed.is_fleet_sum_overdue(self._now)
-            self._notice(self._own_relays(RELAYS_PER_ZONE if is_missed else 1))
-        elif self._wanted:
-            self._wanted = False
-            self._relay()
-
-    def _on_changed(self) -> None:
-        if self._changed:
-            self._changed = False
+            is_missed = self._relay_aggregator.is_fleet_sum_overdue(self._now)
+            self._send_notice(self._own_relays(RELAYS_PER_ZONE if is_missed else 1))
+        elif self._is_full_sum_requested:
+            self._is_full_sum_requested = False
+            self._send_sums()
+
+    def _publish_loads(self) -> None:
+        if self._loads_changed:
+            self._loads_changed = False
             if self._is_large:
-                loads = self._relayed.peer_loads(self._now, self._quiet_s)
+                loads = self._relay_aggregator.peer_loads(
+                    self._now, self._peer_timeout_s
+                )
                 self._listener.on_loads(loads)
             else:
-                heard = self._book.live(self._now)
-                self._listener.on_loads(self._mesh_loads.update(heard))
+                reports = self._peer_table.live(self._now)
+                self._listener.on_loads(self._mesh_loads.update(reports))
 
-    def _notice(self, to: Iterable[Address]) -> None:
+    def _send_notice(self, to: Iterable[Address]) -> None:
         loads = self._changed_loads()
         if not loads:
             return
         self._sequence += 1
-        self._note_own()
+        self._record_own_totals()
         notice = LoadNotice(
             host=self._own.host,
             boot=self._own.boot,
             number=self._number,
             sequence=self._sequence,
             loads=loads,
-            placed=self._listener.placed(),
+            placed=self._listener.recent_placements(),
         )
         self._send(encode(notice), to)
 
     def _changed_loads(self) -> dict[str, LoadShare]:
         """Return the loads that changed since the last report or notice."""
         loads = self._listener.loads()
-        before, self._told = self._told, loads
+        before, self._reported_loads = self._reported_loads, loads
         return {
             name: loads.get(name, LoadShare())
             for name in loads.keys() | before.keys()
             if loads.get(name) != before.get(name)
         }
 
-    def _tell(self) -> None:
+    def _send_report(self) -> None:
         self._number += 1
         self._sequence += 1
         report = self._listener.report(self._number, self._sequence)
-        self._told = report.loads
-        report = replace(report, peers=self._told_peers())
-        self._note_own(report)
-        to = self._own_relays() if self._is_large else self._everybody()
+        self._reported_loads = report.loads
+        report = replace(report, peers=self._sample_peers())
+        self._record_own_totals(report)
+        to = self._own_relays() if self._is_large else self._all_addresses()
         self._send(encode(report), to)
 
-    def _told_peers(self) -> tuple[Address, ...]:
-        known = list(self._addresses)
-        return tuple(self._random.sample(known, min(TOLD_PEERS, len(known))))
+    def _sample_peers(self) -> tuple[Address, ...]:
+        addresses = list(self._addresses)
+        return tuple(
+            self._random.sample(addresses, min(MAX_PEERS_PER_MESSAGE, len(addresses)))
+        )
 
-    def _note_own(self, report: PeerReport | None = None) -> None:
+    def _record_own_totals(self, report: PeerReport | None = None) -> None:
         if not self._is_large:
             return
         report = report or self._listener.report(self._number, self._sequence)
         totals = FleetTotals(report.served, report.offered, report.loads, 1)
-        self._relayed.history.record(self._sequence, totals)
+        self._relay_aggregator.history.record(self._sequence, totals)
 
-    def _everybody(self) -> set[Address]:
+    def _all_addresses(self) -> set[Address]:
         return self._seeds | self._addresses.keys()
 
-    def _own_relays(self, most: int = RELAYS_PER_ZONE) -> set[Address]:
-        relays = self._table.relays(self._now, self._quiet_s)
-        found = relays.get(self._own.zone, ())
-        return {row.address for row in found[:most]} - {self._own.address}
+    def _own_relays(self, max_relays: int = RELAYS_PER_ZONE) -> set[Address]:
+        relays = self._router_table.relays(self._now, self._peer_timeout_s)
+        zone_relays = relays.get(self._own.zone, ())
+        return {row.address for row in zone_relays[:max_relays]} - {self._own.address}
 
     def _send(self, data: bytes, to: Iterable[Address]) -> None:
         for address in to:
             self._link.send(address, data)
 
-    def _turns_of_hello(self) -> set[Address]:
-        to = set(self._ring.next(self._addresses, HELLOS_A_ROUND))
+    def _hello_targets(self) -> set[Address]:
+        to = set(self._ring.next(self._addresses, HELLOS_PER_ROUND))
         # One seed per round: with all seeds in each round, a seed got a hello from
         # every router of the fleet four times per second.
         seeds = sorted(self._seeds)
@@ -396,7 +419,7 @@
             to.add(seeds[self._number % len(seeds)])
         return to
 
-    def _say_hello(self, to: Iterable[Address], peers: tuple[Address, ...]) -> None:
+    def _send_hello(self, to: Iterable[Address], peers: tuple[Address, ...]) -> None:
         if to:
             own = replace(self._own, stopping=self.stopping, peers=peers)
             self._send(encode(own), to)
@@ -404,45 +427,49 @@
     def _round(self) -> None:
         # Scheduled first: otherwise an exception in one round ends all later rounds,
         # and peers drop a live router.
-        self._timers.after(PERIOD_S * self._random.uniform(0.9, 1.1), self._round)
+        self._timers.after(
+            REPORT_INTERVAL_S * self._random.uniform(0.9, 1.1), self._round
+        )
         now = self._now
         # An address from peers that never answered belongs to a dead host.
-        forget_s = max(FORGET_S, 2 * self._quiet_s)
+        address_timeout_s = max(ADDRESS_TIMEOUT_S, 2 * self._peer_timeout_s)
         for address, at in list(self._addresses.items()):
-            if now - at > forget_s:
+            if now - at > address_timeout_s:
                 del self._addresses[address]
                 self._announcer.remove(address)
-        self._tell()
+        self._send_report()
         if self._is_large:
             # Addresses are sent by the announcer and in reports. Without them these
             # hellos stay identical, so that receivers can cache the decoded message.
-            self._say_hello(self._turns_of_hello(), ())
-        self._listener.on_totals(self._others())
+            self._send_hello(self._hello_targets(), ())
+        self._listener.on_totals(self._peer_totals())
 
     # Aggregates.
 
-    def _others(self) -> FleetTotals:
+    def _peer_totals(self) -> FleetTotals:
         """Return the totals of all other routers."""
         now = self._now
         if not self._is_large:
-            return sum_reports(now, self._book.live(now), USAGE_DECAY_S)
-        return self._relayed.peer_totals(now, self._quiet_s)
+            return sum_reports(now, self._peer_table.live(now), USAGE_DECAY_S)
+        return self._relay_aggregator.peer_totals(now, self._peer_timeout_s)
 
-    def _relay(self) -> None:
-        now, quiet_s = self._now, self._quiet_s
-        if not self._relayed.is_relay(now, quiet_s):
+    def _send_sums(self) -> None:
+        now, peer_timeout_s = self._now, self._peer_timeout_s
+        if not self._relay_aggregator.is_relay(now, peer_timeout_s):
             return
         own = self._listener.report(self._number, self._sequence)
-        zone, whole = self._relayed.next_messages(now, own, self._turns)
-        self._send(encode(zone), self._other_relays())
-        self._send(encode(whole), self._zone_mates())
+        zone_sum, fleet_sum = self._relay_aggregator.next_messages(
+            now, own, self._turns
+        )
+        self._send(encode(zone_sum), self._other_relays())
+        self._send(encode(fleet_sum), self._zone_peers())
 
     def _other_relays(self) -> set[Address]:
-        relays = self._table.relays(self._now, self._quiet_s).items()
+        relays = self._router_table.relays(self._now, self._peer_timeout_s).items()
         return {r.address for z, rows in relays if z != self._own.zone for r in rows}
 
-    def _zone_mates(self) -> set[Address]:
-        rows = self._table.members(self._now, self._quiet_s)
+    def _zone_peers(self) -> set[Address]:
+        rows = self._router_table.members(self._now, self._peer_timeout_s)
         return {row.address for row in rows} - {self._own.address}
 
 
--- a/greengageflow/daemon/gateway.py
+++ b/greengageflow/daemon/gateway.py
@@ -22,7 +22,7 @@
 from greengageflow.core.store_updates import StoreUpdate
 from greengageflow.core.trust import KeyTrust
 from greengageflow.daemon.crash_watch import CrashWatch
-from greengageflow.daemon.exchange_listener import Placed
+from greengageflow.daemon.exchange_listener import Placements
 from greengageflow.daemon.fleet_exchange import FleetExchange
 from greengageflow.daemon.forward_admission import ForwardAdmission
 from greengageflow.daemon.forward_notes import ForwardNotes
@@ -187,8 +187,8 @@
             self._log,
             on_routing=self._on_routing,
             on_change=self._on_change,
-            on_update=self._exchange.report_soon,
-            on_read=self._exchange.pass_on,
+            on_update=self._exchange.schedule_report,
+            on_read=self._exchange.forward_update,
             on_era=self._on_era,
             pace_s=read_interval_s(*settings.bounds.read_deadlines_s),
             clock=clock,
@@ -320,13 +320,13 @@
         """Return the load that this router puts on each endpoint."""
         return self._service_dispatcher.own_loads()
 
-    def placed(self) -> Placed:
+    def recent_placements(self) -> Placements:
         """Return recently sent prompt prefixes and their endpoints."""
         return self._service_dispatcher.recent_placements(self._timers.now)
 
-    def on_placed(self, placed: Placed) -> None:
+    def on_placements(self, placements: Placements) -> None:
         """Handle prompt prefixes that other routers sent to endpoints."""
-        self._service_dispatcher.on_placements(self._timers.now, placed)
+        self._service_dispatcher.on_placements(self._timers.now, placements)
 
     def on_loads(self, loads: Mapping[str, LoadShare]) -> None:
         """Handle a change of the load that other routers put on each endpoint."""
@@ -351,7 +351,7 @@
         """Handle a report of endpoints that announced that they leave."""
         self._leaving_watch.receive(report.endpoints)
 
-    def on_place_message(self, message: PlacementMessage) -> None:
+    def on_placement_message(self, message: PlacementMessage) -> None:
         """Handle a placement message of another router."""
         self._placement.receive(message)
 
@@ -387,10 +387,10 @@
     # Lifecycle.
 
     def _on_tick(self) -> None:
-        now, words = clock(), self._exchange.words()
+        now, store_states = clock(), self._exchange.store_states()
         self._key_watch.awake(now)
-        self._store_view.on_tick(self._exchange.store_role, words)
-        self._key_watch.confirm(now, self._timers.now, words)
+        self._store_view.on_tick(self._exchange.store_role, store_states)
+        self._key_watch.confirm(now, self._timers.now, store_states)
         self._forwarder.on_tick()
         self._host_watch.on_tick()
 
--- a/greengageflow/lab/_gateway_world.py
+++ b/greengageflow/lab/_gateway_world.py
@@ -22,7 +22,7 @@
 from greengageflow.core.service_dispatcher import USAGE_DECAY_S
 from greengageflow.core.store_duty import read_interval_s
 from greengageflow.core.store_updates import StoreUpdate
-from greengageflow.daemon.exchange_listener import Placed
+from greengageflow.daemon.exchange_listener import Placements
 from greengageflow.daemon.fleet_exchange import FleetExchange
 from greengageflow.daemon.store_view import StoreView
 from greengageflow.net._fragments import LARGEST
@@ -146,8 +146,8 @@
             None,
             on_routing=lambda _routing: None,
             on_change=lambda _change: None,
-            on_update=self.exchange.report_soon,
-            on_read=self.exchange.pass_on,
+            on_update=self.exchange.schedule_report,
+            on_read=self.exchange.forward_update,
             on_era=lambda _era: None,
             pace_s=PACE_S,
             clock=lambda: world.now,
@@ -242,8 +242,8 @@
         self.after(STORE_S + int(wait or 0) / 1000, lambda: on_done(answer))
 
     def _tick(self) -> None:
-        self.view.on_tick(self.exchange.store_role, self.exchange.words())
-        self.exchange.words()
+        self.view.on_tick(self.exchange.store_role, self.exchange.store_states())
+        self.exchange.store_states()
 
     # Requests; their own cost is not control's and is not charged.
 
@@ -290,20 +290,20 @@
             loads=self.loads(),
             config_age_s=now - view.confirmed,
             list_age_s=now - view.list_confirmed,
-            placed=self.placed(),
+            placed=self.recent_placements(),
         )
 
     def loads(self) -> Mapping[str, LoadShare]:
         """Return what is under way here."""
         return self._loads.own_shares()
 
-    def placed(self) -> Placed:
+    def recent_placements(self) -> Placements:
         """Return what was placed lately."""
         now = self.now
         self._placed = [row for row in self._placed if row[0] >= now - TELL_PLACED_S]
         return tuple(dict.fromkeys(row[1:] for row in self._placed))
 
-    def on_placed(self, placed: Placed) -> None:
+    def on_placements(self, placed: Placements) -> None:
         """Take where others sent prompt parts."""
         for part, endpoint in placed:
             self._places.on_sent(self.now, part, endpoint)
--- a/tests/test_fleet_exchange.py
+++ b/tests/test_fleet_exchange.py
@@ -22,7 +22,7 @@
 from greengageflow.core.store_updates import StoreTopic, StoreUpdate
 from greengageflow.core.sum_table import SumOutcome, SumTable
 from greengageflow.daemon import fleet_exchange
-from greengageflow.daemon.fleet_exchange import SETTLE_S, FleetExchange
+from greengageflow.daemon.fleet_exchange import READER_DELAY_S, FleetExchange
 
 
 class Network:
@@ -118,10 +118,10 @@
     def loads(self):
         return self.share
 
-    def placed(self):
+    def recent_placements(self):
         return ()
 
-    def on_placed(self, placed):
+    def on_placements(self, placed):
         self.seen_placed.update(placed)
 
     def on_loads(self, loads):
@@ -133,7 +133,7 @@
     def on_store_update(self, news):
         self.news.append(news)
         if self.news.count(news) == 1:
-            self.exchange.pass_on(news, is_own=False)
+            self.exchange.forward_update(news, is_own=False)
 
     def on_crash_report(self, report):
         self.crashes.append(report)
@@ -317,7 +317,7 @@
     """Load on the store grows with the number of readers, most of all when a whole
     fleet starts."""
     network, routers = fleet(monkeypatch, size, zones)
-    network.run(SETTLE_S / 2)
+    network.run(READER_DELAY_S / 2)
     assert roles(routers)[StoreRole.READER] == 0
     network.run(8.0)
     found = roles(routers)
@@ -328,7 +328,7 @@
 def test_routers_that_hear_nobody_read_for_themselves(monkeypatch):
     """A router partitioned from all others must not wait for their updates."""
     network, (router,) = fleet(monkeypatch, 1, 1)
-    network.run(SETTLE_S + 0.1)
+    network.run(READER_DELAY_S + 0.1)
     assert router.exchange.store_role is StoreRole.READER
 
 
@@ -345,12 +345,12 @@
         for router in routers:
             router.news.clear()
         reader.news.append(news)
-        reader.exchange.pass_on(news, is_own=True)
+        reader.exchange.forward_update(news, is_own=True)
         network.run(0.5)
         assert {len(router.news) for router in routers} <= {1, 2}
     member = next(r for r in routers if r.exchange.store_role is StoreRole.MEMBER)
     network.count_anew()
-    member.exchange.pass_on(news, is_own=True)
+    member.exchange.forward_update(news, is_own=True)
     assert not network.sent[member.address]
 
 
--- a/tests/test_router_table.py
+++ b/tests/test_router_table.py
@@ -8,7 +8,7 @@
 
 from greengageflow.core.hello_ring import HelloRing
 from greengageflow.core.router_table import RELAYS_PER_ZONE, Hello, RouterTable
-from greengageflow.daemon.fleet_exchange import HELLOS_A_ROUND
+from greengageflow.daemon.fleet_exchange import HELLOS_PER_ROUND
 
 
 def hello(number, zone="z0", boot=1, stopping=False):
@@ -74,7 +74,7 @@
     addresses = [(f"127.1.{n // 200}.{n % 200 + 1}", 7000) for n in range(359)]
     ring, last = HelloRing(Random(1)), dict.fromkeys(addresses, 0)
     for turn in range(1, 200):
-        for address in ring.next(addresses, HELLOS_A_ROUND):
+        for address in ring.next(addresses, HELLOS_PER_ROUND):
             assert turn - last[address] <= 36
             last[address] = turn
     assert 200 - min(last.values()) <= 36
