--- a/tests/test_fleet_exchange.py
+++ b/tests/test_fleet_exchange.py
@@ -32,8 +32,8 @@
         self.now = 0.0
         self.loss = loss
         self.routers = {}
-        self.sent, self.came = Counter(), Counter()
-        self.sent_bytes, self.came_bytes = Counter(), Counter()
+        self.sent, self.received = Counter(), Counter()
+        self.sent_bytes, self.received_bytes = Counter(), Counter()
         self._heap, self._order, self._pairs = [], count(), Counter()
 
     def at(self, when, call):
@@ -47,23 +47,23 @@
             check()
         self.now = end
 
-    def carry(self, source, target, data):
+    def transmit(self, source, target, data):
         self.sent[source] += 1
         self.sent_bytes[source] += len(data)
         self._pairs[source, target] += 1
         chance = crc32(f"{source} {target} {self._pairs[source, target]}".encode())
         if chance % 1000 >= 1000 * self.loss:
             delay_s = 0.0005 + chance % 997 * 1e-6
-            self.at(self.now + delay_s, lambda: self._hand(target, data))
+            self.at(self.now + delay_s, lambda: self._deliver(target, data))
 
-    def _hand(self, target, data):
+    def _deliver(self, target, data):
         if router := self.routers.get(target):
-            self.came[target] += 1
-            self.came_bytes[target] += len(data)
+            self.received[target] += 1
+            self.received_bytes[target] += len(data)
             router.exchange.receive(data)
 
-    def count_anew(self):
-        for counter in (self.sent, self.came, self.sent_bytes, self.came_bytes):
+    def reset_counters(self):
+        for counter in (self.sent, self.received, self.sent_bytes, self.received_bytes):
             counter.clear()
 
 
@@ -76,11 +76,13 @@
         self.hello = Hello(
             host=f"r{index:03}", boot=boot, ip=self.address[0], port=7000, zone=zone
         )
-        self.work = {("model", "a"): 100.0 + index, ("model", f"b{index % 3}"): 7.0}
-        self.asked = {key: 2 * work for key, work in self.work.items()}
-        self.share = {f"e{index % 5}": LoadShare(1 + index % 4, 10.0 * index, 5.0)}
-        self.totals, self.seen_loads, self.seen_placed = FleetTotals(), {}, set()
-        self.news, self.crashes, self.leaving = [], [], []
+        self.served = {("model", "a"): 100.0 + index, ("model", f"b{index % 3}"): 7.0}
+        self.offered = {key: 2 * served for key, served in self.served.items()}
+        self.load_shares = {
+            f"e{index % 5}": LoadShare(1 + index % 4, 10.0 * index, 5.0)
+        }
+        self.totals, self.seen_loads, self.seen_placements = FleetTotals(), {}, set()
+        self.updates, self.crashes, self.leaving = [], [], []
         self.exchange = FleetExchange(self.hello, self, self, seeds, self)
         network.routers[self.address] = self
 
@@ -99,7 +101,7 @@
         pass
 
     def send(self, address, data):
-        self.network.carry(self.address, address, data)
+        self.network.transmit(self.address, address, data)
 
     def report(self, number, sequence):
         return PeerReport(
@@ -110,19 +112,19 @@
             ip=self.hello.ip,
             port=self.hello.port,
             zone=self.hello.zone,
-            served=self.work,
-            offered=self.asked,
-            loads=self.share,
+            served=self.served,
+            offered=self.offered,
+            loads=self.load_shares,
         )
 
     def loads(self):
-        return self.share
+        return self.load_shares
 
     def recent_placements(self):
         return ()
 
     def on_placements(self, placed):
-        self.seen_placed.update(placed)
+        self.seen_placements.update(placed)
 
     def on_loads(self, loads):
         self.seen_loads = loads
@@ -130,10 +132,10 @@
     def on_totals(self, totals):
         self.totals, self.seen_loads = totals, totals.loads
 
-    def on_store_update(self, news):
-        self.news.append(news)
-        if self.news.count(news) == 1:
-            self.exchange.forward_update(news, is_own=False)
+    def on_store_update(self, update):
+        self.updates.append(update)
+        if self.updates.count(update) == 1:
+            self.exchange.forward_update(update, is_own=False)
 
     def on_crash_report(self, report):
         self.crashes.append(report)
@@ -157,7 +159,7 @@
     return network, routers
 
 
-def some(sums):
+def nonzero(sums):
     return {key: round(value, 3) for key, value in sums.items() if value > 1e-3}
 
 
@@ -165,19 +167,19 @@
     return {name: load for name, load in loads.items() if load.running}
 
 
-def wrong(routers):
+def find_wrong_routers(routers):
     """Yield the routers whose totals differ from the sum of all other routers."""
     for router in routers:
         others = merge(
-            FleetTotals(one.work, one.asked, one.share, 1)
-            for one in routers
-            if one is not router
+            FleetTotals(other.served, other.offered, other.load_shares, 1)
+            for other in routers
+            if other is not router
         )
         seen = router.totals
         right = (
             seen.hosts == others.hosts
-            and some(seen.served) == some(others.served)
-            and some(seen.offered) == some(others.offered)
+            and nonzero(seen.served) == nonzero(others.served)
+            and nonzero(seen.offered) == nonzero(others.offered)
             and busy(router.seen_loads) == busy(others.loads)
         )
         if not right:
@@ -189,7 +191,7 @@
 
 @FLEETS
 @pytest.mark.parametrize("loss", [0.0, 0.2])
-def test_each_router_knows_the_sums_of_all_others(monkeypatch, size, zones, loss):
+def test_each_router_gets_exact_totals_of_all_others(monkeypatch, size, zones, loss):
     """Routers that disagree on the relays, for example after missing a few of their
     hellos, report to the wrong ones, and totals lose a router from time to time."""
     network, routers = fleet(monkeypatch, size, zones, loss)
@@ -200,42 +202,45 @@
     assert max(most) == size - 1, "no router is counted twice while the fleet starts"
     for _ in range(20 if not loss else 1):
         network.run(0.3)
-        assert not list(wrong(routers))
+        assert not list(find_wrong_routers(routers))
     for router in routers[::2]:
-        router.share = {"e1": LoadShare(9, 3.0, 4.0), "e7": LoadShare(1, 0.0, 1.0)}
+        router.load_shares = {
+            "e1": LoadShare(9, 3.0, 4.0),
+            "e7": LoadShare(1, 0.0, 1.0),
+        }
     network.run(1 if not loss else 3)
-    assert not list(wrong(routers))
+    assert not list(find_wrong_routers(routers))
 
 
-@pytest.mark.parametrize("dead", [1, 2])
-def test_relay_that_dies_is_replaced_and_sums_go_on(monkeypatch, dead):
+@pytest.mark.parametrize("dead_relays", [1, 2])
+def test_failed_relays_are_replaced(monkeypatch, dead_relays):
     """A router without totals acts as the only one and starts as many requests as the
     whole fleet may. Members must get the second relay's totals before those of the
     first expire. If both die at once, the zone has no totals for a while."""
     network, routers = fleet(monkeypatch, 60, 4)
     network.run(10)
-    for index in range(dead):
+    for index in range(dead_relays):
         routers[4 * index].stop()
-    left = [router for router in routers if router.address in network.routers]
-    fewest = []
-    for _ in range(80 if dead == 1 else 240):
+    survivors = [router for router in routers if router.address in network.routers]
+    lowest_counts = []
+    for _ in range(80 if dead_relays == 1 else 240):
         network.run(0.05)
-        fewest.append(min(router.totals.hosts for router in left))
-    assert not list(wrong(left))
-    assert dead == 2 or min(fewest) >= 58
+        lowest_counts.append(min(router.totals.hosts for router in survivors))
+    assert not list(find_wrong_routers(survivors))
+    assert dead_relays == 2 or min(lowest_counts) >= 58
 
 
-def test_relays_that_die_together_are_replaced_before_they_count_as_dead(monkeypatch):
+def test_relays_that_fail_together_are_replaced_before_their_timeout(monkeypatch):
     """The time-out after which a router without hellos counts as dead grows with the
     fleet. If the zone waited for it, its members would act as the only routers."""
     network, routers = fleet(monkeypatch, 100, 4)
     network.run(10)
     for index in (0, 4):
         routers[index].stop()
-    left = [router for router in routers if router.address in network.routers]
+    survivors = [router for router in routers if router.address in network.routers]
     network.run(3.0)
-    assert not list(wrong(left))
-    assert all(router.exchange.hosts >= 97 for router in left)
+    assert not list(find_wrong_routers(survivors))
+    assert all(router.exchange.hosts >= 97 for router in survivors)
 
 
 @pytest.mark.parametrize("size", [30, 60])
@@ -244,44 +249,51 @@
     relay's grow with its zone, and a seed also receives hellos of all routers."""
     network, routers = fleet(monkeypatch, size, 4)
     network.run(10)
-    network.count_anew()
+    network.reset_counters()
     for turn in range(40):
         for router in routers:
-            router.share = {f"e{turn % 5}": LoadShare(1 + turn % 3, 100.0 * turn, 9.0)}
+            router.load_shares = {
+                f"e{turn % 5}": LoadShare(1 + turn % 3, 100.0 * turn, 9.0)
+            }
         network.run(0.05)
-    counters = (network.sent, network.came, network.sent_bytes, network.came_bytes)
+    counters = (
+        network.sent,
+        network.received,
+        network.sent_bytes,
+        network.received_bytes,
+    )
     zone = size / 4
 
     def most(some_routers):
         return [max(c[r.address] for r in some_routers) / 2 for c in counters]
 
-    sent, came, sent_bytes, came_bytes = most(routers[8:])
-    assert sent <= 75 and came <= 60
-    assert sent_bytes <= 6000 and came_bytes <= 6000
-    sent, came, sent_bytes, came_bytes = most(routers[2:8])
-    assert sent <= 140 + 10 * zone and came <= 110 + 15 * zone
+    sent, received, sent_bytes, received_bytes = most(routers[8:])
+    assert sent <= 75 and received <= 60
+    assert sent_bytes <= 6000 and received_bytes <= 6000
+    sent, received, sent_bytes, received_bytes = most(routers[2:8])
+    assert sent <= 140 + 10 * zone and received <= 110 + 15 * zone
     assert sent_bytes <= 110 * (140 + 10 * zone)
-    assert came_bytes <= 60 * (110 + 15 * zone)
+    assert received_bytes <= 60 * (110 + 15 * zone)
     assert most(routers[:2])[1] <= 110 + 15 * zone + 1.5 * size
 
 
-def test_what_comes_late_or_twice_is_left_out():
+def test_late_and_duplicate_messages_are_ignored():
     """Datagrams are reordered; an old one must not overwrite a newer one."""
     report = RouterStub(Network(), 1, "z", ()).report(5, 8)
-    old, again = replace(report, number=4), replace(report, boot=2, number=1)
-    book = PeerTable("other")
-    assert [book.put(1.0, r) for r in (report, report, old, again, report)] == [
+    old, restarted = replace(report, number=4), replace(report, boot=2, number=1)
+    peers = PeerTable("other")
+    assert [peers.put(1.0, r) for r in (report, report, old, restarted, report)] == [
         *(True, False, False),
         *(True, False),
     ]
     notice = LoadNotice(host="r001", boot=2, number=1, sequence=9, loads={})
-    later, astray = replace(notice, sequence=10), replace(notice, number=2, sequence=11)
-    assert [book.apply_notice(n) for n in (later, notice, later, astray)] == [
+    later, stray = replace(notice, sequence=10), replace(notice, number=2, sequence=11)
+    assert [peers.apply_notice(n) for n in (later, notice, later, stray)] == [
         *(True, False),
         *(False, False),
     ]
     assert not PeerTable("r001").put(1.0, report)
-    assert [h.report.sequence for h in book.live(1.1)] == [10] and not book.count(9.0)
+    assert [h.report.sequence for h in peers.live(1.1)] == [10] and not peers.count(9.0)
     sums = SumTable()
     head = {"host": "r1", "boot": 1, "zone": "z", "fleet_wide": False}
     first, second = (SumReport(number=n, totals=FleetTotals(), **head) for n in (1, 2))
@@ -291,7 +303,7 @@
     assert not sums.zone_sums(1.1, "z") and not sums.fleet_sum(1.1)
 
 
-def test_round_that_fails_is_not_the_last_one(monkeypatch):
+def test_rounds_continue_after_an_exception(monkeypatch):
     """After an exception in its listener, a router must keep sending reports;
     otherwise its peers drop a running router for good."""
     network, routers = fleet(monkeypatch, 3, 1)
@@ -305,7 +317,7 @@
         network.run(1)
     del routers[1].on_totals
     network.run(4)
-    assert not list(wrong(routers))
+    assert not list(find_wrong_routers(routers))
 
 
 def roles(routers):
@@ -313,7 +325,7 @@
 
 
 @pytest.mark.parametrize(("size", "zones"), [(9, 3), (60, 4)])
-def test_two_routers_read_the_store_and_few_stand_by(monkeypatch, size, zones):
+def test_fleet_has_two_store_readers_and_few_standbys(monkeypatch, size, zones):
     """Load on the store grows with the number of readers, most of all when a whole
     fleet starts."""
     network, routers = fleet(monkeypatch, size, zones)
@@ -325,7 +337,7 @@
     assert found[StoreRole.STANDBY] == 2 * zones - READER_ZONES
 
 
-def test_routers_that_hear_nobody_read_for_themselves(monkeypatch):
+def test_partitioned_router_reads_the_store_itself(monkeypatch):
     """A router partitioned from all others must not wait for their updates."""
     network, (router,) = fleet(monkeypatch, 1, 1)
     network.run(READER_DELAY_S + 0.1)
@@ -333,29 +345,27 @@
 
 
 @pytest.mark.parametrize("role", [StoreRole.READER, StoreRole.STANDBY])
-def test_what_one_router_reads_reaches_each_one_and_does_not_go_round(
-    monkeypatch, role
-):
+def test_store_update_reaches_each_router_without_looping(monkeypatch, role):
     """The store may refuse all readers while it serves a standby."""
     network, routers = fleet(monkeypatch, 60, 4)
     network.run(8.0)
     record = KeyedRecord("e1", b"{}", 7)
-    news = StoreUpdate(topic=StoreTopic.ENDPOINTS, since=0, end=8, records=(record,))
+    update = StoreUpdate(topic=StoreTopic.ENDPOINTS, since=0, end=8, records=(record,))
     for reader in [r for r in routers if r.exchange.store_role is role]:
         for router in routers:
-            router.news.clear()
-        reader.news.append(news)
-        reader.exchange.forward_update(news, is_own=True)
+            router.updates.clear()
+        reader.updates.append(update)
+        reader.exchange.forward_update(update, is_own=True)
         network.run(0.5)
-        assert {len(router.news) for router in routers} <= {1, 2}
+        assert {len(router.updates) for router in routers} <= {1, 2}
     member = next(r for r in routers if r.exchange.store_role is StoreRole.MEMBER)
-    network.count_anew()
-    member.exchange.forward_update(news, is_own=True)
+    network.reset_counters()
+    member.exchange.forward_update(update, is_own=True)
     assert not network.sent[member.address]
 
 
 @pytest.mark.parametrize("size", [60, 200])
-def test_a_fleet_that_begins_at_once_knows_all_its_routers_soon(monkeypatch, size):
+def test_fleet_started_at_once_discovers_all_routers_soon(monkeypatch, size):
     """After a restart of all hosts, routers that have not discovered each other
     disagree on relays and placers and decide on partial load information."""
     network, routers = fleet(monkeypatch, size, 5)
@@ -364,16 +374,16 @@
     assert known[size // 10] >= 0.99 * (size - 1), known
 
 
-def test_a_router_that_begins_again_is_known_to_all_soon(monkeypatch):
+def test_restarted_router_is_discovered_by_all_soon(monkeypatch):
     """It also discovers them all, though it starts with the address of one seed."""
     network, routers = fleet(monkeypatch, 100, 5)
     network.run(12.0)
     routers[50].stop()
     network.run(1.0)
-    again = RouterStub(network, 50, "z0", [("127.0.0.1", 7000)], boot=2)
-    again.exchange.start()
+    restarted = RouterStub(network, 50, "z0", [("127.0.0.1", 7000)], boot=2)
+    restarted.exchange.start()
     network.run(0.5)
-    assert again.exchange.hosts == 99
+    assert restarted.exchange.hosts == 99
     for router in routers[:50] + routers[51:]:
         boots = {row.host: row.boot for row in router.exchange.routers()}
         assert boots["r050"] == 2
--- a/tests/test_gateway_bounds.py
+++ b/tests/test_gateway_bounds.py
@@ -25,17 +25,17 @@
 SMALL_PIPE = 4096
 FEW_FILES = 96
 LONG, LONG_MS = "/long/", 120_000
-LIMITED = (
+RUN_WITH_FILE_LIMIT = (
     "import resource, runpy, sys;"
     "resource.setrlimit(resource.RLIMIT_NOFILE, ({0}, {0}));"
     "sys.argv = sys.argv[1:]; runpy.run_module(sys.argv[0], run_name='__main__')"
 )
-DROPPED = re.compile(
+DROPPED_LINES_METRIC = re.compile(
     r'^greengage_log_lines_dropped_total\{cause="buffer"\} (\S+)', re.M
 )
 
 
-class BoundLab(PlatformLab):
+class LimitsLab(PlatformLab):
     """A lab whose gateways may open few files or log to a pipe that nobody reads."""
 
     files = None
@@ -51,7 +51,7 @@
             json.dump(settings, file)
         module = ["-m", GATEWAY]
         if self.files:
-            module = ["-c", LIMITED.format(self.files), GATEWAY]
+            module = ["-c", RUN_WITH_FILE_LIMIT.format(self.files), GATEWAY]
         logs = TemporaryFile()  # noqa: SIM115 (lives as long as the process)
         popen = Popen(
             [sys.executable, *module, f"--settings={path}"],
@@ -68,19 +68,21 @@
     def dropped(self):
         """Return the number of log lines dropped because the buffer was full."""
         address = self.settings["r0"]["ip"], METRICS_PORT
-        found = DROPPED.search(call(address, "GET", "/metrics").data.decode())
+        found = DROPPED_LINES_METRIC.search(
+            call(address, "GET", "/metrics").data.decode()
+        )
         return float(found[1]) if found else 0.0
 
 
-class PipedLab(BoundLab):
+class PipedLab(LimitsLab):
     piped = True
 
 
-class FewFilesLab(BoundLab):
+class FewFilesLab(LimitsLab):
     files = FEW_FILES
 
 
-def test_a_reader_of_the_log_that_has_stopped_delays_no_request():
+def test_stalled_log_collector_delays_no_request():
     """The log collector stops reading a gateway's standard output. Pipe and buffer
     fill, and the gateway drops lines and counts them in its metrics; all requests are
     served. Once the collector resumes, it gets complete lines and the number of
@@ -88,11 +90,11 @@
     """
     with PipedLab() as lab, closing(lab.client()) as client:
 
-        def asked_and_dropped():
+        def serve_and_count_dropped():
             assert client.ask(SAFE, key=KEY).status == 200
             return lab.dropped()
 
-        wait_for(asked_and_dropped, "lines are dropped", 120.0)
+        wait_for(serve_and_count_dropped, "lines are dropped", 120.0)
         assert all(client.ask(SAFE, key=KEY).status == 200 for _ in range(50))
         lines = map(json.loads, lab.routers["r0"].popen.stdout)
         report = next(line for line in lines if line["name"] == "LINES_DROPPED")
@@ -100,7 +102,7 @@
         assert client.ask(SAFE, key=KEY).status == 200
 
 
-def test_callers_connections_leave_descriptors_for_all_else():
+def test_idle_caller_connections_do_not_exhaust_descriptors():
     """Callers open and keep more connections than the process may have descriptors.
     The process then answered neither new callers nor the balancer, spun, and logged
     no reason.
@@ -110,17 +112,17 @@
     """
     with FewFilesLab() as lab:
         idle = [lab.client() for _ in range(2 * FEW_FILES)]
-        own = f"/proc/{lab.routers['r0'].pid}/fd"
+        fd_dir = f"/proc/{lab.routers['r0'].pid}/fd"
         assert {lab.ask(SAFE).status for _ in range(20)} == {200}
         assert lab.ready("r0") == 200
-        assert len(os.listdir(own)) < FEW_FILES
+        assert len(os.listdir(fd_dir)) < FEW_FILES
         assert "CONNECTIONS_FULL" in lab.log
-        for one in idle:
-            one.close()
+        for client in idle:
+            client.close()
         assert lab.ask(SAFE).status == 200
 
 
-def test_callers_that_all_wait_for_answers_leave_descriptors_for_readiness():
+def test_busy_caller_connections_leave_descriptors_for_readiness():
     """No caller connection is idle, so none can be closed. The host must report that
     it is not ready, so that the balancer uses other hosts, and must serve again once
     connections are free."""
@@ -128,38 +130,38 @@
     with FewFilesLab(shape) as lab:
         lab.fault("app-0", hang=True, times=FEW_FILES)
         lab.fault("app-1", hang=True, times=FEW_FILES)
-        busy = []
+        busy_clients = []
 
         def is_full_with_one_more():
             # Connections without a request yet are closed in favour of later ones.
-            busy.append(lab.client())
+            busy_clients.append(lab.client())
             with suppress(OSError):
-                busy[-1].send(SAFE, key=KEY, deadline_ms=60_000)
+                busy_clients[-1].send(SAFE, key=KEY, deadline_ms=60_000)
             return lab.ready("r0") == 503
 
         wait_for(is_full_with_one_more, "the host reports that it is full")
-        for one in busy:
-            one.close()
+        for client in busy_clients:
+            client.close()
         lab.fault("app-0")
         lab.fault("app-1")
         wait_for(lambda: lab.ready("r0") == 200, "ready again")
         wait_for(lambda: lab.ask(SAFE).status == 200, "served again")
 
 
-def test_two_thousand_idle_connections_cost_nobody_an_answer():
+def test_two_thousand_idle_connections_fail_no_request():
     """Callers keep 2,000 idle connections open. Other callers are served, and the idle
     connections still work afterwards."""
-    with BoundLab() as lab:
+    with LimitsLab() as lab:
         idle = [lab.client() for _ in range(2000)]
-        own = f"/proc/{lab.routers['r0'].pid}/fd"
-        wait_for(lambda: len(os.listdir(own)) > len(idle), "all are accepted")
+        fd_dir = f"/proc/{lab.routers['r0'].pid}/fd"
+        wait_for(lambda: len(os.listdir(fd_dir)) > len(idle), "all are accepted")
         assert {lab.ask(SAFE).status for _ in range(20)} == {200}
-        assert {one.ask(SAFE, key=KEY).status for one in idle[::100]} == {200}
-        for one in idle:
-            one.close()
+        assert {client.ask(SAFE, key=KEY).status for client in idle[::100]} == {200}
+        for client in idle:
+            client.close()
 
 
-def test_slots_of_a_plain_service_come_back_when_their_host_is_lost():
+def test_slots_of_a_plain_service_are_freed_when_their_host_is_lost():
     """One gateway uses all slots of a plain endpoint, and another knows this from load
     reports and refuses requests. When the first is killed, its requests end with its
     connections, and the other must use the endpoint again.
--- a/tests/test_gateway_cuts.py
+++ b/tests/test_gateway_cuts.py
@@ -14,14 +14,14 @@
 from tests.support import Proxy, call, start, wait_for
 
 METRICS_PORT = 7302
-PEERS = re.compile(r"^greengage_peers_live (\d+)", re.M)
+PEERS_METRIC = re.compile(r"^greengage_peers_live (\d+)", re.M)
 ROUTERS = 3
-FIRST_ROUTER, FIRST_RELAY = 10, 50
+FIRST_ROUTER_NUMBER, FIRST_RELAY_NUMBER = 10, 50
 MARK = "/mark/"
 SPARE = "key-spare"
 
 
-class CutLab(PlatformLab):
+class PartitionLab(PlatformLab):
     """Gateways that reach the store and each other only through the fault proxy.
 
     Gateways advertise their own addresses. The proxy replaces these by its relay
@@ -35,7 +35,7 @@
         self.proxy = Proxy(self._proxy_process.address)
         host = self.subnet.host
         self.relays = {
-            host(FIRST_ROUTER + number): host(FIRST_RELAY + number)
+            host(FIRST_ROUTER_NUMBER + number): host(FIRST_RELAY_NUMBER + number)
             for number in range(ROUTERS)
         }
 
@@ -62,14 +62,14 @@
                 ]
         return super().launch_router(name)
 
-    def peers(self, name):
+    def peer_count(self, name):
         address = self.settings[name]["ip"], METRICS_PORT
-        found = PEERS.search(call(address, "GET", "/metrics").data.decode())
+        found = PEERS_METRIC.search(call(address, "GET", "/metrics").data.decode())
         return int(found[1])
 
-    def all_know(self, counts):
+    def wait_for_peers(self, counts):
         wait_for(
-            lambda: [self.peers(name) for name in self.settings] == counts,
+            lambda: [self.peer_count(name) for name in self.settings] == counts,
             f"gateways count {counts} peers",
         )
 
@@ -80,17 +80,17 @@
         self.proxy.rules()
 
 
-def test_a_cut_in_one_direction_between_gateways():
+def test_one_way_partition_between_gateways():
     """The first gateway, a store reader, receives from the second one, but its own
     messages to it are lost. All gateways keep serving, a new route and a revoked key
     take effect on all of them, and the second counts the first again after the cut.
     """
-    with CutLab() as lab:
-        lab.all_know([2, 2, 2])
+    with PartitionLab() as lab:
+        lab.wait_for_peers([2, 2, 2])
         source = lab.settings["r0"]["ip"]
         cut = {"do": "cut", "route": "gossip:r1", "source": source}
         with lab.rules(cut):
-            lab.all_know([2, 1, 2])
+            lab.wait_for_peers([2, 1, 2])
             for name in lab.settings:
                 assert lab.ask(SAFE, name).status == 200
             config = configuration(7)
@@ -98,20 +98,20 @@
             mark = route("mark", MARK, "app", "idempotent")
             lab.publish({**config, "routes": [*config["routes"], mark]})
             for name in lab.settings:
-                asked = {"router": name, "key": SPARE}
-                wait_for(lambda a=asked: lab.ask(MARK, **a).status == 200, "in force")
+                options = {"router": name, "key": SPARE}
+                wait_for(lambda a=options: lab.ask(MARK, **a).status == 200, "in force")
                 assert lab.ask(SAFE, name, key=KEY).status in (401, 503)
-        lab.all_know([2, 2, 2])
+        lab.wait_for_peers([2, 2, 2])
 
 
-def test_a_gateway_cut_off_from_all_and_restarted_meanwhile():
+def test_gateway_restarted_while_partitioned_from_all():
     """A gateway is partitioned from the store and its peers and restarted before the
     cut ends. It has no configuration then, reports that it is not ready, refuses
     requests with 503, which callers may retry, and runs none. After the cut it serves
     again without intervention.
     """
-    with CutLab() as lab:
-        lab.all_know([2, 2, 2])
+    with PartitionLab() as lab:
+        lab.wait_for_peers([2, 2, 2])
         own = lab.settings["r1"]["ip"]
         cuts = [{"do": "cut", "route": "store:r1"}, {"do": "cut", "route": "gossip:r1"}]
         cuts += [
@@ -119,14 +119,14 @@
             for name in ("r0", "r2")
         ]
         with lab.rules(*cuts):
-            lab.all_know([1, 0, 1])
+            lab.wait_for_peers([1, 0, 1])
             lab.routers["r1"].kill()
             lab.launch_router("r1")
             wait_for(lambda: lab.ready("r1") == 503, "the new process answers")
             refused = [lab.ask(SAFE, "r1") for _ in range(5)]
             assert {answer.status for answer in refused} == {503}
-            assert not [run for one in refused for run in lab.runs(one.id)]
+            assert not [run for answer in refused for run in lab.runs(answer.id)]
             assert lab.ask(SAFE, "r0").status == 200
         lab.wait_ready("r1")
         assert lab.ask(SAFE, "r1").status == 200
-        lab.all_know([2, 2, 2])
+        lab.wait_for_peers([2, 2, 2])
--- a/tests/test_platform_answers.py
+++ b/tests/test_platform_answers.py
@@ -19,7 +19,7 @@
 )
 from tests.support import wait_for
 
-PROMISES = {408, 421, 429, 503}
+NOT_RUN_STATUSES = {408, 421, 429, 503}
 
 
 @pytest.fixture(scope="module")
@@ -30,13 +30,13 @@
 
 
 @pytest.fixture(autouse=True)
-def sound(lab):
+def clear_faults(lab):
     yield
     for name in lab.replicas:
         lab.fault(name)
 
 
-def outcome(client: PlatformClient, path: str, **options):
+def send_and_receive(client: PlatformClient, path: str, **options):
     """Return the request's id and the answer; None if the connection ended early."""
     name = client.send(path, **{"key": KEY, **options})
     try:
@@ -46,22 +46,22 @@
 
 
 @pytest.mark.parametrize("how", ["close", "reset"])
-def test_lost_answer_of_what_may_run_once_is_not_asked_for_again(lab, how):
+def test_lost_response_of_a_non_idempotent_request_is_not_retried(lab, how):
     """A replica runs a non-idempotent request and its response is lost. A retry at a
     second replica would run it twice, and so would a status that promises the caller
     that it did not run."""
     for name in ("app-0", "app-1"):
         lab.fault(name, lose=how)
     for _ in range(5):
-        name, answer = outcome(lab.client(), UNSAFE)
+        name, answer = send_and_receive(lab.client(), UNSAFE)
         assert len(lab.begun(name)) == 1
-        assert answer is None or answer.status not in PROMISES | {200}
+        assert answer is None or answer.status not in NOT_RUN_STATUSES | {200}
 
 
-def test_lost_answer_of_what_may_run_again_comes_from_another_replica(lab):
+def test_lost_response_of_an_idempotent_request_is_retried_elsewhere(lab):
     lab.fault("app-0", lose="close")
     for _ in range(8):
-        name, answer = outcome(lab.client(), SAFE)
+        name, answer = send_and_receive(lab.client(), SAFE)
         assert answer.status == 200 and 1 <= len(lab.begun(name)) <= 2
 
 
@@ -71,20 +71,20 @@
     [{"cut_after": 0}, {"unframed": "reset"}, {"spoil": True, "times": 1}],
     ids=["cut", "reset", "spoilt"],
 )
-def test_answer_that_is_not_whole_never_looks_whole(lab, path, fault):
+def test_incomplete_response_never_looks_complete(lab, path, fault):
     """A replica's response is cut, reset or not HTTP. The caller gets an error or a
     closed connection, or a complete response of a retry if the route allows one."""
     for name in ("app-0", "app-1"):
         lab.fault(name, **fault)
-    name, answer = outcome(lab.client(), path, deadline_ms=3000)
+    name, answer = send_and_receive(lab.client(), path, deadline_ms=3000)
     assert len(lab.begun(name)) <= (2 if path == SAFE else 1)
     if answer is not None and answer.status == 200:
         assert path == SAFE and json.loads(answer.body)["id"] == name
     elif answer is not None:
-        assert answer.status not in PROMISES
+        assert answer.status not in NOT_RUN_STATUSES
 
 
-def test_answer_that_ends_with_its_connection_is_whole(lab):
+def test_response_that_ends_with_its_connection_is_complete(lab):
     for name in ("app-0", "app-1"):
         lab.fault(name, unframed="close")
     answer = lab.ask(UNSAFE)
@@ -93,7 +93,7 @@
 
 @pytest.mark.parametrize("extra", [{"extra": "at_once"}, {"extra": "late"}])
 @pytest.mark.parametrize("path", [SAFE, UNSAFE])
-def test_foreign_answer_reaches_no_caller(lab, path, extra):
+def test_unsolicited_response_reaches_no_caller(lab, path, extra):
     """A replica sends an unsolicited second response after a complete one, at once or
     when the connection may already carry the next request. It must neither answer
     that request nor reach any caller."""
@@ -102,35 +102,35 @@
     clients = [lab.client() for _ in range(4)]
     for number in range(40):
         client = clients[number % 4]
-        name, answer = outcome(client, path)
+        name, answer = send_and_receive(client, path)
         if answer is None:
             clients[number % 4] = lab.client()
         elif answer.status == 200:
             assert json.loads(answer.body)["id"] == name
             assert len(lab.begun(name)) <= (2 if path == SAFE else 1)
         else:
-            assert answer.status not in PROMISES or not lab.begun(name)
+            assert answer.status not in NOT_RUN_STATUSES or not lab.begun(name)
     assert all(client.silent() for client in clients)
 
 
-def test_early_answer_leaves_the_rest_of_the_body_in_its_place(lab):
+def test_early_response_does_not_misplace_the_rest_of_the_body(lab):
     """A replica responds before it has read a long body and then reads on. The rest of
     that body must follow on the connection before any other request."""
     for name in ("app-0", "app-1"):
         lab.fault(name, early=True)
     body = bytes(range(256)) * 4000
-    sent = {}
+    bodies = {}
     for number in range(8):
-        given = body if number % 2 else b"short"
-        sent[outcome(lab.client(), UNSAFE, body=given)[0]] = given
-    for name, given in sent.items():
+        sent = body if number % 2 else b"short"
+        bodies[send_and_receive(lab.client(), UNSAFE, body=sent)[0]] = sent
+    for name, sent in bodies.items():
         (run,) = lab.begun(name)
-        got = given[: run["body_bytes"]]
-        assert run["body_sha256"] == sha256(got).hexdigest()
+        read_body = sent[: run["body_bytes"]]
+        assert run["body_sha256"] == sha256(read_body).hexdigest()
     assert {run["target"] for run in lab.runs()} <= {SAFE, UNSAFE, CHAT}
 
 
-def held(lab, path, count):
+def start_hanging_requests(lab, path, count):
     """Start ``count`` requests that hang at the plain replicas."""
     for name in ("app-0", "app-1"):
         lab.fault(name, hang=True)
@@ -141,32 +141,32 @@
 
 
 @pytest.mark.parametrize("path", [SAFE, UNSAFE])
-def test_what_is_refused_never_runs(lab, path):
+def test_refused_request_never_runs(lab, path):
     """All slots of the replicas are taken. A refused request must not run, even after
     slots become free, and must be refused well before its deadline."""
-    clients, _ = held(lab, path, 4)
-    refused = [outcome(lab.client(), path, deadline_ms=3000) for _ in range(4)]
+    clients, _ = start_hanging_requests(lab, path, 4)
+    refused = [send_and_receive(lab.client(), path, deadline_ms=3000) for _ in range(4)]
     for client in clients:
         client.close()
     for name in ("app-0", "app-1"):
         lab.fault(name)
     assert wait_for(lambda: lab.ask(path).status == 200, "slots are free again")
     for name, answer in refused:
-        assert answer.status in PROMISES and not lab.begun(name)
+        assert answer.status in NOT_RUN_STATUSES and not lab.begun(name)
         assert float(answer.headers["retry-after"]) < 3
 
 
 @pytest.mark.parametrize("reset", [False, True])
-def test_request_ends_at_its_replica_when_its_caller_leaves(lab, reset):
+def test_request_is_cancelled_at_its_replica_when_its_caller_disconnects(lab, reset):
     """The caller disconnects. The replica, which would hang for 20 s, must notice this
     because the router closes its connection."""
-    (client,), (name,) = held(lab, UNSAFE, 1)
+    (client,), (name,) = start_hanging_requests(lab, UNSAFE, 1)
     client.close(reset=reset)
     wait_for(lambda: lab.runs(name)[0]["ended"], "the run ended")
     assert [run["outcome"] for run in lab.runs(name)] == ["cancelled"]
 
 
-def test_stream_ends_at_its_replica_when_its_caller_leaves(lab):
+def test_stream_is_cancelled_at_its_replica_when_its_caller_disconnects(lab):
     client = lab.client()
     name = client.send(CHAT, key=KEY, headers=generation(50_000, ("e1", 50)))
     client.head()
@@ -176,20 +176,20 @@
     assert [run["outcome"] for run in lab.runs(name)] == ["cancelled"]
 
 
-def test_request_that_found_no_place_is_not_sent_again_when_its_caller_left(lab):
+def test_refused_request_is_not_retried_after_its_caller_disconnected(lab):
     """All replicas refuse a request and its caller disconnects. Once slots are free, a
     later request gets one, and the abandoned request never runs."""
-    clients, _ = held(lab, SAFE, 4)
+    clients, _ = start_hanging_requests(lab, SAFE, 4)
     waiting = lab.client()
-    left = waiting.send(SAFE, key=KEY)
-    wait_for(lambda: lab.runs(left), "it was sent")
+    abandoned = waiting.send(SAFE, key=KEY)
+    wait_for(lambda: lab.runs(abandoned), "it was sent")
     waiting.close()
     for name in ("app-0", "app-1"):
         lab.fault(name)
     for client in clients:
         client.close()
     wait_for(lambda: lab.ask(SAFE).status == 200, "a later request is served")
-    assert not lab.begun(left)
+    assert not lab.begun(abandoned)
 
 
 def test_stream_that_stands_still_is_not_cut_when_nothing_else_can_go_on(lab):
--- a/tests/test_platform_path.py
+++ b/tests/test_platform_path.py
@@ -39,7 +39,7 @@
         yield lab
 
 
-def test_plain_answer_comes_as_the_replica_made_it(lab):
+def test_plain_response_is_passed_on_unchanged(lab):
     body = b"x" * 5000
     answer = lab.ask(f"{SAFE}a/b?c=d%20e", body=body, deadline_ms=5000)
     (run,) = lab.runs(answer.id)
@@ -54,11 +54,11 @@
     assert CREDENTIAL not in run["headers"]
 
 
-def test_headers_that_are_the_systems_to_set_are_not_passed_on(lab):
+def test_reserved_headers_of_callers_are_not_passed_on(lab):
     """A caller sends headers for a tenant, a hold and another run's KV cache. A replica
     that got them would charge another tenant or continue with its prompt."""
-    mine = {TENANT: "tenant-9", HOLD: "h1", PIN_MS: "100", KV_FROM: "127.0.0.1:1/x"}
-    answer = lab.ask(UNSAFE, headers={**mine, EXPECT_REPLICA: "i-other"})
+    reserved = {TENANT: "tenant-9", HOLD: "h1", PIN_MS: "100", KV_FROM: "127.0.0.1:1/x"}
+    answer = lab.ask(UNSAFE, headers={**reserved, EXPECT_REPLICA: "i-other"})
     (run,) = lab.runs(answer.id)
     assert answer.status == 200 and run["tenant"] == "tenant-1"
     assert not {HOLD, PIN_MS, KV_FROM} & run["headers"].keys()
@@ -79,7 +79,7 @@
         assert [event.id for event in client.events()] == [1, 2, 3, 4, 5]
 
 
-def test_stream_goes_on_after_the_last_event_that_its_caller_has(lab):
+def test_stream_resumes_after_the_last_event_id(lab):
     client = lab.client()
     more = {**generation(20, ("b1", 50)), LAST_EVENT_ID: "6"}
     name = client.send(CHAT, key=KEY, headers=more)
@@ -88,7 +88,7 @@
     assert [run["last_event_id"] for run in lab.runs(name)] == ["6"]
 
 
-def test_events_come_as_they_are_made(lab):
+def test_events_are_passed_on_immediately(lab):
     """The first event of a stream that takes minutes must not wait for its end."""
     client = lab.client()
     name = client.send(CHAT, key=KEY, headers=generation(50_000, ("c1", 50)))
@@ -98,7 +98,7 @@
     client.close()
 
 
-def test_unknown_routes_and_keys_are_refused_and_new_ones_served(lab):
+def test_unknown_routes_and_keys_are_refused_and_new_routes_served(lab):
     assert wait_for(lambda: lab.ask("/none/").status == 404, "no such route")
     assert wait_for(lambda: lab.ask(SAFE, key=None).status == 401, "no key")
     refused = lab.ask(SAFE, key="no-such-key")
@@ -111,7 +111,7 @@
     assert run["tenant"] is None
 
 
-def torn_stream(lab, path, tokens=2000):
+def start_and_cut_stream(lab, path, tokens=2000):
     """Start a stream and cut it at its replica after the first event.
 
     Returns:
@@ -126,10 +126,10 @@
     return name, seen, events
 
 
-def test_torn_stream_goes_on_at_another_replica_without_a_gap(lab):
+def test_cut_stream_resumes_at_another_replica_without_a_gap(lab):
     """A replica's stream breaks off within an event. The caller must get each event
     once and complete, the later ones from the other replica."""
-    name, seen, events = torn_stream(lab, CHAT, tokens=200)
+    name, seen, events = start_and_cut_stream(lab, CHAT, tokens=200)
     seen.extend(events)
     assert [event.id for event in seen] == list(range(1, 101))
     assert {json.loads(event.data)["run"] for event in seen} == {name}
@@ -140,10 +140,10 @@
     assert int(runs[1]["last_event_id"]) >= 1
 
 
-def test_torn_stream_that_may_not_go_on_looks_torn(lab):
+def test_cut_stream_that_is_not_resumable_ends_incomplete(lab):
     """On a route that is not resumable there is no second run, and the caller must be
     able to tell that the response is incomplete."""
-    name, seen, events = torn_stream(lab, TALE)
+    name, seen, events = start_and_cut_stream(lab, TALE)
     with pytest.raises(Torn):
         seen.extend(events)
     assert [run["outcome"] for run in lab.begun(name)] == ["cut"]
