--- a/greengageflow/daemon/gateway.py
+++ b/greengageflow/daemon/gateway.py
@@ -1,4 +1,4 @@
-"""``greengage-gateway``: the daemon of one host on the users' platform."""
+"""``greengage-gateway``: router daemon of one host on the users' platform."""
 
 import sys
 from collections.abc import Mapping
@@ -21,11 +21,10 @@
 from greengageflow.core.store_duty import StoreRole, read_interval_s
 from greengageflow.core.store_updates import StoreUpdate
 from greengageflow.core.trust import KeyTrust
-from greengageflow.daemon.arrivals import Arrivals
 from greengageflow.daemon.cached_parts import CachedPartsLoader
 from greengageflow.daemon.crash_recorders import GatewayCrashRecorder
 from greengageflow.daemon.crash_watch import CrashWatch
-from greengageflow.daemon.exchange_listener import Placed
+from greengageflow.daemon.exchange_listener import Placements
 from greengageflow.daemon.fleet_exchange import FleetExchange
 from greengageflow.daemon.forward_admission import ForwardAdmission
 from greengageflow.daemon.forward_notes import ForwardNotes
@@ -39,6 +38,7 @@
 from greengageflow.daemon.host_watch import HostWatch
 from greengageflow.daemon.key_watch import KeyWatch
 from greengageflow.daemon.leaving_watch import LeavingWatch
+from greengageflow.daemon.load_shedder import LoadShedder
 from greengageflow.daemon.placement import Placement
 from greengageflow.daemon.program import Program
 from greengageflow.daemon.quarantine_store import QuarantineStore
@@ -57,27 +57,28 @@
 from greengageflow.platform.interfaces import CallerInterface, ReadyInterface
 from greengageflow.settings_file import Address
 
-TICK_S = 0.05
-STOP_TICK_S = 0.05
-LEAVE_BALANCER_S = 2.6
-EXIT_EARLY_S = 0.4
+TICK_INTERVAL_S = 0.05
+STOP_CHECK_INTERVAL_S = 0.05
+BALANCER_DRAIN_S = 2.6
+EXIT_MARGIN_S = 0.4
 VERSION = "0.2.0"
 
 
 def clock() -> float:
-    """Return steady seconds that count the time in which the host was suspended.
+    """Return monotonic seconds, including time in which the host was suspended.
 
-    A host that sleeps and wakes up would otherwise take what it knew for fresh.
+    With a clock that stops during suspension, a resumed host would treat stale keys
+    and configuration as fresh.
     """
     return clock_gettime(CLOCK_BOOTTIME)
 
 
 class Gateway(Program):
-    """All parts of one router process on the users' platform.
+    """All components of one router process on the users' platform.
 
     Args:
-        settings: Checked settings.
-        path: Where they were read, for SIGHUP.
+        settings: Validated settings.
+        path: File from which to reload them on SIGHUP.
     """
 
     channel = "gateway"
@@ -87,22 +88,24 @@
         self._settings = settings
         self._path = path
         self._boot = int(time() * 1000)
-        self._stop_began = 0.0
+        self._stop_started_at = 0.0
         self._pool = HttpPool(
             self._timers, max_idle=64, max_idle_total=settings.files.idle
         ).register(self)
         self._log = DecisionLog(sys.stdout.fileno(), settings.host)
-        self._page = MetricsPage()
-        self._trust = KeyTrust(settings.bounds.revoke_s)
+        self._metrics = MetricsPage()
+        self._key_trust = KeyTrust(settings.bounds.revoke_s)
         self._endpoints = EndpointList()
-        self._book = ServiceDispatcher(
+        self._service_dispatcher = ServiceDispatcher(
             self._endpoints,
             settings.zone,
             self._budget,
             min_hosts=len({settings.gossip, *settings.seeds}),
         )
-        self._notes = ForwardNotes(self._log, self._page, self._book)
-        self._admission = ForwardAdmission(self._timers, self._trust, clock)
+        self._forward_notes = ForwardNotes(
+            self._log, self._metrics, self._service_dispatcher
+        )
+        self._admission = ForwardAdmission(self._timers, self._key_trust, clock)
         self._quarantine = Quarantine(
             crashes=settings.quarantine.crashes, hold_s=settings.quarantine.hold_s
         )
@@ -110,9 +113,9 @@
             self._pool,
             self._timers,
             self._endpoints,
-            self._book,
+            self._service_dispatcher,
             self._admission,
-            self._notes,
+            self._forward_notes,
             self._quarantine,
         )
         self._add_fleet()
@@ -128,7 +131,7 @@
         settings = self._settings
         own = (settings.gossip.ip, settings.gossip.port)
         store = (settings.store.ip, settings.store.port)
-        self._link = GossipLink(*own, self._on_datagram).register(self)
+        self._gossip_link = GossipLink(*own, self._on_datagram).register(self)
         hello = Hello(
             host=settings.host,
             boot=self._boot,
@@ -137,10 +140,12 @@
             zone=settings.zone,
         )
         seeds = [(seed.ip, seed.port) for seed in settings.seeds]
-        self._exchange = FleetExchange(hello, self._link, self._timers, seeds, self)
+        self._exchange = FleetExchange(
+            hello, self._gossip_link, self._timers, seeds, self
+        )
         self._placement = self._forwarder.placement = Placement(
             hello,
-            self._book,
+            self._service_dispatcher,
             self._endpoints,
             self._timers,
             self._exchange,
@@ -149,32 +154,32 @@
             CachedPartsLoader(
                 self._pool,
                 self._timers,
-                self._book,
+                self._service_dispatcher,
                 self._log,
-                lambda engine: self._leaving.on_answer(engine),
+                lambda engine: self._leaving_watch.on_answer(engine),
             ),
         )
-        self._crashes = self._forwarder.crashes = CrashWatch(
+        self._crash_watch = self._forwarder.crashes = CrashWatch(
             self._quarantine,
             self._timers,
             ConnectCheck(self._timers).register(self),
             self._exchange,
-            GatewayCrashRecorder(self._log, self._page),
+            GatewayCrashRecorder(self._log, self._metrics),
             self._forwarder.on_quarantined,
-            lambda fingerprint: self._kept.update(fingerprint),
+            lambda fingerprint: self._quarantine_store.update(fingerprint),
         )
-        self._leaving = self._forwarder.leaving = LeavingWatch(
-            self._endpoints, self._timers, self._exchange, self._on_left
+        self._leaving_watch = self._forwarder.leaving = LeavingWatch(
+            self._endpoints, self._timers, self._exchange, self._on_endpoint_leaving
         )
-        self._kept = QuarantineStore(
+        self._quarantine_store = QuarantineStore(
             self._pool,
             self._timers,
             store,
             self._quarantine,
-            is_reader=self._is_contact,
-            on_read=self._crashes.receive,
+            is_reader=self._contacts_store,
+            on_read=self._crash_watch.receive,
         )
-        self._store = StoreView(
+        self._store_view = StoreView(
             self._pool,
             self._timers,
             store,
@@ -182,13 +187,15 @@
             self._log,
             on_routing=self._on_routing,
             on_change=self._on_change,
-            on_update=self._exchange.report_soon,
-            on_read=self._exchange.pass_on,
+            on_update=self._exchange.schedule_report,
+            on_read=self._exchange.forward_update,
             on_era=self._on_era,
-            poll_interval_s=read_interval_s(*settings.bounds.known_within_s),
+            poll_interval_s=read_interval_s(*settings.bounds.read_deadlines_s),
             clock=clock,
         )
-        self._keys = KeyWatch(self._trust, self._store, self._log, clock())
+        self._key_watch = KeyWatch(
+            self._key_trust, self._store_view, self._log, clock()
+        )
         self._registry = RouterRegistry(
             self._pool,
             self._timers,
@@ -196,22 +203,22 @@
             settings.host,
             own,
             is_isolated=lambda: not self._exchange.hosts,
-            is_contact=self._is_contact,
+            is_contact=self._contacts_store,
             on_found=self._exchange.add_addresses,
         )
 
-    def _is_contact(self) -> bool:
+    def _contacts_store(self) -> bool:
         alone = not self._exchange.hosts
         return alone or self._exchange.store_role is not StoreRole.MEMBER
 
     def _add_servers(self) -> None:
         settings = self._settings
         interface = CallerInterface()
-        arrivals = Arrivals(
+        shedder = LoadShedder(
             self._poller.load,
             self._timers,
             self._log,
-            self._page,
+            self._metrics,
             lambda data: self._admission.account_of(interface.key(data)),
         )
         self._callers = CallerServer(
@@ -221,34 +228,39 @@
             self._timers,
             interface=interface,
             max_connections=settings.files.callers,
-            gate=arrivals,
-            on_full=lambda *counts: self._watch.on_full(*counts),
+            gate=shedder,
+            on_full=lambda *counts: self._host_watch.on_full(*counts),
         ).register(self)
-        self._watch = HostWatch(
+        self._host_watch = HostWatch(
             self._timers,
             self._log,
             self._callers,
             running=lambda: self._in_flight,
             waiting=lambda: self._placement.waiting,
-            period_s=TICK_S,
+            period_s=TICK_INTERVAL_S,
         )
         pages = GatewayPages(
-            self._page,
+            self._metrics,
             unready=self._unready,
             waiting=lambda: self._placement.waiting,
             running=lambda: self._in_flight,
             callers=self._callers,
-            late=lambda: self._watch.worst_s,
+            loop_delay_s=lambda: self._host_watch.worst_s,
             peers=lambda: self._exchange.hosts,
-            version=lambda: self._store.version,
-            unheard=lambda: self._trust.age_s(clock()),
-            control_bytes=lambda: (self._link.bytes_in, self._link.bytes_out),
-            control_too_long=lambda: self._link.oversized_messages,
+            version=lambda: self._store_view.version,
+            config_age_s=lambda: self._key_trust.age_s(clock()),
+            control_bytes=lambda: (
+                self._gossip_link.bytes_in,
+                self._gossip_link.bytes_out,
+            ),
+            control_too_long=lambda: self._gossip_link.oversized_messages,
             store_calls=lambda: (
-                self._store.calls + self._registry.calls + self._kept.calls
+                self._store_view.calls
+                + self._registry.calls
+                + self._quarantine_store.calls
             ),
             dropped=lambda: self._log.dropped,
-            era=lambda: self._store.era,
+            era=lambda: self._store_view.era,
             quarantined=lambda: len(self._quarantine.quarantined(self._timers.now)),
             stale_retries=lambda: self._pool.stale_retries,
         )
@@ -278,11 +290,11 @@
     # Other routers.
 
     def _on_datagram(self, data: bytes) -> None:
-        self._keys.on_tick(clock())
+        self._key_watch.on_tick(clock())
         self._exchange.receive(data)
 
     def report(self, number: int, sequence: int) -> PeerReport:
-        """Return the present report of this router."""
+        """Return the current report of this router."""
         now = self._timers.now
         gossip = self._settings.gossip
         return PeerReport(
@@ -294,53 +306,53 @@
             port=gossip.port,
             zone=self._settings.zone,
             stopping=self._forwarder.stopping,
-            served=self._book.recent_work(now),
-            offered=self._book.recent_demand(now),
-            loads=self._book.own_loads(),
-            version=self._store.version,
-            list_mark=self._store.list_mark,
-            config_age_s=clock() - self._store.config_confirmed_at,
-            list_age_s=clock() - self._store.list_confirmed_at,
-            placed=self._book.recent_placements(now),
+            served=self._service_dispatcher.recent_work(now),
+            offered=self._service_dispatcher.recent_demand(now),
+            loads=self._service_dispatcher.own_loads(),
+            version=self._store_view.version,
+            list_mark=self._store_view.list_mark,
+            config_age_s=clock() - self._store_view.config_confirmed_at,
+            list_age_s=clock() - self._store_view.list_confirmed_at,
+            placed=self._service_dispatcher.recent_placements(now),
         )
 
     def loads(self) -> Mapping[str, LoadShare]:
-        """Return what this router has under way, by endpoint."""
-        return self._book.own_loads()
+        """Return the load that this router puts on each endpoint."""
+        return self._service_dispatcher.own_loads()
 
-    def placed(self) -> Placed:
-        """Return prompt parts and the endpoints that they were sent to lately."""
-        return self._book.recent_placements(self._timers.now)
+    def recent_placements(self) -> Placements:
+        """Return recently sent prompt prefixes and their endpoints."""
+        return self._service_dispatcher.recent_placements(self._timers.now)
 
-    def on_placed(self, placed: Placed) -> None:
-        """Take where other routers sent prompt parts."""
-        self._book.on_placements(self._timers.now, placed)
+    def on_placements(self, placements: Placements) -> None:
+        """Handle prompt prefixes that other routers sent to endpoints."""
+        self._service_dispatcher.on_placements(self._timers.now, placements)
 
     def on_loads(self, loads: Mapping[str, LoadShare]) -> None:
-        """Take what other routers have under way."""
-        self._book.on_loads(loads)
+        """Handle a change of the load that other routers put on each endpoint."""
+        self._service_dispatcher.on_loads(loads)
 
     def on_totals(self, totals: FleetTotals) -> None:
-        """Take the sums of all other routers."""
+        """Handle the totals of all other routers."""
         now = self._timers.now
-        self._notes.totals_at = now
+        self._forward_notes.totals_at = now
         self._placement.on_round()
-        self._forwarder.carry_out(self._book.on_totals(now, totals))
+        self._forwarder.carry_out(self._service_dispatcher.on_totals(now, totals))
 
     def on_store_update(self, update: StoreUpdate) -> None:
-        """Take what another router read in the store."""
-        self._store.apply_update(update)
+        """Handle what another router read from the store."""
+        self._store_view.apply_update(update)
 
     def on_crash_report(self, report: CrashReport) -> None:
-        """Take which requests crashed endpoints."""
-        self._crashes.receive(report.records)
+        """Handle a report of requests that crashed endpoints."""
+        self._crash_watch.receive(report.records)
 
     def on_leaving_report(self, report: LeavingReport) -> None:
-        """Take which endpoints said that they leave."""
-        self._leaving.receive(report.endpoints)
+        """Handle a report of endpoints that announced that they leave."""
+        self._leaving_watch.receive(report.endpoints)
 
-    def on_place_message(self, message: PlacementMessage) -> None:
-        """Take what another router asks or tells of a request's place."""
+    def on_placement_message(self, message: PlacementMessage) -> None:
+        """Handle a placement message of another router."""
         self._placement.receive(message)
 
     # The store.
@@ -349,14 +361,14 @@
         self._forwarder.on_routing(routing)
         self._callers.set_bounds(routing.bounds)
 
-    def _on_left(self, endpoint: str, source: str) -> None:
+    def _on_endpoint_leaving(self, endpoint: str, source: str) -> None:
         self._log.write(
             DecisionEvent.ENDPOINT_LEAVING, endpoint=endpoint, source=source
         )
 
     def _on_era(self, _era: int) -> None:
         self._registry.rewrite()
-        self._kept.rewrite()
+        self._quarantine_store.rewrite()
 
     def _on_change(self, change: ListChange) -> None:
         event = {
@@ -370,17 +382,17 @@
             fields |= {"service": listed.service, "zone": listed.zone}
         self._log.write(event, **fields)
         if change.what == "gone":
-            self._book.forget_endpoint(change.id)
+            self._service_dispatcher.forget_endpoint(change.id)
 
-    # Life.
+    # Lifecycle.
 
     def _on_tick(self) -> None:
-        now, words = clock(), self._exchange.words()
-        self._keys.on_tick(now)
-        self._store.on_tick(self._exchange.store_role, words)
-        self._keys.confirm(now, self._timers.now, words)
+        now, store_states = clock(), self._exchange.store_states()
+        self._key_watch.on_tick(now)
+        self._store_view.on_tick(self._exchange.store_role, store_states)
+        self._key_watch.confirm(now, self._timers.now, store_states)
         self._forwarder.on_tick()
-        self._watch.on_tick()
+        self._host_watch.on_tick()
 
     @handler("started", channel="*")
     def _on_started(self, *_args: object) -> None:
@@ -390,15 +402,15 @@
         signal(SIGHUP, lambda *_args: self._timers.after(0, self._reload))
         self._exchange.start()
         self._placement.start()
-        self._crashes.start()
-        self._leaving.start()
+        self._crash_watch.start()
+        self._leaving_watch.start()
         self._registry.start()
-        self._kept.start()
-        self._timers.every(TICK_S, self._on_tick)
+        self._quarantine_store.start()
+        self._timers.every(TICK_INTERVAL_S, self._on_tick)
         self._timers.every(FLUSH_INTERVAL_S, self._log.flush)
 
     def _reload(self) -> None:
-        """Read the settings again; what may change while running is taken over."""
+        """Reload the settings and apply those that can change at run time."""
         try:
             cfg = load_gateway_settings(self._path)
         except ExceptionGroup as group:
@@ -419,19 +431,19 @@
         )
         self._forwarder.stopping = self._exchange.stopping = True
         self._placement.stopping = True
-        self._stop_began = self._timers.now
+        self._stop_started_at = self._timers.now
         self._callers.end_with_answers()
-        self._timers.after(LEAVE_BALANCER_S, self._refuse_new)
+        self._timers.after(BALANCER_DRAIN_S, self._refuse_new)
 
     def _refuse_new(self) -> None:
         self._forwarder.refusing = True
         self._callers.drain()
-        self._timers.every(STOP_TICK_S, self._stop_when_done)
+        self._timers.every(STOP_CHECK_INTERVAL_S, self._stop_when_done)
 
     def _stop_when_done(self) -> None:
-        waited_s = self._timers.now - self._stop_began
+        waited_s = self._timers.now - self._stop_started_at
         busy = self._forwarder.flights or self._callers.answering
-        if busy and waited_s < self._settings.bounds.grace_s - EXIT_EARLY_S:
+        if busy and waited_s < self._settings.bounds.grace_s - EXIT_MARGIN_S:
             return
         self._log.write(
             DecisionEvent.STOPPED,
@@ -443,11 +455,11 @@
 
 
 def run(settings: str = "") -> None:
-    """Run one router until it is told to stop (SIGTERM).
+    """Run one gateway until SIGTERM.
 
     Args:
-        settings: Path of the JSON settings; by default the one that the
-            platform names in the environment.
+        settings: Path of the JSON settings; by default the one that the platform
+            sets in the environment.
     """
     setup_logging(sink=sys.stdout)
     path = settings_path(settings)
@@ -463,8 +475,8 @@
 def main() -> None:
     """Run the program."""
     if not sys.argv[1:]:
-        # As the platform starts it: the command line's library is half a tenth of a
-        # second of processor time, in which a small host is not back yet.
+        # The platform starts it without arguments. Importing ``fire`` takes 0.05 s of
+        # processor time, by which a small host would serve later after a restart.
         run()
         return
     import fire  # noqa: PLC0415
--- a/greengageflow/daemon/arrivals.py
+++ b/greengageflow/daemon/load_shedder.py
@@ -1,4 +1,4 @@
-"""Turns requests away unread while the host is late."""
+"""Sheds requests before they are parsed while the event loop is overloaded."""
 
 from collections.abc import Callable
 
@@ -10,19 +10,20 @@
 from greengageflow.net.metrics_page import MetricsPage, PageMetric
 from greengageflow.net.timers import Timers
 
-LINE_S = 1.0
+LOG_INTERVAL_S = 1.0
 
 
-class Arrivals:
-    """Looks at the first bytes of each request.
+class LoadShedder:
+    """Admission control on the first bytes of each request.
 
     Args:
-        load: How long the rounds of the event loop are.
+        load: Duration of the event loop's iterations.
         timers: Timer service.
-        log: Takes a line a second with what was turned away.
-        page: Counts it.
-        account_of: Returns whose a request is, from its first bytes. Unknown keys are
-            one account: each its own, whoever makes them up would be read first.
+        log: Gets one summary line per second while requests are shed.
+        page: Counts shed requests.
+        account_of: Returns the client account of a request, from its first bytes. All
+            unknown keys count as one account; if each were an account of its own, a
+            caller could get priority by making up keys.
     """
 
     def __init__(
@@ -39,16 +40,16 @@
         self._page = page
         self._account_of = account_of
         self._gate = ArrivalGate()
-        self._accounts: set[str] = set()
-        self._count = 0
+        self._shed_accounts: set[str] = set()
+        self._shed_requests = 0
 
     @property
     def is_closing(self) -> bool:
-        """Whether the host is so late that some requests may be turned away."""
+        """Whether the event loop is so slow that requests may be shed."""
         return self._load.average_s(self._timers.now) > OVERLOAD_ROUND_S
 
     def turns_away(self, data: bytes) -> bool:
-        """Return whether a request that begins with ``data`` is not read."""
+        """Return whether to shed a request whose first bytes are ``data``."""
         now = self._timers.now
         account = self._account_of(data)
         present_s, average_s = self._load.present_s(now), self._load.average_s(now)
@@ -56,19 +57,19 @@
             return False
         self._page.count(PageMetric.REQUESTS, "refused")
         self._page.count(PageMetric.REFUSALS, ErrorKind.HOST_BUSY.value)
-        if not self._count:
-            self._timers.after(LINE_S, self._tell)
-        self._count += 1
-        self._accounts.add(account)
+        if not self._shed_requests:
+            self._timers.after(LOG_INTERVAL_S, self._log_shed_requests)
+        self._shed_requests += 1
+        self._shed_accounts.add(account)
         return True
 
-    def _tell(self) -> None:
+    def _log_shed_requests(self) -> None:
         round_ms = round(1000 * self._load.average_s(self._timers.now))
         self._log.write(
             DecisionEvent.TURNED_AWAY,
-            requests=self._count,
-            accounts=len(self._accounts),
+            requests=self._shed_requests,
+            accounts=len(self._shed_accounts),
             round_ms=round_ms,
         )
-        self._count = 0
-        self._accounts.clear()
+        self._shed_requests = 0
+        self._shed_accounts.clear()
