--- a/greengageflow/daemon/admission.py
+++ b/greengageflow/daemon/admission.py
@@ -1,4 +1,4 @@
-"""Who asks for what: checks of a call against the configuration."""
+"""Admission of calls: account, pool and idempotency key checks."""
 
 from hashlib import sha256
 from hmac import compare_digest
@@ -14,10 +14,10 @@
 
 
 class Admission:
-    """Makes a flight of each call that the configuration allows.
+    """Admits the calls that the configuration allows.
 
     Args:
-        own: This router, part of each request id.
+        own: Id of this router, part of each request id.
     """
 
     def __init__(self, own: PeerId) -> None:
@@ -28,13 +28,13 @@
 
     @property
     def unready(self) -> RouterError | None:
-        """Why nothing can be admitted, or None."""
+        """Why no calls can be admitted, or None."""
         if self._cfg.revision:
             return None
         return RouterError(ErrorKind.NOT_CONFIGURED, "no configuration yet")
 
     def on_config(self, cfg: FleetConfig) -> None:
-        """Take over a configuration."""
+        """Apply a new configuration."""
         self._cfg = cfg
         self._accounts = {
             key_hash: account
@@ -43,11 +43,11 @@
         }
 
     def admit(self, call: ChatCall | ServiceCall) -> Flight:
-        """Return a new flight for ``call``.
+        """Return the state of a newly admitted request.
 
         Raises:
-            RouterError: The account, model or service is not known, or a key is
-                needed; or there is no configuration yet.
+            RouterError: The account, model or service is unknown, the route requires
+                an idempotency key, or there is no configuration yet.
         """
         if self.unready:
             raise self.unready
@@ -97,7 +97,7 @@
 def _demand_key(call: ServiceCall, pool: Pool) -> None:
     route = route_of(pool, f"/{call.path}")
     if not route.repeatable and not call.idempotency_key:
-        text = f"{call.path}: this route needs an Idempotency-Key header"
+        text = f"{call.path}: this route requires an Idempotency-Key header"
         raise RouterError(ErrorKind.KEY_REQUIRED, text)
 
 
--- a/greengageflow/daemon/dispatch.py
+++ b/greengageflow/daemon/dispatch.py
@@ -1,4 +1,4 @@
-"""Takes callers' requests through queue, grant and endpoint to their answers."""
+"""Request dispatch: admission, queueing, slot grants, endpoint runs and answers."""
 
 from collections.abc import Callable
 from http import HTTPStatus
@@ -32,28 +32,34 @@
 from greengageflow.tracing import Tracing
 
 MOST_ATTEMPTS = 3
+"""Maximum number of attempts per request, the first one included."""
 NEW_RUN_S = 1.0
-"""Seconds from its first piece in which a run may be what crashes its endpoint."""
+"""Age up to which a run is suspected when its endpoint crashes, in seconds.
+
+Counted from the run's first piece; a run without one is always suspected.
+"""
 START_S = 5.0
-"""Seconds within which an endpoint crashes once at most."""
+"""Interval in which crashes of an endpoint count as one, in seconds."""
 CALLER_FAULTS = frozenset({400, 404, 405, 413, 415, 422})
+"""Statuses that blame the request; it is not retried."""
 
 
 class Dispatcher:
     """Handles the calls of one router; see ``callers.RequestHandler``.
 
     Args:
-        control: The core.
+        control: Control core of this router.
         runs: Sends requests to endpoints.
-        tracing: Spans of the hops.
+        tracing: Records a span per stage of a request.
         metrics: Counters and timers.
-        status: Answers ``/status``.
-        quarantine: Which requests are held back.
-        on_leaving: Takes the name of an endpoint that says that it leaves, and who said
-            so.
+        status: Source of the ``/status`` document.
+        quarantine: Requests that must not be sent to any endpoint.
+        on_leaving: Called with the name of an endpoint that announces that it is
+            leaving, and the source of the announcement.
 
     Attributes:
-        crashes: Learns of requests that endpoints cut; set before the first.
+        crashes: Checks endpoints that cut requests off for crashes; must be set before
+            the first call.
     """
 
     crashes: CrashWatch
@@ -86,11 +92,11 @@
 
     @property
     def flights(self) -> int:
-        """Requests that have no final answer yet."""
+        """Number of requests that have no final answer yet."""
         return len(self._flights)
 
     def on_config(self, cfg: FleetConfig) -> None:
-        """Take over a configuration."""
+        """Apply a new configuration."""
         self._cfg = cfg
         self._admission.on_config(cfg)
         self._budget.ratio = cfg.policy.retry_ratio
@@ -98,13 +104,13 @@
     # Calls.
 
     def unready(self) -> RouterError | None:
-        """Return why the balancer should send nothing here, or None."""
+        """Return why the load balancer should send no requests here, or None."""
         if self.stopping:
             return RouterError(ErrorKind.STOPPING, "this router is stopping")
         return self._admission.unready
 
     def on_call(self, call: ChatCall | ServiceCall | StatusCall) -> None:
-        """Take a call and answer it, now or later."""
+        """Handle a call; the answer may come later."""
         if isinstance(call, StatusCall):
             status = self._status.status()
             if call.request:
@@ -115,7 +121,8 @@
             if self.refusing:
                 raise RouterError(ErrorKind.STOPPING, "this router is stopping")
             flight = self._admission.admit(call)
-            # A protected action that is repeated may have run: the log says so first.
+            # A repeated protected action may have run before, so the log is consulted
+            # before the quarantine.
             if not flight.protected:
                 self._check_quarantine(flight)
         except RouterError as exc:
@@ -142,7 +149,7 @@
         left_s = self._quarantine.remaining_s(monotonic(), flight.fingerprint)
         if not left_s:
             return None
-        text = "endpoints crashed while they ran this request"
+        text = "endpoints crashed while running this request"
         return RouterError(ErrorKind.QUARANTINED, text, retry_after_s=left_s)
 
     def _check_quarantine(self, flight: Flight) -> None:
@@ -150,7 +157,7 @@
             raise exc
 
     def on_quarantined(self, held: frozenset[Fingerprint]) -> None:
-        """End requests that wait and are held back from now on."""
+        """Refuse queued requests that were just quarantined."""
         waiting = [f for f in self._flights if f.phase is Phase.QUEUED]
         for flight in waiting:
             if flight.fingerprint in held:
@@ -159,13 +166,13 @@
                 self._refuse(flight, self._quarantine_error(flight))
 
     def on_gone(self, call: ChatCall | ServiceCall | StatusCall) -> None:
-        """Give up what a caller that left had asked for."""
+        """Cancel the request of a caller that has disconnected."""
         flight = self._flights.of_call(call)
         if flight is None:
             return
         if flight.phase is Phase.RUNNING and flight.protected:
-            # It was sent and may take effect: the outcome goes to the log all the
-            # same, or a retry with the same key would learn only "unknown".
+            # The action was sent and may take effect. Its outcome is still recorded in
+            # the log; otherwise a retry with the same key would get only "unknown".
             return
         if flight.phase is Phase.RUNNING:
             self._stop_run(flight)
@@ -174,7 +181,7 @@
         self._release(flight)
         self._end(flight, "gone")
 
-    # Queue and grant.
+    # Queueing and slot grants.
 
     def _ask_log(self, flight: Flight) -> None:
         flight.phase = Phase.ASKING
@@ -185,7 +192,7 @@
         self._control.run(begin)
 
     def on_may_run(self, request: str) -> None:
-        """Go on with a protected action that is the first of its key."""
+        """Queue a protected action that is the first with its key."""
         flight = self._flights.get(request)
         if flight is None:
             cancel_effects = self._control.actions.cancel(monotonic(), request)
@@ -212,7 +219,7 @@
         self._control.run(self._control.entry.submit(flight.queued, waiting))
 
     def on_refuse(self, refuse: Refuse) -> None:
-        """Give a waiting request its final answer."""
+        """Answer a waiting request with an error."""
         flight = self._flights.get(refuse.request)
         if flight is None:
             return
@@ -227,7 +234,7 @@
         )
 
     def on_replay(self, replay: Replay) -> None:
-        """Answer a repeated protected action with the recorded answer."""
+        """Answer a repeated protected action from its record."""
         flight = self._flights.get(replay.request)
         if flight is None:
             return
@@ -240,7 +247,7 @@
         self._end(flight, "replayed")
 
     def on_start(self, start: Start) -> None:
-        """Send a request to the endpoint whose slot was granted."""
+        """Send a request to the endpoint that granted it a slot."""
         flight = self._flights.get(start.request)
         now = monotonic()
         if flight is None:
@@ -254,7 +261,12 @@
         self._tracing.finish(grant_span, grant=start.grant)
         if flight.endpoint is None:
             self._give_back(start.grant, flight)
-            self._retry(flight, RouterError(ErrorKind.NO_ENDPOINT, "endpoint is gone"))
+            self._retry(
+                flight,
+                RouterError(
+                    ErrorKind.NO_ENDPOINT, "the endpoint is no longer configured"
+                ),
+            )
         elif now >= flight.deadline or not self._may_send(flight):
             text = "the deadline passed before the request could be sent"
             self._refuse(flight, RouterError(ErrorKind.DEADLINE, text))
@@ -283,14 +295,14 @@
         self._prefixes.record(flight.prefix, flight.endpoint.name)
         self._runs.start(flight, traceparent, self)
 
-    # What the endpoint did; see ``endpoint_run.RunListener``.
+    # Events of a run; see ``endpoint_run.RunListener``.
 
     def may_send_again(self) -> bool:
-        """Take a retry out of the budget; False when it is spent."""
+        """Take a retry from the budget; False if the budget is exhausted."""
         return self._budget.take(monotonic())
 
     def on_progress(self, flight: Flight, pieces: int) -> None:
-        """Charge pieces as they stream."""
+        """Charge streamed pieces to the grant."""
         self._control.entry.on_progress(flight.grant, pieces)
         self._note_leaving(flight)
 
@@ -299,7 +311,7 @@
             self._on_leaving(flight.endpoint.name, "answer")
 
     def on_run_end(self, flight: Flight, end: RunEnd) -> None:
-        """Take how a run ended."""
+        """Answer or retry the request, depending on how its run ended."""
         if isinstance(flight.run, EngineCall):
             self._notes.stream(flight, flight.run)
             self._note_leaving(flight)
@@ -362,10 +374,10 @@
         else:
             self._refuse_sent(flight, exc)
 
-    # Ends.
+    # Retries, final answers and cleanup.
 
     def _retry(self, flight: Flight, exc: RouterError) -> None:
-        """Queue again what certainly did not run or may run again."""
+        """Queue a request again that did not run or may run more than once."""
         if flight.protected:
             self._refuse_sent(flight, exc)
             return
@@ -394,8 +406,8 @@
             self._give_back(flight.grant)
         self._release(flight)
         if exc.ran is Ran.NO and flight.ran is not Ran.NO:
-            # This attempt did not run, but an earlier one may have: "not run" would
-            # be false for a request that was cut, queued again and then refused.
+            # This attempt did not run, but an earlier one that was cut off may have,
+            # so the answer must not claim that the request never ran.
             exc = RouterError(
                 exc.kind, exc.message, ran=flight.ran, retry_after_s=exc.retry_after_s
             )
@@ -462,24 +474,25 @@
         self._flights.end(flight, result)
 
     def on_tick(self) -> None:
-        """Cut what runs past its deadline; the caller has stopped waiting."""
+        """Stop requests that run past their deadline; their callers no longer wait."""
         now = monotonic()
         for flight in self._flights.late(now):
             self._stop_run(flight)
             ran = Ran.YES if flight.pieces else Ran.UNKNOWN
-            text = "the deadline passed while the endpoint worked"
+            text = "the deadline passed while the endpoint ran the request"
             self._refuse_sent(flight, RouterError(ErrorKind.DEADLINE, text, ran=ran))
 
 
 def _is_new_run(flight: Flight) -> bool:
-    """Whether a run may be what crashed its endpoint."""
+    """Whether a run is suspected if its endpoint crashed."""
     run = flight.run
     first_s = run.first_piece_s if isinstance(run, EngineCall) else None
     return first_s is None or run.seconds - first_s < NEW_RUN_S
 
 
 def _start_of(endpoint: Endpoint) -> EndpointStart:
-    # The configuration does not tell starts of a process apart.
+    # The configuration does not distinguish process starts of an endpoint, so the
+    # time is divided into intervals instead.
     start = f"{endpoint.name} {endpoint.generation} {int(time() // START_S)}"
     address = endpoint.host, endpoint.port
     return EndpointStart(endpoint.name, start, endpoint.pool, address)
--- a/greengageflow/daemon/endpoint_run.py
+++ b/greengageflow/daemon/endpoint_run.py
@@ -1,4 +1,4 @@
-"""Runs a request on its endpoint and passes the answer to the caller."""
+"""Runs requests on endpoints and passes the answers to the callers."""
 
 from typing import Protocol
 
@@ -22,27 +22,27 @@
 
 
 class RunListener(Protocol):
-    """Hears of a run."""
+    """Receives the events of a run."""
 
     def may_send_again(self) -> bool:
-        """Whether a request may be sent once more; it then counts as a retry."""
+        """Return whether a request may be retried; a retry is charged to the budget."""
 
     def on_progress(self, flight: Flight, pieces: int) -> None:
-        """Note that so many pieces were passed on."""
+        """Handle pieces that were passed on to the caller."""
 
     def on_run_end(self, flight: Flight, end: RunEnd) -> None:
-        """Note how the run ended; last call."""
+        """Handle the end of the run; called last."""
 
 
 class _EngineRun:
-    """Passes the pieces of one engine's answer on, as fast as the caller reads."""
+    """Streams one engine's answer to the caller, with backpressure."""
 
     def __init__(self, flight: Flight, listener: RunListener) -> None:
         self._flight = flight
         self._listener = listener
 
     def on_pieces(self, pieces: list[Piece]) -> None:
-        """Pass pieces on and hold the engine back when the caller is slow."""
+        """Pass pieces on, and pause the engine's answer when the caller is slow."""
         flight = self._flight
         reply = flight.call.reply
         if not reply.streaming:
@@ -58,17 +58,17 @@
             flight.run.pause()
 
     def on_end(self, end: EngineEnd) -> None:
-        """Pass the end on."""
+        """Report the end of the run."""
         self._listener.on_run_end(self._flight, end)
 
 
 class EndpointRuns:
-    """Starts runs.
+    """Starts requests on their endpoints.
 
     Args:
         pool: Outbound connections.
         timers: Timer service.
-        connect_timeout_s: Longest time for connecting, in seconds.
+        connect_timeout_s: Connect time-out, in seconds.
     """
 
     def __init__(
@@ -144,7 +144,7 @@
 
     @staticmethod
     def answer_completed(flight: Flight, end: Completed) -> None:
-        """Give the caller the end of a complete answer."""
+        """Send the caller the end of a complete answer."""
         reply = flight.call.reply
         if flight.call.stream:
             reply.end_stream()
@@ -154,13 +154,13 @@
 
     @staticmethod
     def recorded(flight: Flight, end: Completed) -> tuple[str, bytes]:
-        """Return content type and body to keep for repeats of the request."""
+        """Return the content type and body to store for replays of the request."""
         if flight.call.stream:
             return STREAM_TYPE, bytes(flight.kept) + STREAM_END
         return JSON_TYPE, end.body
 
 
 def _not_after(flight: Flight) -> float | None:
-    # A process that is frozen while it connects wakes past the deadline at which
-    # its caller was answered; the pool looks again before the first byte.
+    # A process that is frozen while connecting may resume after the deadline, when its
+    # caller has been answered; the pool checks this limit before the first byte.
     return flight.deadline if flight.protected else None
--- a/greengageflow/daemon/flight.py
+++ b/greengageflow/daemon/flight.py
@@ -1,4 +1,4 @@
-"""One request of a caller, from its arrival to its answer."""
+"""State of a caller's request from its arrival to its answer."""
 
 from dataclasses import dataclass, field
 from enum import Enum, auto
@@ -16,7 +16,7 @@
 
 
 class Phase(Enum):
-    """Where a request is."""
+    """Stage of a request."""
 
     NEW = auto()
     ASKING = auto()
@@ -26,17 +26,17 @@
 
 @dataclass(slots=True)
 class Flight:
-    """A request under way.
+    """State of one request in flight.
 
     Args:
         id: Request id, unique in the fleet.
-        call: What the caller asked for.
-        account: Client account that it is charged to.
-        pool: Pool that may serve it.
+        call: Call of the caller, with its body and reply.
+        account: Client account that is charged.
+        pool: Pool that serves the request.
         cost: Expected cost, in tokens.
-        deadline: Monotonic time by which it must have ended.
+        deadline: Monotonic time by which the final answer is due.
         action_key: Account and idempotency key of a protected action, or empty.
-        prefix: Digest of the prompt's beginning, or empty.
+        prefix: Digest of the prompt's prefix, or empty.
     """
 
     id: str
@@ -63,7 +63,7 @@
     _fingerprint: Fingerprint = b""
 
     def describe(self, result: str = "") -> dict[str, object]:
-        """Return what operators may want to know of it; times in seconds."""
+        """Return the status document of the request; times in seconds."""
         return {
             "id": self.id,
             "wire_id": self.wire_id,
@@ -82,12 +82,12 @@
 
     @property
     def wire_id(self) -> str:
-        """Id that the endpoint knows the present attempt by."""
+        """Id of the current attempt as sent to the endpoint."""
         return self.id if self.attempts <= 1 else f"{self.id}.{self.attempts}"
 
     @property
     def digest(self) -> str:
-        """SHA-256 of what makes two requests with one idempotency key the same."""
+        """SHA-256 of the content that must match for a repeated idempotency key."""
         match self.call:
             case ChatCall(body=body):
                 same: object = body
@@ -97,7 +97,7 @@
 
     @property
     def fingerprint(self) -> Fingerprint:
-        """What stays the same when the caller sends a request again."""
+        """Hash that identifies the request when the caller sends it again."""
         if not self._fingerprint:
             parts = (self.account.name, self.pool.name, self.digest)
             self._fingerprint = fingerprint_of(*map(str.encode, parts))
--- a/greengageflow/daemon/flights.py
+++ b/greengageflow/daemon/flights.py
@@ -1,4 +1,4 @@
-"""The requests under way at one router, and those that ended lately."""
+"""Registry of the requests in flight at one router and of recently ended ones."""
 
 from collections import deque
 from collections.abc import Iterator
@@ -7,13 +7,14 @@
 from greengageflow.net.callers import ChatCall, ServiceCall, StatusCall
 
 ENDED_KEPT = 512
+"""Number of ended requests whose status documents are kept."""
 
 
 class Flights:
-    """Finds requests by id and by call.
+    """Requests in flight, by id and by call.
 
     Args:
-        kept: Ended requests that are still told of.
+        kept: Number of ended requests whose status documents are kept.
     """
 
     def __init__(self, kept: int = ENDED_KEPT) -> None:
@@ -22,38 +23,38 @@
         self._ended: deque[dict[str, object]] = deque(maxlen=kept)
 
     def __len__(self) -> int:
-        """Return how many have no final answer yet."""
+        """Return the number of requests that have no final answer yet."""
         return len(self._by_id)
 
     def __iter__(self) -> Iterator[Flight]:
-        """Yield those that have no final answer yet."""
+        """Iterate over a snapshot of the requests that have no final answer yet."""
         return iter(list(self._by_id.values()))
 
     def add(self, flight: Flight) -> None:
-        """Take a request that began."""
+        """Add an admitted request."""
         self._by_id[flight.id] = flight
         self._by_call[id(flight.call)] = flight
 
     def get(self, request: str) -> Flight | None:
-        """Return the request under way with this id, if any."""
+        """Return the request in flight with this id, or None."""
         return self._by_id.get(request)
 
     def of_call(self, call: ChatCall | ServiceCall | StatusCall) -> Flight | None:
-        """Return the request under way of a call, if any."""
+        """Return the request in flight of a call, or None."""
         return self._by_call.get(id(call))
 
     def end(self, flight: Flight, result: str) -> None:
-        """Take the end of a request.
+        """Remove a request that ended and keep its status document.
 
         Raises:
-            KeyError: It is not under way.
+            KeyError: The request is not in flight.
         """
         del self._by_id[flight.id]
         del self._by_call[id(flight.call)]
         self._ended.append(flight.describe(result))
 
     def explain(self, request: str) -> dict[str, object] | None:
-        """Tell of a request under way or one that ended lately; None if unknown."""
+        """Return the status document of a current or recent request, or None."""
         flight = self._by_id.get(request)
         if flight is not None:
             return flight.describe()
@@ -63,7 +64,7 @@
         return None
 
     def late(self, now: float) -> Iterator[Flight]:
-        """Yield those that run past their deadline; ending them meanwhile is fine."""
+        """Yield requests that run past their deadline; the caller may end them."""
         for flight in list(self._by_id.values()):
             ended = flight.id not in self._by_id
             if not ended and flight.phase is Phase.RUNNING and now >= flight.deadline:
--- a/greengageflow/daemon/request_notes.py
+++ b/greengageflow/daemon/request_notes.py
@@ -1,4 +1,4 @@
-"""What is logged and counted of requests."""
+"""Log lines and metrics of requests."""
 
 from greengageflow.daemon.flight import Flight
 from greengageflow.errors import ErrorKind, RouterError
@@ -8,31 +8,31 @@
 
 
 class RequestNotes:
-    """Takes note of requests as they go.
+    """Writes log lines and metrics for each step of a request.
 
     Args:
-        metrics: Where counters and timers go.
+        metrics: Counters and timers.
     """
 
     def __init__(self, metrics: Metrics) -> None:
         self._metrics = metrics
 
     def arrived(self, flight: Flight) -> None:
-        """Note a request that was admitted."""
+        """Record a request that was admitted."""
         self._metrics.count(Metric.REQUESTS, part=flight.pool.name)
 
     def started(self, flight: Flight, now: float) -> None:
-        """Note that a request got its slot."""
+        """Record that a request was granted a slot, and its time in the queue."""
         pool = flight.pool.name
         self._metrics.timing(Metric.QUEUE_TIME, now - flight.arrived, pool)
 
     def retried(self, flight: Flight) -> None:
-        """Note that a request is queued again."""
+        """Record that a request is queued again for a retry."""
         endpoint = flight.endpoint.name if flight.endpoint else ""
         self._metrics.count(Metric.RETRIES, part=endpoint)
 
     def stream(self, flight: Flight, run: EngineCall) -> None:
-        """Note what happened to the answer of an engine."""
+        """Record a stream's time to first piece, resumptions and dropped pieces."""
         endpoint = flight.endpoint.name
         if run.first_piece_s is not None:
             first_s = flight.started - flight.arrived + run.first_piece_s
@@ -55,12 +55,12 @@
             self._metrics.count(Metric.PIECES_DROPPED, run.dropped, endpoint)
 
     def backoff(self, endpoint: str, seconds: float) -> None:
-        """Note that an endpoint asks for backoff."""
+        """Record that an endpoint asked for a backoff."""
         log(Event.ENDPOINT_BACKOFF, endpoint=endpoint, seconds=seconds)
         self._metrics.count(Metric.BACKOFFS, part=endpoint)
 
     def cut(self, flight: Flight) -> None:
-        """Note that an endpoint broke an answer off."""
+        """Record that an endpoint cut an answer off."""
         endpoint = flight.endpoint.name
         log(
             Event.STREAM_CUT,
@@ -71,29 +71,29 @@
         self._metrics.count(Metric.STREAMS_CUT, part=endpoint)
 
     def answered(self, flight: Flight, served: float) -> None:
-        """Note a whole answer that cost ``served`` tokens."""
+        """Record a complete answer that cost ``served`` tokens."""
         self._metrics.count(Metric.ANSWERED, part=flight.pool.name)
         self._metrics.count(Metric.SERVED, served, part=flight.account.name)
 
     def replayed(self) -> None:
-        """Note a repeated protected action that got the recorded answer."""
+        """Record a repeated protected action that was answered from its record."""
         self._metrics.count(Metric.ACTIONS, part="replayed")
 
     def unknown(self, flight: Flight) -> None:
-        """Note a protected action whose outcome is not known."""
+        """Record a protected action whose outcome is unknown."""
         if flight.protected:
             account = flight.account.name
             log(Event.ACTION_UNKNOWN, request=flight.wire_id, account=account)
             self._metrics.count(Metric.ACTIONS, part="unknown")
 
     def refused(self, exc: RouterError, flight: Flight | None = None) -> None:
-        """Note an error that a caller got."""
+        """Record an error sent to a caller."""
         self._metrics.count(Metric.REFUSED, part=exc.kind.value)
         if flight and exc.kind is ErrorKind.QUEUE_FULL:
             account = flight.account
             log(Event.QUEUE_FULL, account=account.name, limit=account.queue_limit)
 
     def ended(self, flight: Flight, now: float) -> None:
-        """Note the end of a request."""
+        """Record the end of a request and its total time."""
         pool = flight.pool.name
         self._metrics.timing(Metric.REQUEST_TIME, now - flight.arrived, pool)
