--- a/tests/test_callers_who_left.py
+++ b/tests/test_callers_who_left.py
@@ -1,4 +1,4 @@
-"""A host that stood still, and the callers who came meanwhile; real processes."""
+"""Callers who connect to a stopped router and leave; real processes."""
 
 import json
 import signal
@@ -14,12 +14,15 @@
 
 CALLERS = 900
 MOST_WAITING = 500
-"""Connections that a host of half a core reads in the second for which a caller waits
-until it tries elsewhere, at 1 ms each."""
+"""Maximum number of connections that may wait to be accepted.
+
+A caller tries another host after 1 s. A host with half a core reads 500 connections in
+that time, at 1 ms each.
+"""
 
 
 def request(name):
-    """Return a request as its caller sends it."""
+    """Return the bytes of a request."""
     lines = [
         f"POST {SAFE} HTTP/1.1",
         "Host: app.example",
@@ -32,7 +35,7 @@
 
 
 class Crowd:
-    """Callers who connect, send a request each and leave when nothing comes."""
+    """Callers that connect, send one request each and disconnect without an answer."""
 
     def __init__(self, address):
         self.socks = {}
@@ -43,7 +46,7 @@
             self.socks[sock.fileno()] = sock, f"crowd-{number:08d}"
 
     def send(self):
-        """Send the requests of those who got a connection; return how many did."""
+        """Send a request on each established connection; return how many were sent."""
         watch = poll()
         for number in self.socks:
             watch.register(number, 4)
@@ -57,7 +60,7 @@
         return sent
 
     def close(self):
-        """Leave, all of them."""
+        """Close all connections."""
         for sock, _ in self.socks.values():
             sock.close()
 
@@ -70,7 +73,7 @@
 
 @pytest.fixture
 def stopped(lab):
-    """Stop the router's process; yield it, and let it go on at the end."""
+    """Stop the router's process, yield it and continue it afterwards."""
     process = lab.routers["r0"].popen
     process.send_signal(signal.SIGSTOP)
     yield process
@@ -78,21 +81,21 @@
 
 
 def decided(lab):
-    """Return the ids that the router's lines tell of, in order."""
+    """Return the request ids in the router's log lines, in order."""
     rows = (line for line in lab.log.splitlines() if line.startswith("{"))
     return [row["request"] for row in map(json.loads, rows) if "request" in row]
 
 
 def test_no_more_callers_wait_for_a_host_than_it_reads_in_time(lab, stopped):
-    """One account's callers pressed one host beyond its processor share. It said ready
-    and took none of 4,493 new connections in nine seconds; callers left unanswered.
-
-    Cause: up to 4,096 connections waited to be accepted, oldest first, and the host
-    took one at a look. All that it accepted had been given up seconds before; whoever
-    came was behind those. Readiness has a listener, and a queue, of its own.
-    Evidence: 4,950 connections and 300 requests at 51 % of a core; requests read eight
-    seconds after the last was sent; the connections' even fall by 650 a second then.
-    With a short queue who connects hears at once that this host is full.
+    """An overloaded host reported ready but accepted none of 4,493 new connections in
+    nine seconds, and their callers got no answer.
+
+    Up to 4,096 connections waited in the listen queue and were accepted oldest first,
+    one per poll, so the host accepted only connections that had been abandoned seconds
+    before. Readiness has a listener and queue of its own. Measured: 4,950 connections
+    and 300 requests at 51 % of a core, requests read eight seconds after the last was
+    sent, connections falling evenly by 650 per second afterwards. With a short listen
+    queue, a new caller learns at once that the host is full.
     """
     host, port = lab.settings["r0"]["callers"].split(":")
     with closing(Crowd((host, int(port)))) as crowd:
@@ -101,13 +104,12 @@
 
 
 def test_nothing_is_decided_for_callers_that_left_before_they_were_read(lab, stopped):
-    """The same host went on reading requests for eight seconds after the last had been
-    sent, asked for a place for each and saw 2 ms later that its caller had left, while
-    new callers waited behind them.
+    """An overloaded host read abandoned requests for eight seconds after the last was
+    sent, and requested a placement for each while new callers waited.
 
-    Cause: a request was decided as soon as its bytes were read; that its caller had
-    closed stood right behind them and was seen a round later.
-    Evidence: CALLER_LEFT in the queue, 2 to 3 ms after the request's arrival.
+    A request was scheduled as soon as its bytes were read; the end of the connection
+    followed right behind them but was read one event loop round later. Seen as
+    CALLER_LEFT of queued requests, 2 to 3 ms after their arrival.
     """
     host, port = lab.settings["r0"]["callers"].split(":")
     with closing(Crowd((host, int(port)))) as crowd:
--- a/tests/test_flood_faults.py
+++ b/tests/test_flood_faults.py
@@ -1,4 +1,4 @@
-"""One account floods one router, with real processes."""
+"""One account floods one router; real processes."""
 
 from greengageflow.lab.lab import Lab, LabPlan, key_of
 from tests.fleet_support import (
@@ -25,8 +25,8 @@
     timing={"probe_interval_s": 0.2, "suspect_s": 0.8},
 )
 ALL_SLOTS = PLAN.engines * SLOTS
-# Each owner may fill its free slots with the flood before it hears of the small
-# request, and once more where the totals lag behind its own grants.
+# Each owner may fill its free slots with the flood before it learns of the small
+# request, and once more if the fleet totals lag behind its own grants.
 MOST_AHEAD = 2 * ALL_SLOTS
 FLOOD = chats("flood", outstanding=ALL_SLOTS + 4 * QUEUE_LIMIT, routers=(0,), sigma=0.3)
 
@@ -38,7 +38,7 @@
 
 
 def ahead_of(result, starts, own_start):
-    """Count flood requests that started while a small one waited."""
+    """Return the number of flood requests started while a small one waited."""
     return sum(result.sent < start < own_start for start in starts)
 
 
@@ -54,11 +54,11 @@
 
 
 def test_a_flood_at_one_router_delays_small_accounts_by_a_bounded_amount():
-    """Small accounts that enter elsewhere are served as if the flood were small.
+    """Small accounts at other routers get their fair share despite the flood.
 
-    It is refused at once beyond its queue's limit, with a word on when to come back,
-    and still gets every slot that nobody else wants; also after its router was
-    killed and came back with empty memory of what the account was served.
+    The flood is refused at once beyond its queue limit, with a Retry-After header, and
+    still gets every slot without other demand. This also holds after its router was
+    killed and restarted without its record of the account's usage.
     """
     with Lab(PLAN) as lab, BackgroundLoad(lab, FLOOD, *SMALL_LOADS) as load:
         wait_for(lambda: set(running(lab)) == {SLOTS}, "the flood gets all slots")
--- a/tests/test_left_the_queue.py
+++ b/tests/test_left_the_queue.py
@@ -1,4 +1,4 @@
-"""Callers of the product's own interface that leave while their request waits."""
+"""Callers of the own interface that disconnect while their request is queued."""
 
 import json
 from socket import create_connection
@@ -27,7 +27,7 @@
 
 
 def test_request_whose_caller_left_the_queue_is_forgotten():
-    """Its place was kept, and it took a slot in which it was run for nobody."""
+    """The request stayed queued, was granted a slot and ran without a caller."""
     with Lab(PLAN) as lab:
         wait_served(lab, "acme")
         before = len(executions(lab))
@@ -36,7 +36,7 @@
         second = ask(lab, 3)
         wait_for(lambda: lab.status("r1")["waiting"] == 1, "the second one waits")
         second.close()
-        wait_for(lambda: lab.status("r1")["waiting"] == 0, "it is forgotten")
+        wait_for(lambda: lab.status("r1")["waiting"] == 0, "it is removed")
         first.close()
         wait_for(lambda: lab.status("r1")["running"] == 0, "the slot is free")
         assert len(executions(lab)) == before + 1
--- a/tests/test_partition_faults.py
+++ b/tests/test_partition_faults.py
@@ -1,4 +1,4 @@
-"""Partitions between routers, with real processes behind a proxy."""
+"""Network partitions between routers; real processes behind a proxy."""
 
 import pytest
 
@@ -31,7 +31,7 @@
 
 
 def wait_served(lab, hosts):
-    """Wait until routers of ``hosts`` have completed some requests from now on."""
+    """Wait until routers of ``hosts`` have completed some new requests."""
     before = {one["request_id"] for one in executions(lab)}
 
     def served():
@@ -44,10 +44,10 @@
 
 @pytest.mark.parametrize("sides", [HALVES, ALONE], ids=["halves", "alone"])
 def test_no_slot_is_used_twice_and_both_sides_serve(sides):
-    """Callers on both sides of a partition go on being served, twice over.
+    """Callers on both sides of a partition are served, over two partitions in a row.
 
-    Each side takes the other for dead and would own every endpoint. If it used all
-    slots, the engines would run up to twice the load that they are configured for.
+    Each side declares the other dead and takes over all endpoints. If both used all
+    slots, the engines would run up to twice their configured load.
     """
     both = [chats(account, outstanding=20) for account in ("acme", "bolt")]
     with proxied_lab(PLAN) as (lab, proxy), BackgroundLoad(lab, *both) as load:
@@ -70,10 +70,10 @@
 
 
 def test_a_killed_router_gives_its_slots_back_when_the_platform_drops_it():
-    """Callers get the whole capacity again after a host died.
+    """The full capacity is available again after a host died.
 
-    Its requests end with it, but a router that merely cannot be reached may still
-    run some. So its slots return only when the platform's list drops the host.
+    A dead router's requests have ended, but one that is merely unreachable may still
+    run some. So its slots are freed only when the platform's list drops the host.
     """
     chat = chats("acme", outstanding=40, routers=(1, 2, 3, 4))
     with proxied_lab(PLAN) as (lab, _), BackgroundLoad(lab, chat) as load:
@@ -97,10 +97,10 @@
 
 
 def test_a_router_killed_under_load_cuts_only_its_own_callers():
-    """Callers of the other routers notice nothing but a shorter fleet.
+    """Callers of the other routers are not affected.
 
-    The router dies with streams, queued requests, demand and grants in flight; its
-    own callers see a broken connection, never an answer that looks whole.
+    The router dies with streams, queued requests, demand and grants in flight. Its own
+    callers see a broken connection, never an answer that looks complete.
     """
     both = (
         chats("acme", outstanding=30),
@@ -122,10 +122,10 @@
 
 
 def test_a_frozen_router_wakes_and_rejoins():
-    """A router stopped for longer than every timeout serves again when it wakes.
+    """A router paused for longer than every time-out serves again when it resumes.
 
-    The others hold it for dead meanwhile and own its endpoints; its grants of
-    before must not come on top of theirs.
+    The others declare it dead and take over its endpoints; its earlier grants must
+    not add to theirs.
     """
     chat = chats("acme", outstanding=30, routers=(1, 2, 3, 4))
     with proxied_lab(PLAN) as (lab, _), BackgroundLoad(lab, chat) as load:
--- a/tests/test_pause_faults.py
+++ b/tests/test_pause_faults.py
@@ -1,4 +1,4 @@
-"""Routers that stood still, and what lay in their sockets when they woke."""
+"""Routers that resume after a pause with unread messages in their sockets."""
 
 from unittest.mock import Mock
 
@@ -26,7 +26,7 @@
 
 
 def fleet():
-    """Return a net, the owner of its endpoint and another router."""
+    """Return a network, the owner of its endpoint and another router."""
     net = Net(HOSTS, config({"a": 1.0}, ["e1"], slots=SLOTS))
     net.step(1.1)
     owner = net.nodes["r0"].view.owner_of("e1")
@@ -55,10 +55,10 @@
 
 
 def test_grants_of_a_dead_owner_start_nothing_at_a_router_that_wakes():
-    """Four grants lie in the socket of a router that stands still; their owner dies,
-    and the list drops it. The next owner grants the four slots anew after the settle
-    time. The router wakes and reads its socket before its view changes: it started
-    all four, and the endpoint ran 8 requests in 4 slots."""
+    """A paused router has four unread grants. Their owner dies and leaves the host
+    list, and the next owner grants the four slots again after the settle time. The
+    resumed router read the grants before its view changed and started all four: the
+    endpoint ran 8 requests in 4 slots."""
     net, owner, paused = fleet()
     mine = [net.submit(paused, "a", deadline_s=60.0) for _ in range(SLOTS)]
     grants = []
@@ -99,10 +99,10 @@
 
 
 def test_grants_to_a_router_that_was_held_for_dead_go_back():
-    """Four grants lie in the socket of a router that stands still until others hold it
-    for dead. Their owner lives on, and grants the slots again once the endpoint reports
-    that nothing runs. The view of before and after is the same: the router started all
-    four when it woke, and the endpoint ran 7 requests in 4 slots."""
+    """A router with four unread grants is paused until the others declare it dead.
+    Their owner stays alive and grants the slots again once the endpoint reports that
+    nothing runs. The router's view is the same before and after the pause, so it
+    started all four grants, and the endpoint ran 7 requests in 4 slots."""
     net, owner, paused = fleet()
     mine = [net.submit(paused, "a", deadline_s=60.0) for _ in range(SLOTS)]
     grants = []
@@ -129,9 +129,10 @@
 
 
 def test_a_lost_registration_is_told_to_the_new_owner_again():
-    """The owner dies while four requests run, and all that tells the next one of them
-    is lost on a connection that does not stand yet. It was told once, took the slots
-    for free after the settle time, and the endpoint ran 8 requests in 4 slots."""
+    """The owner dies while four requests run. Their registrations with the next owner
+    are lost, as its connection is not established yet. They were sent only once, so the
+    next owner assumed free slots after the settle time, and the endpoint ran 8 requests
+    in 4 slots."""
     net, owner, other = fleet()
     for _ in range(SLOTS):
         net.submit(other, "a")
@@ -147,10 +148,10 @@
 
 
 def test_an_owner_that_wakes_counts_what_others_granted_meanwhile():
-    """An owner stands still for so long that another owns its endpoint and grants its
-    slots. It wakes, reads that its own grants have ended, and grants the slots that
-    it takes for free before the others' requests are registered with it: 7 requests
-    ran in 4 slots."""
+    """An owner is paused for so long that another router takes over its endpoint and
+    grants its slots. It resumes, reads that its own grants have ended, and granted the
+    slots that seemed free before the other requests were registered with it: 7
+    requests ran in 4 slots."""
     net, owner, other = fleet()
     rest = set(HOSTS) - {owner}
     for host in rest:
@@ -179,7 +180,7 @@
 
 
 class World:
-    """A router, r0, on a clock that the test moves, and its only peer, r1."""
+    """Router r0, on a clock controlled by the test, and its only peer r1."""
 
     def __init__(self, monkeypatch):
         self.now, self.sent = 0.0, []
@@ -217,7 +218,7 @@
         self.node._on_membership_tick()
 
     def answers(self):
-        """Return what r1 answers to all that was sent to it since the last time."""
+        """Return r1's answers to all messages sent to it since the last call."""
         sent, self.sent = self.sent, []
         told = (self.peer.receive(self.now, PeerId("r0", 1), m) for m in sent)
         effects = [effect for answer in told for effect in answer]
@@ -237,10 +238,10 @@
 def test_a_grant_read_after_a_pause_waits_for_an_answer_asked_after_it(
     monkeypatch, pause_s, maybe_replaced
 ):
-    """A router stands still and reads a grant before its next tick. It waits for a
-    router that has the same view, in an answer to a probe of after the pause: one of
-    before lies in the socket too, and says what was true then. After a pause in which
-    others may have held it for dead, the grant goes back."""
+    """A router reads a grant after a pause, before its next tick. It must wait until a
+    peer confirms the same view by answering a probe sent after the pause; an unread
+    answer to an earlier probe is outdated. If the pause was long enough for others to
+    have declared the router dead, the grant is returned."""
     world = World(monkeypatch)
     world.tick(0.1)
     (old,) = [m for m in world.answers() if isinstance(m, Ack)]
@@ -259,8 +260,8 @@
 
 
 def test_a_router_that_nobody_answers_gives_the_grants_back(monkeypatch):
-    """The owner died in the pause. Nobody confirms the view, so this router's own
-    probes have to find the death; until then the grant neither starts nor is lost."""
+    """The owner dies during the pause. No peer confirms the view, so this router's own
+    probes must detect the death; until then the grant is neither started nor lost."""
     world = World(monkeypatch)
     world.tick(0.1)
     world.now += 10.0
--- a/tests/test_poison_requests.py
+++ b/tests/test_poison_requests.py
@@ -1,4 +1,4 @@
-"""Requests that crash the replicas that run them, on real processes."""
+"""Requests that crash the replicas that run them; real processes."""
 
 import pytest
 
@@ -24,7 +24,7 @@
 OPTIONS = {"poison": POISON}
 REPLICAS = 7
 MOST_CRASHES = 6
-"""Three, and three more sendings."""
+"""Three crashes, and three more attempts."""
 
 
 def lab_of(path):
@@ -45,7 +45,7 @@
 
 @pytest.mark.parametrize("path", [SAFE, UNSAFE, CHAT, TALE])
 def test_request_that_crashes_replicas_is_held_back_at_every_host(path):
-    """Each repeat at any host would take one more replica down."""
+    """Each retry at any host would crash one more replica."""
     with lab_of(path) as lab:
         for number in range(2 * REPLICAS):
             ask(lab, path, f"r{number % 3}")
@@ -62,11 +62,11 @@
 
 
 def test_router_that_starts_again_learns_which_requests_are_held_back():
-    """It knows nothing of before, and would run each of them anew."""
+    """It starts without crash records and would run each of them again."""
     with lab_of(TALE) as lab:
         for _ in range(2):
             ask(lab, TALE, "r0")
-        wait_for(lambda: all(is_held(lab, name) for name in lab.routers), "all know")
+        wait_for(lambda: all(is_held(lab, name) for name in lab.routers), "all have it")
         assert len(lab.crashed) == 2
         lab.routers["r1"].kill()
         lab.launch_router("r1")
@@ -77,7 +77,7 @@
 
 
 def test_requests_stay_held_back_when_all_routers_end_at_once():
-    """No host is left that could tell the others."""
+    """No host is left to pass on the crash records."""
     with lab_of(TALE) as lab:
         for _ in range(2):
             ask(lab, TALE, "r0")
@@ -86,7 +86,7 @@
             lab.routers[router].kill()
         for router in list(lab.routers):
             lab.launch_router(router)
-        wait_for(lambda: all(is_held(lab, name) for name in lab.routers), "all know")
+        wait_for(lambda: all(is_held(lab, name) for name in lab.routers), "all have it")
         for router in lab.routers:
             lab.wait_ready(router)
             assert ask(lab, TALE, router).status == 503
@@ -124,7 +124,7 @@
 
 @pytest.mark.parametrize("kind", PLANS)
 def test_request_that_crashes_endpoints_is_held_back_on_the_own_interface(kind):
-    """Each repeat, a protected action with a new key as well, takes one more down."""
+    """Each retry, also of a protected action with a new key, would crash one more."""
     with Lab(PLANS[kind]) as lab:
         endpoints = lab.services if kind == "service" else lab.engines
         wait_for(
--- a/tests/test_stale_retries.py
+++ b/tests/test_stale_retries.py
@@ -1,4 +1,4 @@
-"""Requests on kept connections that endpoints end before they answer."""
+"""Requests on kept connections that the endpoint closes before it answers."""
 
 import pytest
 
@@ -21,7 +21,7 @@
 
 
 def ask(lab, path):
-    """Return the answer; None for a connection that ended before."""
+    """Return the answer, or None if the connection ended before it was complete."""
     headers = generation(6, ("p", 50)) if path == CHAT else {}
     try:
         return lab.ask(path, headers=headers, deadline_ms=12_000)
@@ -31,7 +31,7 @@
 
 @pytest.mark.parametrize("how", ["close", "reset"])
 def test_endpoint_that_ends_a_kept_connection_gets_no_repeat_beyond_the_budget(how):
-    """The pool would send each request once more without a word to the budget."""
+    """The connection pool retried such requests without charging the retry budget."""
     with lab_of(bounds=NO_REPEATS) as lab:
         for _ in range(4):
             assert ask(lab, SAFE).status == 200
@@ -42,7 +42,7 @@
 
 
 def test_request_that_reached_no_endpoint_is_no_repeat():
-    """Callers would be refused by a budget of which no endpoint has seen anything."""
+    """Otherwise attempts that no endpoint saw would use up the budget of callers."""
     with PlatformLab(PlatformShape(plain=2, bounds=NO_REPEATS)) as lab:
         lab.fault("app-0", refuse=True)
         assert [ask(lab, SAFE).status for _ in range(6)] == [200] * 6
@@ -52,7 +52,7 @@
 
 
 def test_request_that_is_sent_anew_has_only_the_time_that_is_left():
-    """A header of the first sending would have the endpoint work past the deadline."""
+    """With the first attempt's header, the endpoint would work past the deadline."""
     with lab_of(plain_options={"work_ms": 600}) as lab:
         assert ask(lab, SAFE).status == 200
         lab.fault("app-0", lose="reset", times=1)
@@ -63,7 +63,7 @@
 
 @pytest.mark.parametrize("path", [SAFE, CHAT])
 def test_request_whose_kept_connection_was_closed_goes_to_the_same_endpoint(path):
-    """Servers close idle connections; no other endpoint may be there to answer."""
+    """Servers close idle connections, and there may be no other endpoint."""
     replica = "scribe-0" if path == CHAT else "app-0"
     with lab_of() as lab:
         for _ in range(4):
@@ -74,11 +74,11 @@
 
 
 BURST = 10
-"""Retries that a router of the own interface may save up."""
+"""Retries that the budget of a router of the own interface may accumulate."""
 
 
 def test_own_interface_repeats_no_more_than_its_budget_on_kept_connections():
-    """The pool would send each request once more without a word to the budget."""
+    """The connection pool retried such requests without charging the retry budget."""
     plan = LabPlan(routers=1, engines=1, services=1, policy={"retry_ratio": 0})
     with Lab(plan) as lab:
         address, service = lab.routers["r1"].address, lab.services["s1"]
