--- a/greengageflow/daemon/forward_notes.py
+++ b/greengageflow/daemon/forward_notes.py
@@ -12,7 +12,7 @@
 from greengageflow.net.metrics_page import MetricsPage, PageMetric
 
 OUT_OF_BUDGET_EVERY_S = 1.0
-"""Minimum time between two such log lines of a service, in seconds."""
+"""Minimum time between two ``OUT_OF_BUDGET`` log lines of a service, in seconds."""
 
 
 def _ms(seconds: float) -> int:
--- a/greengageflow/daemon/forward_sending.py
+++ b/greengageflow/daemon/forward_sending.py
@@ -14,8 +14,7 @@
 CONNECT_S = 0.4
 """Connect time-out, in seconds."""
 REUSE_S = 1.0
-"""Maximum idle time of a reused connection for a request that must run only once, in
-seconds."""
+"""Maximum idle time of a connection reused for a run-once request, in seconds."""
 STALL_S = 1.5
 """Time without an event after which a stream counts as stalled, in seconds."""
 
