--- a/greengageflow/daemon/dispatch.py
+++ b/greengageflow/daemon/dispatch.py
@@ -31,16 +31,16 @@
 from greengageflow.net.service_client import ServiceAnswer
 from greengageflow.tracing import Tracing
 
-MOST_ATTEMPTS = 3
+MAX_ATTEMPTS = 3
 """Maximum number of attempts per request, the first one included."""
-NEW_RUN_S = 1.0
+SUSPECT_RUN_MAX_AGE_S = 1.0
 """Age up to which a run is suspected when its endpoint crashes, in seconds.
 
 Counted from the run's first piece; a run without one is always suspected.
 """
-START_S = 5.0
+CRASH_INTERVAL_S = 5.0
 """Interval in which crashes of an endpoint count as one, in seconds."""
-CALLER_FAULTS = frozenset({400, 404, 405, 413, 415, 422})
+CALLER_FAULT_STATUSES = frozenset({400, 404, 405, 413, 415, 422})
 """Statuses that blame the request; it is not retried."""
 
 
@@ -320,7 +320,7 @@
                 self._complete(flight, end)
             case ServiceAnswer():
                 self._answer(flight, end)
-            case Refused(status, message) if status in CALLER_FAULTS:
+            case Refused(status, message) if status in CALLER_FAULT_STATUSES:
                 self._give_back(flight.grant, flight)
                 exc = RouterError(ErrorKind.BAD_REQUEST, message, ran=Ran.NO)
                 self._refuse_sent(flight, exc)
@@ -363,8 +363,8 @@
     def _cut(self, flight: Flight, end: Cut) -> None:
         self._give_back(flight.grant, flight, served=float(flight.pieces), failed=True)
         self._notes.cut(flight)
-        if end.lost and _is_new_run(flight):
-            self.crashes.on_cut(_start_of(flight.endpoint), flight.fingerprint)
+        if end.lost and _is_suspect_run(flight):
+            self.crashes.on_cut(_endpoint_start(flight.endpoint), flight.fingerprint)
         text = f"endpoint {flight.endpoint.name}: {end.message}"
         exc = RouterError(ErrorKind.ENDPOINT_CUT, text, ran=end.ran)
         repeatable = not flight.protected and isinstance(flight.call, ChatCall)
@@ -385,7 +385,7 @@
         if (held := self._quarantine_error(flight)) is not None:
             self._refuse(flight, held)
             return
-        if late or flight.attempts >= MOST_ATTEMPTS or not self.may_send_again():
+        if late or flight.attempts >= MAX_ATTEMPTS or not self.may_send_again():
             self._refuse(flight, exc)
             return
         self._tracing.finish(flight.hop, error=exc.message)
@@ -483,17 +483,17 @@
             self._refuse_sent(flight, RouterError(ErrorKind.DEADLINE, text, ran=ran))
 
 
-def _is_new_run(flight: Flight) -> bool:
+def _is_suspect_run(flight: Flight) -> bool:
     """Whether a run is suspected if its endpoint crashed."""
     run = flight.run
     first_s = run.first_piece_s if isinstance(run, EngineCall) else None
-    return first_s is None or run.seconds - first_s < NEW_RUN_S
+    return first_s is None or run.seconds - first_s < SUSPECT_RUN_MAX_AGE_S
 
 
-def _start_of(endpoint: Endpoint) -> EndpointStart:
+def _endpoint_start(endpoint: Endpoint) -> EndpointStart:
     # The configuration does not distinguish process starts of an endpoint, so the
     # time is divided into intervals instead.
-    start = f"{endpoint.name} {endpoint.generation} {int(time() // START_S)}"
+    start = f"{endpoint.name} {endpoint.generation} {int(time() // CRASH_INTERVAL_S)}"
     address = endpoint.host, endpoint.port
     return EndpointStart(endpoint.name, start, endpoint.pool, address)
 
--- a/greengageflow/daemon/flights.py
+++ b/greengageflow/daemon/flights.py
@@ -6,7 +6,7 @@
 from greengageflow.daemon.flight import Flight, Phase
 from greengageflow.net.callers import ChatCall, ServiceCall, StatusCall
 
-ENDED_KEPT = 512
+MAX_ENDED_REQUESTS = 512
 """Number of ended requests whose status documents are kept."""
 
 
@@ -14,13 +14,13 @@
     """Requests in flight, by id and by call.
 
     Args:
-        kept: Number of ended requests whose status documents are kept.
+        max_ended: Number of ended requests whose status documents are kept.
     """
 
-    def __init__(self, kept: int = ENDED_KEPT) -> None:
+    def __init__(self, max_ended: int = MAX_ENDED_REQUESTS) -> None:
         self._by_id: dict[str, Flight] = {}
         self._by_call: dict[int, Flight] = {}
-        self._ended: deque[dict[str, object]] = deque(maxlen=kept)
+        self._ended: deque[dict[str, object]] = deque(maxlen=max_ended)
 
     def __len__(self) -> int:
         """Return the number of requests that have no final answer yet."""
--- a/greengageflow/daemon/forward_admission.py
+++ b/greengageflow/daemon/forward_admission.py
@@ -14,13 +14,13 @@
 from greengageflow.net.forward_calls import ForwardCall
 from greengageflow.net.timers import Timers
 
-PLAIN_WORK = 1000.0
+DEFAULT_WORK = 1000.0
 """Work charged for a request without a prompt."""
-ANSWER_EARLY_S = 0.03
+ANSWER_MARGIN_S = 0.03
 """Margin by which the final answer precedes the caller's own deadline, in seconds."""
-OUTDATED_S = 2.5
+CONFIG_MAX_AGE_S = 2.5
 """Age from which a configuration may lack new routes and keys, in seconds."""
-COME_BACK_S = 0.5
+RETRY_AFTER_S = 0.5
 """Retry delay sent to callers while the log is unavailable, in seconds."""
 
 
@@ -86,7 +86,7 @@
             account=account,
             service=route.pick(self._random),
             arrived=now,
-            deadline=now + max(0.0, wait_s - ANSWER_EARLY_S),
+            deadline=now + max(0.0, wait_s - ANSWER_MARGIN_S),
             fingerprint=request_fingerprint(req, account),
             last_event=req.last_event,
         )
@@ -104,7 +104,7 @@
         if not self._trust.is_trusted(self._clock()):
             text = "keys cannot be checked while the log is unavailable"
             kind = ErrorKind.LOG_UNAVAILABLE
-            raise RouterError(kind, text, retry_after_s=COME_BACK_S)
+            raise RouterError(kind, text, retry_after_s=RETRY_AFTER_S)
         account = self._routing.accounts.get(key)
         if account is None:
             self._check_recent()
@@ -114,10 +114,10 @@
     def _check_recent(self) -> None:
         # An outdated configuration must not give a final "no such route" or "unknown
         # key": the caller would not retry.
-        if self._trust.age_s(self._clock()) > OUTDATED_S:
+        if self._trust.age_s(self._clock()) > CONFIG_MAX_AGE_S:
             text = "the configuration may be outdated"
             kind = ErrorKind.LOG_UNAVAILABLE
-            raise RouterError(kind, text, retry_after_s=COME_BACK_S)
+            raise RouterError(kind, text, retry_after_s=RETRY_AFTER_S)
 
     def job(self, flight: ForwardFlight) -> Job:
         """Return the scheduler's job for a request."""
@@ -130,7 +130,7 @@
         return QueuedRequest(
             flight.id,
             flight.account,
-            prompt.work if prompt else PLAIN_WORK,
+            prompt.work if prompt else DEFAULT_WORK,
             flight.route.priority,
             flight.arrived,
             flight.arrived + target_s - self._age_s(flight),
--- a/greengageflow/daemon/forward_notes.py
+++ b/greengageflow/daemon/forward_notes.py
@@ -11,7 +11,7 @@
 from greengageflow.net.decision_log import DecisionLog
 from greengageflow.net.metrics_page import MetricsPage, PageMetric
 
-OUT_OF_BUDGET_EVERY_S = 1.0
+OUT_OF_BUDGET_LOG_INTERVAL_S = 1.0
 """Minimum time between two ``OUT_OF_BUDGET`` log lines of a service, in seconds."""
 
 
@@ -109,7 +109,7 @@
         """Record a retry that was refused as the retry budget is exhausted."""
         self._page.count(PageMetric.REPEATS_REFUSED, service)
         before = self._out_of_budget_at.get(service, float("-inf"))
-        if now - before < OUT_OF_BUDGET_EVERY_S:
+        if now - before < OUT_OF_BUDGET_LOG_INTERVAL_S:
             return
         self._out_of_budget_at[service] = now
         use = self._book.budget_usage(now, service)
--- a/greengageflow/daemon/forward_sending.py
+++ b/greengageflow/daemon/forward_sending.py
@@ -9,23 +9,23 @@
 from greengageflow.net.event_frames import Frame
 from greengageflow.net.http_messages import Failure, HttpRequest
 
-LAST_MOMENT_S = 0.05
+MIN_ATTEMPT_S = 0.05
 """Minimum time before the deadline that allows another attempt, in seconds."""
-CONNECT_S = 0.4
+CONNECT_TIMEOUT_S = 0.4
 """Connect time-out, in seconds."""
-REUSE_S = 1.0
+REUSE_MAX_IDLE_S = 1.0
 """Maximum idle time of a connection reused for a run-once request, in seconds."""
-STALL_S = 1.5
+STALL_TIMEOUT_S = 1.5
 """Time without an event after which a stream counts as stalled, in seconds."""
 
 
 def bounded(request: HttpRequest, flight: ForwardFlight, now: float) -> HttpRequest:
     """Return a request with the time-outs and connection reuse allowed for it."""
-    reuse_s = inf if flight.repeatable else REUSE_S
+    reuse_s = inf if flight.repeatable else REUSE_MAX_IDLE_S
     return replace(
         request,
-        connect_timeout_s=CONNECT_S,
-        idle_timeout_s=max(LAST_MOMENT_S, flight.deadline - now),
+        connect_timeout_s=CONNECT_TIMEOUT_S,
+        idle_timeout_s=max(MIN_ATTEMPT_S, flight.deadline - now),
         retry_stale=False,
         reuse_s=0.0 if flight.stale_retry_at else reuse_s,
     )
@@ -58,4 +58,4 @@
         return False
     if flight.runs + 1 >= flight.route.attempts or flight.reply.blocked:
         return False
-    return now - flight.moved_at > STALL_S
+    return now - flight.moved_at > STALL_TIMEOUT_S
--- a/greengageflow/daemon/forwarder.py
+++ b/greengageflow/daemon/forwarder.py
@@ -18,8 +18,8 @@
 from greengageflow.daemon.forward_flight import ForwardFlight, Phase
 from greengageflow.daemon.forward_notes import ForwardNotes
 from greengageflow.daemon.forward_sending import (
-    LAST_MOMENT_S,
-    STALL_S,
+    MIN_ATTEMPT_S,
+    STALL_TIMEOUT_S,
     bounded,
     fresh,
     stalls,
@@ -38,14 +38,14 @@
 from greengageflow.platform.answers import headers_for_caller, note_of
 from greengageflow.platform.requests import outgoing
 
-MOST_SENDINGS = 4
+MAX_ATTEMPTS = 4
 """Maximum number of times that a request is sent, the first one included."""
-NEW_RUN_S = 1.0
+SUSPECT_RUN_MAX_AGE_S = 1.0
 """Age up to which a run is suspected when its endpoint crashes, in seconds.
 
 Counted from the run's first event; a run without one is always suspected.
 """
-RAN_NOT = frozenset({408, 421, 429, 503})
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 """Statuses that assure the caller that its request has not run and never will."""
 
 
@@ -300,9 +300,9 @@
         wait_s = self._book.backoff_s(now, flight.service)
         until = flight.arrived + QUEUE_TARGET_FRACTION * flight.route.target_s
         if flight.phase is Phase.STREAMING:
-            until = flight.moved_at + STALL_S
+            until = flight.moved_at + STALL_TIMEOUT_S
         late = now + wait_s > min(until, flight.deadline)
-        if not wait_s or late or flight.sendings >= MOST_SENDINGS:
+        if not wait_s or late or flight.sendings >= MAX_ATTEMPTS:
             return False
         self._timers.after(wait_s, lambda: self._after_backoff(flight, exc))
         return True
@@ -355,7 +355,7 @@
             return
         failure = with_earlier(flight, failure)
         flight.avoid.add(flight.attempt.endpoint.id)
-        if failure.lost and self._is_new_run(flight):
+        if failure.lost and self._is_suspect_run(flight):
             self.crashes.on_cut(flight.attempt.endpoint, flight.fingerprint)
         self._note_failure(flight, failure)
         text = f"{flight.attempt.endpoint.id}: {failure.message}"
@@ -384,9 +384,9 @@
         self._move(flight, flight.choice, failure.message)
         return True
 
-    def _is_new_run(self, flight: ForwardFlight) -> bool:
+    def _is_suspect_run(self, flight: ForwardFlight) -> bool:
         began_at = flight.run_began_at
-        return began_at is None or self._timers.now - began_at < NEW_RUN_S
+        return began_at is None or self._timers.now - began_at < SUSPECT_RUN_MAX_AGE_S
 
     def _note_failure(self, flight: ForwardFlight, failure: Failure) -> None:
         endpoint = flight.attempt.endpoint
@@ -419,8 +419,8 @@
         return choice if choice and self._take_repeat(flight) else None
 
     def _may_go_on(self, flight: ForwardFlight) -> bool:
-        late = self._timers.now >= flight.deadline - LAST_MOMENT_S
-        if flight.sendings >= MOST_SENDINGS or late:
+        late = self._timers.now >= flight.deadline - MIN_ATTEMPT_S
+        if flight.sendings >= MAX_ATTEMPTS or late:
             return False
         return self._quarantine_error(flight) is None
 
@@ -480,7 +480,7 @@
             self.placement.left(flight.id, flight.attempt.endpoint)
 
     def _answer_error(self, flight: ForwardFlight, exc: RouterError) -> None:
-        if flight.may_have_run and exc.status in RAN_NOT:
+        if flight.may_have_run and exc.status in NOT_RUN_STATUSES:
             exc = RouterError(ErrorKind.ENDPOINT_FAILED, exc.message)
         now = self._timers.now
         if flight.phase is Phase.STREAMING:
--- a/tests/test_platform_answers.py
+++ b/tests/test_platform_answers.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from greengageflow.daemon.forwarder import STALL_S
+from greengageflow.daemon.forwarder import STALL_TIMEOUT_S
 from greengageflow.lab.platform_client import PlatformClient, Torn
 from greengageflow.lab.platform_lab import (
     CHAT,
@@ -202,7 +202,7 @@
     seen = [next(events)]
     engine = lab.replicas["scribe-0"]
     engine.pause()
-    sleep(2 * STALL_S)
+    sleep(2 * STALL_TIMEOUT_S)
     engine.go_on()
     seen.extend(events)
     assert [event.id for event in seen] == list(range(1, 301))
@@ -223,7 +223,7 @@
         lab.replicas[other].kill()
         engine = lab.replicas[run["replica"]]
         engine.pause()
-        sleep(2 * STALL_S)
+        sleep(2 * STALL_TIMEOUT_S)
         engine.go_on()
         seen.extend(events)
         assert [event.id for event in seen] == list(range(1, 301))
