--- a/greengageflow/daemon/dispatch.py
+++ b/greengageflow/daemon/dispatch.py
@@ -185,7 +185,7 @@
 
     def _ask_log(self, flight: Flight) -> None:
         flight.phase = Phase.ASKING
-        flight.hop = self._tracing.start("action", parent=flight.span)
+        flight.stage_span = self._tracing.start("action", parent=flight.span)
         begin = self._control.actions.begin(
             monotonic(), flight.id, flight.action_key, flight.digest, flight.deadline
         )
@@ -198,7 +198,7 @@
             cancel_effects = self._control.actions.cancel(monotonic(), request)
             self._control.run(cancel_effects)
             return
-        self._tracing.finish(flight.hop)
+        self._tracing.finish(flight.stage_span)
         if (exc := self._quarantine_error(flight)) is not None:
             self._refuse(flight, exc)
         else:
@@ -206,8 +206,8 @@
 
     def _queue(self, flight: Flight) -> None:
         flight.phase = Phase.QUEUED
-        flight.queued = monotonic()
-        flight.hop = self._tracing.start("queue", parent=flight.span)
+        flight.queued_at = monotonic()
+        flight.stage_span = self._tracing.start("queue", parent=flight.span)
         waiting = WaitingRequest(
             flight.id,
             flight.account.name,
@@ -216,7 +216,7 @@
             flight.deadline,
             self._prefixes.endpoint(flight.prefix),
         )
-        self._control.run(self._control.entry.submit(flight.queued, waiting))
+        self._control.run(self._control.entry.submit(flight.queued_at, waiting))
 
     def on_refuse(self, refuse: Refuse) -> None:
         """Answer a waiting request with an error."""
@@ -253,7 +253,7 @@
         if flight is None:
             self._give_back(start.grant)
             return
-        self._tracing.finish(flight.hop, endpoint=start.endpoint)
+        self._tracing.finish(flight.stage_span, endpoint=start.endpoint)
         self._notes.started(flight, now)
         flight.grant = start.grant
         flight.endpoint = self._cfg.endpoints.get(start.endpoint)
@@ -282,16 +282,16 @@
 
     def _send(self, flight: Flight, now: float) -> None:
         flight.phase = Phase.RUNNING
-        flight.started = now
+        flight.started_at = now
         flight.attempts += 1
         flight.pieces = 0
-        flight.hop = self._tracing.start(
+        flight.stage_span = self._tracing.start(
             "endpoint",
             parent=flight.span,
             attributes={"endpoint": flight.endpoint.name, "attempt": flight.attempts},
         )
         received = flight.call.traceparent
-        traceparent = self._tracing.traceparent(flight.hop, received)
+        traceparent = self._tracing.traceparent(flight.stage_span, received)
         self._prefixes.record(flight.prefix, flight.endpoint.name)
         self._runs.start(flight, traceparent, self)
 
@@ -388,7 +388,7 @@
         if late or flight.attempts >= MAX_ATTEMPTS or not self.may_send_again():
             self._refuse(flight, exc)
             return
-        self._tracing.finish(flight.hop, error=exc.message)
+        self._tracing.finish(flight.stage_span, error=exc.message)
         self._notes.retried(flight)
         self._queue(flight)
 
@@ -455,7 +455,7 @@
             endpoint = flight.endpoint.name
             if self._control.entry.on_backoff(monotonic(), endpoint, backoff_s):
                 self._notes.backoff(endpoint, backoff_s)
-        seconds = monotonic() - flight.started if flight else 0.0
+        seconds = monotonic() - flight.started_at if flight else 0.0
         if flight:
             flight.grant = ""
         finished = self._control.entry.on_finished(
@@ -469,7 +469,7 @@
 
     def _end(self, flight: Flight, result: str, **attributes: object) -> None:
         self._notes.ended(flight, monotonic())
-        self._tracing.finish(flight.hop)
+        self._tracing.finish(flight.stage_span)
         self._tracing.finish(flight.span, result=result, **attributes)
         self._flights.end(flight, result)
 
--- a/greengageflow/daemon/endpoint_run.py
+++ b/greengageflow/daemon/endpoint_run.py
@@ -50,8 +50,8 @@
         raw = b"".join(piece.raw for piece in pieces)
         reply.piece(raw)
         flight.pieces += len(pieces)
-        if flight.protected and len(flight.kept) <= MAX_STORED_BODY_BYTES:
-            flight.kept += raw
+        if flight.protected and len(flight.streamed_body) <= MAX_STORED_BODY_BYTES:
+            flight.streamed_body += raw
         self._listener.on_progress(flight, len(pieces))
         if reply.blocked:
             reply.on_drain = flight.run.resume
@@ -94,7 +94,7 @@
         listener: RunListener,
     ) -> None:
         endpoint = flight.endpoint
-        flight.kept.clear()
+        flight.streamed_body.clear()
         request = EngineRequest(
             endpoint.host,
             endpoint.port,
@@ -156,7 +156,7 @@
     def recorded(flight: Flight, end: Completed) -> tuple[str, bytes]:
         """Return the content type and body to store for replays of the request."""
         if flight.call.stream:
-            return STREAM_TYPE, bytes(flight.kept) + STREAM_END
+            return STREAM_TYPE, bytes(flight.streamed_body) + STREAM_END
         return JSON_TYPE, end.body
 
 
--- a/greengageflow/daemon/flight.py
+++ b/greengageflow/daemon/flight.py
@@ -47,19 +47,19 @@
     deadline: float
     action_key: str = ""
     prefix: bytes = b""
-    arrived: float = field(default_factory=monotonic)
-    queued: float = 0.0
-    started: float = 0.0
+    arrived_at: float = field(default_factory=monotonic)
+    queued_at: float = 0.0
+    started_at: float = 0.0
     grant: str = ""
     endpoint: Endpoint | None = None
     run: EngineCall | Exchange | None = None
     attempts: int = 0
     pieces: int = 0
     ran: Ran = Ran.NO
-    kept: bytearray = field(default_factory=bytearray)
+    streamed_body: bytearray = field(default_factory=bytearray)
     phase: Phase = Phase.NEW
     span: Span | None = None
-    hop: Span | None = None
+    stage_span: Span | None = None
     _fingerprint: Fingerprint = b""
 
     def describe(self, result: str = "") -> dict[str, object]:
@@ -76,8 +76,8 @@
             "grant": self.grant,
             "attempts": self.attempts,
             "pieces": self.pieces,
-            "waited_s": round(max(0.0, self.started - self.queued), 3),
-            "age_s": round(monotonic() - self.arrived, 3),
+            "waited_s": round(max(0.0, self.started_at - self.queued_at), 3),
+            "age_s": round(monotonic() - self.arrived_at, 3),
         }
 
     @property
--- a/greengageflow/daemon/forward_admission.py
+++ b/greengageflow/daemon/forward_admission.py
@@ -85,7 +85,7 @@
             route=route,
             account=account,
             service=route.pick(self._random),
-            arrived=now,
+            arrived_at=now,
             deadline=now + max(0.0, wait_s - ANSWER_MARGIN_S),
             fingerprint=request_fingerprint(req, account),
             last_event=req.last_event,
@@ -126,14 +126,14 @@
     def _waiter(self, flight: ForwardFlight) -> QueuedRequest:
         prompt = flight.req.prompt
         target_s = flight.route.target_s
-        expires_at = flight.arrived + QUEUE_TARGET_FRACTION * target_s
+        expires_at = flight.arrived_at + QUEUE_TARGET_FRACTION * target_s
         return QueuedRequest(
             flight.id,
             flight.account,
             prompt.work if prompt else DEFAULT_WORK,
             flight.route.priority,
-            flight.arrived,
-            flight.arrived + target_s - self._age_s(flight),
+            flight.arrived_at,
+            flight.arrived_at + target_s - self._age_s(flight),
             min(expires_at, flight.deadline),
         )
 
--- a/greengageflow/daemon/forward_flight.py
+++ b/greengageflow/daemon/forward_flight.py
@@ -32,7 +32,7 @@
         route: Route that matched the request.
         account: Client account of the request's key, or empty.
         service: Service that runs the request.
-        arrived: Time of arrival.
+        arrived_at: Time of arrival.
         deadline: Time by which the final answer is due.
         fingerprint: Identifies the request when its caller sends it again.
 
@@ -40,7 +40,7 @@
         choice: Endpoint choice of the latest attempt, or None.
         may_have_arrived: True if an endpoint may have received the request, even if it
             did not run it.
-        stale_retry_at: Endpoint at which the request was retried because a kept
+        stale_retry_endpoint: Endpoint at which the request was retried because a kept
             connection had ended, or empty.
         run_began_at: Time of the first event of the current attempt, or None.
     """
@@ -52,25 +52,25 @@
     route: Route
     account: str
     service: str
-    arrived: float
+    arrived_at: float
     deadline: float
     fingerprint: Fingerprint
     phase: Phase = Phase.QUEUED
     attempt: EndpointAttempt | None = None
     choice: Choice | None = None
     may_have_arrived: bool = False
-    stale_retry_at: str = ""
+    stale_retry_endpoint: str = ""
     runs: int = 0
-    sendings: int = 0
+    attempt_count: int = 0
     may_have_run: bool = False
     avoid: set[str] = field(default_factory=set)
     pieces: int = 0
-    predicted_s: float = 0.0
+    predicted_wait_s: float = 0.0
     first_sent_at: float = 0.0
     first_event_at: float | None = None
     run_began_at: float | None = None
     last_event: int | None = None
-    moved_at: float = 0.0
+    last_progress_at: float = 0.0
     longest_pause_s: float = 0.0
     timer: Subscription | None = None
 
@@ -80,6 +80,6 @@
         return self.route.retry_policy is not RetryPolicy.ONCE
 
     @property
-    def runs_left(self) -> bool:
+    def has_runs_left(self) -> bool:
         """Whether the route allows one more run."""
         return self.runs < self.route.attempts
--- a/greengageflow/daemon/forward_notes.py
+++ b/greengageflow/daemon/forward_notes.py
@@ -60,7 +60,7 @@
     ) -> None:
         """Record that a request is first sent, as decided by the host ``placer``."""
         self._page.observe(
-            PageMetric.WAITING_TIME, now - flight.arrived, flight.service
+            PageMetric.WAITING_TIME, now - flight.arrived_at, flight.service
         )
         self._log.write(
             DecisionEvent.SENT,
@@ -72,7 +72,7 @@
             fetch_from=choice.fetch_from.id if choice.fetch_from else "",
             prompt=flight.req.prompt.tokens_in if flight.req.prompt else 0,
             reading=round(choice.reading),
-            waited_ms=_ms(now - flight.arrived),
+            waited_ms=_ms(now - flight.arrived_at),
             predicted_ms=_ms(choice.wait_s),
             placer=placer,
             **self._inputs(now, flight),
@@ -124,7 +124,7 @@
     def first_event(self, now: float, flight: ForwardFlight) -> None:
         """Record the time to the first event of a stream."""
         self._page.observe(
-            PageMetric.FIRST_EVENT_TIME, now - flight.arrived, flight.service
+            PageMetric.FIRST_EVENT_TIME, now - flight.arrived_at, flight.service
         )
 
     def pause(self, flight: ForwardFlight) -> None:
@@ -137,29 +137,29 @@
         """Record a complete answer, and whether it met the route's objective."""
         self._page.count(PageMetric.REQUESTS, "answered")
         first_at = flight.first_event_at or now
-        took_s = first_at - flight.arrived
+        took_s = first_at - flight.arrived_at
         late = took_s > flight.route.target_s
         fields: dict[str, int | str] = {
             "request": flight.req.id,
             "endpoint": flight.attempt.endpoint.id,
             "status": status,
             "first_ms": _ms(took_s),
-            "total_ms": _ms(now - flight.arrived),
+            "total_ms": _ms(now - flight.arrived_at),
         }
         if not late:
             self._log.write(DecisionEvent.FINISHED, **fields)
             return
         self._log.write(
             DecisionEvent.FINISHED_LATE,
-            waited_ms=_ms(flight.first_sent_at - flight.arrived),
-            predicted_ms=_ms(flight.predicted_s),
+            waited_ms=_ms(flight.first_sent_at - flight.arrived_at),
+            predicted_ms=_ms(flight.predicted_wait_s),
             objective_ms=_ms(flight.route.target_s),
             **fields,
         )
 
     def refused(self, now: float, flight: ForwardFlight, exc: RouterError) -> None:
         """Record a request that is answered with an error."""
-        if flight.sendings and exc.ran is not Ran.NO:
+        if flight.attempt_count and exc.ran is not Ran.NO:
             self._failed(now, flight, exc)
             return
         self._refusal(exc)
@@ -172,7 +172,7 @@
             why=exc.kind.value,
             text=exc.message,
             retry_after_ms=_ms(exc.retry_after_s or 0.0),
-            waited_ms=_ms(now - flight.arrived),
+            waited_ms=_ms(now - flight.arrived_at),
             **self._inputs(now, flight),
         )
 
@@ -189,7 +189,7 @@
             status=exc.status,
             why=exc.message,
             ran=exc.ran.value,
-            total_ms=_ms(now - flight.arrived),
+            total_ms=_ms(now - flight.arrived_at),
         )
 
     def cut(self, now: float, flight: ForwardFlight, why: str) -> None:
@@ -202,7 +202,7 @@
             why=why,
             pieces=flight.pieces,
             ran=Ran.YES.value,
-            total_ms=_ms(now - flight.arrived),
+            total_ms=_ms(now - flight.arrived_at),
         )
 
     def caller_left(self, now: float, flight: ForwardFlight) -> None:
@@ -213,7 +213,7 @@
             request=flight.req.id,
             endpoint=flight.attempt.endpoint.id if flight.attempt else "",
             stage=flight.phase.name.lower(),
-            total_ms=_ms(now - flight.arrived),
+            total_ms=_ms(now - flight.arrived_at),
         )
 
     def backoff(self, endpoint: ListedEndpoint, seconds: float) -> None:
--- a/greengageflow/daemon/forward_sending.py
+++ b/greengageflow/daemon/forward_sending.py
@@ -27,13 +27,13 @@
         connect_timeout_s=CONNECT_TIMEOUT_S,
         idle_timeout_s=max(MIN_ATTEMPT_S, flight.deadline - now),
         retry_stale=False,
-        reuse_s=0.0 if flight.stale_retry_at else reuse_s,
+        reuse_s=0.0 if flight.stale_retry_endpoint else reuse_s,
     )
 
 
 def with_earlier(flight: ForwardFlight, failure: Failure) -> Failure:
     """Return a failure that counts as sent if a stale retry sent the request before."""
-    again = flight.stale_retry_at == flight.attempt.endpoint.id
+    again = flight.stale_retry_endpoint == flight.attempt.endpoint.id
     return replace(failure, sent=failure.sent or again)
 
 
@@ -58,4 +58,4 @@
         return False
     if flight.runs + 1 >= flight.route.attempts or flight.reply.blocked:
         return False
-    return now - flight.moved_at > STALL_TIMEOUT_S
+    return now - flight.last_progress_at > STALL_TIMEOUT_S
--- a/greengageflow/daemon/forwarder.py
+++ b/greengageflow/daemon/forwarder.py
@@ -132,11 +132,13 @@
             return
         self._flights[flight.id] = flight
         self._by_call[flight.call_key] = flight
-        left_s = flight.deadline - flight.arrived
+        left_s = flight.deadline - flight.arrived_at
         flight.timer = self._timers.after(left_s, lambda: self._on_deadline(flight))
         job = self._admission.job(flight)
         self.carry_out(
-            self.placement.submit(flight.arrived, flight.service, job, flight.account)
+            self.placement.submit(
+                flight.arrived_at, flight.service, job, flight.account
+            )
         )
 
     def _quarantine_error(self, flight: ForwardFlight) -> RouterError | None:
@@ -196,15 +198,15 @@
         now = self._timers.now
         flight.phase = Phase.SENT
         flight.first_sent_at = now
-        flight.predicted_s = choice.wait_s
+        flight.predicted_wait_s = choice.wait_s
         self._notes.sent(now, flight, choice, self.placement.placer(flight.id))
         self._send(flight, choice)
 
     def _send(self, flight: ForwardFlight, choice: Choice) -> None:
         now = self._timers.now
-        flight.sendings += 1
+        flight.attempt_count += 1
         flight.choice = choice
-        flight.moved_at = now
+        flight.last_progress_at = now
         flight.run_began_at = None
         self.placement.sent(now, flight.id, choice, flight.req.prompt)
         request = outgoing(
@@ -248,8 +250,10 @@
             self._notes.first_event(now, flight)
             flight.reply.begin(attempt.head.status, headers_for_caller(attempt.head))
         else:
-            flight.longest_pause_s = max(flight.longest_pause_s, now - flight.moved_at)
-        flight.moved_at = now
+            flight.longest_pause_s = max(
+                flight.longest_pause_s, now - flight.last_progress_at
+            )
+        flight.last_progress_at = now
         flight.reply.piece(b"".join(fresh(flight, frames)))
         if flight.reply.blocked:
             attempt.pause()
@@ -273,7 +277,9 @@
             self.crashes.on_good_answer(flight.fingerprint)
         if not spoiled and note.status < 500:
             self._answer(flight, body)
-        elif flight.repeatable and flight.runs_left and self._go_on(flight, "failed"):
+        elif (
+            flight.repeatable and flight.has_runs_left and self._go_on(flight, "failed")
+        ):
             return
         elif spoiled:
             text = "the endpoint sent an invalid answer"
@@ -298,11 +304,11 @@
         """Schedule a retry for the end of a backoff if the request can wait for it."""
         now = self._timers.now
         wait_s = self._book.backoff_s(now, flight.service)
-        until = flight.arrived + QUEUE_TARGET_FRACTION * flight.route.target_s
+        until = flight.arrived_at + QUEUE_TARGET_FRACTION * flight.route.target_s
         if flight.phase is Phase.STREAMING:
-            until = flight.moved_at + STALL_TIMEOUT_S
+            until = flight.last_progress_at + STALL_TIMEOUT_S
         late = now + wait_s > min(until, flight.deadline)
-        if not wait_s or late or flight.sendings >= MAX_ATTEMPTS:
+        if not wait_s or late or flight.attempt_count >= MAX_ATTEMPTS:
             return False
         self._timers.after(wait_s, lambda: self._after_backoff(flight, exc))
         return True
@@ -359,7 +365,7 @@
             self.crashes.on_cut(flight.attempt.endpoint, flight.fingerprint)
         self._note_failure(flight, failure)
         text = f"{flight.attempt.endpoint.id}: {failure.message}"
-        if not failure.sent or (flight.repeatable and flight.runs_left):
+        if not failure.sent or (flight.repeatable and flight.has_runs_left):
             ran = Ran.UNKNOWN if flight.may_have_run else Ran.NO
             kind = ErrorKind.ENDPOINT_CUT if failure.sent else ErrorKind.NO_ENDPOINT
             self._try_again(flight, RouterError(kind, text, ran=ran))
@@ -373,13 +379,13 @@
         have received the request, so the retry counts against the retry budget.
         """
         endpoint = flight.attempt.endpoint
-        allowed = flight.repeatable and flight.stale_retry_at != endpoint.id
+        allowed = flight.repeatable and flight.stale_retry_endpoint != endpoint.id
         if not allowed or not self._book.is_available(self._timers.now, endpoint):
             return False
         if not self._may_go_on(flight) or not self._take_repeat(flight):
             return False
         flight.may_have_run = True
-        flight.stale_retry_at = endpoint.id
+        flight.stale_retry_endpoint = endpoint.id
         self.placement.left(flight.id, endpoint)
         self._move(flight, flight.choice, failure.message)
         return True
@@ -420,7 +426,7 @@
 
     def _may_go_on(self, flight: ForwardFlight) -> bool:
         late = self._timers.now >= flight.deadline - MIN_ATTEMPT_S
-        if flight.sendings >= MAX_ATTEMPTS or late:
+        if flight.attempt_count >= MAX_ATTEMPTS or late:
             return False
         return self._quarantine_error(flight) is None
 
--- a/greengageflow/daemon/request_notes.py
+++ b/greengageflow/daemon/request_notes.py
@@ -24,7 +24,7 @@
     def started(self, flight: Flight, now: float) -> None:
         """Record that a request was granted a slot, and its time in the queue."""
         pool = flight.pool.name
-        self._metrics.timing(Metric.QUEUE_TIME, now - flight.arrived, pool)
+        self._metrics.timing(Metric.QUEUE_TIME, now - flight.arrived_at, pool)
 
     def retried(self, flight: Flight) -> None:
         """Record that a request is queued again for a retry."""
@@ -35,7 +35,7 @@
         """Record a stream's time to first piece, resumptions and dropped pieces."""
         endpoint = flight.endpoint.name
         if run.first_piece_s is not None:
-            first_s = flight.started - flight.arrived + run.first_piece_s
+            first_s = flight.started_at - flight.arrived_at + run.first_piece_s
             self._metrics.timing(Metric.FIRST_PIECE, first_s, flight.pool.name)
         if run.resumed:
             log(
@@ -96,4 +96,4 @@
     def ended(self, flight: Flight, now: float) -> None:
         """Record the end of a request and its total time."""
         pool = flight.pool.name
-        self._metrics.timing(Metric.REQUEST_TIME, now - flight.arrived, pool)
+        self._metrics.timing(Metric.REQUEST_TIME, now - flight.arrived_at, pool)
