--- a/greengageflow/daemon/dispatch.py
+++ b/greengageflow/daemon/dispatch.py
@@ -16,7 +16,7 @@
 from greengageflow.daemon.endpoint_run import EndpointRuns, RunEnd
 from greengageflow.daemon.flight import Flight, Phase
 from greengageflow.daemon.flights import Flights
-from greengageflow.daemon.request_notes import RequestNotes
+from greengageflow.daemon.request_telemetry import RequestTelemetry
 from greengageflow.daemon.status import StatusSource
 from greengageflow.errors import ErrorKind, Ran, RouterError
 from greengageflow.metrics import Metrics
@@ -80,7 +80,7 @@
         self._control = control
         self._runs = runs
         self._tracing = tracing
-        self._notes = RequestNotes(metrics)
+        self._telemetry = RequestTelemetry(metrics)
         self._status = status
         self._quarantine = quarantine
         self._on_leaving = on_leaving
@@ -126,11 +126,11 @@
             if not flight.protected:
                 self._check_quarantine(flight)
         except RouterError as exc:
-            self._notes.refused(exc)
+            self._telemetry.on_refused(exc)
             call.reply.error(exc)
             return
         self._flights.add(flight)
-        self._notes.arrived(flight)
+        self._telemetry.on_admitted(flight)
         flight.span = self._tracing.start(
             "caller",
             traceparent=call.traceparent,
@@ -243,7 +243,7 @@
             ("Idempotent-Replayed", "true"),
         )
         flight.call.reply.raw(replay.status, headers, replay.body)
-        self._notes.replayed()
+        self._telemetry.on_replayed()
         self._end(flight, "replayed")
 
     def on_start(self, start: Start) -> None:
@@ -254,7 +254,7 @@
             self._give_back(start.grant)
             return
         self._tracing.finish(flight.stage_span, endpoint=start.endpoint)
-        self._notes.started(flight, now)
+        self._telemetry.on_started(flight, now)
         flight.grant = start.grant
         flight.endpoint = self._cfg.endpoints.get(start.endpoint)
         grant_span = self._tracing.start("grant", parent=flight.span)
@@ -313,7 +313,7 @@
     def on_run_end(self, flight: Flight, end: RunEnd) -> None:
         """Answer or retry the request, depending on how its run ended."""
         if isinstance(flight.run, EngineCall):
-            self._notes.stream(flight, flight.run)
+            self._telemetry.on_stream_end(flight, flight.run)
             self._note_leaving(flight)
         match end:
             case Completed():
@@ -343,7 +343,7 @@
         self._runs.answer_completed(flight, end)
         content_type, body = self._runs.recorded(flight, end)
         self._record(flight, Ran.YES, 200, content_type, body)
-        self._notes.answered(flight, served)
+        self._telemetry.on_answered(flight, served)
         self._end(flight, "complete", tokens=served)
 
     def _answer(self, flight: Flight, end: ServiceAnswer) -> None:
@@ -357,12 +357,12 @@
         headers = (*end.headers, ("X-Request-Id", flight.wire_id))
         flight.call.reply.raw(end.status, headers, end.body)
         self._record(flight, Ran.YES, end.status, end.content_type, end.body)
-        self._notes.answered(flight, flight.cost)
+        self._telemetry.on_answered(flight, flight.cost)
         self._end(flight, "complete", status=end.status)
 
     def _cut(self, flight: Flight, end: Cut) -> None:
         self._give_back(flight.grant, flight, served=float(flight.pieces), failed=True)
-        self._notes.cut(flight)
+        self._telemetry.on_cut(flight)
         if end.lost and _is_suspect_run(flight):
             self.crashes.on_cut(_endpoint_start(flight.endpoint), flight.fingerprint)
         text = f"endpoint {flight.endpoint.name}: {end.message}"
@@ -389,12 +389,12 @@
             self._refuse(flight, exc)
             return
         self._tracing.finish(flight.stage_span, error=exc.message)
-        self._notes.retried(flight)
+        self._telemetry.on_retry(flight)
         self._queue(flight)
 
     def _refuse_sent(self, flight: Flight, exc: RouterError) -> None:
         if exc.ran is not Ran.NO:
-            self._notes.unknown(flight)
+            self._telemetry.on_outcome_unknown(flight)
             self._record(flight, exc.ran)
         elif flight.protected:
             ended = self._control.actions.on_ended(monotonic(), flight.id, Ran.NO)
@@ -411,7 +411,7 @@
             exc = RouterError(
                 exc.kind, exc.message, ran=flight.ran, retry_after_s=exc.retry_after_s
             )
-        self._notes.refused(exc, flight)
+        self._telemetry.on_refused(exc, flight)
         headers = [("X-Request-Id", flight.wire_id)]
         flight.call.reply.error(exc, headers)
         self._end(flight, exc.kind.value)
@@ -454,7 +454,7 @@
         if flight and backoff_s:
             endpoint = flight.endpoint.name
             if self._control.entry.on_backoff(monotonic(), endpoint, backoff_s):
-                self._notes.backoff(endpoint, backoff_s)
+                self._telemetry.on_backoff(endpoint, backoff_s)
         seconds = monotonic() - flight.started_at if flight else 0.0
         if flight:
             flight.grant = ""
@@ -468,7 +468,7 @@
         self._give_back(flight.grant, flight, served=float(flight.pieces))
 
     def _end(self, flight: Flight, result: str, **attributes: object) -> None:
-        self._notes.ended(flight, monotonic())
+        self._telemetry.on_ended(flight, monotonic())
         self._tracing.finish(flight.stage_span)
         self._tracing.finish(flight.span, result=result, **attributes)
         self._flights.end(flight, result)
--- a/greengageflow/daemon/forward_notes.py
+++ b/greengageflow/daemon/forward_telemetry.py
@@ -19,32 +19,32 @@
     return round(1000 * seconds)
 
 
-class ForwardNotes:
+class ForwardTelemetry:
     """Writes log lines and metrics for each decision on a request.
 
     Args:
         log: Decision log.
         page: Metrics page.
-        book: Source of the queue lengths, usage and budget figures in log lines.
+        dispatcher: Source of the queue lengths, usage and budget figures in log lines.
 
     Attributes:
-        config: Version of the configuration in use.
+        config_version: Version of the configuration in use.
         totals_at: Time of the last fleet totals.
     """
 
     def __init__(
-        self, log: DecisionLog, page: MetricsPage, book: ServiceDispatcher
+        self, log: DecisionLog, page: MetricsPage, dispatcher: ServiceDispatcher
     ) -> None:
-        self.config = 0
+        self.config_version = 0
         self.totals_at = 0.0
         self._log = log
         self._page = page
-        self._book = book
+        self._dispatcher = dispatcher
         self._out_of_budget_at: dict[str, float] = {}
 
-    def turned_away(self, req: ForwardRequest, exc: RouterError) -> None:
+    def on_not_admitted(self, req: ForwardRequest, exc: RouterError) -> None:
         """Record a request that was refused at admission."""
-        self._refusal(exc)
+        self._count_refusal(exc)
         self._log.write(
             DecisionEvent.REFUSED,
             request=req.id,
@@ -52,10 +52,10 @@
             why=exc.kind.value,
             text=exc.message,
             retry_after_ms=_ms(exc.retry_after_s or 0.0),
-            config=self.config,
+            config=self.config_version,
         )
 
-    def sent(
+    def on_sent(
         self, now: float, flight: ForwardFlight, choice: Choice, placer: str
     ) -> None:
         """Record that a request is first sent, as decided by the host ``placer``."""
@@ -75,18 +75,18 @@
             waited_ms=_ms(now - flight.arrived_at),
             predicted_ms=_ms(choice.wait_s),
             placer=placer,
-            **self._inputs(now, flight),
+            **self._decision_inputs(now, flight),
         )
 
-    def _inputs(self, now: float, flight: ForwardFlight) -> dict[str, int]:
+    def _decision_inputs(self, now: float, flight: ForwardFlight) -> dict[str, int]:
         return {
-            "queued": self._book.queue_length(flight.service),
-            "level": int(self._book.recent_usage(flight.service, flight.account)),
+            "queued": self._dispatcher.queue_length(flight.service),
+            "level": int(self._dispatcher.recent_usage(flight.service, flight.account)),
             "report_age_ms": _ms(now - self.totals_at),
-            "config": self.config,
+            "config": self.config_version,
         }
 
-    def sent_again(
+    def on_retry(
         self, flight: ForwardFlight, before: str, choice: Choice, why: str
     ) -> None:
         """Record a retry or a resumption of a request."""
@@ -94,25 +94,25 @@
         event = DecisionEvent.RESUMED if streaming else DecisionEvent.RETRIED
         metric = PageMetric.RESUMED if streaming else PageMetric.RETRIES
         self._page.count(metric, flight.service)
-        more = {"pieces": flight.pieces} if streaming else {}
+        stream_fields = {"pieces": flight.pieces} if streaming else {}
         self._log.write(
             event,
             request=flight.req.id,
             before=before,
             endpoint=choice.endpoint.id,
             why=why,
-            config=self.config,
-            **more,
+            config=self.config_version,
+            **stream_fields,
         )
 
-    def out_of_budget(self, now: float, service: str) -> None:
+    def on_budget_exhausted(self, now: float, service: str) -> None:
         """Record a retry that was refused as the retry budget is exhausted."""
         self._page.count(PageMetric.REPEATS_REFUSED, service)
         before = self._out_of_budget_at.get(service, float("-inf"))
         if now - before < OUT_OF_BUDGET_LOG_INTERVAL_S:
             return
         self._out_of_budget_at[service] = now
-        use = self._book.budget_usage(now, service)
+        use = self._dispatcher.budget_usage(now, service)
         self._log.write(
             DecisionEvent.OUT_OF_BUDGET,
             service=service,
@@ -121,29 +121,29 @@
             hosts=use.hosts,
         )
 
-    def first_event(self, now: float, flight: ForwardFlight) -> None:
+    def on_first_event(self, now: float, flight: ForwardFlight) -> None:
         """Record the time to the first event of a stream."""
         self._page.observe(
             PageMetric.FIRST_EVENT_TIME, now - flight.arrived_at, flight.service
         )
 
-    def pause(self, flight: ForwardFlight) -> None:
+    def record_longest_pause(self, flight: ForwardFlight) -> None:
         """Record the longest time between two events of a stream that has ended."""
         self._page.observe(
             PageMetric.PAUSE_TIME, flight.longest_pause_s, flight.service
         )
 
-    def finished(self, now: float, flight: ForwardFlight, status: int) -> None:
+    def on_finished(self, now: float, flight: ForwardFlight, status: int) -> None:
         """Record a complete answer, and whether it met the route's objective."""
         self._page.count(PageMetric.REQUESTS, "answered")
         first_at = flight.first_event_at or now
-        took_s = first_at - flight.arrived_at
-        late = took_s > flight.route.target_s
+        first_event_s = first_at - flight.arrived_at
+        late = first_event_s > flight.route.target_s
         fields: dict[str, int | str] = {
             "request": flight.req.id,
             "endpoint": flight.attempt.endpoint.id,
             "status": status,
-            "first_ms": _ms(took_s),
+            "first_ms": _ms(first_event_s),
             "total_ms": _ms(now - flight.arrived_at),
         }
         if not late:
@@ -157,12 +157,12 @@
             **fields,
         )
 
-    def refused(self, now: float, flight: ForwardFlight, exc: RouterError) -> None:
+    def on_refused(self, now: float, flight: ForwardFlight, exc: RouterError) -> None:
         """Record a request that is answered with an error."""
         if flight.attempt_count and exc.ran is not Ran.NO:
-            self._failed(now, flight, exc)
+            self._on_failed(now, flight, exc)
             return
-        self._refusal(exc)
+        self._count_refusal(exc)
         self._log.write(
             DecisionEvent.REFUSED,
             request=flight.req.id,
@@ -173,14 +173,14 @@
             text=exc.message,
             retry_after_ms=_ms(exc.retry_after_s or 0.0),
             waited_ms=_ms(now - flight.arrived_at),
-            **self._inputs(now, flight),
+            **self._decision_inputs(now, flight),
         )
 
-    def _refusal(self, exc: RouterError) -> None:
+    def _count_refusal(self, exc: RouterError) -> None:
         self._page.count(PageMetric.REQUESTS, "refused")
         self._page.count(PageMetric.REFUSALS, exc.kind.value)
 
-    def _failed(self, now: float, flight: ForwardFlight, exc: RouterError) -> None:
+    def _on_failed(self, now: float, flight: ForwardFlight, exc: RouterError) -> None:
         self._page.count(PageMetric.REQUESTS, "failed")
         self._log.write(
             DecisionEvent.FAILED,
@@ -192,7 +192,7 @@
             total_ms=_ms(now - flight.arrived_at),
         )
 
-    def cut(self, now: float, flight: ForwardFlight, why: str) -> None:
+    def on_cut(self, now: float, flight: ForwardFlight, why: str) -> None:
         """Record a stream that was cut off at its caller."""
         self._page.count(PageMetric.REQUESTS, "cut")
         self._log.write(
@@ -205,7 +205,7 @@
             total_ms=_ms(now - flight.arrived_at),
         )
 
-    def caller_left(self, now: float, flight: ForwardFlight) -> None:
+    def on_caller_left(self, now: float, flight: ForwardFlight) -> None:
         """Record a caller that disconnected before its answer was complete."""
         self._page.count(PageMetric.CANCELLED, flight.service)
         self._log.write(
@@ -216,20 +216,22 @@
             total_ms=_ms(now - flight.arrived_at),
         )
 
-    def backoff(self, endpoint: ListedEndpoint, seconds: float) -> None:
+    def on_backoff(self, endpoint: ListedEndpoint, seconds: float) -> None:
         """Record that an endpoint asked for a backoff."""
         self._page.count(PageMetric.BACKOFFS, endpoint.service)
         self._log.write(
             DecisionEvent.ENDPOINT_BACKOFF, endpoint=endpoint.id, for_ms=_ms(seconds)
         )
 
-    def suspect(self, flight: ForwardFlight, why: str, rests: bool) -> None:
+    def on_endpoint_failure(
+        self, flight: ForwardFlight, why: str, suspended: bool
+    ) -> None:
         """Record that an endpoint failed to answer; logged only if suspended."""
         self._page.count(PageMetric.ENDPOINT_FAILURES, flight.service)
-        if rests:
+        if suspended:
             self._log.write(
                 DecisionEvent.ENDPOINT_SUSPECT,
                 endpoint=flight.attempt.endpoint.id,
                 why=why,
-                failures=self._book.consecutive_failures(flight.attempt.endpoint),
+                failures=self._dispatcher.consecutive_failures(flight.attempt.endpoint),
             )
--- a/greengageflow/daemon/forwarder.py
+++ b/greengageflow/daemon/forwarder.py
@@ -16,7 +16,6 @@
 from greengageflow.daemon.crash_watch import CrashWatch
 from greengageflow.daemon.forward_admission import ForwardAdmission
 from greengageflow.daemon.forward_flight import ForwardFlight, Phase
-from greengageflow.daemon.forward_notes import ForwardNotes
 from greengageflow.daemon.forward_sending import (
     MIN_ATTEMPT_S,
     STALL_TIMEOUT_S,
@@ -25,6 +24,7 @@
     stalls,
     with_earlier,
 )
+from greengageflow.daemon.forward_telemetry import ForwardTelemetry
 from greengageflow.daemon.leaving_watch import LeavingWatch
 from greengageflow.daemon.placement import Placement
 from greengageflow.errors import ErrorKind, Ran, RouterError
@@ -56,9 +56,9 @@
         pool: Sends requests to endpoints.
         timers: Timer service.
         endpoints: Listed endpoints.
-        book: Schedules requests and chooses their endpoints.
+        dispatcher: Schedules requests and chooses their endpoints.
         admission: Finds routes and accounts.
-        notes: Writes log lines and metrics.
+        telemetry: Writes log lines and metrics.
         quarantine: Requests that must not be sent to any endpoint.
 
     Attributes:
@@ -79,9 +79,9 @@
         pool: HttpPool,
         timers: Timers,
         endpoints: EndpointList,
-        book: ServiceDispatcher,
+        dispatcher: ServiceDispatcher,
         admission: ForwardAdmission,
-        notes: ForwardNotes,
+        telemetry: ForwardTelemetry,
         quarantine: Quarantine,
     ) -> None:
         self.stopping = False
@@ -89,9 +89,9 @@
         self._pool = pool
         self._timers = timers
         self._endpoints = endpoints
-        self._book = book
+        self._dispatcher = dispatcher
         self._admission = admission
-        self._notes = notes
+        self._telemetry = telemetry
         self._quarantine = quarantine
         self._flights: dict[str, ForwardFlight] = {}
         self._by_call: dict[int, ForwardFlight] = {}
@@ -104,8 +104,8 @@
     def on_routing(self, routing: Routing) -> None:
         """Apply a new configuration."""
         self._admission.on_routing(routing)
-        self._book.on_routing(routing)
-        self._notes.config = routing.version
+        self._dispatcher.on_routing(routing)
+        self._telemetry.config_version = routing.version
 
     # Calls.
 
@@ -123,11 +123,11 @@
                 raise RouterError(ErrorKind.STOPPING, text, retry_after_s=0.0)
             flight = self._admission.admit(call)
         except RouterError as exc:
-            self._notes.turned_away(call.request, exc)
+            self._telemetry.on_not_admitted(call.request, exc)
             call.reply.error(exc)
             return
         if (exc := self._quarantine_error(flight)) is not None:
-            self._notes.refused(self._timers.now, flight, exc)
+            self._telemetry.on_refused(self._timers.now, flight, exc)
             call.reply.error(exc)
             return
         self._flights[flight.id] = flight
@@ -172,7 +172,7 @@
         if flight is None:
             return
         self._stop_attempt(flight)
-        self._notes.caller_left(self._timers.now, flight)
+        self._telemetry.on_caller_left(self._timers.now, flight)
         self._end(flight)
 
     # Decisions.
@@ -199,7 +199,7 @@
         flight.phase = Phase.SENT
         flight.first_sent_at = now
         flight.predicted_wait_s = choice.wait_s
-        self._notes.sent(now, flight, choice, self.placement.placer(flight.id))
+        self._telemetry.on_sent(now, flight, choice, self.placement.placer(flight.id))
         self._send(flight, choice)
 
     def _send(self, flight: ForwardFlight, choice: Choice) -> None:
@@ -247,7 +247,7 @@
         if flight.phase is not Phase.STREAMING:
             flight.phase = Phase.STREAMING
             flight.first_event_at = now
-            self._notes.first_event(now, flight)
+            self._telemetry.on_first_event(now, flight)
             flight.reply.begin(attempt.head.status, headers_for_caller(attempt.head))
         else:
             flight.longest_pause_s = max(
@@ -303,7 +303,7 @@
     def _wait_out(self, flight: ForwardFlight, exc: RouterError) -> bool:
         """Schedule a retry for the end of a backoff if the request can wait for it."""
         now = self._timers.now
-        wait_s = self._book.backoff_s(now, flight.service)
+        wait_s = self._dispatcher.backoff_s(now, flight.service)
         until = flight.arrived_at + QUEUE_TARGET_FRACTION * flight.route.target_s
         if flight.phase is Phase.STREAMING:
             until = flight.last_progress_at + STALL_TIMEOUT_S
@@ -319,25 +319,25 @@
 
     def _on_backoff(self, endpoint: ListedEndpoint, seconds: float) -> None:
         now = self._timers.now
-        if self._book.on_backoff(now, endpoint, seconds):
-            self._notes.backoff(endpoint, seconds)
-            self.carry_out(self._book.pump(now))
+        if self._dispatcher.on_backoff(now, endpoint, seconds):
+            self._telemetry.on_backoff(endpoint, seconds)
+            self.carry_out(self._dispatcher.pump(now))
 
     def _not_taken(self, flight: ForwardFlight, status: int) -> RouterError:
         text = f"{flight.attempt.endpoint.id} rejected the request with status {status}"
-        wait_s = self._book.backoff_s(self._timers.now, flight.service)
+        wait_s = self._dispatcher.backoff_s(self._timers.now, flight.service)
         return RouterError(ErrorKind.QUEUE_FULL, text, retry_after_s=wait_s or None)
 
     def _answer(self, flight: ForwardFlight, body: bytes) -> None:
         head = flight.attempt.head
         now = self._timers.now
         if flight.phase is Phase.STREAMING:
-            self._notes.cut(
+            self._telemetry.on_cut(
                 now, flight, f"resumption answered with status {head.status}"
             )
             flight.reply.abort()
         else:
-            self._notes.finished(now, flight, head.status)
+            self._telemetry.on_finished(now, flight, head.status)
             flight.reply.raw(head.status, headers_for_caller(head), body)
         self._end(flight)
 
@@ -349,8 +349,8 @@
         if flight.phase is not Phase.STREAMING:
             flight.reply.begin(head.status, headers_for_caller(head))
         else:
-            self._notes.pause(flight)
-        self._notes.finished(self._timers.now, flight, head.status)
+            self._telemetry.record_longest_pause(flight)
+        self._telemetry.on_finished(self._timers.now, flight, head.status)
         flight.reply.finish()
         self._end(flight)
 
@@ -363,7 +363,7 @@
         flight.avoid.add(flight.attempt.endpoint.id)
         if failure.lost and self._is_suspect_run(flight):
             self.crashes.on_cut(flight.attempt.endpoint, flight.fingerprint)
-        self._note_failure(flight, failure)
+        self._on_attempt_failed(flight, failure)
         text = f"{flight.attempt.endpoint.id}: {failure.message}"
         if not failure.sent or (flight.repeatable and flight.has_runs_left):
             ran = Ran.UNKNOWN if flight.may_have_run else Ran.NO
@@ -380,7 +380,7 @@
         """
         endpoint = flight.attempt.endpoint
         allowed = flight.repeatable and flight.stale_retry_endpoint != endpoint.id
-        if not allowed or not self._book.is_available(self._timers.now, endpoint):
+        if not allowed or not self._dispatcher.is_available(self._timers.now, endpoint):
             return False
         if not self._may_go_on(flight) or not self._take_repeat(flight):
             return False
@@ -394,11 +394,11 @@
         began_at = flight.run_began_at
         return began_at is None or self._timers.now - began_at < SUSPECT_RUN_MAX_AGE_S
 
-    def _note_failure(self, flight: ForwardFlight, failure: Failure) -> None:
+    def _on_attempt_failed(self, flight: ForwardFlight, failure: Failure) -> None:
         endpoint = flight.attempt.endpoint
-        rests = self.placement.silent(self._timers.now, flight.id, endpoint)
+        suspended = self.placement.silent(self._timers.now, flight.id, endpoint)
         self.placement.left(flight.id, endpoint)
-        self._notes.suspect(flight, failure.message, rests)
+        self._telemetry.on_endpoint_failure(flight, failure.message, suspended)
         if failure.sent:
             flight.may_have_run = True
             flight.runs += 1
@@ -419,7 +419,7 @@
         if not self._may_go_on(flight):
             return None
         now = self._timers.now
-        choice = self._book.choose_retry_endpoint(
+        choice = self._dispatcher.choose_retry_endpoint(
             now, flight.service, flight.req.prompt, avoid
         )
         return choice if choice and self._take_repeat(flight) else None
@@ -434,13 +434,13 @@
         if not flight.may_have_arrived:
             return True
         now = self._timers.now
-        if self._book.take_retry(now, flight.service):
+        if self._dispatcher.take_retry(now, flight.service):
             return True
-        self._notes.out_of_budget(now, flight.service)
+        self._telemetry.on_budget_exhausted(now, flight.service)
         return False
 
     def _move(self, flight: ForwardFlight, choice: Choice, why: str) -> None:
-        self._notes.sent_again(flight, flight.attempt.endpoint.id, choice, why)
+        self._telemetry.on_retry(flight, flight.attempt.endpoint.id, choice, why)
         self._send(flight, choice)
 
     def _leave_stalled(self, flight: ForwardFlight) -> None:
@@ -454,7 +454,7 @@
             return
         flight.attempt.cancel()
         failure = Failure(FailureKind.TIMEOUT, True, "the stream stalled")
-        self._note_failure(flight, failure)
+        self._on_attempt_failed(flight, failure)
         self._move(flight, choice, failure.message)
 
     # Final answers and cleanup.
@@ -478,7 +478,7 @@
         now = self._timers.now
         for flight in [f for f in self._flights.values() if stalls(f, now)]:
             self._leave_stalled(flight)
-        self.carry_out(self._book.pump(now))
+        self.carry_out(self._dispatcher.pump(now))
 
     def _stop_attempt(self, flight: ForwardFlight) -> None:
         if flight.attempt is not None:
@@ -490,10 +490,10 @@
             exc = RouterError(ErrorKind.ENDPOINT_FAILED, exc.message)
         now = self._timers.now
         if flight.phase is Phase.STREAMING:
-            self._notes.cut(now, flight, exc.message)
+            self._telemetry.on_cut(now, flight, exc.message)
             flight.reply.abort()
         else:
-            self._notes.refused(now, flight, exc)
+            self._telemetry.on_refused(now, flight, exc)
             flight.reply.error(exc)
         self._end(flight)
 
--- a/greengageflow/daemon/gateway.py
+++ b/greengageflow/daemon/gateway.py
@@ -26,7 +26,7 @@
 from greengageflow.daemon.exchange_listener import Placed
 from greengageflow.daemon.fleet_exchange import FleetExchange
 from greengageflow.daemon.forward_admission import ForwardAdmission
-from greengageflow.daemon.forward_notes import ForwardNotes
+from greengageflow.daemon.forward_telemetry import ForwardTelemetry
 from greengageflow.daemon.forwarder import Forwarder
 from greengageflow.daemon.gateway_pages import GatewayPages
 from greengageflow.daemon.gateway_settings import (
@@ -101,7 +101,7 @@
             self._budget,
             min_hosts=len({settings.gossip, *settings.seeds}),
         )
-        self._notes = ForwardNotes(self._log, self._page, self._book)
+        self._notes = ForwardTelemetry(self._log, self._page, self._book)
         self._admission = ForwardAdmission(self._timers, self._trust, clock)
         self._quarantine = Quarantine(
             crashes=settings.quarantine.crashes, hold_s=settings.quarantine.hold_s
