--- a/greengageflow/daemon/admission.py
+++ b/greengageflow/daemon/admission.py
@@ -68,7 +68,7 @@
             case ChatCall():
                 flight.prefix = prefix_of(call.model, call.body)
             case ServiceCall():
-                _demand_key(call, pool)
+                _require_idempotency_key(call, pool)
         return flight
 
     def _account(self, key: str) -> ClientAccount:
@@ -77,7 +77,7 @@
         key_hash = sha256(key.encode()).hexdigest()
         account = self._accounts.get(key_hash)
         if account is None or not any(
-            compare_digest(key_hash, known) for known in account.key_hashes
+            compare_digest(key_hash, known_hash) for known_hash in account.key_hashes
         ):
             raise RouterError(ErrorKind.UNAUTHORIZED, "unknown bearer key")
         return account
@@ -94,7 +94,7 @@
         return pool
 
 
-def _demand_key(call: ServiceCall, pool: Pool) -> None:
+def _require_idempotency_key(call: ServiceCall, pool: Pool) -> None:
     route = route_of(pool, f"/{call.path}")
     if not route.repeatable and not call.idempotency_key:
         text = f"{call.path}: this route requires an Idempotency-Key header"
--- a/greengageflow/daemon/dispatch.py
+++ b/greengageflow/daemon/dispatch.py
@@ -138,7 +138,7 @@
         )
         self._budget.on_attempt()
         if flight.protected:
-            self._ask_log(flight)
+            self._begin_action(flight)
         else:
             self._queue(flight)
 
@@ -146,28 +146,28 @@
         """Return why a request must not be sent to any endpoint, or None."""
         if not self._quarantine:
             return None
-        left_s = self._quarantine.remaining_s(monotonic(), flight.fingerprint)
-        if not left_s:
+        remaining_s = self._quarantine.remaining_s(monotonic(), flight.fingerprint)
+        if not remaining_s:
             return None
         text = "endpoints crashed while running this request"
-        return RouterError(ErrorKind.QUARANTINED, text, retry_after_s=left_s)
+        return RouterError(ErrorKind.QUARANTINED, text, retry_after_s=remaining_s)
 
     def _check_quarantine(self, flight: Flight) -> None:
         if (exc := self._quarantine_error(flight)) is not None:
             raise exc
 
-    def on_quarantined(self, held: frozenset[Fingerprint]) -> None:
+    def on_quarantined(self, quarantined: frozenset[Fingerprint]) -> None:
         """Refuse queued requests that were just quarantined."""
         waiting = [f for f in self._flights if f.phase is Phase.QUEUED]
         for flight in waiting:
-            if flight.fingerprint in held:
+            if flight.fingerprint in quarantined:
                 cancelled = self._control.entry.cancel(flight.id)
                 self._control.run(cancelled)
                 self._refuse(flight, self._quarantine_error(flight))
 
     def on_gone(self, call: ChatCall | ServiceCall | StatusCall) -> None:
         """Cancel the request of a caller that has disconnected."""
-        flight = self._flights.of_call(call)
+        flight = self._flights.for_call(call)
         if flight is None:
             return
         if flight.phase is Phase.RUNNING and flight.protected:
@@ -178,12 +178,12 @@
             self._stop_run(flight)
         elif flight.phase is Phase.QUEUED:
             self._control.run(self._control.entry.cancel(flight.id))
-        self._release(flight)
+        self._cancel_action(flight)
         self._end(flight, "gone")
 
     # Queueing and slot grants.
 
-    def _ask_log(self, flight: Flight) -> None:
+    def _begin_action(self, flight: Flight) -> None:
         flight.phase = Phase.ASKING
         flight.stage_span = self._tracing.start("action", parent=flight.span)
         begin = self._control.actions.begin(
@@ -251,7 +251,7 @@
         flight = self._flights.get(start.request)
         now = monotonic()
         if flight is None:
-            self._give_back(start.grant)
+            self._return_grant(start.grant)
             return
         self._tracing.finish(flight.stage_span, endpoint=start.endpoint)
         self._telemetry.on_started(flight, now)
@@ -260,7 +260,7 @@
         grant_span = self._tracing.start("grant", parent=flight.span)
         self._tracing.finish(grant_span, grant=start.grant)
         if flight.endpoint is None:
-            self._give_back(start.grant, flight)
+            self._return_grant(start.grant, flight)
             self._retry(
                 flight,
                 RouterError(
@@ -297,16 +297,16 @@
 
     # Events of a run; see ``endpoint_run.RunListener``.
 
-    def may_send_again(self) -> bool:
+    def take_retry(self) -> bool:
         """Take a retry from the budget; False if the budget is exhausted."""
         return self._budget.take(monotonic())
 
     def on_progress(self, flight: Flight, pieces: int) -> None:
         """Charge streamed pieces to the grant."""
         self._control.entry.on_progress(flight.grant, pieces)
-        self._note_leaving(flight)
+        self._check_leaving(flight)
 
-    def _note_leaving(self, flight: Flight) -> None:
+    def _check_leaving(self, flight: Flight) -> None:
         if isinstance(flight.run, EngineCall) and flight.run.leaving:
             self._on_leaving(flight.endpoint.name, "answer")
 
@@ -314,35 +314,40 @@
         """Answer or retry the request, depending on how its run ended."""
         if isinstance(flight.run, EngineCall):
             self._telemetry.on_stream_end(flight, flight.run)
-            self._note_leaving(flight)
+            self._check_leaving(flight)
         match end:
             case Completed():
                 self._complete(flight, end)
             case ServiceAnswer():
                 self._answer(flight, end)
             case Refused(status, message) if status in CALLER_FAULT_STATUSES:
-                self._give_back(flight.grant, flight)
+                self._return_grant(flight.grant, flight)
                 exc = RouterError(ErrorKind.BAD_REQUEST, message, ran=Ran.NO)
-                self._refuse_sent(flight, exc)
+                self._refuse_after_send(flight, exc)
             case Refused(status, message, wait):
-                asked_s = wait if status == HTTPStatus.SERVICE_UNAVAILABLE else None
-                self._give_back(
-                    flight.grant, flight, failed=True, backoff_s=asked_s or 0.0
+                requested_backoff_s = (
+                    wait if status == HTTPStatus.SERVICE_UNAVAILABLE else None
                 )
-                self._retry(flight, _failed(message, wait))
+                self._return_grant(
+                    flight.grant,
+                    flight,
+                    failed=True,
+                    backoff_s=requested_backoff_s or 0.0,
+                )
+                self._retry(flight, _endpoint_error(message, wait))
             case Unreachable(message):
-                self._give_back(flight.grant, flight, failed=True)
-                self._retry(flight, _failed(message, None))
+                self._return_grant(flight.grant, flight, failed=True)
+                self._retry(flight, _endpoint_error(message, None))
             case Cut():
                 self._cut(flight, end)
 
     def _complete(self, flight: Flight, end: Completed) -> None:
         self.crashes.on_good_answer(flight.fingerprint)
         served = end.usage.completion_tokens if end.usage else flight.pieces
-        self._give_back(flight.grant, flight, served=float(served))
-        self._runs.answer_completed(flight, end)
-        content_type, body = self._runs.recorded(flight, end)
-        self._record(flight, Ran.YES, 200, content_type, body)
+        self._return_grant(flight.grant, flight, served=float(served))
+        self._runs.finish_answer(flight, end)
+        content_type, body = self._runs.stored_answer(flight, end)
+        self._record_outcome(flight, Ran.YES, 200, content_type, body)
         self._telemetry.on_answered(flight, served)
         self._end(flight, "complete", tokens=served)
 
@@ -351,17 +356,19 @@
             self._on_leaving(flight.endpoint.name, "answer")
         if end.status < HTTPStatus.MULTIPLE_CHOICES:
             self.crashes.on_good_answer(flight.fingerprint)
-        self._give_back(
+        self._return_grant(
             flight.grant, flight, served=flight.cost, backoff_s=end.backoff_s
         )
         headers = (*end.headers, ("X-Request-Id", flight.wire_id))
         flight.call.reply.raw(end.status, headers, end.body)
-        self._record(flight, Ran.YES, end.status, end.content_type, end.body)
+        self._record_outcome(flight, Ran.YES, end.status, end.content_type, end.body)
         self._telemetry.on_answered(flight, flight.cost)
         self._end(flight, "complete", status=end.status)
 
     def _cut(self, flight: Flight, end: Cut) -> None:
-        self._give_back(flight.grant, flight, served=float(flight.pieces), failed=True)
+        self._return_grant(
+            flight.grant, flight, served=float(flight.pieces), failed=True
+        )
         self._telemetry.on_cut(flight)
         if end.lost and _is_suspect_run(flight):
             self.crashes.on_cut(_endpoint_start(flight.endpoint), flight.fingerprint)
@@ -372,30 +379,30 @@
             flight.ran = end.ran
             self._retry(flight, exc)
         else:
-            self._refuse_sent(flight, exc)
+            self._refuse_after_send(flight, exc)
 
     # Retries, final answers and cleanup.
 
     def _retry(self, flight: Flight, exc: RouterError) -> None:
         """Queue a request again that did not run or may run more than once."""
         if flight.protected:
-            self._refuse_sent(flight, exc)
+            self._refuse_after_send(flight, exc)
             return
         late = monotonic() >= flight.deadline
-        if (held := self._quarantine_error(flight)) is not None:
-            self._refuse(flight, held)
+        if (quarantine_exc := self._quarantine_error(flight)) is not None:
+            self._refuse(flight, quarantine_exc)
             return
-        if late or flight.attempts >= MAX_ATTEMPTS or not self.may_send_again():
+        if late or flight.attempts >= MAX_ATTEMPTS or not self.take_retry():
             self._refuse(flight, exc)
             return
         self._tracing.finish(flight.stage_span, error=exc.message)
         self._telemetry.on_retry(flight)
         self._queue(flight)
 
-    def _refuse_sent(self, flight: Flight, exc: RouterError) -> None:
+    def _refuse_after_send(self, flight: Flight, exc: RouterError) -> None:
         if exc.ran is not Ran.NO:
             self._telemetry.on_outcome_unknown(flight)
-            self._record(flight, exc.ran)
+            self._record_outcome(flight, exc.ran)
         elif flight.protected:
             ended = self._control.actions.on_ended(monotonic(), flight.id, Ran.NO)
             self._control.run(ended)
@@ -403,8 +410,8 @@
 
     def _refuse(self, flight: Flight, exc: RouterError) -> None:
         if flight.phase is not Phase.RUNNING and flight.grant:
-            self._give_back(flight.grant)
-        self._release(flight)
+            self._return_grant(flight.grant)
+        self._cancel_action(flight)
         if exc.ran is Ran.NO and flight.ran is not Ran.NO:
             # This attempt did not run, but an earlier one that was cut off may have,
             # so the answer must not claim that the request never ran.
@@ -416,7 +423,7 @@
         flight.call.reply.error(exc, headers)
         self._end(flight, exc.kind.value)
 
-    def _record(
+    def _record_outcome(
         self,
         flight: Flight,
         ran: Ran,
@@ -437,12 +444,12 @@
             )
         )
 
-    def _release(self, flight: Flight) -> None:
+    def _cancel_action(self, flight: Flight) -> None:
         if flight.protected:
             cancel_effects = self._control.actions.cancel(monotonic(), flight.id)
             self._control.run(cancel_effects)
 
-    def _give_back(
+    def _return_grant(
         self,
         grant: str,
         flight: Flight | None = None,
@@ -465,22 +472,24 @@
 
     def _stop_run(self, flight: Flight) -> None:
         flight.run.cancel()
-        self._give_back(flight.grant, flight, served=float(flight.pieces))
+        self._return_grant(flight.grant, flight, served=float(flight.pieces))
 
     def _end(self, flight: Flight, result: str, **attributes: object) -> None:
         self._telemetry.on_ended(flight, monotonic())
         self._tracing.finish(flight.stage_span)
         self._tracing.finish(flight.span, result=result, **attributes)
-        self._flights.end(flight, result)
+        self._flights.remove(flight, result)
 
     def on_tick(self) -> None:
         """Stop requests that run past their deadline; their callers no longer wait."""
         now = monotonic()
-        for flight in self._flights.late(now):
+        for flight in self._flights.overdue(now):
             self._stop_run(flight)
             ran = Ran.YES if flight.pieces else Ran.UNKNOWN
             text = "the deadline passed while the endpoint ran the request"
-            self._refuse_sent(flight, RouterError(ErrorKind.DEADLINE, text, ran=ran))
+            self._refuse_after_send(
+                flight, RouterError(ErrorKind.DEADLINE, text, ran=ran)
+            )
 
 
 def _is_suspect_run(flight: Flight) -> bool:
@@ -498,7 +507,7 @@
     return EndpointStart(endpoint.name, start, endpoint.pool, address)
 
 
-def _failed(message: str, retry_after_s: float | None) -> RouterError:
+def _endpoint_error(message: str, retry_after_s: float | None) -> RouterError:
     return RouterError(
         ErrorKind.ENDPOINT_FAILED, message, ran=Ran.NO, retry_after_s=retry_after_s
     )
--- a/greengageflow/daemon/endpoint_run.py
+++ b/greengageflow/daemon/endpoint_run.py
@@ -24,7 +24,7 @@
 class RunListener(Protocol):
     """Receives the events of a run."""
 
-    def may_send_again(self) -> bool:
+    def take_retry(self) -> bool:
         """Return whether a request may be retried; a retry is charged to the budget."""
 
     def on_progress(self, flight: Flight, pieces: int) -> None:
@@ -34,7 +34,7 @@
         """Handle the end of the run; called last."""
 
 
-class _EngineRun:
+class _EngineAnswer:
     """Streams one engine's answer to the caller, with backpressure."""
 
     def __init__(self, flight: Flight, listener: RunListener) -> None:
@@ -105,10 +105,10 @@
             endpoint.resumes,
             connect_timeout_s=self._connect_timeout_s,
             not_after=_not_after(flight),
-            may_send_again=listener.may_send_again,
+            may_send_again=listener.take_retry,
         )
         run = EngineCall(
-            self._pool, self._timers, request, _EngineRun(flight, listener)
+            self._pool, self._timers, request, _EngineAnswer(flight, listener)
         )
         flight.run = run
         run.start()
@@ -134,16 +134,16 @@
             protected=flight.protected,
             connect_timeout_s=self._connect_timeout_s,
             not_after=_not_after(flight),
-            may_send_again=listener.may_send_again,
+            may_send_again=listener.take_retry,
         )
 
-        def done(end: ServiceEnd) -> None:
+        def on_end(end: ServiceEnd) -> None:
             listener.on_run_end(flight, end)
 
-        flight.run = call_service(self._pool, request, done)
+        flight.run = call_service(self._pool, request, on_end)
 
     @staticmethod
-    def answer_completed(flight: Flight, end: Completed) -> None:
+    def finish_answer(flight: Flight, end: Completed) -> None:
         """Send the caller the end of a complete answer."""
         reply = flight.call.reply
         if flight.call.stream:
@@ -153,7 +153,7 @@
             reply.raw(200, headers, end.body)
 
     @staticmethod
-    def recorded(flight: Flight, end: Completed) -> tuple[str, bytes]:
+    def stored_answer(flight: Flight, end: Completed) -> tuple[str, bytes]:
         """Return the content type and body to store for replays of the request."""
         if flight.call.stream:
             return STREAM_TYPE, bytes(flight.streamed_body) + STREAM_END
--- a/greengageflow/daemon/flight.py
+++ b/greengageflow/daemon/flight.py
@@ -90,10 +90,10 @@
         """SHA-256 of the content that must match for a repeated idempotency key."""
         match self.call:
             case ChatCall(body=body):
-                same: object = body
+                content: object = body
             case ServiceCall() as call:
-                same = (call.method, call.service, call.target, call.body)
-        return sha256(repr(same).encode()).hexdigest()
+                content = (call.method, call.service, call.target, call.body)
+        return sha256(repr(content).encode()).hexdigest()
 
     @property
     def fingerprint(self) -> Fingerprint:
--- a/greengageflow/daemon/flights.py
+++ b/greengageflow/daemon/flights.py
@@ -39,11 +39,11 @@
         """Return the request in flight with this id, or None."""
         return self._by_id.get(request)
 
-    def of_call(self, call: ChatCall | ServiceCall | StatusCall) -> Flight | None:
+    def for_call(self, call: ChatCall | ServiceCall | StatusCall) -> Flight | None:
         """Return the request in flight of a call, or None."""
         return self._by_call.get(id(call))
 
-    def end(self, flight: Flight, result: str) -> None:
+    def remove(self, flight: Flight, result: str) -> None:
         """Remove a request that ended and keep its status document.
 
         Raises:
@@ -63,7 +63,7 @@
                 return ended
         return None
 
-    def late(self, now: float) -> Iterator[Flight]:
+    def overdue(self, now: float) -> Iterator[Flight]:
         """Yield requests that run past their deadline; the caller may end them."""
         for flight in list(self._by_id.values()):
             ended = flight.id not in self._by_id
--- a/greengageflow/daemon/forward_admission.py
+++ b/greengageflow/daemon/forward_admission.py
@@ -43,7 +43,7 @@
         self._table = RouteTable()
         self._numbers = count(1)
         self._random = Random()
-        self._patience: dict[str, float] = {}
+        self._longest_wait_s: dict[str, float] = {}
 
     def on_routing(self, routing: Routing) -> None:
         """Apply a new configuration."""
@@ -121,9 +121,11 @@
 
     def job(self, flight: ForwardFlight) -> Job:
         """Return the scheduler's job for a request."""
-        return Job(self._waiter(flight), flight.route.target_s, flight.req.prompt)
+        return Job(
+            self._queued_request(flight), flight.route.target_s, flight.req.prompt
+        )
 
-    def _waiter(self, flight: ForwardFlight) -> QueuedRequest:
+    def _queued_request(self, flight: ForwardFlight) -> QueuedRequest:
         prompt = flight.req.prompt
         target_s = flight.route.target_s
         expires_at = flight.arrived_at + QUEUE_TARGET_FRACTION * target_s
@@ -133,19 +135,21 @@
             prompt.work if prompt else DEFAULT_WORK,
             flight.route.priority,
             flight.arrived_at,
-            flight.arrived_at + target_s - self._age_s(flight),
+            flight.arrived_at + target_s - self._retrying_s(flight),
             min(expires_at, flight.deadline),
         )
 
-    def _age_s(self, flight: ForwardFlight) -> float:
+    def _retrying_s(self, flight: ForwardFlight) -> float:
         """Return how long the caller has been retrying, in seconds.
 
         A retrying caller sends the time that it will still wait. The longest such time
         seen on a route is taken as the total that its callers wait.
         """
-        patience_s = flight.req.max_wait_s
-        if patience_s is None:
+        remaining_wait_s = flight.req.max_wait_s
+        if remaining_wait_s is None:
             return 0.0
-        longest_s = max(patience_s, self._patience.get(flight.route.name, 0.0))
-        self._patience[flight.route.name] = longest_s
-        return longest_s - patience_s
+        total_wait_s = max(
+            remaining_wait_s, self._longest_wait_s.get(flight.route.name, 0.0)
+        )
+        self._longest_wait_s[flight.route.name] = total_wait_s
+        return total_wait_s - remaining_wait_s
--- a/greengageflow/daemon/forward_sending.py
+++ b/greengageflow/daemon/forward_sending.py
@@ -19,7 +19,7 @@
 """Time without an event after which a stream counts as stalled, in seconds."""
 
 
-def bounded(request: HttpRequest, flight: ForwardFlight, now: float) -> HttpRequest:
+def with_limits(request: HttpRequest, flight: ForwardFlight, now: float) -> HttpRequest:
     """Return a request with the time-outs and connection reuse allowed for it."""
     reuse_s = inf if flight.repeatable else REUSE_MAX_IDLE_S
     return replace(
@@ -31,13 +31,13 @@
     )
 
 
-def with_earlier(flight: ForwardFlight, failure: Failure) -> Failure:
+def with_stale_retry(flight: ForwardFlight, failure: Failure) -> Failure:
     """Return a failure that counts as sent if a stale retry sent the request before."""
-    again = flight.stale_retry_endpoint == flight.attempt.endpoint.id
-    return replace(failure, sent=failure.sent or again)
+    sent_before = flight.stale_retry_endpoint == flight.attempt.endpoint.id
+    return replace(failure, sent=failure.sent or sent_before)
 
 
-def fresh(flight: ForwardFlight, frames: Iterable[Frame]) -> Iterable[bytes]:
+def new_events(flight: ForwardFlight, frames: Iterable[Frame]) -> Iterable[bytes]:
     """Yield the events that the caller has not received; update the last number."""
     for frame in frames:
         if frame.number is not None:
@@ -48,7 +48,7 @@
         yield frame.raw
 
 
-def stalls(flight: ForwardFlight, now: float) -> bool:
+def is_stalled(flight: ForwardFlight, now: float) -> bool:
     """Whether a stream that may be resumed elsewhere is stalled.
 
     An engine whose host is lost resets no connections: its streams would stall until
--- a/greengageflow/daemon/forwarder.py
+++ b/greengageflow/daemon/forwarder.py
@@ -19,10 +19,10 @@
 from greengageflow.daemon.forward_sending import (
     MIN_ATTEMPT_S,
     STALL_TIMEOUT_S,
-    bounded,
-    fresh,
-    stalls,
-    with_earlier,
+    is_stalled,
+    new_events,
+    with_limits,
+    with_stale_retry,
 )
 from greengageflow.daemon.forward_telemetry import ForwardTelemetry
 from greengageflow.daemon.leaving_watch import LeavingWatch
@@ -132,8 +132,8 @@
             return
         self._flights[flight.id] = flight
         self._by_call[flight.call_key] = flight
-        left_s = flight.deadline - flight.arrived_at
-        flight.timer = self._timers.after(left_s, lambda: self._on_deadline(flight))
+        timeout_s = flight.deadline - flight.arrived_at
+        flight.timer = self._timers.after(timeout_s, lambda: self._on_deadline(flight))
         job = self._admission.job(flight)
         self.carry_out(
             self.placement.submit(
@@ -143,21 +143,25 @@
 
     def _quarantine_error(self, flight: ForwardFlight) -> RouterError | None:
         """Return why a request must not be sent to any endpoint, or None."""
-        left_s = self._quarantine.remaining_s(self._timers.now, flight.fingerprint)
-        if not left_s:
+        remaining_s = self._quarantine.remaining_s(self._timers.now, flight.fingerprint)
+        if not remaining_s:
             return None
         text = "endpoints crashed while running this request"
-        return RouterError(ErrorKind.QUARANTINED, text, retry_after_s=left_s)
+        return RouterError(ErrorKind.QUARANTINED, text, retry_after_s=remaining_s)
 
-    def on_quarantined(self, held: frozenset[Fingerprint]) -> None:
+    def on_quarantined(self, quarantined: frozenset[Fingerprint]) -> None:
         """Refuse requests under way that were just quarantined.
 
         A request that an endpoint may still have queued is cancelled there before it
         starts to run. Streams that have begun are left alone.
         """
         for flight in list(self._flights.values()):
-            begun = flight.phase is Phase.STREAMING
-            if flight.fingerprint in held and not begun and self._is_open(flight):
+            streaming = flight.phase is Phase.STREAMING
+            if (
+                flight.fingerprint in quarantined
+                and not streaming
+                and self._is_open(flight)
+            ):
                 if flight.attempt is not None:
                     self._stop_attempt(flight)
                     flight.may_have_run = True
@@ -219,11 +223,11 @@
         )
         flight.attempt = EndpointAttempt(
             self._pool,
-            bounded(request, flight, now),
+            with_limits(request, flight, now),
             choice.endpoint,
             lambda head: note_of(head, flight.req.id),
             stream=flight.route.stream,
-            listener=_FlightListener(self, flight),
+            listener=_AttemptListener(self, flight),
         )
         flight.attempt.start()
 
@@ -254,7 +258,7 @@
                 flight.longest_pause_s, now - flight.last_progress_at
             )
         flight.last_progress_at = now
-        flight.reply.piece(b"".join(fresh(flight, frames)))
+        flight.reply.piece(b"".join(new_events(flight, frames)))
         if flight.reply.blocked:
             attempt.pause()
             flight.reply.on_drain = attempt.resume
@@ -269,19 +273,19 @@
         flight.avoid.add(endpoint.id)
         flight.may_have_run = True
         flight.runs += 1
-        spoiled = not note.good and note.status < 400
+        invalid = not note.good and note.status < 400
         good = note.good or 400 <= note.status < 500
         self.placement.answered(flight.id, endpoint, good)
         self.placement.left(flight.id, endpoint)
         if note.good:
             self.crashes.on_good_answer(flight.fingerprint)
-        if not spoiled and note.status < 500:
+        if not invalid and note.status < 500:
             self._answer(flight, body)
         elif (
-            flight.repeatable and flight.has_runs_left and self._go_on(flight, "failed")
+            flight.repeatable and flight.has_runs_left and self._retry(flight, "failed")
         ):
             return
-        elif spoiled:
+        elif invalid:
             text = "the endpoint sent an invalid answer"
             self._answer_error(flight, RouterError(ErrorKind.ENDPOINT_FAILED, text))
         else:
@@ -296,11 +300,13 @@
             flight.avoid.add(endpoint.id)
         if note.replaced:
             self._endpoints.mark_leaving(endpoint.id, endpoint.born)
-        exc = self._not_taken(flight, note.status)
-        if not self._go_on(flight, exc.message) and not self._wait_out(flight, exc):
+        exc = self._rejection_error(flight, note.status)
+        if not self._retry(flight, exc.message) and not self._schedule_retry(
+            flight, exc
+        ):
             self._answer_error(flight, exc)
 
-    def _wait_out(self, flight: ForwardFlight, exc: RouterError) -> bool:
+    def _schedule_retry(self, flight: ForwardFlight, exc: RouterError) -> bool:
         """Schedule a retry for the end of a backoff if the request can wait for it."""
         now = self._timers.now
         wait_s = self._dispatcher.backoff_s(now, flight.service)
@@ -314,7 +320,7 @@
         return True
 
     def _after_backoff(self, flight: ForwardFlight, exc: RouterError) -> None:
-        if self._is_open(flight) and not self._go_on(flight, exc.message):
+        if self._is_open(flight) and not self._retry(flight, exc.message):
             self._answer_error(flight, exc)
 
     def _on_backoff(self, endpoint: ListedEndpoint, seconds: float) -> None:
@@ -323,7 +329,7 @@
             self._telemetry.on_backoff(endpoint, seconds)
             self.carry_out(self._dispatcher.pump(now))
 
-    def _not_taken(self, flight: ForwardFlight, status: int) -> RouterError:
+    def _rejection_error(self, flight: ForwardFlight, status: int) -> RouterError:
         text = f"{flight.attempt.endpoint.id} rejected the request with status {status}"
         wait_s = self._dispatcher.backoff_s(self._timers.now, flight.service)
         return RouterError(ErrorKind.QUEUE_FULL, text, retry_after_s=wait_s or None)
@@ -359,7 +365,7 @@
         flight.may_have_arrived |= failure.sent
         if failure.stale and self._retry_stale(flight, failure):
             return
-        failure = with_earlier(flight, failure)
+        failure = with_stale_retry(flight, failure)
         flight.avoid.add(flight.attempt.endpoint.id)
         if failure.lost and self._is_suspect_run(flight):
             self.crashes.on_cut(flight.attempt.endpoint, flight.fingerprint)
@@ -368,7 +374,7 @@
         if not failure.sent or (flight.repeatable and flight.has_runs_left):
             ran = Ran.UNKNOWN if flight.may_have_run else Ran.NO
             kind = ErrorKind.ENDPOINT_CUT if failure.sent else ErrorKind.NO_ENDPOINT
-            self._try_again(flight, RouterError(kind, text, ran=ran))
+            self._retry_or_fail(flight, RouterError(kind, text, ran=ran))
         else:
             self._answer_error(flight, RouterError(ErrorKind.ENDPOINT_CUT, text))
 
@@ -382,12 +388,12 @@
         allowed = flight.repeatable and flight.stale_retry_endpoint != endpoint.id
         if not allowed or not self._dispatcher.is_available(self._timers.now, endpoint):
             return False
-        if not self._may_go_on(flight) or not self._take_repeat(flight):
+        if not self._may_retry(flight) or not self._take_retry(flight):
             return False
         flight.may_have_run = True
         flight.stale_retry_endpoint = endpoint.id
         self.placement.left(flight.id, endpoint)
-        self._move(flight, flight.choice, failure.message)
+        self._resend(flight, flight.choice, failure.message)
         return True
 
     def _is_suspect_run(self, flight: ForwardFlight) -> bool:
@@ -403,34 +409,34 @@
             flight.may_have_run = True
             flight.runs += 1
 
-    def _try_again(self, flight: ForwardFlight, exc: RouterError) -> None:
-        if not self._go_on(flight, exc.message):
+    def _retry_or_fail(self, flight: ForwardFlight, exc: RouterError) -> None:
+        if not self._retry(flight, exc.message):
             self._answer_error(flight, exc)
 
-    def _go_on(self, flight: ForwardFlight, why: str) -> bool:
+    def _retry(self, flight: ForwardFlight, why: str) -> bool:
         """Retry a request on another endpoint, if allowed."""
         choice = self._next_choice(flight, flight.avoid)
         if choice is None:
             return False
-        self._move(flight, choice, why)
+        self._resend(flight, choice, why)
         return True
 
     def _next_choice(self, flight: ForwardFlight, avoid: set[str]) -> Choice | None:
-        if not self._may_go_on(flight):
+        if not self._may_retry(flight):
             return None
         now = self._timers.now
         choice = self._dispatcher.choose_retry_endpoint(
             now, flight.service, flight.req.prompt, avoid
         )
-        return choice if choice and self._take_repeat(flight) else None
+        return choice if choice and self._take_retry(flight) else None
 
-    def _may_go_on(self, flight: ForwardFlight) -> bool:
+    def _may_retry(self, flight: ForwardFlight) -> bool:
         late = self._timers.now >= flight.deadline - MIN_ATTEMPT_S
         if flight.attempt_count >= MAX_ATTEMPTS or late:
             return False
         return self._quarantine_error(flight) is None
 
-    def _take_repeat(self, flight: ForwardFlight) -> bool:
+    def _take_retry(self, flight: ForwardFlight) -> bool:
         if not flight.may_have_arrived:
             return True
         now = self._timers.now
@@ -439,11 +445,11 @@
         self._telemetry.on_budget_exhausted(now, flight.service)
         return False
 
-    def _move(self, flight: ForwardFlight, choice: Choice, why: str) -> None:
+    def _resend(self, flight: ForwardFlight, choice: Choice, why: str) -> None:
         self._telemetry.on_retry(flight, flight.attempt.endpoint.id, choice, why)
         self._send(flight, choice)
 
-    def _leave_stalled(self, flight: ForwardFlight) -> None:
+    def _resume_elsewhere(self, flight: ForwardFlight) -> None:
         # An engine that is only slow continues later. Without another endpoint to
         # resume on, giving up would cut a stream that would have completed. The engine
         # is not added to `avoid` either, as the other endpoint may prove to be down.
@@ -455,7 +461,7 @@
         flight.attempt.cancel()
         failure = Failure(FailureKind.TIMEOUT, True, "the stream stalled")
         self._on_attempt_failed(flight, failure)
-        self._move(flight, choice, failure.message)
+        self._resend(flight, choice, failure.message)
 
     # Final answers and cleanup.
 
@@ -476,8 +482,8 @@
     def on_tick(self) -> None:
         """Resume stalled streams elsewhere and carry out decisions that are due."""
         now = self._timers.now
-        for flight in [f for f in self._flights.values() if stalls(f, now)]:
-            self._leave_stalled(flight)
+        for flight in [f for f in self._flights.values() if is_stalled(f, now)]:
+            self._resume_elsewhere(flight)
         self.carry_out(self._dispatcher.pump(now))
 
     def _stop_attempt(self, flight: ForwardFlight) -> None:
@@ -506,7 +512,7 @@
         self.carry_out(self.placement.ended(now, flight.service, flight.id))
 
 
-class _FlightListener:
+class _AttemptListener:
     """Passes events of an attempt to the forwarder unless a newer one replaced it."""
 
     def __init__(self, forwarder: Forwarder, flight: ForwardFlight) -> None:
