--- a/greengageflow/daemon/admission.py
+++ b/greengageflow/daemon/admission.py
@@ -8,7 +8,7 @@
 from greengageflow.core.affinity import prefix_of
 from greengageflow.core.catalog import ClientAccount, FleetConfig, Pool, PoolKind, Route
 from greengageflow.core.messages import PeerId
-from greengageflow.daemon.flight import Flight
+from greengageflow.daemon.request_context import RequestContext
 from greengageflow.errors import ErrorKind, RouterError
 from greengageflow.net.callers import ChatCall, ServiceCall
 
@@ -42,7 +42,7 @@
             for key_hash in account.key_hashes
         }
 
-    def admit(self, call: ChatCall | ServiceCall) -> Flight:
+    def admit(self, call: ChatCall | ServiceCall) -> RequestContext:
         """Return the state of a newly admitted request.
 
         Raises:
@@ -54,7 +54,7 @@
         account = self._account(call.account_key)
         pool = self._pool(call)
         deadline_s = min(call.deadline_s or pool.deadline_s, pool.deadline_s)
-        flight = Flight(
+        ctx = RequestContext(
             id=f"{self._own.host}-{self._own.boot}-{next(self._numbers)}",
             call=call,
             account=account,
@@ -63,13 +63,13 @@
             deadline=monotonic() + deadline_s,
         )
         if call.idempotency_key:
-            flight.action_key = f"{account.name}\n{call.idempotency_key}"
+            ctx.action_key = f"{account.name}\n{call.idempotency_key}"
         match call:
             case ChatCall():
-                flight.prefix = prefix_of(call.model, call.body)
+                ctx.prefix = prefix_of(call.model, call.body)
             case ServiceCall():
                 _require_idempotency_key(call, pool)
-        return flight
+        return ctx
 
     def _account(self, key: str) -> ClientAccount:
         if not key:
--- a/greengageflow/daemon/dispatch.py
+++ b/greengageflow/daemon/dispatch.py
@@ -10,12 +10,12 @@
 from greengageflow.core.entry import WaitingRequest
 from greengageflow.core.limits import RetryBudget
 from greengageflow.core.quarantine import Fingerprint, Quarantine
+from greengageflow.daemon.active_requests import ActiveRequests
 from greengageflow.daemon.admission import Admission
 from greengageflow.daemon.control import Control
 from greengageflow.daemon.crash_watch import CrashWatch, EndpointStart
 from greengageflow.daemon.endpoint_run import EndpointRuns, RunEnd
-from greengageflow.daemon.flight import Flight, Phase
-from greengageflow.daemon.flights import Flights
+from greengageflow.daemon.request_context import Phase, RequestContext
 from greengageflow.daemon.request_telemetry import RequestTelemetry
 from greengageflow.daemon.status import StatusSource
 from greengageflow.errors import ErrorKind, Ran, RouterError
@@ -86,14 +86,14 @@
         self._on_leaving = on_leaving
         self._cfg = FleetConfig()
         self._admission = Admission(control.own)
-        self._flights = Flights()
+        self._active = ActiveRequests()
         self._prefixes = PrefixMap()
         self._budget = RetryBudget(self._cfg.policy.retry_ratio, now=monotonic())
 
     @property
-    def flights(self) -> int:
+    def active_requests(self) -> int:
         """Number of requests that have no final answer yet."""
-        return len(self._flights)
+        return len(self._active)
 
     def on_config(self, cfg: FleetConfig) -> None:
         """Apply a new configuration."""
@@ -114,117 +114,117 @@
         if isinstance(call, StatusCall):
             status = self._status.status()
             if call.request:
-                status["request"] = self._flights.explain(call.request)
+                status["request"] = self._active.explain(call.request)
             call.reply.json(200, status)
             return
         try:
             if self.refusing:
                 raise RouterError(ErrorKind.STOPPING, "this router is stopping")
-            flight = self._admission.admit(call)
+            ctx = self._admission.admit(call)
             # A repeated protected action may have run before, so the log is consulted
             # before the quarantine.
-            if not flight.protected:
-                self._check_quarantine(flight)
+            if not ctx.protected:
+                self._check_quarantine(ctx)
         except RouterError as exc:
             self._telemetry.on_refused(exc)
             call.reply.error(exc)
             return
-        self._flights.add(flight)
-        self._telemetry.on_admitted(flight)
-        flight.span = self._tracing.start(
+        self._active.add(ctx)
+        self._telemetry.on_admitted(ctx)
+        ctx.span = self._tracing.start(
             "caller",
             traceparent=call.traceparent,
-            attributes={"request": flight.id, "account": flight.account.name},
+            attributes={"request": ctx.id, "account": ctx.account.name},
         )
         self._budget.on_attempt()
-        if flight.protected:
-            self._begin_action(flight)
+        if ctx.protected:
+            self._begin_action(ctx)
         else:
-            self._queue(flight)
+            self._queue(ctx)
 
-    def _quarantine_error(self, flight: Flight) -> RouterError | None:
+    def _quarantine_error(self, ctx: RequestContext) -> RouterError | None:
         """Return why a request must not be sent to any endpoint, or None."""
         if not self._quarantine:
             return None
-        remaining_s = self._quarantine.remaining_s(monotonic(), flight.fingerprint)
+        remaining_s = self._quarantine.remaining_s(monotonic(), ctx.fingerprint)
         if not remaining_s:
             return None
         text = "endpoints crashed while running this request"
         return RouterError(ErrorKind.QUARANTINED, text, retry_after_s=remaining_s)
 
-    def _check_quarantine(self, flight: Flight) -> None:
-        if (exc := self._quarantine_error(flight)) is not None:
+    def _check_quarantine(self, ctx: RequestContext) -> None:
+        if (exc := self._quarantine_error(ctx)) is not None:
             raise exc
 
     def on_quarantined(self, quarantined: frozenset[Fingerprint]) -> None:
         """Refuse queued requests that were just quarantined."""
-        waiting = [f for f in self._flights if f.phase is Phase.QUEUED]
-        for flight in waiting:
-            if flight.fingerprint in quarantined:
-                cancelled = self._control.entry.cancel(flight.id)
+        waiting = [c for c in self._active if c.phase is Phase.QUEUED]
+        for ctx in waiting:
+            if ctx.fingerprint in quarantined:
+                cancelled = self._control.entry.cancel(ctx.id)
                 self._control.run(cancelled)
-                self._refuse(flight, self._quarantine_error(flight))
+                self._refuse(ctx, self._quarantine_error(ctx))
 
     def on_gone(self, call: ChatCall | ServiceCall | StatusCall) -> None:
         """Cancel the request of a caller that has disconnected."""
-        flight = self._flights.for_call(call)
-        if flight is None:
+        ctx = self._active.for_call(call)
+        if ctx is None:
             return
-        if flight.phase is Phase.RUNNING and flight.protected:
+        if ctx.phase is Phase.RUNNING and ctx.protected:
             # The action was sent and may take effect. Its outcome is still recorded in
             # the log; otherwise a retry with the same key would get only "unknown".
             return
-        if flight.phase is Phase.RUNNING:
-            self._stop_run(flight)
-        elif flight.phase is Phase.QUEUED:
-            self._control.run(self._control.entry.cancel(flight.id))
-        self._cancel_action(flight)
-        self._end(flight, "gone")
+        if ctx.phase is Phase.RUNNING:
+            self._stop_run(ctx)
+        elif ctx.phase is Phase.QUEUED:
+            self._control.run(self._control.entry.cancel(ctx.id))
+        self._cancel_action(ctx)
+        self._end(ctx, "gone")
 
     # Queueing and slot grants.
 
-    def _begin_action(self, flight: Flight) -> None:
-        flight.phase = Phase.ASKING
-        flight.stage_span = self._tracing.start("action", parent=flight.span)
+    def _begin_action(self, ctx: RequestContext) -> None:
+        ctx.phase = Phase.ASKING
+        ctx.stage_span = self._tracing.start("action", parent=ctx.span)
         begin = self._control.actions.begin(
-            monotonic(), flight.id, flight.action_key, flight.digest, flight.deadline
+            monotonic(), ctx.id, ctx.action_key, ctx.digest, ctx.deadline
         )
         self._control.run(begin)
 
     def on_may_run(self, request: str) -> None:
         """Queue a protected action that is the first with its key."""
-        flight = self._flights.get(request)
-        if flight is None:
+        ctx = self._active.get(request)
+        if ctx is None:
             cancel_effects = self._control.actions.cancel(monotonic(), request)
             self._control.run(cancel_effects)
             return
-        self._tracing.finish(flight.stage_span)
-        if (exc := self._quarantine_error(flight)) is not None:
-            self._refuse(flight, exc)
+        self._tracing.finish(ctx.stage_span)
+        if (exc := self._quarantine_error(ctx)) is not None:
+            self._refuse(ctx, exc)
         else:
-            self._queue(flight)
+            self._queue(ctx)
 
-    def _queue(self, flight: Flight) -> None:
-        flight.phase = Phase.QUEUED
-        flight.queued_at = monotonic()
-        flight.stage_span = self._tracing.start("queue", parent=flight.span)
+    def _queue(self, ctx: RequestContext) -> None:
+        ctx.phase = Phase.QUEUED
+        ctx.queued_at = monotonic()
+        ctx.stage_span = self._tracing.start("queue", parent=ctx.span)
         waiting = WaitingRequest(
-            flight.id,
-            flight.account.name,
-            flight.pool.name,
-            flight.cost,
-            flight.deadline,
-            self._prefixes.endpoint(flight.prefix),
+            ctx.id,
+            ctx.account.name,
+            ctx.pool.name,
+            ctx.cost,
+            ctx.deadline,
+            self._prefixes.endpoint(ctx.prefix),
         )
-        self._control.run(self._control.entry.submit(flight.queued_at, waiting))
+        self._control.run(self._control.entry.submit(ctx.queued_at, waiting))
 
     def on_refuse(self, refuse: Refuse) -> None:
         """Answer a waiting request with an error."""
-        flight = self._flights.get(refuse.request)
-        if flight is None:
+        ctx = self._active.get(refuse.request)
+        if ctx is None:
             return
         self._refuse(
-            flight,
+            ctx,
             RouterError(
                 refuse.kind,
                 refuse.message,
@@ -235,65 +235,65 @@
 
     def on_replay(self, replay: Replay) -> None:
         """Answer a repeated protected action from its record."""
-        flight = self._flights.get(replay.request)
-        if flight is None:
+        ctx = self._active.get(replay.request)
+        if ctx is None:
             return
         headers = (
             ("Content-Type", replay.content_type or "application/octet-stream"),
             ("Idempotent-Replayed", "true"),
         )
-        flight.call.reply.raw(replay.status, headers, replay.body)
+        ctx.call.reply.raw(replay.status, headers, replay.body)
         self._telemetry.on_replayed()
-        self._end(flight, "replayed")
+        self._end(ctx, "replayed")
 
     def on_start(self, start: Start) -> None:
         """Send a request to the endpoint that granted it a slot."""
-        flight = self._flights.get(start.request)
+        ctx = self._active.get(start.request)
         now = monotonic()
-        if flight is None:
+        if ctx is None:
             self._return_grant(start.grant)
             return
-        self._tracing.finish(flight.stage_span, endpoint=start.endpoint)
-        self._telemetry.on_started(flight, now)
-        flight.grant = start.grant
-        flight.endpoint = self._cfg.endpoints.get(start.endpoint)
-        grant_span = self._tracing.start("grant", parent=flight.span)
+        self._tracing.finish(ctx.stage_span, endpoint=start.endpoint)
+        self._telemetry.on_started(ctx, now)
+        ctx.grant = start.grant
+        ctx.endpoint = self._cfg.endpoints.get(start.endpoint)
+        grant_span = self._tracing.start("grant", parent=ctx.span)
         self._tracing.finish(grant_span, grant=start.grant)
-        if flight.endpoint is None:
-            self._return_grant(start.grant, flight)
+        if ctx.endpoint is None:
+            self._return_grant(start.grant, ctx)
             self._retry(
-                flight,
+                ctx,
                 RouterError(
                     ErrorKind.NO_ENDPOINT, "the endpoint is no longer configured"
                 ),
             )
-        elif now >= flight.deadline or not self._may_send(flight):
+        elif now >= ctx.deadline or not self._may_send(ctx):
             text = "the deadline passed before the request could be sent"
-            self._refuse(flight, RouterError(ErrorKind.DEADLINE, text))
-        elif (exc := self._quarantine_error(flight)) is not None:
-            self._refuse(flight, exc)
+            self._refuse(ctx, RouterError(ErrorKind.DEADLINE, text))
+        elif (exc := self._quarantine_error(ctx)) is not None:
+            self._refuse(ctx, exc)
         else:
-            self._send(flight, now)
+            self._send(ctx, now)
 
-    def _may_send(self, flight: Flight) -> bool:
-        if not flight.protected:
+    def _may_send(self, ctx: RequestContext) -> bool:
+        if not ctx.protected:
             return True
-        return self._control.actions.begin_send(monotonic(), flight.id)
-
-    def _send(self, flight: Flight, now: float) -> None:
-        flight.phase = Phase.RUNNING
-        flight.started_at = now
-        flight.attempts += 1
-        flight.pieces = 0
-        flight.stage_span = self._tracing.start(
+        return self._control.actions.begin_send(monotonic(), ctx.id)
+
+    def _send(self, ctx: RequestContext, now: float) -> None:
+        ctx.phase = Phase.RUNNING
+        ctx.started_at = now
+        ctx.attempts += 1
+        ctx.pieces = 0
+        ctx.stage_span = self._tracing.start(
             "endpoint",
-            parent=flight.span,
-            attributes={"endpoint": flight.endpoint.name, "attempt": flight.attempts},
+            parent=ctx.span,
+            attributes={"endpoint": ctx.endpoint.name, "attempt": ctx.attempts},
         )
-        received = flight.call.traceparent
-        traceparent = self._tracing.traceparent(flight.stage_span, received)
-        self._prefixes.record(flight.prefix, flight.endpoint.name)
-        self._runs.start(flight, traceparent, self)
+        received = ctx.call.traceparent
+        traceparent = self._tracing.traceparent(ctx.stage_span, received)
+        self._prefixes.record(ctx.prefix, ctx.endpoint.name)
+        self._runs.start(ctx, traceparent, self)
 
     # Events of a run; see ``endpoint_run.RunListener``.
 
@@ -301,142 +301,138 @@
         """Take a retry from the budget; False if the budget is exhausted."""
         return self._budget.take(monotonic())
 
-    def on_progress(self, flight: Flight, pieces: int) -> None:
+    def on_progress(self, ctx: RequestContext, pieces: int) -> None:
         """Charge streamed pieces to the grant."""
-        self._control.entry.on_progress(flight.grant, pieces)
-        self._check_leaving(flight)
+        self._control.entry.on_progress(ctx.grant, pieces)
+        self._check_leaving(ctx)
 
-    def _check_leaving(self, flight: Flight) -> None:
-        if isinstance(flight.run, EngineCall) and flight.run.leaving:
-            self._on_leaving(flight.endpoint.name, "answer")
+    def _check_leaving(self, ctx: RequestContext) -> None:
+        if isinstance(ctx.run, EngineCall) and ctx.run.leaving:
+            self._on_leaving(ctx.endpoint.name, "answer")
 
-    def on_run_end(self, flight: Flight, end: RunEnd) -> None:
+    def on_run_end(self, ctx: RequestContext, end: RunEnd) -> None:
         """Answer or retry the request, depending on how its run ended."""
-        if isinstance(flight.run, EngineCall):
-            self._telemetry.on_stream_end(flight, flight.run)
-            self._check_leaving(flight)
+        if isinstance(ctx.run, EngineCall):
+            self._telemetry.on_stream_end(ctx, ctx.run)
+            self._check_leaving(ctx)
         match end:
             case Completed():
-                self._complete(flight, end)
+                self._complete(ctx, end)
             case ServiceAnswer():
-                self._answer(flight, end)
+                self._answer(ctx, end)
             case Refused(status, message) if status in CALLER_FAULT_STATUSES:
-                self._return_grant(flight.grant, flight)
+                self._return_grant(ctx.grant, ctx)
                 exc = RouterError(ErrorKind.BAD_REQUEST, message, ran=Ran.NO)
-                self._refuse_after_send(flight, exc)
+                self._refuse_after_send(ctx, exc)
             case Refused(status, message, wait):
                 requested_backoff_s = (
                     wait if status == HTTPStatus.SERVICE_UNAVAILABLE else None
                 )
                 self._return_grant(
-                    flight.grant,
-                    flight,
+                    ctx.grant,
+                    ctx,
                     failed=True,
                     backoff_s=requested_backoff_s or 0.0,
                 )
-                self._retry(flight, _endpoint_error(message, wait))
+                self._retry(ctx, _endpoint_error(message, wait))
             case Unreachable(message):
-                self._return_grant(flight.grant, flight, failed=True)
-                self._retry(flight, _endpoint_error(message, None))
+                self._return_grant(ctx.grant, ctx, failed=True)
+                self._retry(ctx, _endpoint_error(message, None))
             case Cut():
-                self._cut(flight, end)
-
-    def _complete(self, flight: Flight, end: Completed) -> None:
-        self.crashes.on_good_answer(flight.fingerprint)
-        served = end.usage.completion_tokens if end.usage else flight.pieces
-        self._return_grant(flight.grant, flight, served=float(served))
-        self._runs.finish_answer(flight, end)
-        content_type, body = self._runs.stored_answer(flight, end)
-        self._record_outcome(flight, Ran.YES, 200, content_type, body)
-        self._telemetry.on_answered(flight, served)
-        self._end(flight, "complete", tokens=served)
-
-    def _answer(self, flight: Flight, end: ServiceAnswer) -> None:
+                self._cut(ctx, end)
+
+    def _complete(self, ctx: RequestContext, end: Completed) -> None:
+        self.crashes.on_good_answer(ctx.fingerprint)
+        served = end.usage.completion_tokens if end.usage else ctx.pieces
+        self._return_grant(ctx.grant, ctx, served=float(served))
+        self._runs.finish_answer(ctx, end)
+        content_type, body = self._runs.stored_answer(ctx, end)
+        self._record_outcome(ctx, Ran.YES, 200, content_type, body)
+        self._telemetry.on_answered(ctx, served)
+        self._end(ctx, "complete", tokens=served)
+
+    def _answer(self, ctx: RequestContext, end: ServiceAnswer) -> None:
         if end.leaving:
-            self._on_leaving(flight.endpoint.name, "answer")
+            self._on_leaving(ctx.endpoint.name, "answer")
         if end.status < HTTPStatus.MULTIPLE_CHOICES:
-            self.crashes.on_good_answer(flight.fingerprint)
-        self._return_grant(
-            flight.grant, flight, served=flight.cost, backoff_s=end.backoff_s
-        )
-        headers = (*end.headers, ("X-Request-Id", flight.wire_id))
-        flight.call.reply.raw(end.status, headers, end.body)
-        self._record_outcome(flight, Ran.YES, end.status, end.content_type, end.body)
-        self._telemetry.on_answered(flight, flight.cost)
-        self._end(flight, "complete", status=end.status)
-
-    def _cut(self, flight: Flight, end: Cut) -> None:
-        self._return_grant(
-            flight.grant, flight, served=float(flight.pieces), failed=True
-        )
-        self._telemetry.on_cut(flight)
-        if end.lost and _is_suspect_run(flight):
-            self.crashes.on_cut(_endpoint_start(flight.endpoint), flight.fingerprint)
-        text = f"endpoint {flight.endpoint.name}: {end.message}"
+            self.crashes.on_good_answer(ctx.fingerprint)
+        self._return_grant(ctx.grant, ctx, served=ctx.cost, backoff_s=end.backoff_s)
+        headers = (*end.headers, ("X-Request-Id", ctx.wire_id))
+        ctx.call.reply.raw(end.status, headers, end.body)
+        self._record_outcome(ctx, Ran.YES, end.status, end.content_type, end.body)
+        self._telemetry.on_answered(ctx, ctx.cost)
+        self._end(ctx, "complete", status=end.status)
+
+    def _cut(self, ctx: RequestContext, end: Cut) -> None:
+        self._return_grant(ctx.grant, ctx, served=float(ctx.pieces), failed=True)
+        self._telemetry.on_cut(ctx)
+        if end.lost and _is_suspect_run(ctx):
+            self.crashes.on_cut(_endpoint_start(ctx.endpoint), ctx.fingerprint)
+        text = f"endpoint {ctx.endpoint.name}: {end.message}"
         exc = RouterError(ErrorKind.ENDPOINT_CUT, text, ran=end.ran)
-        repeatable = not flight.protected and isinstance(flight.call, ChatCall)
-        if repeatable and not flight.call.reply.streaming:
-            flight.ran = end.ran
-            self._retry(flight, exc)
+        repeatable = not ctx.protected and isinstance(ctx.call, ChatCall)
+        if repeatable and not ctx.call.reply.streaming:
+            ctx.ran = end.ran
+            self._retry(ctx, exc)
         else:
-            self._refuse_after_send(flight, exc)
+            self._refuse_after_send(ctx, exc)
 
     # Retries, final answers and cleanup.
 
-    def _retry(self, flight: Flight, exc: RouterError) -> None:
+    def _retry(self, ctx: RequestContext, exc: RouterError) -> None:
         """Queue a request again that did not run or may run more than once."""
-        if flight.protected:
-            self._refuse_after_send(flight, exc)
+        if ctx.protected:
+            self._refuse_after_send(ctx, exc)
             return
-        late = monotonic() >= flight.deadline
-        if (quarantine_exc := self._quarantine_error(flight)) is not None:
-            self._refuse(flight, quarantine_exc)
+        late = monotonic() >= ctx.deadline
+        if (quarantine_exc := self._quarantine_error(ctx)) is not None:
+            self._refuse(ctx, quarantine_exc)
             return
-        if late or flight.attempts >= MAX_ATTEMPTS or not self.take_retry():
-            self._refuse(flight, exc)
+        if late or ctx.attempts >= MAX_ATTEMPTS or not self.take_retry():
+            self._refuse(ctx, exc)
             return
-        self._tracing.finish(flight.stage_span, error=exc.message)
-        self._telemetry.on_retry(flight)
-        self._queue(flight)
+        self._tracing.finish(ctx.stage_span, error=exc.message)
+        self._telemetry.on_retry(ctx)
+        self._queue(ctx)
 
-    def _refuse_after_send(self, flight: Flight, exc: RouterError) -> None:
+    def _refuse_after_send(self, ctx: RequestContext, exc: RouterError) -> None:
         if exc.ran is not Ran.NO:
-            self._telemetry.on_outcome_unknown(flight)
-            self._record_outcome(flight, exc.ran)
-        elif flight.protected:
-            ended = self._control.actions.on_ended(monotonic(), flight.id, Ran.NO)
+            self._telemetry.on_outcome_unknown(ctx)
+            self._record_outcome(ctx, exc.ran)
+        elif ctx.protected:
+            ended = self._control.actions.on_ended(monotonic(), ctx.id, Ran.NO)
             self._control.run(ended)
-        self._refuse(flight, exc)
+        self._refuse(ctx, exc)
 
-    def _refuse(self, flight: Flight, exc: RouterError) -> None:
-        if flight.phase is not Phase.RUNNING and flight.grant:
-            self._return_grant(flight.grant)
-        self._cancel_action(flight)
-        if exc.ran is Ran.NO and flight.ran is not Ran.NO:
+    def _refuse(self, ctx: RequestContext, exc: RouterError) -> None:
+        if ctx.phase is not Phase.RUNNING and ctx.grant:
+            self._return_grant(ctx.grant)
+        self._cancel_action(ctx)
+        if exc.ran is Ran.NO and ctx.ran is not Ran.NO:
             # This attempt did not run, but an earlier one that was cut off may have,
             # so the answer must not claim that the request never ran.
             exc = RouterError(
-                exc.kind, exc.message, ran=flight.ran, retry_after_s=exc.retry_after_s
+                exc.kind, exc.message, ran=ctx.ran, retry_after_s=exc.retry_after_s
             )
-        self._telemetry.on_refused(exc, flight)
-        headers = [("X-Request-Id", flight.wire_id)]
-        flight.call.reply.error(exc, headers)
-        self._end(flight, exc.kind.value)
+        self._telemetry.on_refused(exc, ctx)
+        headers = [("X-Request-Id", ctx.wire_id)]
+        ctx.call.reply.error(exc, headers)
+        self._end(ctx, exc.kind.value)
 
     def _record_outcome(
         self,
-        flight: Flight,
+        ctx: RequestContext,
         ran: Ran,
         status: int = 0,
         content_type: str = "",
         body: bytes = b"",
     ) -> None:
-        if not flight.protected:
+        if not ctx.protected:
             return
         self._control.run(
             self._control.actions.on_ended(
                 monotonic(),
-                flight.id,
+                ctx.id,
                 ran,
                 status=status,
                 content_type=content_type,
@@ -444,57 +440,55 @@
             )
         )
 
-    def _cancel_action(self, flight: Flight) -> None:
-        if flight.protected:
-            cancel_effects = self._control.actions.cancel(monotonic(), flight.id)
+    def _cancel_action(self, ctx: RequestContext) -> None:
+        if ctx.protected:
+            cancel_effects = self._control.actions.cancel(monotonic(), ctx.id)
             self._control.run(cancel_effects)
 
     def _return_grant(
         self,
         grant: str,
-        flight: Flight | None = None,
+        ctx: RequestContext | None = None,
         *,
         served: float = 0.0,
         failed: bool = False,
         backoff_s: float = 0.0,
     ) -> None:
-        if flight and backoff_s:
-            endpoint = flight.endpoint.name
+        if ctx and backoff_s:
+            endpoint = ctx.endpoint.name
             if self._control.entry.on_backoff(monotonic(), endpoint, backoff_s):
                 self._telemetry.on_backoff(endpoint, backoff_s)
-        seconds = monotonic() - flight.started_at if flight else 0.0
-        if flight:
-            flight.grant = ""
+        seconds = monotonic() - ctx.started_at if ctx else 0.0
+        if ctx:
+            ctx.grant = ""
         finished = self._control.entry.on_finished(
             grant, served, seconds, failed=failed, backoff_s=backoff_s
         )
         self._control.run(finished)
 
-    def _stop_run(self, flight: Flight) -> None:
-        flight.run.cancel()
-        self._return_grant(flight.grant, flight, served=float(flight.pieces))
+    def _stop_run(self, ctx: RequestContext) -> None:
+        ctx.run.cancel()
+        self._return_grant(ctx.grant, ctx, served=float(ctx.pieces))
 
-    def _end(self, flight: Flight, result: str, **attributes: object) -> None:
-        self._telemetry.on_ended(flight, monotonic())
-        self._tracing.finish(flight.stage_span)
-        self._tracing.finish(flight.span, result=result, **attributes)
-        self._flights.remove(flight, result)
+    def _end(self, ctx: RequestContext, result: str, **attributes: object) -> None:
+        self._telemetry.on_ended(ctx, monotonic())
+        self._tracing.finish(ctx.stage_span)
+        self._tracing.finish(ctx.span, result=result, **attributes)
+        self._active.remove(ctx, result)
 
     def on_tick(self) -> None:
         """Stop requests that run past their deadline; their callers no longer wait."""
         now = monotonic()
-        for flight in self._flights.overdue(now):
-            self._stop_run(flight)
-            ran = Ran.YES if flight.pieces else Ran.UNKNOWN
+        for ctx in self._active.overdue(now):
+            self._stop_run(ctx)
+            ran = Ran.YES if ctx.pieces else Ran.UNKNOWN
             text = "the deadline passed while the endpoint ran the request"
-            self._refuse_after_send(
-                flight, RouterError(ErrorKind.DEADLINE, text, ran=ran)
-            )
+            self._refuse_after_send(ctx, RouterError(ErrorKind.DEADLINE, text, ran=ran))
 
 
-def _is_suspect_run(flight: Flight) -> bool:
+def _is_suspect_run(ctx: RequestContext) -> bool:
     """Whether a run is suspected if its endpoint crashed."""
-    run = flight.run
+    run = ctx.run
     first_s = run.first_piece_s if isinstance(run, EngineCall) else None
     return first_s is None or run.seconds - first_s < SUSPECT_RUN_MAX_AGE_S
 
--- a/greengageflow/daemon/forward_admission.py
+++ b/greengageflow/daemon/forward_admission.py
@@ -9,7 +9,7 @@
 from greengageflow.core.service_scheduler import QUEUE_TARGET_FRACTION, Job
 from greengageflow.core.trust import KeyTrust
 from greengageflow.core.work_queue import QueuedRequest
-from greengageflow.daemon.forward_flight import ForwardFlight
+from greengageflow.daemon.forward_context import ForwardContext
 from greengageflow.errors import ErrorKind, RouterError
 from greengageflow.net.forward_calls import ForwardCall
 from greengageflow.net.timers import Timers
@@ -62,7 +62,7 @@
             return RouterError(ErrorKind.LOG_UNAVAILABLE, "the log is unavailable")
         return None
 
-    def admit(self, call: ForwardCall) -> ForwardFlight:
+    def admit(self, call: ForwardCall) -> ForwardContext:
         """Return the state of a newly admitted request.
 
         Raises:
@@ -77,7 +77,7 @@
         wait_s = route.timeout_s
         if req.max_wait_s is not None:
             wait_s = min(wait_s, req.max_wait_s)
-        return ForwardFlight(
+        return ForwardContext(
             id=str(next(self._numbers)),
             call_key=id(call),
             req=req,
@@ -119,37 +119,35 @@
             kind = ErrorKind.LOG_UNAVAILABLE
             raise RouterError(kind, text, retry_after_s=RETRY_AFTER_S)
 
-    def job(self, flight: ForwardFlight) -> Job:
+    def job(self, ctx: ForwardContext) -> Job:
         """Return the scheduler's job for a request."""
-        return Job(
-            self._queued_request(flight), flight.route.target_s, flight.req.prompt
-        )
+        return Job(self._queued_request(ctx), ctx.route.target_s, ctx.req.prompt)
 
-    def _queued_request(self, flight: ForwardFlight) -> QueuedRequest:
-        prompt = flight.req.prompt
-        target_s = flight.route.target_s
-        expires_at = flight.arrived_at + QUEUE_TARGET_FRACTION * target_s
+    def _queued_request(self, ctx: ForwardContext) -> QueuedRequest:
+        prompt = ctx.req.prompt
+        target_s = ctx.route.target_s
+        expires_at = ctx.arrived_at + QUEUE_TARGET_FRACTION * target_s
         return QueuedRequest(
-            flight.id,
-            flight.account,
+            ctx.id,
+            ctx.account,
             prompt.work if prompt else DEFAULT_WORK,
-            flight.route.priority,
-            flight.arrived_at,
-            flight.arrived_at + target_s - self._retrying_s(flight),
-            min(expires_at, flight.deadline),
+            ctx.route.priority,
+            ctx.arrived_at,
+            ctx.arrived_at + target_s - self._retrying_s(ctx),
+            min(expires_at, ctx.deadline),
         )
 
-    def _retrying_s(self, flight: ForwardFlight) -> float:
+    def _retrying_s(self, ctx: ForwardContext) -> float:
         """Return how long the caller has been retrying, in seconds.
 
         A retrying caller sends the time that it will still wait. The longest such time
         seen on a route is taken as the total that its callers wait.
         """
-        remaining_wait_s = flight.req.max_wait_s
+        remaining_wait_s = ctx.req.max_wait_s
         if remaining_wait_s is None:
             return 0.0
         total_wait_s = max(
-            remaining_wait_s, self._longest_wait_s.get(flight.route.name, 0.0)
+            remaining_wait_s, self._longest_wait_s.get(ctx.route.name, 0.0)
         )
-        self._longest_wait_s[flight.route.name] = total_wait_s
+        self._longest_wait_s[ctx.route.name] = total_wait_s
         return total_wait_s - remaining_wait_s
--- a/greengageflow/daemon/forward_flight.py
+++ b/greengageflow/daemon/forward_context.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class ForwardFlight:
+class ForwardContext:
     """State of one forwarded request in flight.
 
     Args:
--- a/greengageflow/daemon/forward_sending.py
+++ b/greengageflow/daemon/forward_sending.py
@@ -5,7 +5,7 @@
 from math import inf
 
 from greengageflow.core.routes import RetryPolicy
-from greengageflow.daemon.forward_flight import ForwardFlight
+from greengageflow.daemon.forward_context import ForwardContext
 from greengageflow.net.event_frames import Frame
 from greengageflow.net.http_messages import Failure, HttpRequest
 
@@ -19,43 +19,43 @@
 """Time without an event after which a stream counts as stalled, in seconds."""
 
 
-def with_limits(request: HttpRequest, flight: ForwardFlight, now: float) -> HttpRequest:
+def with_limits(request: HttpRequest, ctx: ForwardContext, now: float) -> HttpRequest:
     """Return a request with the time-outs and connection reuse allowed for it."""
-    reuse_s = inf if flight.repeatable else REUSE_MAX_IDLE_S
+    reuse_s = inf if ctx.repeatable else REUSE_MAX_IDLE_S
     return replace(
         request,
         connect_timeout_s=CONNECT_TIMEOUT_S,
-        idle_timeout_s=max(MIN_ATTEMPT_S, flight.deadline - now),
+        idle_timeout_s=max(MIN_ATTEMPT_S, ctx.deadline - now),
         retry_stale=False,
-        reuse_s=0.0 if flight.stale_retry_endpoint else reuse_s,
+        reuse_s=0.0 if ctx.stale_retry_endpoint else reuse_s,
     )
 
 
-def with_stale_retry(flight: ForwardFlight, failure: Failure) -> Failure:
+def with_stale_retry(ctx: ForwardContext, failure: Failure) -> Failure:
     """Return a failure that counts as sent if a stale retry sent the request before."""
-    sent_before = flight.stale_retry_endpoint == flight.attempt.endpoint.id
+    sent_before = ctx.stale_retry_endpoint == ctx.attempt.endpoint.id
     return replace(failure, sent=failure.sent or sent_before)
 
 
-def new_events(flight: ForwardFlight, frames: Iterable[Frame]) -> Iterable[bytes]:
+def new_events(ctx: ForwardContext, frames: Iterable[Frame]) -> Iterable[bytes]:
     """Yield the events that the caller has not received; update the last number."""
     for frame in frames:
         if frame.number is not None:
-            if flight.last_event is not None and frame.number <= flight.last_event:
+            if ctx.last_event is not None and frame.number <= ctx.last_event:
                 continue
-            flight.last_event = frame.number
-        flight.pieces += 1
+            ctx.last_event = frame.number
+        ctx.pieces += 1
         yield frame.raw
 
 
-def is_stalled(flight: ForwardFlight, now: float) -> bool:
+def is_stalled(ctx: ForwardContext, now: float) -> bool:
     """Whether a stream that may be resumed elsewhere is stalled.
 
     An engine whose host is lost resets no connections: its streams would stall until
     their deadline, and the callers would disconnect.
     """
-    if flight.route.retry_policy is not RetryPolicy.RESUME or flight.attempt is None:
+    if ctx.route.retry_policy is not RetryPolicy.RESUME or ctx.attempt is None:
         return False
-    if flight.runs + 1 >= flight.route.attempts or flight.reply.blocked:
+    if ctx.runs + 1 >= ctx.route.attempts or ctx.reply.blocked:
         return False
-    return now - flight.last_progress_at > STALL_TIMEOUT_S
+    return now - ctx.last_progress_at > STALL_TIMEOUT_S
--- a/greengageflow/daemon/forward_telemetry.py
+++ b/greengageflow/daemon/forward_telemetry.py
@@ -5,7 +5,7 @@
 from greengageflow.core.forward_request import ForwardRequest, request_fingerprint
 from greengageflow.core.quarantine import short_digest
 from greengageflow.core.service_dispatcher import ServiceDispatcher
-from greengageflow.daemon.forward_flight import ForwardFlight, Phase
+from greengageflow.daemon.forward_context import ForwardContext, Phase
 from greengageflow.errors import Ran, RouterError
 from greengageflow.net.decision_events import DecisionEvent
 from greengageflow.net.decision_log import DecisionLog
@@ -56,48 +56,46 @@
         )
 
     def on_sent(
-        self, now: float, flight: ForwardFlight, choice: Choice, placer: str
+        self, now: float, ctx: ForwardContext, choice: Choice, placer: str
     ) -> None:
         """Record that a request is first sent, as decided by the host ``placer``."""
-        self._page.observe(
-            PageMetric.WAITING_TIME, now - flight.arrived_at, flight.service
-        )
+        self._page.observe(PageMetric.WAITING_TIME, now - ctx.arrived_at, ctx.service)
         self._log.write(
             DecisionEvent.SENT,
-            request=flight.req.id,
-            digest=short_digest(flight.fingerprint),
-            account=flight.account,
-            route=flight.route.name,
+            request=ctx.req.id,
+            digest=short_digest(ctx.fingerprint),
+            account=ctx.account,
+            route=ctx.route.name,
             endpoint=choice.endpoint.id,
             fetch_from=choice.fetch_from.id if choice.fetch_from else "",
-            prompt=flight.req.prompt.tokens_in if flight.req.prompt else 0,
+            prompt=ctx.req.prompt.tokens_in if ctx.req.prompt else 0,
             reading=round(choice.reading),
-            waited_ms=_ms(now - flight.arrived_at),
+            waited_ms=_ms(now - ctx.arrived_at),
             predicted_ms=_ms(choice.wait_s),
             placer=placer,
-            **self._decision_inputs(now, flight),
+            **self._decision_inputs(now, ctx),
         )
 
-    def _decision_inputs(self, now: float, flight: ForwardFlight) -> dict[str, int]:
+    def _decision_inputs(self, now: float, ctx: ForwardContext) -> dict[str, int]:
         return {
-            "queued": self._dispatcher.queue_length(flight.service),
-            "level": int(self._dispatcher.recent_usage(flight.service, flight.account)),
+            "queued": self._dispatcher.queue_length(ctx.service),
+            "level": int(self._dispatcher.recent_usage(ctx.service, ctx.account)),
             "report_age_ms": _ms(now - self.totals_at),
             "config": self.config_version,
         }
 
     def on_retry(
-        self, flight: ForwardFlight, before: str, choice: Choice, why: str
+        self, ctx: ForwardContext, before: str, choice: Choice, why: str
     ) -> None:
         """Record a retry or a resumption of a request."""
-        streaming = flight.phase is Phase.STREAMING
+        streaming = ctx.phase is Phase.STREAMING
         event = DecisionEvent.RESUMED if streaming else DecisionEvent.RETRIED
         metric = PageMetric.RESUMED if streaming else PageMetric.RETRIES
-        self._page.count(metric, flight.service)
-        stream_fields = {"pieces": flight.pieces} if streaming else {}
+        self._page.count(metric, ctx.service)
+        stream_fields = {"pieces": ctx.pieces} if streaming else {}
         self._log.write(
             event,
-            request=flight.req.id,
+            request=ctx.req.id,
             before=before,
             endpoint=choice.endpoint.id,
             why=why,
@@ -121,99 +119,97 @@
             hosts=use.hosts,
         )
 
-    def on_first_event(self, now: float, flight: ForwardFlight) -> None:
+    def on_first_event(self, now: float, ctx: ForwardContext) -> None:
         """Record the time to the first event of a stream."""
         self._page.observe(
-            PageMetric.FIRST_EVENT_TIME, now - flight.arrived_at, flight.service
+            PageMetric.FIRST_EVENT_TIME, now - ctx.arrived_at, ctx.service
         )
 
-    def record_longest_pause(self, flight: ForwardFlight) -> None:
+    def record_longest_pause(self, ctx: ForwardContext) -> None:
         """Record the longest time between two events of a stream that has ended."""
-        self._page.observe(
-            PageMetric.PAUSE_TIME, flight.longest_pause_s, flight.service
-        )
+        self._page.observe(PageMetric.PAUSE_TIME, ctx.longest_pause_s, ctx.service)
 
-    def on_finished(self, now: float, flight: ForwardFlight, status: int) -> None:
+    def on_finished(self, now: float, ctx: ForwardContext, status: int) -> None:
         """Record a complete answer, and whether it met the route's objective."""
         self._page.count(PageMetric.REQUESTS, "answered")
-        first_at = flight.first_event_at or now
-        first_event_s = first_at - flight.arrived_at
-        late = first_event_s > flight.route.target_s
+        first_at = ctx.first_event_at or now
+        first_event_s = first_at - ctx.arrived_at
+        late = first_event_s > ctx.route.target_s
         fields: dict[str, int | str] = {
-            "request": flight.req.id,
-            "endpoint": flight.attempt.endpoint.id,
+            "request": ctx.req.id,
+            "endpoint": ctx.attempt.endpoint.id,
             "status": status,
             "first_ms": _ms(first_event_s),
-            "total_ms": _ms(now - flight.arrived_at),
+            "total_ms": _ms(now - ctx.arrived_at),
         }
         if not late:
             self._log.write(DecisionEvent.FINISHED, **fields)
             return
         self._log.write(
             DecisionEvent.FINISHED_LATE,
-            waited_ms=_ms(flight.first_sent_at - flight.arrived_at),
-            predicted_ms=_ms(flight.predicted_wait_s),
-            objective_ms=_ms(flight.route.target_s),
+            waited_ms=_ms(ctx.first_sent_at - ctx.arrived_at),
+            predicted_ms=_ms(ctx.predicted_wait_s),
+            objective_ms=_ms(ctx.route.target_s),
             **fields,
         )
 
-    def on_refused(self, now: float, flight: ForwardFlight, exc: RouterError) -> None:
+    def on_refused(self, now: float, ctx: ForwardContext, exc: RouterError) -> None:
         """Record a request that is answered with an error."""
-        if flight.attempt_count and exc.ran is not Ran.NO:
-            self._on_failed(now, flight, exc)
+        if ctx.attempt_count and exc.ran is not Ran.NO:
+            self._on_failed(now, ctx, exc)
             return
         self._count_refusal(exc)
         self._log.write(
             DecisionEvent.REFUSED,
-            request=flight.req.id,
-            digest=short_digest(flight.fingerprint),
-            account=flight.account,
-            route=flight.route.name,
+            request=ctx.req.id,
+            digest=short_digest(ctx.fingerprint),
+            account=ctx.account,
+            route=ctx.route.name,
             why=exc.kind.value,
             text=exc.message,
             retry_after_ms=_ms(exc.retry_after_s or 0.0),
-            waited_ms=_ms(now - flight.arrived_at),
-            **self._decision_inputs(now, flight),
+            waited_ms=_ms(now - ctx.arrived_at),
+            **self._decision_inputs(now, ctx),
         )
 
     def _count_refusal(self, exc: RouterError) -> None:
         self._page.count(PageMetric.REQUESTS, "refused")
         self._page.count(PageMetric.REFUSALS, exc.kind.value)
 
-    def _on_failed(self, now: float, flight: ForwardFlight, exc: RouterError) -> None:
+    def _on_failed(self, now: float, ctx: ForwardContext, exc: RouterError) -> None:
         self._page.count(PageMetric.REQUESTS, "failed")
         self._log.write(
             DecisionEvent.FAILED,
-            request=flight.req.id,
-            endpoint=flight.attempt.endpoint.id,
+            request=ctx.req.id,
+            endpoint=ctx.attempt.endpoint.id,
             status=exc.status,
             why=exc.message,
             ran=exc.ran.value,
-            total_ms=_ms(now - flight.arrived_at),
+            total_ms=_ms(now - ctx.arrived_at),
         )
 
-    def on_cut(self, now: float, flight: ForwardFlight, why: str) -> None:
+    def on_cut(self, now: float, ctx: ForwardContext, why: str) -> None:
         """Record a stream that was cut off at its caller."""
         self._page.count(PageMetric.REQUESTS, "cut")
         self._log.write(
             DecisionEvent.CUT,
-            request=flight.req.id,
-            endpoint=flight.attempt.endpoint.id,
+            request=ctx.req.id,
+            endpoint=ctx.attempt.endpoint.id,
             why=why,
-            pieces=flight.pieces,
+            pieces=ctx.pieces,
             ran=Ran.YES.value,
-            total_ms=_ms(now - flight.arrived_at),
+            total_ms=_ms(now - ctx.arrived_at),
         )
 
-    def on_caller_left(self, now: float, flight: ForwardFlight) -> None:
+    def on_caller_left(self, now: float, ctx: ForwardContext) -> None:
         """Record a caller that disconnected before its answer was complete."""
-        self._page.count(PageMetric.CANCELLED, flight.service)
+        self._page.count(PageMetric.CANCELLED, ctx.service)
         self._log.write(
             DecisionEvent.CALLER_LEFT,
-            request=flight.req.id,
-            endpoint=flight.attempt.endpoint.id if flight.attempt else "",
-            stage=flight.phase.name.lower(),
-            total_ms=_ms(now - flight.arrived_at),
+            request=ctx.req.id,
+            endpoint=ctx.attempt.endpoint.id if ctx.attempt else "",
+            stage=ctx.phase.name.lower(),
+            total_ms=_ms(now - ctx.arrived_at),
         )
 
     def on_backoff(self, endpoint: ListedEndpoint, seconds: float) -> None:
@@ -224,14 +220,14 @@
         )
 
     def on_endpoint_failure(
-        self, flight: ForwardFlight, why: str, suspended: bool
+        self, ctx: ForwardContext, why: str, suspended: bool
     ) -> None:
         """Record that an endpoint failed to answer; logged only if suspended."""
-        self._page.count(PageMetric.ENDPOINT_FAILURES, flight.service)
+        self._page.count(PageMetric.ENDPOINT_FAILURES, ctx.service)
         if suspended:
             self._log.write(
                 DecisionEvent.ENDPOINT_SUSPECT,
-                endpoint=flight.attempt.endpoint.id,
+                endpoint=ctx.attempt.endpoint.id,
                 why=why,
-                failures=self._dispatcher.consecutive_failures(flight.attempt.endpoint),
+                failures=self._dispatcher.consecutive_failures(ctx.attempt.endpoint),
             )
--- a/greengageflow/daemon/forwarder.py
+++ b/greengageflow/daemon/forwarder.py
@@ -15,7 +15,7 @@
 )
 from greengageflow.daemon.crash_watch import CrashWatch
 from greengageflow.daemon.forward_admission import ForwardAdmission
-from greengageflow.daemon.forward_flight import ForwardFlight, Phase
+from greengageflow.daemon.forward_context import ForwardContext, Phase
 from greengageflow.daemon.forward_sending import (
     MIN_ATTEMPT_S,
     STALL_TIMEOUT_S,
@@ -93,13 +93,13 @@
         self._admission = admission
         self._telemetry = telemetry
         self._quarantine = quarantine
-        self._flights: dict[str, ForwardFlight] = {}
-        self._by_call: dict[int, ForwardFlight] = {}
+        self._active: dict[str, ForwardContext] = {}
+        self._by_call: dict[int, ForwardContext] = {}
 
     @property
-    def flights(self) -> int:
+    def active_requests(self) -> int:
         """Number of requests that have no final answer yet."""
-        return len(self._flights)
+        return len(self._active)
 
     def on_routing(self, routing: Routing) -> None:
         """Apply a new configuration."""
@@ -121,29 +121,27 @@
             if self.refusing:
                 text = "this router is stopping"
                 raise RouterError(ErrorKind.STOPPING, text, retry_after_s=0.0)
-            flight = self._admission.admit(call)
+            ctx = self._admission.admit(call)
         except RouterError as exc:
             self._telemetry.on_not_admitted(call.request, exc)
             call.reply.error(exc)
             return
-        if (exc := self._quarantine_error(flight)) is not None:
-            self._telemetry.on_refused(self._timers.now, flight, exc)
+        if (exc := self._quarantine_error(ctx)) is not None:
+            self._telemetry.on_refused(self._timers.now, ctx, exc)
             call.reply.error(exc)
             return
-        self._flights[flight.id] = flight
-        self._by_call[flight.call_key] = flight
-        timeout_s = flight.deadline - flight.arrived_at
-        flight.timer = self._timers.after(timeout_s, lambda: self._on_deadline(flight))
-        job = self._admission.job(flight)
+        self._active[ctx.id] = ctx
+        self._by_call[ctx.call_key] = ctx
+        timeout_s = ctx.deadline - ctx.arrived_at
+        ctx.timer = self._timers.after(timeout_s, lambda: self._on_deadline(ctx))
+        job = self._admission.job(ctx)
         self.carry_out(
-            self.placement.submit(
-                flight.arrived_at, flight.service, job, flight.account
-            )
+            self.placement.submit(ctx.arrived_at, ctx.service, job, ctx.account)
         )
 
-    def _quarantine_error(self, flight: ForwardFlight) -> RouterError | None:
+    def _quarantine_error(self, ctx: ForwardContext) -> RouterError | None:
         """Return why a request must not be sent to any endpoint, or None."""
-        remaining_s = self._quarantine.remaining_s(self._timers.now, flight.fingerprint)
+        remaining_s = self._quarantine.remaining_s(self._timers.now, ctx.fingerprint)
         if not remaining_s:
             return None
         text = "endpoints crashed while running this request"
@@ -155,173 +153,163 @@
         A request that an endpoint may still have queued is cancelled there before it
         starts to run. Streams that have begun are left alone.
         """
-        for flight in list(self._flights.values()):
-            streaming = flight.phase is Phase.STREAMING
-            if (
-                flight.fingerprint in quarantined
-                and not streaming
-                and self._is_open(flight)
-            ):
-                if flight.attempt is not None:
-                    self._stop_attempt(flight)
-                    flight.may_have_run = True
-                self._answer_error(flight, self._quarantine_error(flight))
-
-    def _is_open(self, flight: ForwardFlight) -> bool:
-        return self._flights.get(flight.id) is flight
+        for ctx in list(self._active.values()):
+            streaming = ctx.phase is Phase.STREAMING
+            if ctx.fingerprint in quarantined and not streaming and self._is_open(ctx):
+                if ctx.attempt is not None:
+                    self._stop_attempt(ctx)
+                    ctx.may_have_run = True
+                self._answer_error(ctx, self._quarantine_error(ctx))
+
+    def _is_open(self, ctx: ForwardContext) -> bool:
+        return self._active.get(ctx.id) is ctx
 
     def on_gone(self, call: ForwardCall) -> None:
         """Cancel the request of a caller that has disconnected."""
-        flight = self._by_call.get(id(call))
-        if flight is None:
+        ctx = self._by_call.get(id(call))
+        if ctx is None:
             return
-        self._stop_attempt(flight)
-        self._telemetry.on_caller_left(self._timers.now, flight)
-        self._end(flight)
+        self._stop_attempt(ctx)
+        self._telemetry.on_caller_left(self._timers.now, ctx)
+        self._end(ctx)
 
     # Decisions.
 
     def carry_out(self, decisions: Iterable[Decision]) -> None:
         """Start or refuse requests as decided by the scheduler."""
         for decision in decisions:
-            flight = self._flights.get(decision.request)
-            if flight is None:
+            ctx = self._active.get(decision.request)
+            if ctx is None:
                 self.placement.on_decision(decision)
                 continue
             match decision:
                 case StartJob(choice=choice):
-                    if (exc := self._quarantine_error(flight)) is None:
-                        self._start(flight, choice)
+                    if (exc := self._quarantine_error(ctx)) is None:
+                        self._start(ctx, choice)
                     else:
-                        self._answer_error(flight, exc)
+                        self._answer_error(ctx, exc)
                 case RefuseJob(kind=kind, message=message, retry_after_s=wait_s):
                     exc = RouterError(kind, message, retry_after_s=wait_s)
-                    self._answer_error(flight, exc)
+                    self._answer_error(ctx, exc)
 
-    def _start(self, flight: ForwardFlight, choice: Choice) -> None:
+    def _start(self, ctx: ForwardContext, choice: Choice) -> None:
         now = self._timers.now
-        flight.phase = Phase.SENT
-        flight.first_sent_at = now
-        flight.predicted_wait_s = choice.wait_s
-        self._telemetry.on_sent(now, flight, choice, self.placement.placer(flight.id))
-        self._send(flight, choice)
+        ctx.phase = Phase.SENT
+        ctx.first_sent_at = now
+        ctx.predicted_wait_s = choice.wait_s
+        self._telemetry.on_sent(now, ctx, choice, self.placement.placer(ctx.id))
+        self._send(ctx, choice)
 
-    def _send(self, flight: ForwardFlight, choice: Choice) -> None:
+    def _send(self, ctx: ForwardContext, choice: Choice) -> None:
         now = self._timers.now
-        flight.attempt_count += 1
-        flight.choice = choice
-        flight.last_progress_at = now
-        flight.run_began_at = None
-        self.placement.sent(now, flight.id, choice, flight.req.prompt)
+        ctx.attempt_count += 1
+        ctx.choice = choice
+        ctx.last_progress_at = now
+        ctx.run_began_at = None
+        self.placement.sent(now, ctx.id, choice, ctx.req.prompt)
         request = outgoing(
-            flight.req,
+            ctx.req,
             choice.endpoint,
-            account=flight.account,
-            left_s=flight.deadline - now,
-            last_event=flight.last_event,
+            account=ctx.account,
+            left_s=ctx.deadline - now,
+            last_event=ctx.last_event,
             fetch_from=choice.fetch_from,
         )
-        flight.attempt = EndpointAttempt(
+        ctx.attempt = EndpointAttempt(
             self._pool,
-            with_limits(request, flight, now),
+            with_limits(request, ctx, now),
             choice.endpoint,
-            lambda head: note_of(head, flight.req.id),
-            stream=flight.route.stream,
-            listener=_AttemptListener(self, flight),
+            lambda head: note_of(head, ctx.req.id),
+            stream=ctx.route.stream,
+            listener=_AttemptListener(self, ctx),
         )
-        flight.attempt.start()
+        ctx.attempt.start()
 
     # Events from endpoints.
 
-    def on_head(self, flight: ForwardFlight) -> None:
+    def on_head(self, ctx: ForwardContext) -> None:
         """Handle the answer's head and what it says about the endpoint's state."""
-        attempt = flight.attempt
-        flight.may_have_arrived = True
+        attempt = ctx.attempt
+        ctx.may_have_arrived = True
         if attempt.note.leaving:
             self.leaving.on_answer(attempt.endpoint)
 
-    def on_events(self, flight: ForwardFlight, frames: list[Frame]) -> None:
+    def on_events(self, ctx: ForwardContext, frames: list[Frame]) -> None:
         """Pass stream events on to the caller, with backpressure."""
         now = self._timers.now
-        attempt = flight.attempt
+        attempt = ctx.attempt
         if attempt.events == len(frames):
-            self.placement.first_event(now, flight.id, attempt.endpoint)
-            flight.may_have_run = True
-            flight.run_began_at = now
-        if flight.phase is not Phase.STREAMING:
-            flight.phase = Phase.STREAMING
-            flight.first_event_at = now
-            self._telemetry.on_first_event(now, flight)
-            flight.reply.begin(attempt.head.status, headers_for_caller(attempt.head))
+            self.placement.first_event(now, ctx.id, attempt.endpoint)
+            ctx.may_have_run = True
+            ctx.run_began_at = now
+        if ctx.phase is not Phase.STREAMING:
+            ctx.phase = Phase.STREAMING
+            ctx.first_event_at = now
+            self._telemetry.on_first_event(now, ctx)
+            ctx.reply.begin(attempt.head.status, headers_for_caller(attempt.head))
         else:
-            flight.longest_pause_s = max(
-                flight.longest_pause_s, now - flight.last_progress_at
-            )
-        flight.last_progress_at = now
-        flight.reply.piece(b"".join(new_events(flight, frames)))
-        if flight.reply.blocked:
+            ctx.longest_pause_s = max(ctx.longest_pause_s, now - ctx.last_progress_at)
+        ctx.last_progress_at = now
+        ctx.reply.piece(b"".join(new_events(ctx, frames)))
+        if ctx.reply.blocked:
             attempt.pause()
-            flight.reply.on_drain = attempt.resume
+            ctx.reply.on_drain = attempt.resume
 
-    def on_answer(self, flight: ForwardFlight, body: bytes) -> None:
+    def on_answer(self, ctx: ForwardContext, body: bytes) -> None:
         """Handle a complete answer that is not streamed: pass it on or retry."""
-        note = flight.attempt.note
-        endpoint = flight.attempt.endpoint
+        note = ctx.attempt.note
+        endpoint = ctx.attempt.endpoint
         if note.not_run:
-            self._on_not_run(flight, note)
+            self._on_not_run(ctx, note)
             return
-        flight.avoid.add(endpoint.id)
-        flight.may_have_run = True
-        flight.runs += 1
+        ctx.avoid.add(endpoint.id)
+        ctx.may_have_run = True
+        ctx.runs += 1
         invalid = not note.good and note.status < 400
         good = note.good or 400 <= note.status < 500
-        self.placement.answered(flight.id, endpoint, good)
-        self.placement.left(flight.id, endpoint)
+        self.placement.answered(ctx.id, endpoint, good)
+        self.placement.left(ctx.id, endpoint)
         if note.good:
-            self.crashes.on_good_answer(flight.fingerprint)
+            self.crashes.on_good_answer(ctx.fingerprint)
         if not invalid and note.status < 500:
-            self._answer(flight, body)
-        elif (
-            flight.repeatable and flight.has_runs_left and self._retry(flight, "failed")
-        ):
+            self._answer(ctx, body)
+        elif ctx.repeatable and ctx.has_runs_left and self._retry(ctx, "failed"):
             return
         elif invalid:
             text = "the endpoint sent an invalid answer"
-            self._answer_error(flight, RouterError(ErrorKind.ENDPOINT_FAILED, text))
+            self._answer_error(ctx, RouterError(ErrorKind.ENDPOINT_FAILED, text))
         else:
-            self._answer(flight, body)
+            self._answer(ctx, body)
 
-    def _on_not_run(self, flight: ForwardFlight, note: AnswerNote) -> None:
-        endpoint = flight.attempt.endpoint
-        self.placement.left(flight.id, endpoint)
+    def _on_not_run(self, ctx: ForwardContext, note: AnswerNote) -> None:
+        endpoint = ctx.attempt.endpoint
+        self.placement.left(ctx.id, endpoint)
         if note.backoff_s:
             self._on_backoff(endpoint, note.backoff_s)
         else:
-            flight.avoid.add(endpoint.id)
+            ctx.avoid.add(endpoint.id)
         if note.replaced:
             self._endpoints.mark_leaving(endpoint.id, endpoint.born)
-        exc = self._rejection_error(flight, note.status)
-        if not self._retry(flight, exc.message) and not self._schedule_retry(
-            flight, exc
-        ):
-            self._answer_error(flight, exc)
+        exc = self._rejection_error(ctx, note.status)
+        if not self._retry(ctx, exc.message) and not self._schedule_retry(ctx, exc):
+            self._answer_error(ctx, exc)
 
-    def _schedule_retry(self, flight: ForwardFlight, exc: RouterError) -> bool:
+    def _schedule_retry(self, ctx: ForwardContext, exc: RouterError) -> bool:
         """Schedule a retry for the end of a backoff if the request can wait for it."""
         now = self._timers.now
-        wait_s = self._dispatcher.backoff_s(now, flight.service)
-        until = flight.arrived_at + QUEUE_TARGET_FRACTION * flight.route.target_s
-        if flight.phase is Phase.STREAMING:
-            until = flight.last_progress_at + STALL_TIMEOUT_S
-        late = now + wait_s > min(until, flight.deadline)
-        if not wait_s or late or flight.attempt_count >= MAX_ATTEMPTS:
+        wait_s = self._dispatcher.backoff_s(now, ctx.service)
+        until = ctx.arrived_at + QUEUE_TARGET_FRACTION * ctx.route.target_s
+        if ctx.phase is Phase.STREAMING:
+            until = ctx.last_progress_at + STALL_TIMEOUT_S
+        late = now + wait_s > min(until, ctx.deadline)
+        if not wait_s or late or ctx.attempt_count >= MAX_ATTEMPTS:
             return False
-        self._timers.after(wait_s, lambda: self._after_backoff(flight, exc))
+        self._timers.after(wait_s, lambda: self._after_backoff(ctx, exc))
         return True
 
-    def _after_backoff(self, flight: ForwardFlight, exc: RouterError) -> None:
-        if self._is_open(flight) and not self._retry(flight, exc.message):
-            self._answer_error(flight, exc)
+    def _after_backoff(self, ctx: ForwardContext, exc: RouterError) -> None:
+        if self._is_open(ctx) and not self._retry(ctx, exc.message):
+            self._answer_error(ctx, exc)
 
     def _on_backoff(self, endpoint: ListedEndpoint, seconds: float) -> None:
         now = self._timers.now
@@ -329,212 +317,212 @@
             self._telemetry.on_backoff(endpoint, seconds)
             self.carry_out(self._dispatcher.pump(now))
 
-    def _rejection_error(self, flight: ForwardFlight, status: int) -> RouterError:
-        text = f"{flight.attempt.endpoint.id} rejected the request with status {status}"
-        wait_s = self._dispatcher.backoff_s(self._timers.now, flight.service)
+    def _rejection_error(self, ctx: ForwardContext, status: int) -> RouterError:
+        text = f"{ctx.attempt.endpoint.id} rejected the request with status {status}"
+        wait_s = self._dispatcher.backoff_s(self._timers.now, ctx.service)
         return RouterError(ErrorKind.QUEUE_FULL, text, retry_after_s=wait_s or None)
 
-    def _answer(self, flight: ForwardFlight, body: bytes) -> None:
-        head = flight.attempt.head
+    def _answer(self, ctx: ForwardContext, body: bytes) -> None:
+        head = ctx.attempt.head
         now = self._timers.now
-        if flight.phase is Phase.STREAMING:
+        if ctx.phase is Phase.STREAMING:
             self._telemetry.on_cut(
-                now, flight, f"resumption answered with status {head.status}"
+                now, ctx, f"resumption answered with status {head.status}"
             )
-            flight.reply.abort()
+            ctx.reply.abort()
         else:
-            self._telemetry.on_finished(now, flight, head.status)
-            flight.reply.raw(head.status, headers_for_caller(head), body)
-        self._end(flight)
+            self._telemetry.on_finished(now, ctx, head.status)
+            ctx.reply.raw(head.status, headers_for_caller(head), body)
+        self._end(ctx)
 
-    def on_end(self, flight: ForwardFlight) -> None:
+    def on_end(self, ctx: ForwardContext) -> None:
         """Finish a stream that the endpoint ended regularly."""
-        head = flight.attempt.head
-        self.placement.left(flight.id, flight.attempt.endpoint)
-        self.crashes.on_good_answer(flight.fingerprint)
-        if flight.phase is not Phase.STREAMING:
-            flight.reply.begin(head.status, headers_for_caller(head))
+        head = ctx.attempt.head
+        self.placement.left(ctx.id, ctx.attempt.endpoint)
+        self.crashes.on_good_answer(ctx.fingerprint)
+        if ctx.phase is not Phase.STREAMING:
+            ctx.reply.begin(head.status, headers_for_caller(head))
         else:
-            self._telemetry.record_longest_pause(flight)
-        self._telemetry.on_finished(self._timers.now, flight, head.status)
-        flight.reply.finish()
-        self._end(flight)
+            self._telemetry.record_longest_pause(ctx)
+        self._telemetry.on_finished(self._timers.now, ctx, head.status)
+        ctx.reply.finish()
+        self._end(ctx)
 
-    def on_failure(self, flight: ForwardFlight, failure: Failure) -> None:
+    def on_failure(self, ctx: ForwardContext, failure: Failure) -> None:
         """Retry on another endpoint after an incomplete answer, or answer an error."""
-        flight.may_have_arrived |= failure.sent
-        if failure.stale and self._retry_stale(flight, failure):
+        ctx.may_have_arrived |= failure.sent
+        if failure.stale and self._retry_stale(ctx, failure):
             return
-        failure = with_stale_retry(flight, failure)
-        flight.avoid.add(flight.attempt.endpoint.id)
-        if failure.lost and self._is_suspect_run(flight):
-            self.crashes.on_cut(flight.attempt.endpoint, flight.fingerprint)
-        self._on_attempt_failed(flight, failure)
-        text = f"{flight.attempt.endpoint.id}: {failure.message}"
-        if not failure.sent or (flight.repeatable and flight.has_runs_left):
-            ran = Ran.UNKNOWN if flight.may_have_run else Ran.NO
+        failure = with_stale_retry(ctx, failure)
+        ctx.avoid.add(ctx.attempt.endpoint.id)
+        if failure.lost and self._is_suspect_run(ctx):
+            self.crashes.on_cut(ctx.attempt.endpoint, ctx.fingerprint)
+        self._on_attempt_failed(ctx, failure)
+        text = f"{ctx.attempt.endpoint.id}: {failure.message}"
+        if not failure.sent or (ctx.repeatable and ctx.has_runs_left):
+            ran = Ran.UNKNOWN if ctx.may_have_run else Ran.NO
             kind = ErrorKind.ENDPOINT_CUT if failure.sent else ErrorKind.NO_ENDPOINT
-            self._retry_or_fail(flight, RouterError(kind, text, ran=ran))
+            self._retry_or_fail(ctx, RouterError(kind, text, ran=ran))
         else:
-            self._answer_error(flight, RouterError(ErrorKind.ENDPOINT_CUT, text))
+            self._answer_error(ctx, RouterError(ErrorKind.ENDPOINT_CUT, text))
 
-    def _retry_stale(self, flight: ForwardFlight, failure: Failure) -> bool:
+    def _retry_stale(self, ctx: ForwardContext, failure: Failure) -> bool:
         """Retry a request at the same endpoint on a new connection, if allowed.
 
         The kept connection ended before the first byte of an answer. The endpoint may
         have received the request, so the retry counts against the retry budget.
         """
-        endpoint = flight.attempt.endpoint
-        allowed = flight.repeatable and flight.stale_retry_endpoint != endpoint.id
+        endpoint = ctx.attempt.endpoint
+        allowed = ctx.repeatable and ctx.stale_retry_endpoint != endpoint.id
         if not allowed or not self._dispatcher.is_available(self._timers.now, endpoint):
             return False
-        if not self._may_retry(flight) or not self._take_retry(flight):
+        if not self._may_retry(ctx) or not self._take_retry(ctx):
             return False
-        flight.may_have_run = True
-        flight.stale_retry_endpoint = endpoint.id
-        self.placement.left(flight.id, endpoint)
-        self._resend(flight, flight.choice, failure.message)
+        ctx.may_have_run = True
+        ctx.stale_retry_endpoint = endpoint.id
+        self.placement.left(ctx.id, endpoint)
+        self._resend(ctx, ctx.choice, failure.message)
         return True
 
-    def _is_suspect_run(self, flight: ForwardFlight) -> bool:
-        began_at = flight.run_began_at
+    def _is_suspect_run(self, ctx: ForwardContext) -> bool:
+        began_at = ctx.run_began_at
         return began_at is None or self._timers.now - began_at < SUSPECT_RUN_MAX_AGE_S
 
-    def _on_attempt_failed(self, flight: ForwardFlight, failure: Failure) -> None:
-        endpoint = flight.attempt.endpoint
-        suspended = self.placement.silent(self._timers.now, flight.id, endpoint)
-        self.placement.left(flight.id, endpoint)
-        self._telemetry.on_endpoint_failure(flight, failure.message, suspended)
+    def _on_attempt_failed(self, ctx: ForwardContext, failure: Failure) -> None:
+        endpoint = ctx.attempt.endpoint
+        suspended = self.placement.silent(self._timers.now, ctx.id, endpoint)
+        self.placement.left(ctx.id, endpoint)
+        self._telemetry.on_endpoint_failure(ctx, failure.message, suspended)
         if failure.sent:
-            flight.may_have_run = True
-            flight.runs += 1
+            ctx.may_have_run = True
+            ctx.runs += 1
 
-    def _retry_or_fail(self, flight: ForwardFlight, exc: RouterError) -> None:
-        if not self._retry(flight, exc.message):
-            self._answer_error(flight, exc)
+    def _retry_or_fail(self, ctx: ForwardContext, exc: RouterError) -> None:
+        if not self._retry(ctx, exc.message):
+            self._answer_error(ctx, exc)
 
-    def _retry(self, flight: ForwardFlight, why: str) -> bool:
+    def _retry(self, ctx: ForwardContext, why: str) -> bool:
         """Retry a request on another endpoint, if allowed."""
-        choice = self._next_choice(flight, flight.avoid)
+        choice = self._next_choice(ctx, ctx.avoid)
         if choice is None:
             return False
-        self._resend(flight, choice, why)
+        self._resend(ctx, choice, why)
         return True
 
-    def _next_choice(self, flight: ForwardFlight, avoid: set[str]) -> Choice | None:
-        if not self._may_retry(flight):
+    def _next_choice(self, ctx: ForwardContext, avoid: set[str]) -> Choice | None:
+        if not self._may_retry(ctx):
             return None
         now = self._timers.now
         choice = self._dispatcher.choose_retry_endpoint(
-            now, flight.service, flight.req.prompt, avoid
+            now, ctx.service, ctx.req.prompt, avoid
         )
-        return choice if choice and self._take_retry(flight) else None
+        return choice if choice and self._take_retry(ctx) else None
 
-    def _may_retry(self, flight: ForwardFlight) -> bool:
-        late = self._timers.now >= flight.deadline - MIN_ATTEMPT_S
-        if flight.attempt_count >= MAX_ATTEMPTS or late:
+    def _may_retry(self, ctx: ForwardContext) -> bool:
+        late = self._timers.now >= ctx.deadline - MIN_ATTEMPT_S
+        if ctx.attempt_count >= MAX_ATTEMPTS or late:
             return False
-        return self._quarantine_error(flight) is None
+        return self._quarantine_error(ctx) is None
 
-    def _take_retry(self, flight: ForwardFlight) -> bool:
-        if not flight.may_have_arrived:
+    def _take_retry(self, ctx: ForwardContext) -> bool:
+        if not ctx.may_have_arrived:
             return True
         now = self._timers.now
-        if self._dispatcher.take_retry(now, flight.service):
+        if self._dispatcher.take_retry(now, ctx.service):
             return True
-        self._telemetry.on_budget_exhausted(now, flight.service)
+        self._telemetry.on_budget_exhausted(now, ctx.service)
         return False
 
-    def _resend(self, flight: ForwardFlight, choice: Choice, why: str) -> None:
-        self._telemetry.on_retry(flight, flight.attempt.endpoint.id, choice, why)
-        self._send(flight, choice)
+    def _resend(self, ctx: ForwardContext, choice: Choice, why: str) -> None:
+        self._telemetry.on_retry(ctx, ctx.attempt.endpoint.id, choice, why)
+        self._send(ctx, choice)
 
-    def _resume_elsewhere(self, flight: ForwardFlight) -> None:
+    def _resume_elsewhere(self, ctx: ForwardContext) -> None:
         # An engine that is only slow continues later. Without another endpoint to
         # resume on, giving up would cut a stream that would have completed. The engine
         # is not added to `avoid` either, as the other endpoint may prove to be down.
-        flight.may_have_arrived = True
-        avoid = flight.avoid | {flight.attempt.endpoint.id}
-        choice = self._next_choice(flight, avoid)
+        ctx.may_have_arrived = True
+        avoid = ctx.avoid | {ctx.attempt.endpoint.id}
+        choice = self._next_choice(ctx, avoid)
         if choice is None:
             return
-        flight.attempt.cancel()
+        ctx.attempt.cancel()
         failure = Failure(FailureKind.TIMEOUT, True, "the stream stalled")
-        self._on_attempt_failed(flight, failure)
-        self._resend(flight, choice, failure.message)
+        self._on_attempt_failed(ctx, failure)
+        self._resend(ctx, choice, failure.message)
 
     # Final answers and cleanup.
 
-    def _on_deadline(self, flight: ForwardFlight) -> None:
-        if flight.id not in self._flights:
+    def _on_deadline(self, ctx: ForwardContext) -> None:
+        if ctx.id not in self._active:
             return
-        self._stop_attempt(flight)
-        if flight.attempt is not None:
-            flight.may_have_run = True
+        self._stop_attempt(ctx)
+        if ctx.attempt is not None:
+            ctx.may_have_run = True
             text = "no complete answer from the endpoint before the deadline"
             exc = RouterError(ErrorKind.OUTCOME_UNKNOWN, text)
         else:
             exc = RouterError(
                 ErrorKind.DEADLINE, "the deadline passed while the request was queued"
             )
-        self._answer_error(flight, exc)
+        self._answer_error(ctx, exc)
 
     def on_tick(self) -> None:
         """Resume stalled streams elsewhere and carry out decisions that are due."""
         now = self._timers.now
-        for flight in [f for f in self._flights.values() if is_stalled(f, now)]:
-            self._resume_elsewhere(flight)
+        for ctx in [c for c in self._active.values() if is_stalled(c, now)]:
+            self._resume_elsewhere(ctx)
         self.carry_out(self._dispatcher.pump(now))
 
-    def _stop_attempt(self, flight: ForwardFlight) -> None:
-        if flight.attempt is not None:
-            flight.attempt.cancel()
-            self.placement.left(flight.id, flight.attempt.endpoint)
+    def _stop_attempt(self, ctx: ForwardContext) -> None:
+        if ctx.attempt is not None:
+            ctx.attempt.cancel()
+            self.placement.left(ctx.id, ctx.attempt.endpoint)
 
-    def _answer_error(self, flight: ForwardFlight, exc: RouterError) -> None:
-        if flight.may_have_run and exc.status in NOT_RUN_STATUSES:
+    def _answer_error(self, ctx: ForwardContext, exc: RouterError) -> None:
+        if ctx.may_have_run and exc.status in NOT_RUN_STATUSES:
             exc = RouterError(ErrorKind.ENDPOINT_FAILED, exc.message)
         now = self._timers.now
-        if flight.phase is Phase.STREAMING:
-            self._telemetry.on_cut(now, flight, exc.message)
-            flight.reply.abort()
+        if ctx.phase is Phase.STREAMING:
+            self._telemetry.on_cut(now, ctx, exc.message)
+            ctx.reply.abort()
         else:
-            self._telemetry.on_refused(now, flight, exc)
-            flight.reply.error(exc)
-        self._end(flight)
+            self._telemetry.on_refused(now, ctx, exc)
+            ctx.reply.error(exc)
+        self._end(ctx)
 
-    def _end(self, flight: ForwardFlight) -> None:
-        if self._flights.pop(flight.id, None) is None:
+    def _end(self, ctx: ForwardContext) -> None:
+        if self._active.pop(ctx.id, None) is None:
             return
-        del self._by_call[flight.call_key]
-        flight.timer.cancel()
+        del self._by_call[ctx.call_key]
+        ctx.timer.cancel()
         now = self._timers.now
-        self.carry_out(self.placement.ended(now, flight.service, flight.id))
+        self.carry_out(self.placement.ended(now, ctx.service, ctx.id))
 
 
 class _AttemptListener:
     """Passes events of an attempt to the forwarder unless a newer one replaced it."""
 
-    def __init__(self, forwarder: Forwarder, flight: ForwardFlight) -> None:
+    def __init__(self, forwarder: Forwarder, ctx: ForwardContext) -> None:
         self._forwarder = forwarder
-        self._flight = flight
+        self._ctx = ctx
 
     def on_head(self, attempt: EndpointAttempt) -> None:
-        if self._flight.attempt is attempt:
-            self._forwarder.on_head(self._flight)
+        if self._ctx.attempt is attempt:
+            self._forwarder.on_head(self._ctx)
 
     def on_events(self, attempt: EndpointAttempt, frames: list[Frame]) -> None:
-        if self._flight.attempt is attempt:
-            self._forwarder.on_events(self._flight, frames)
+        if self._ctx.attempt is attempt:
+            self._forwarder.on_events(self._ctx, frames)
 
     def on_answer(self, attempt: EndpointAttempt, body: bytes) -> None:
-        if self._flight.attempt is attempt:
-            self._forwarder.on_answer(self._flight, body)
+        if self._ctx.attempt is attempt:
+            self._forwarder.on_answer(self._ctx, body)
 
     def on_end(self, attempt: EndpointAttempt) -> None:
-        if self._flight.attempt is attempt:
-            self._forwarder.on_end(self._flight)
+        if self._ctx.attempt is attempt:
+            self._forwarder.on_end(self._ctx)
 
     def on_failure(self, attempt: EndpointAttempt, failure: Failure) -> None:
-        if self._flight.attempt is attempt:
-            self._forwarder.on_failure(self._flight, failure)
+        if self._ctx.attempt is attempt:
+            self._forwarder.on_failure(self._ctx, failure)
--- a/greengageflow/daemon/gateway.py
+++ b/greengageflow/daemon/gateway.py
@@ -268,7 +268,7 @@
 
     @property
     def _in_flight(self) -> int:
-        return self._forwarder.flights - self._placement.waiting
+        return self._forwarder.active_requests - self._placement.waiting
 
     def _unready(self) -> RouterError | None:
         if self._callers.full:
@@ -430,12 +430,12 @@
 
     def _stop_when_done(self) -> None:
         waited_s = self._timers.now - self._stop_began
-        busy = self._forwarder.flights or self._callers.answering
+        busy = self._forwarder.active_requests or self._callers.answering
         if busy and waited_s < self._settings.bounds.grace_s - EXIT_EARLY_S:
             return
         self._log.write(
             DecisionEvent.STOPPED,
-            cut=self._forwarder.flights,
+            cut=self._forwarder.active_requests,
             total_ms=round(1000 * waited_s),
         )
         self._log.flush()
--- a/greengageflow/daemon/flight.py
+++ b/greengageflow/daemon/request_context.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(slots=True)
-class Flight:
+class RequestContext:
     """State of one request in flight.
 
     Args:
--- a/greengageflow/daemon/router.py
+++ b/greengageflow/daemon/router.py
@@ -284,7 +284,7 @@
     def _begin_stop(self) -> None:
         if self._requests.stopping:
             return
-        log(LogEvent.STOPPING, running=self._requests.flights)
+        log(LogEvent.STOPPING, running=self._requests.active_requests)
         self._requests.stopping = True
         self._control.membership.set_stopping()
         self._control.refresh_view()
@@ -298,7 +298,7 @@
 
     def _stop_when_done(self) -> None:
         waited = self._timers.now - self._stop_began
-        left = self._requests.flights
+        left = self._requests.active_requests
         busy = (
             left
             or self._callers.answering
