--- a/tests/test_callers_who_left.py
+++ b/tests/test_callers_who_left.py
@@ -13,7 +13,7 @@
 from tests.support import wait_for
 
 CALLERS = 900
-MOST_WAITING = 500
+MAX_WAITING_CONNECTIONS = 500
 """Maximum number of connections that may wait to be accepted.
 
 A caller tries another host after 1 s. A host with half a core reads 500 connections in
@@ -34,7 +34,7 @@
     return "\r\n".join([*lines, "", ""]).encode()
 
 
-class Crowd:
+class Callers:
     """Callers that connect, send one request each and disconnect without an answer."""
 
     def __init__(self, address):
@@ -72,7 +72,7 @@
 
 
 @pytest.fixture
-def stopped(lab):
+def stopped_router(lab):
     """Stop the router's process, yield it and continue it afterwards."""
     process = lab.routers["r0"].popen
     process.send_signal(signal.SIGSTOP)
@@ -80,13 +80,13 @@
     process.send_signal(signal.SIGCONT)
 
 
-def decided(lab):
+def logged_request_ids(lab):
     """Return the request ids in the router's log lines, in order."""
     rows = (line for line in lab.log.splitlines() if line.startswith("{"))
     return [row["request"] for row in map(json.loads, rows) if "request" in row]
 
 
-def test_no_more_callers_wait_for_a_host_than_it_reads_in_time(lab, stopped):
+def test_no_more_callers_wait_for_a_host_than_it_reads_in_time(lab, stopped_router):
     """An overloaded host reported ready but accepted none of 4,493 new connections in
     nine seconds, and their callers got no answer.
 
@@ -98,12 +98,14 @@
     queue, a new caller learns at once that the host is full.
     """
     host, port = lab.settings["r0"]["callers"].split(":")
-    with closing(Crowd((host, int(port)))) as crowd:
+    with closing(Callers((host, int(port)))) as callers:
         sleep(0.2)
-        assert crowd.send() <= MOST_WAITING
+        assert callers.send() <= MAX_WAITING_CONNECTIONS
 
 
-def test_nothing_is_decided_for_callers_that_left_before_they_were_read(lab, stopped):
+def test_nothing_is_decided_for_callers_that_left_before_they_were_read(
+    lab, stopped_router
+):
     """An overloaded host read abandoned requests for eight seconds after the last was
     sent, and requested a placement for each while new callers waited.
 
@@ -112,10 +114,10 @@
     CALLER_LEFT of queued requests, 2 to 3 ms after their arrival.
     """
     host, port = lab.settings["r0"]["callers"].split(":")
-    with closing(Crowd((host, int(port)))) as crowd:
+    with closing(Callers((host, int(port)))) as callers:
         sleep(0.2)
-        assert crowd.send() > 0
-    stopped.send_signal(signal.SIGCONT)
+        assert callers.send() > 0
+    stopped_router.send_signal(signal.SIGCONT)
     wait_for(lambda: lab.ask(SAFE).status == 200, "a new caller is served")
-    assert not [name for name in decided(lab) if name.startswith("crowd-")]
+    assert not [name for name in logged_request_ids(lab) if name.startswith("crowd-")]
     assert not [row for row in lab.runs() if row["id"].startswith("crowd-")]
--- a/tests/test_flood_faults.py
+++ b/tests/test_flood_faults.py
@@ -27,7 +27,7 @@
 ALL_SLOTS = PLAN.engines * SLOTS
 # Each owner may fill its free slots with the flood before it learns of the small
 # request, and once more if the fleet totals lag behind its own grants.
-MOST_AHEAD = 2 * ALL_SLOTS
+MAX_FLOOD_STARTS_AHEAD = 2 * ALL_SLOTS
 FLOOD = chats("flood", outstanding=ALL_SLOTS + 4 * QUEUE_LIMIT, routers=(0,), sigma=0.3)
 
 
@@ -37,12 +37,12 @@
 ]
 
 
-def ahead_of(result, starts, own_start):
+def count_starts_while_waiting(result, starts, own_start):
     """Return the number of flood requests started while a small one waited."""
     return sum(result.sent < start < own_start for start in starts)
 
 
-def running(lab):
+def running_counts(lab):
     return [e.call("GET", "/load").json["running"] for e in lab.engines.values()]
 
 
@@ -61,33 +61,39 @@
     killed and restarted without its record of the account's usage.
     """
     with Lab(PLAN) as lab, BackgroundLoad(lab, FLOOD, *SMALL_LOADS) as load:
-        wait_for(lambda: set(running(lab)) == {SLOTS}, "the flood gets all slots")
+        wait_for(
+            lambda: set(running_counts(lab)) == {SLOTS}, "the flood gets all slots"
+        )
         refused = wait_for(
-            lambda: (one := ask(lab)).status == 429 and one, "flood refused"
+            lambda: (answer := ask(lab)).status == 429 and answer, "flood refused"
         )
         assert refused.json["error"]["kind"] == "queue_full"
         assert refused.json["error"]["ran"] == "no"
         assert int(refused.headers["retry-after"]) >= 1
         wait_for(
-            lambda: sum(one["tokens"] > 0 for one in executions(lab)) > 150, "all run"
+            lambda: sum(execution["tokens"] > 0 for execution in executions(lab)) > 150,
+            "all run",
         )
         lab.routers["r1"].kill()
         lab.restart_router("r1")
         lab.wait_in_force()
-        wait_for(lambda: set(running(lab)) == {SLOTS}, "all slots again")
+        wait_for(lambda: set(running_counts(lab)) == {SLOTS}, "all slots again")
         wait_started(lab, 250)
         results = load.stop()
         done = executions(lab)
         assert_truthful(lab, results)
         assert max(most_at_once(done).values()) <= SLOTS
-        by_id = {one["request_id"]: one["started"] for one in done}
-        floods = {one.request_id for one in results if one.account == "flood"}
-        starts = [by_id[one] for one in floods & by_id.keys()]
-        small = [one for one in results if one.account != "flood"]
+        by_id = {execution["request_id"]: execution["started"] for execution in done}
+        floods = {result.request_id for result in results if result.account == "flood"}
+        starts = [by_id[request_id] for request_id in floods & by_id.keys()]
+        small = [result for result in results if result.account != "flood"]
         assert small
-        assert all(one.complete for one in small)
-        most = max(ahead_of(one, starts, by_id[one.request_id]) for one in small)
-        assert most <= MOST_AHEAD
-        full = [one for one in results if one.error == "queue_full"]
+        assert all(result.complete for result in small)
+        max_ahead = max(
+            count_starts_while_waiting(result, starts, by_id[result.request_id])
+            for result in small
+        )
+        assert max_ahead <= MAX_FLOOD_STARTS_AHEAD
+        full = [result for result in results if result.error == "queue_full"]
         assert full
-        assert {one.ran for one in full} == {"no"}
+        assert {result.ran for result in full} == {"no"}
--- a/tests/test_left_the_queue.py
+++ b/tests/test_left_the_queue.py
@@ -26,7 +26,7 @@
     return sock
 
 
-def test_request_whose_caller_left_the_queue_is_forgotten():
+def test_queued_request_of_a_disconnected_caller_is_removed():
     """The request stayed queued, was granted a slot and ran without a caller."""
     with Lab(PLAN) as lab:
         wait_served(lab, "acme")
--- a/tests/test_partition_faults.py
+++ b/tests/test_partition_faults.py
@@ -32,12 +32,19 @@
 
 def wait_served(lab, hosts):
     """Wait until routers of ``hosts`` have completed some new requests."""
-    before = {one["request_id"] for one in executions(lab)}
+    before = {execution["request_id"] for execution in executions(lab)}
 
     def served():
-        new = (one for one in executions(lab) if one["request_id"] not in before)
-        done = (one for one in new if one["state"] == "done")
-        return sum(one["request_id"].split("-")[0] in hosts for one in done) > 5
+        new = (
+            execution
+            for execution in executions(lab)
+            if execution["request_id"] not in before
+        )
+        done = (execution for execution in new if execution["state"] == "done")
+        return (
+            sum(execution["request_id"].split("-")[0] in hosts for execution in done)
+            > 5
+        )
 
     wait_for(served, f"{sorted(hosts)} serve")
 
@@ -49,8 +56,8 @@
     Each side declares the other dead and takes over all endpoints. If both used all
     slots, the engines would run up to twice their configured load.
     """
-    both = [chats(account, outstanding=20) for account in ("acme", "bolt")]
-    with proxied_lab(PLAN) as (lab, proxy), BackgroundLoad(lab, *both) as load:
+    chat_loads = [chats(account, outstanding=20) for account in ("acme", "bolt")]
+    with proxied_lab(PLAN) as (lab, proxy), BackgroundLoad(lab, *chat_loads) as load:
         for _ in range(2):
             proxy.rules(*split(lab, *sides))
             for side in sides:
@@ -65,11 +72,11 @@
         results = load.stop()
         done = executions(lab)
         assert_truthful(lab, results)
-        assert all(one.complete for one in results)
+        assert all(result.complete for result in results)
         assert max(most_at_once(done).values()) <= SLOTS
 
 
-def test_a_killed_router_gives_its_slots_back_when_the_platform_drops_it():
+def test_slots_of_a_killed_router_return_when_the_platform_drops_it():
     """The full capacity is available again after a host died.
 
     A dead router's requests have ended, but one that is merely unreachable may still
@@ -79,15 +86,15 @@
     with proxied_lab(PLAN) as (lab, _), BackgroundLoad(lab, chat) as load:
         wait_for(lambda: len(executions(lab)) > 20, "load runs")
         lab.routers["r1"].kill()
-        rest = set(lab.routers) - {"r1"}
-        wait_for(lambda: members(lab, "r2") == rest, "r1 dead at r2")
+        remaining = set(lab.routers) - {"r1"}
+        wait_for(lambda: members(lab, "r2") == remaining, "r1 dead at r2")
         assert "r1" in lab.status("r2")["roster"]
-        lab.set_host_list(rest)
+        lab.set_host_list(remaining)
         wait_for(lambda: "r1" not in lab.status("r2")["roster"], "r1 off the roster")
 
         def all_slots_busy():
             loads = [e.call("GET", "/load").json for e in lab.engines.values()]
-            return all(one["running"] == SLOTS for one in loads)
+            return all(load["running"] == SLOTS for load in loads)
 
         wait_for(all_slots_busy, "every slot in use")
         wait_started(lab, 100)
@@ -102,26 +109,26 @@
     The router dies with streams, queued requests, demand and grants in flight. Its own
     callers see a broken connection, never an answer that looks complete.
     """
-    both = (
+    chat_loads = (
         chats("acme", outstanding=30),
         chats("bolt", outstanding=10, routers=(1, 2)),
     )
-    with proxied_lab(PLAN) as (lab, _), BackgroundLoad(lab, *both) as load:
+    with proxied_lab(PLAN) as (lab, _), BackgroundLoad(lab, *chat_loads) as load:
         wait_for(lambda: len(executions(lab)) > 60, "load runs")
         victim = lab.routers["r1"].address
         lab.routers["r1"].kill()
-        rest = set(lab.routers) - {"r1"}
-        wait_for(lambda: members(lab, "r2") == rest, "r1 dead at r2")
+        remaining = set(lab.routers) - {"r1"}
+        wait_for(lambda: members(lab, "r2") == remaining, "r1 dead at r2")
         wait_started(lab, 150)
         results = load.stop()
         assert_truthful(lab, results)
-        others = [one for one in results if one.router != victim]
+        others = [result for result in results if result.router != victim]
         assert others
-        assert all(one.complete for one in others)
+        assert all(result.complete for result in others)
         assert max(most_at_once(executions(lab)).values()) <= SLOTS
 
 
-def test_a_frozen_router_wakes_and_rejoins():
+def test_a_frozen_router_rejoins():
     """A router paused for longer than every time-out serves again when it resumes.
 
     The others declare it dead and take over its endpoints; its earlier grants must
@@ -131,13 +138,13 @@
     with proxied_lab(PLAN) as (lab, _), BackgroundLoad(lab, chat) as load:
         wait_for(lambda: len(executions(lab)) > 30, "load runs")
         lab.routers["r1"].pause()
-        rest = set(lab.routers) - {"r1"}
-        wait_for(lambda: members(lab, "r2") == rest, "r1 dead at r2")
+        remaining = set(lab.routers) - {"r1"}
+        wait_for(lambda: members(lab, "r2") == remaining, "r1 dead at r2")
         lab.routers["r1"].go_on()
         for host in lab.routers:
             wait_for(lambda h=host: members(lab, h) == set(lab.routers), "one view")
         wait_started(lab, 100)
         results = load.stop()
         assert_truthful(lab, results)
-        assert all(one.complete for one in results)
+        assert all(result.complete for result in results)
         assert max(most_at_once(executions(lab)).values()) <= SLOTS
--- a/tests/test_poison_requests.py
+++ b/tests/test_poison_requests.py
@@ -23,7 +23,7 @@
 BODY = b'{"text": "crash"}'
 OPTIONS = {"poison": POISON}
 REPLICAS = 7
-MOST_CRASHES = 6
+MAX_CRASHES = 6
 """Three crashes, and three more attempts."""
 
 
@@ -44,12 +44,12 @@
 
 
 @pytest.mark.parametrize("path", [SAFE, UNSAFE, CHAT, TALE])
-def test_request_that_crashes_replicas_is_held_back_at_every_host(path):
+def test_request_that_crashes_replicas_is_quarantined_at_every_host(path):
     """Each retry at any host would crash one more replica."""
     with lab_of(path) as lab:
         for number in range(2 * REPLICAS):
             ask(lab, path, f"r{number % 3}")
-        assert len(lab.crashed) <= MOST_CRASHES
+        assert len(lab.crashed) <= MAX_CRASHES
         refused = ask(lab, path, "r0")
         assert refused.status == 503
         assert not lab.runs(refused.id)
@@ -57,26 +57,29 @@
         assert ask(lab, path, "r0", b'{"text": "sound"}').status == 200
 
 
-def is_held(lab, router):
+def is_quarantined(lab, router):
     return QUARANTINED in lab.routers[router].stderr
 
 
-def test_router_that_starts_again_learns_which_requests_are_held_back():
+def test_restarted_router_learns_which_requests_are_quarantined():
     """It starts without crash records and would run each of them again."""
     with lab_of(TALE) as lab:
         for _ in range(2):
             ask(lab, TALE, "r0")
-        wait_for(lambda: all(is_held(lab, name) for name in lab.routers), "all have it")
+        wait_for(
+            lambda: all(is_quarantined(lab, name) for name in lab.routers),
+            "all have it",
+        )
         assert len(lab.crashed) == 2
         lab.routers["r1"].kill()
         lab.launch_router("r1")
         lab.wait_ready("r1")
-        wait_for(lambda: is_held(lab, "r1"), "the new process knows")
+        wait_for(lambda: is_quarantined(lab, "r1"), "the new process knows")
         assert ask(lab, TALE, "r1").status == 503
         assert len(lab.crashed) == 2
 
 
-def test_requests_stay_held_back_when_all_routers_end_at_once():
+def test_requests_stay_quarantined_when_all_routers_end_at_once():
     """No host is left to pass on the crash records."""
     with lab_of(TALE) as lab:
         for _ in range(2):
@@ -86,7 +89,10 @@
             lab.routers[router].kill()
         for router in list(lab.routers):
             lab.launch_router(router)
-        wait_for(lambda: all(is_held(lab, name) for name in lab.routers), "all have it")
+        wait_for(
+            lambda: all(is_quarantined(lab, name) for name in lab.routers),
+            "all have it",
+        )
         for router in lab.routers:
             lab.wait_ready(router)
             assert ask(lab, TALE, router).status == 503
@@ -123,7 +129,7 @@
 
 
 @pytest.mark.parametrize("kind", PLANS)
-def test_request_that_crashes_endpoints_is_held_back_on_the_own_interface(kind):
+def test_request_that_crashes_endpoints_is_quarantined_on_the_own_interface(kind):
     """Each retry, also of a protected action with a new key, would crash one more."""
     with Lab(PLANS[kind]) as lab:
         endpoints = lab.services if kind == "service" else lab.engines
@@ -132,8 +138,8 @@
         )
         for number in range(2 * REPLICAS):
             own_call(lab, kind, f"r{number % 3 + 1}", POISON, f"key-{number}")
-        crashed = [one.popen.poll() == CRASHED for one in endpoints.values()]
-        assert sum(crashed) <= MOST_CRASHES
+        crashed = [endpoint.popen.poll() == CRASHED for endpoint in endpoints.values()]
+        assert sum(crashed) <= MAX_CRASHES
         refused = own_call(lab, kind, "r1", POISON, "one-more")
         assert refused.status == 503
         assert refused.json["error"]["kind"] == "quarantined"
@@ -141,5 +147,5 @@
         if kind == "service":
             ran = own_call(lab, kind, "r1", POISON, "key-0").json["error"]["ran"]
             assert ran == "unknown", "the first one with this key was sent"
-        after = [one.popen.poll() == CRASHED for one in endpoints.values()]
+        after = [endpoint.popen.poll() == CRASHED for endpoint in endpoints.values()]
         assert after == crashed
--- a/tests/test_stale_retries.py
+++ b/tests/test_stale_retries.py
@@ -13,7 +13,7 @@
 )
 from tests.support import call, wait_for
 
-NO_REPEATS = {"budget_slack": 0, "budget_ratio": 0}
+NO_RETRIES = {"budget_slack": 0, "budget_ratio": 0}
 
 
 def lab_of(**shape):
@@ -30,9 +30,9 @@
 
 
 @pytest.mark.parametrize("how", ["close", "reset"])
-def test_endpoint_that_ends_a_kept_connection_gets_no_repeat_beyond_the_budget(how):
+def test_endpoint_that_ends_a_kept_connection_gets_no_retry_beyond_the_budget(how):
     """The connection pool retried such requests without charging the retry budget."""
-    with lab_of(bounds=NO_REPEATS) as lab:
+    with lab_of(bounds=NO_RETRIES) as lab:
         for _ in range(4):
             assert ask(lab, SAFE).status == 200
             lab.fault("app-0", lose=how, times=1)
@@ -41,9 +41,9 @@
         assert len(runs) == len(set(runs))
 
 
-def test_request_that_reached_no_endpoint_is_no_repeat():
+def test_request_that_reached_no_endpoint_costs_no_retry_budget():
     """Otherwise attempts that no endpoint saw would use up the budget of callers."""
-    with PlatformLab(PlatformShape(plain=2, bounds=NO_REPEATS)) as lab:
+    with PlatformLab(PlatformShape(plain=2, bounds=NO_RETRIES)) as lab:
         lab.fault("app-0", refuse=True)
         assert [ask(lab, SAFE).status for _ in range(6)] == [200] * 6
         lab.fault("app-0")
@@ -51,7 +51,7 @@
         assert [ask(lab, SAFE).status for _ in range(6)] == [200] * 6
 
 
-def test_request_that_is_sent_anew_has_only_the_time_that_is_left():
+def test_retried_request_has_only_the_remaining_time():
     """With the first attempt's header, the endpoint would work past the deadline."""
     with lab_of(plain_options={"work_ms": 600}) as lab:
         assert ask(lab, SAFE).status == 200
@@ -62,7 +62,7 @@
 
 
 @pytest.mark.parametrize("path", [SAFE, CHAT])
-def test_request_whose_kept_connection_was_closed_goes_to_the_same_endpoint(path):
+def test_request_whose_kept_connection_was_closed_is_retried_at_its_endpoint(path):
     """Servers close idle connections, and there may be no other endpoint."""
     replica = "scribe-0" if path == CHAT else "app-0"
     with lab_of() as lab:
@@ -73,11 +73,11 @@
         wait_for(lambda: '"RETRIED"' in lab.log, "the line")
 
 
-BURST = 10
+RETRY_BURST = 10
 """Retries that the budget of a router of the own interface may accumulate."""
 
 
-def test_own_interface_repeats_no_more_than_its_budget_on_kept_connections():
+def test_own_interface_retries_no_more_than_its_budget_on_kept_connections():
     """The connection pool retried such requests without charging the retry budget."""
     plan = LabPlan(routers=1, engines=1, services=1, policy={"retry_ratio": 0})
     with Lab(plan) as lab:
@@ -91,10 +91,10 @@
                 return None
 
         wait_for(lambda: visit().status == 200, "an answer")
-        for _ in range(4 * BURST):
+        for _ in range(4 * RETRY_BURST):
             service.fault(lose_answers=1)
             visit()
             visit()
         effects = service.call("GET", "/effects").json["effects"]
         ids = [row["request_id"] for row in effects]
-        assert len(ids) - len(set(ids)) <= BURST
+        assert len(ids) - len(set(ids)) <= RETRY_BURST
