--- a/greengageflow/net/__init__.py
+++ b/greengageflow/net/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets and protocols round the core."""
+"""Sockets and network protocols."""
--- a/greengageflow/net/_caller_conn.py
+++ b/greengageflow/net/_caller_conn.py
@@ -1,4 +1,4 @@
-"""The HTTP/1.1 side of one caller's connection, without its socket."""
+"""HTTP/1.1 protocol of one caller's connection, independent of the socket."""
 
 from collections.abc import Callable, Iterable
 from enum import Enum, auto
@@ -35,7 +35,7 @@
 
 
 class Phase(Enum):
-    """Where a connection stands."""
+    """State of a connection."""
 
     IDLE = auto()
     READING = auto()
@@ -44,14 +44,14 @@
 
 
 class CallerConnection:
-    """Reads requests one after the other and frames their answers.
+    """Parses requests one at a time and frames their answers.
 
     Args:
-        link: The socket.
-        handler: Takes the calls.
-        limits: Gives the bounds in force.
-        budget: Shared by all connections.
-        interface: How callers speak.
+        link: Socket of the connection.
+        handler: Handles the calls.
+        limits: Returns the current limits.
+        budget: Body budget shared by all connections.
+        interface: Parses requests into calls.
     """
 
     def __init__(
@@ -86,14 +86,14 @@
         self.phase = phase
         self.phase_at = monotonic()
 
-    # Reading.
+    # Requests.
 
     def receive(self, data: bytes) -> None:
-        """Take bytes from the caller."""
+        """Process bytes received from the caller."""
         if self.phase is Phase.CLOSING:
             return
         if self.phase is Phase.IDLE:
-            # Some clients end a body with an empty line that is not part of it.
+            # Some clients send an extra empty line after a body.
             data = data.lstrip(b"\r\n")
         if not data:
             return
@@ -109,15 +109,15 @@
         self._advance()
 
     def turn_away(self) -> None:
-        """Answer a request unread, and close."""
+        """Reject a request unread and close the connection."""
         self._enter(Phase.ANSWERING)
-        # Through no parser: that would cost most of what the request itself does.
+        # Parsing the request would cost most of what handling it does.
         self._link.send(busy_answer(self._interface.retry_after, int(time())))
         self._close()
 
     def _advance(self) -> None:
-        # An answer given from within ``on_call`` comes back here; the loop that
-        # is already running takes the next request.
+        # An answer from within ``on_call`` re-enters this method; the loop that is
+        # already running then continues with the next request.
         if self._advancing:
             return
         self._advancing = True
@@ -167,12 +167,12 @@
         if head.size > limits.headers:
             raise RouterError(ErrorKind.HEADERS_TOO_LARGE, "headers too large")
         if head.version not in HTTP_VERSIONS:
-            raise RouterError(ErrorKind.BAD_REQUEST, "HTTP/1.1 is spoken here")
+            raise RouterError(ErrorKind.BAD_REQUEST, "HTTP version must be 1.0 or 1.1")
         length = headers.get("content-length")
-        # With both, two readers of the same bytes may disagree where the request
-        # ends, and the rest is taken for another caller's request.
+        # With both headers, two parsers may disagree on where the request ends, and
+        # one reads the rest as another caller's request (request smuggling).
         if length is not None and "transfer-encoding" in headers:
-            message = "content-length and transfer-encoding exclude each other"
+            message = "content-length and transfer-encoding must not be combined"
             raise RouterError(ErrorKind.BAD_REQUEST, message)
         self._interface.check_target(head.method, self._path(head))
         if length is not None and int(length) > limits.body:
@@ -213,12 +213,12 @@
         except RouterError as exc:
             reply.error(exc)
         except Exception:
-            # Without an answer the caller would wait for its own timeout.
-            reply.error(RouterError(ErrorKind.INTERNAL, "the router failed"))
+            # Without an answer the caller would wait until its own timeout.
+            reply.error(RouterError(ErrorKind.INTERNAL, "internal error of the router"))
             raise
 
     def _refuse(self, exc: RouterError) -> None:
-        """Answer a request that was not read to its end, then close."""
+        """Answer a request that is not completely read, then close."""
         self._take_body()
         headers: list[Header] = []
         if exc.kind is ErrorKind.METHOD_NOT_ALLOWED:
@@ -227,11 +227,11 @@
         self._enter(Phase.ANSWERING)
         Reply(self, self._interface.retry_after).error(exc, headers, close=True)
 
-    # Answering: methods of ``reply.AnswerSink``.
+    # Answers: the methods of ``reply.AnswerSink``.
 
     @property
     def blocked(self) -> bool:
-        """True when the caller reads too slowly for more."""
+        """Whether the stream should pause because the caller reads too slowly."""
         if self.queued > self._limits().high_water:
             self._was_blocked = True
         return self._was_blocked
@@ -239,7 +239,7 @@
     def send_whole(
         self, status: int, headers: Iterable[Header], body: bytes, *, close: bool
     ) -> None:
-        """Send a whole answer."""
+        """Send a complete answer."""
         lines = [date_header(), *headers]
         is_head = self._head is not None and self._head.method == "HEAD"
         has_body = status not in BODILESS and not is_head
@@ -258,26 +258,26 @@
         return is_last or not (self._whole and self._head.keep_alive)
 
     def send_head(self, status: int, headers: Iterable[Header]) -> None:
-        """Begin a streamed answer."""
+        """Start a streamed answer."""
         lines = [date_header(), *headers, ("transfer-encoding", "chunked")]
         if self._limits().last_answer or not self._head.keep_alive:
             lines.append(CLOSE)
         self._link.send(response_head(status, lines))
 
     def send_piece(self, data: bytes) -> None:
-        """Send a piece of a streamed answer."""
-        # Streams are always chunked: HTTP/1.0 is refused.
+        """Send a chunk of a streamed answer."""
+        # Always chunked: HTTP/1.0 requests for streams are rejected.
         if data:
             self._link.send(chunk(data))
 
     def send_end(self, data: bytes) -> None:
-        """Send the last piece and end the streamed answer."""
+        """Send the last chunk and end the streamed answer."""
         last = chunk(data) if data else b""
         self._link.send(last + LAST_CHUNK)
         self._on_answered(self._limits().last_answer or not self._head.keep_alive)
 
     def cut(self, data: bytes) -> None:
-        """Send ``data`` and close without ending the answer."""
+        """Send ``data`` and close with the answer incomplete."""
         if data:
             self.send_piece(data)
         self._close()
@@ -304,7 +304,7 @@
     # Socket events.
 
     def on_sent(self, queued: int) -> None:
-        """Note that the caller read; ``queued`` bytes are left to be sent."""
+        """Update the send queue, now ``queued`` bytes; resume a paused stream."""
         self.queued = queued
         self.moved_at = monotonic()
         if not self._was_blocked or queued > self._limits().low_water:
@@ -315,7 +315,7 @@
             reply.on_drain()
 
     def on_lost(self) -> None:
-        """Note that the socket is closed."""
+        """Handle the close of the socket."""
         self._take_body()
         call, reply = self._call, self._reply
         self._call = self._reply = None
@@ -326,7 +326,7 @@
             self._handler.on_gone(call)
 
     def check_time(self, now: float) -> None:
-        """Close what takes too long."""
+        """Enforce the timeouts."""
         limits = self._limits()
         waited_s = now - self.phase_at
         if self.queued and now - self.moved_at > limits.write_s:
@@ -342,14 +342,14 @@
         return limits.body_s if is_body else limits.request_s
 
     def _is_over(self, now: float, limits: Limits) -> bool:
-        # An answer is given, for this side, when it is queued; the caller may still
-        # be reading it, and closing now would cut it.
+        # The phase changes as soon as the answer is queued. The caller may still be
+        # reading it, and closing now would truncate it.
         if self.queued:
             return False
         match self.phase:
             case Phase.IDLE:
                 return now - self.phase_at > limits.keep_alive_s
             case Phase.CLOSING:
-                # The wait begins when the last byte left, not when it was queued.
+                # The linger time starts when the last byte is sent, not when queued.
                 return now - max(self.phase_at, self.moved_at) > limits.linger_s
         return False
--- a/greengageflow/net/_caller_link.py
+++ b/greengageflow/net/_caller_link.py
@@ -1,4 +1,4 @@
-"""The socket below one caller's connection."""
+"""Socket of one caller's connection."""
 
 from socket import SHUT_WR, socket
 from time import monotonic
@@ -11,11 +11,11 @@
 
 
 class CallerLink:
-    """The socket below one ``CallerConnection``.
+    """Socket of one ``CallerConnection``.
 
     Args:
-        server: Watches the socket and sends what is queued.
-        sock: The socket.
+        server: Polls the socket and sends queued data.
+        sock: Accepted socket, non-blocking.
     """
 
     def __init__(self, server: CallerSockets, sock: socket) -> None:
@@ -27,16 +27,16 @@
 
     @property
     def idle(self) -> bool:
-        """Whether it is open and nothing is asked on it."""
+        """Whether the connection is open and has no request in progress."""
         return self.open and self.conn.phase is Phase.IDLE
 
     @property
     def queued(self) -> int:
-        """Bytes that wait to be sent."""
+        """Number of bytes queued for sending."""
         return sum(map(len, self._server._buffers.get(self.sock, ())))
 
     def send(self, data: bytes) -> None:
-        """Send at once what the socket takes, and queue the rest."""
+        """Send as much as the socket accepts now and queue the rest."""
         if not self.open:
             return
         rest = memoryview(data)
@@ -60,16 +60,16 @@
             return 0
 
     def finish(self) -> None:
-        """Close once everything queued was sent."""
+        """Close after all queued data is sent."""
         self.finishing = True
         if not self.conn.queued:
             self.shut()
 
     def shut(self) -> None:
-        """Tell the caller that nothing more comes, then wait for its close.
+        """Shut down the sending side; the caller's close ends the connection.
 
-        Closing while bytes of the caller are unread would reset the connection, and
-        the caller's system may then throw away an answer that it has not read yet.
+        Closing while bytes from the caller are unread would reset the connection, and
+        the caller's kernel may then discard an answer that it has not read yet.
         """
         try:
             self.sock.shutdown(SHUT_WR)
@@ -77,13 +77,13 @@
             self.drop()
 
     def drop(self) -> None:
-        """Close at once."""
+        """Close immediately."""
         if self.open:
             self.open = False
             self._server._close(self.sock)
 
     def read_on(self, wanted: bool) -> None:
-        """Read from the socket, or leave what arrives there."""
+        """Resume or pause reading from the socket."""
         if not self.open:
             return
         poller = self._server._poller
@@ -94,7 +94,7 @@
 
 
 def received(sock: socket) -> bytes | None:
-    """Return what has arrived, empty at the end; None when nothing has."""
+    """Return received bytes, empty at end of stream, or None if there are none."""
     try:
         return sock.recv(READ_SIZE)
     except (BlockingIOError, InterruptedError):
--- a/greengageflow/net/_caller_parts.py
+++ b/greengageflow/net/_caller_parts.py
@@ -1,4 +1,4 @@
-"""Bounds of callers' connections, and what a connection needs around it."""
+"""Limits of callers' connections and the interfaces that a connection uses."""
 
 from dataclasses import dataclass
 from typing import Any, Protocol
@@ -9,21 +9,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """Bounds of a caller's connection.
+    """Limits of a caller's connection.
 
     Args:
-        body: Largest request body, in bytes.
-        headers: Largest request line with headers, in bytes.
-        request_s: Longest time from a request's first byte to the end of its head.
-        body_s: Longest time from there to its last byte.
-        keep_alive_s: Longest time between requests; 0 ends each connection with
-            the answer under way.
-        write_s: Longest time in which the caller reads nothing of its answer.
-        linger_s: Longest wait for the caller's close after ours.
-        high_water: Unsent bytes from which a stream should pause.
-        low_water: Unsent bytes below which it goes on.
-        ahead: Most bytes read of requests behind the one being answered.
-        last_answer: Each answer ends its connection, and says so.
+        body: Maximum size of a request body, in bytes.
+        headers: Maximum size of request line and headers, in bytes.
+        request_s: Maximum seconds from a request's first byte to the end of its
+            headers.
+        body_s: Maximum seconds from the end of the headers to the last byte.
+        keep_alive_s: Maximum idle seconds between requests; 0 closes each connection
+            after its current answer.
+        write_s: Maximum seconds during which the caller reads nothing of its answer.
+        linger_s: Maximum seconds to wait for the caller's close after ours.
+        high_water: Unsent bytes above which a stream should pause.
+        low_water: Unsent bytes at which a paused stream resumes.
+        ahead: Maximum bytes buffered of pipelined requests during an answer.
+        last_answer: Send ``Connection: close`` with each answer and close after it.
     """
 
     body: int = 1_048_576
@@ -40,10 +41,10 @@
 
 
 class BodyBudget:
-    """Bounds the bodies under way on all connections together.
+    """Limits the total size of partly received bodies on all connections.
 
     Args:
-        limit: Most bytes at once.
+        limit: Maximum bytes at once.
     """
 
     def __init__(self, limit: int) -> None:
@@ -51,86 +52,86 @@
         self._limit = limit
 
     def take(self, size: int) -> None:
-        """Count ``size`` more bytes.
+        """Reserve ``size`` bytes.
 
         Raises:
-            RouterError: There is no room now.
+            RouterError: The budget is exhausted.
         """
         if self.used + size > self._limit:
             raise RouterError(ErrorKind.QUEUE_FULL, "too many large bodies at once")
         self.used += size
 
     def give(self, size: int) -> None:
-        """Count ``size`` bytes less."""
+        """Release ``size`` bytes."""
         self.used -= size
 
 
 class Link(Protocol):
-    """The socket below a connection."""
+    """Socket operations that a connection needs."""
 
     def send(self, data: bytes) -> None:
-        """Send or queue ``data``."""
+        """Send ``data``, or queue it."""
 
     def finish(self) -> None:
-        """Close once everything queued was sent."""
+        """Close after all queued data is sent."""
 
     def drop(self) -> None:
-        """Close at once."""
+        """Close immediately."""
 
     def read_on(self, wanted: bool) -> None:
-        """Read from the socket, or leave what arrives there."""
+        """Resume or pause reading from the socket."""
 
 
 class Handler(Protocol):
-    """What the connection asks of the program."""
+    """Handles the calls of a connection."""
 
     def on_call(self, call: Any) -> None:
-        """Take a call."""
+        """Handle a call."""
 
     def on_gone(self, call: Any) -> None:
-        """Note that the caller of an unanswered call is gone."""
+        """Handle the disconnect of a caller whose call is unanswered."""
 
 
 class CallInterface(Protocol):
-    """How callers speak: which requests there are, and the calls in them."""
+    """The callers' API: its paths and methods, and the calls in its requests."""
 
     def allowed_methods(self, path: str) -> frozenset[str]:
-        """Return the methods that ``path`` takes; none for an unknown path."""
+        """Return the methods allowed for ``path``; empty for an unknown path."""
 
     def check_target(self, method: str, path: str) -> None:
-        """Refuse a path or method that cannot be answered, before the body is read.
+        """Reject an unsupported path or method before the body is read.
 
         Raises:
-            RouterError: Unknown path, or a method that the path does not take.
+            RouterError: The path is unknown, or the method not allowed for it.
         """
 
     def parse_call(self, request: CallerRequest, reply: Any) -> Any:
-        """Return the call in a request.
+        """Parse a request into a call.
 
         Raises:
             RouterError: The request is not valid; the message names the field.
         """
 
     def retry_after(self, seconds: float) -> str:
-        """Return the header's value for a time to come back."""
+        """Return the ``Retry-After`` header value for a delay in seconds."""
 
 
 class RequestGate(Protocol):
-    """Says which requests a host that is late does not read."""
+    """Decides which requests an overloaded host rejects unread."""
 
     @property
     def is_closing(self) -> bool:
-        """Whether some may be turned away now."""
+        """Whether requests may currently be rejected."""
 
     def turns_away(self, data: bytes) -> bool:
-        """Return whether a request that begins with ``data`` is not read."""
+        """Return whether to reject a request that begins with ``data``."""
 
 
 class OpenGate:
-    """Turns nothing away."""
+    """Admits every request."""
 
     is_closing = False
 
     def turns_away(self, _data: bytes) -> bool:
-        """Return False."""
+        """Return False: the request is read."""
         return False
--- a/greengageflow/net/caller_sockets.py
+++ b/greengageflow/net/caller_sockets.py
@@ -1,4 +1,4 @@
-"""The listening socket of a caller server and the sockets that it accepts."""
+"""Listening socket of a caller server and the sockets that it accepts."""
 
 from collections.abc import Callable
 from contextlib import suppress
@@ -10,27 +10,27 @@
 from greengageflow.net.poller import SocketSet
 
 SEND_BUFFER = 131_072
-"""Bytes that a caller's socket takes from us ahead of the caller."""
+"""Kernel send buffer of a caller's socket, in bytes."""
 
 MOST_UNACCEPTED = 384
-"""Connections that may wait to be accepted; a look turns so many away in time."""
+"""Accept queue length; one pass can reject that many connections in time."""
 
 
 class CallerSockets(TCPServer):
-    """A server of ``circuits`` whose callers do not wait unseen.
+    """``circuits`` TCP server with a short accept queue, emptied on each pass.
 
-    Who waits to be accepted is served oldest first, and nothing in the process knows of
-    it. Behind a long queue a host that is late accepts callers who have given up, works
-    for them and is later still, while it says that it is ready. A short queue turns the
-    next one away at once, and each look at the listener empties it.
+    The kernel serves the accept queue oldest first, and the process does not see who
+    waits in it. With a long queue an overloaded host accepts callers that have already
+    given up, works for them and falls further behind while it reports that it is
+    ready. With a short queue further connections are refused at once.
 
     Args:
-        ip: IP number to listen on.
+        ip: IP address to listen on.
         port: TCP port, or 0 for a free one.
-        channel: Tells the events of several servers in one process apart.
-        on_accepted: Takes a new connection; returns whether nothing more is to be
-            done about it.
-        on_bytes: Takes an accepted socket on which something arrived.
+        channel: ``circuits`` channel; separates several servers in one process.
+        on_accepted: Called with each new connection; returns True if it needs no
+            further setup.
+        on_bytes: Called with an accepted socket that is readable.
     """
 
     def __init__(
@@ -58,17 +58,17 @@
         self.on_readable(sock)
 
     def on_readable(self, sock: socket) -> None:
-        """Accept, or take what has arrived; the poller calls this."""
-        # Not by the server's own handler, which at the end of the caller's bytes waits
-        # for its buffer to drain while the poller reports the same end again and
-        # again: a caller that stops reading would cost a whole core.
+        """Accept connections or read received data; called by the poller."""
+        # The handler of ``circuits`` is not used: at end of stream it waits for its
+        # write buffer to drain while the poller keeps reporting the end of stream.
+        # A caller that stops reading would then use a whole core.
         if sock is self._sock:
             self.accept_waiting()
         else:
             self._on_bytes(sock)
 
     def accept_again(self) -> bool:
-        """Look at the listener again, if descriptors had run out; return whether."""
+        """Resume accepting if it was paused; return whether it was."""
         if not self._resting or self._sock is None:
             return False
         self._resting = False
@@ -76,7 +76,7 @@
         return True
 
     def accept_waiting(self) -> None:
-        """Accept all connections that wait."""
+        """Accept all queued connections."""
         for _ in range(MOST_UNACCEPTED):
             try:
                 sock, _ = self._sock.accept()
@@ -85,8 +85,8 @@
             except ConnectionAbortedError:
                 continue
             except OSError:
-                # No descriptor is left. The poller would report the listener again at
-                # once, and a process that can take nobody use a whole core for it.
+                # No file descriptor is left. The poller would keep reporting the
+                # listener, and the process would use a whole core in vain.
                 self._poller.removeReader(self._sock)
                 self._resting = True
                 return
--- a/greengageflow/net/callers.py
+++ b/greengageflow/net/callers.py
@@ -1,7 +1,8 @@
-"""The callers' side: HTTP on the sockets of a ``circuits`` server.
+"""HTTP server for callers, on the sockets of a ``circuits`` TCP server.
 
-``circuits`` accepts and writes; ``_caller_conn`` reads and frames, since the parser
-of ``circuits.web`` loses and mixes requests (see ``docs/design/http.md``).
+``circuits`` accepts connections and writes to them. ``_caller_conn`` parses requests
+and frames responses, because the parser of ``circuits.web`` loses requests and mixes
+them up (see ``docs/design/http.md``).
 """
 
 from collections.abc import Callable
@@ -53,45 +54,47 @@
 
 SWEEP_S = 0.2
 GIVE_WAY = 16
-"""Part of all connections, one in so many, that gives way at once."""
+"""Reciprocal of the share of connections closed at once to make room."""
 
 _INFO_SIZE = 104
 _INFO_WAITING = 24
-"""Where Linux's ``tcp_info`` of a listening socket has its queue's length."""
+"""Offset of the accept queue's length in Linux's ``tcp_info`` of a listener."""
 
 
 class RequestHandler(Protocol):
-    """What callers' requests are handed to."""
+    """Handles the requests of callers."""
 
     def on_call(self, call: ChatCall | ServiceCall | StatusCall) -> None:
-        """Take a call and answer it through ``call.reply``, now or later."""
+        """Handle a call and answer it through ``call.reply``, now or later."""
 
     def on_gone(self, call: ChatCall | ServiceCall | StatusCall) -> None:
-        """Note that the caller of an unanswered call is gone."""
+        """Handle the disconnect of a caller whose call is unanswered."""
 
     def unready(self) -> RouterError | None:
-        """Return why the balancer should send nothing here, or None."""
+        """Return why the load balancer should send no requests, or None."""
 
 
 class CallerServer(BaseComponent):
-    """Takes callers' requests and hands them over as typed calls.
+    """Accepts callers' connections and passes their requests on as typed calls.
 
     Args:
-        ip: IP number to listen on.
+        ip: IP address to listen on.
         port: TCP port, or 0 for a free one.
-        handler: Takes the calls.
+        handler: Handles the calls.
         timers: Timer service.
-        limits: Bounds of each connection.
-        max_connections: Most connections at once; more are closed at once.
-        body_budget: Most bytes of request bodies under way on all connections.
-        interface: How callers speak.
-        gate: Says which requests are answered unread that the host is busy.
-        on_full: Takes how many connections are open when there is no room for one more,
-            and how many idle ones give way.
-        channel: Tells the events of several servers in one process apart.
+        limits: Limits of each connection.
+        max_connections: Maximum number of open connections. At the limit idle ones are
+            closed; if there are none, the new one is.
+        body_budget: Maximum bytes of partly received request bodies on all
+            connections together.
+        interface: Parses callers' requests into calls.
+        gate: Decides which requests are rejected unread because the host is busy.
+        on_full: Called at the connection limit with the number of open connections
+            and the number of idle ones that are closed to make room.
+        channel: ``circuits`` channel; separates several servers in one process.
 
     Raises:
-        OSError: The address cannot be listened on.
+        OSError: Listening on the address failed.
     """
 
     channel = "callers"
@@ -135,17 +138,17 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """IP number and TCP port that it listens on."""
+        """IP address and TCP port that the server listens on."""
         return self._address
 
     @property
     def connections(self) -> int:
-        """Open connections."""
+        """Number of open connections."""
         return len(self._links)
 
     @property
     def unaccepted(self) -> float:
-        """Connections that wait to be accepted, or NaN where that is not told."""
+        """Connections in the accept queue, or NaN if the system does not report it."""
         sock = self.sockets._sock
         try:
             info = sock.getsockopt(IPPROTO_TCP, TCP_INFO, _INFO_SIZE)
@@ -155,18 +158,18 @@
 
     @property
     def answering(self) -> int:
-        """Calls that are not answered yet."""
+        """Number of connections whose answer is not complete or not fully sent."""
         return sum(
             link.conn.phase is Phase.ANSWERING or link.conn.queued > 0
             for link in self._links.values()
         )
 
     def set_body_limit(self, body_limit: int) -> None:
-        """Change the largest body of requests that begin from now on."""
+        """Change the maximum body size for requests that begin from now on."""
         self.limits = replace(self.limits, body=body_limit)
 
     def set_bounds(self, bounds: CallerLimits) -> None:
-        """Change what callers may send, for requests that begin from now on."""
+        """Change the request limits for requests that begin from now on."""
         self.limits = replace(
             self.limits,
             body=bounds.body_bytes,
@@ -176,30 +179,30 @@
         )
 
     def end_with_answers(self) -> None:
-        """Let each answer from now on end its connection, and say so."""
+        """Close each connection after its next answer, with ``Connection: close``."""
         self.limits = replace(self.limits, last_answer=True)
 
     def stop_listening(self) -> None:
-        """Take no new connections; open ones go on."""
+        """Accept no new connections; open ones continue."""
         server = self.sockets
         if server._sock is not None:
-            # Closing would reset those that wait; accepted, they get an answer.
+            # Closing the listener resets connections still in its accept queue.
             server.accept_waiting()
             server._close(server._sock)
 
     def drain(self) -> None:
-        """Take no new connections and end open ones, each after its answer.
+        """Accept no new connections and close each open one after its answer.
 
-        Callers that keep connections open would otherwise send their next request
-        just when the process ends, and see it cut.
+        Otherwise a caller with a persistent connection may send its next request
+        just as the process exits, and lose it.
         """
         self.stop_listening()
         self.limits = replace(self.limits, keep_alive_s=0.0)
 
-    # Handler of the connections: all calls but those answered here.
+    # Handler of the connections: answers health checks, passes on other calls.
 
     def on_call(self, call: CallerCall) -> None:
-        """Answer a health check, or hand the call over."""
+        """Answer a health check; pass any other call to the handler."""
         if not isinstance(call, HealthCall):
             self._handler.on_call(call)
             return
@@ -210,7 +213,7 @@
             call.reply.error(error)
 
     def on_gone(self, call: CallerCall) -> None:
-        """Pass on that a caller is gone."""
+        """Tell the handler that a caller has disconnected."""
         if not isinstance(call, HealthCall):
             self._handler.on_gone(call)
 
@@ -232,14 +235,15 @@
     def _has_no_room(self) -> bool:
         if len(self._links) < self._max_connections:
             return False
-        # Closed ones are among them until their event comes.
+        # Closed connections stay listed until their disconnect event.
         return sum(link.open for link in self._links.values()) >= self._max_connections
 
     def _make_room(self) -> bool:
-        """Close connections on which nothing is asked; return whether there were any.
+        """Close the longest idle connections; return whether there were any.
 
-        A caller whose next request crosses that close may send it again, while one that
-        finds no room, or no file left for its endpoint, gets nothing.
+        A caller whose next request crosses the close can safely send it again. A
+        caller that cannot connect, or whose endpoint connection fails for lack of
+        file descriptors, gets no answer.
         """
         idle = [link for link in self._links.values() if link.idle]
         idle.sort(key=lambda link: link.conn.phase_at)
@@ -251,7 +255,7 @@
 
     @property
     def full(self) -> bool:
-        """Whether there is no room for one more connection, and none gives way."""
+        """Whether the connection limit is reached and no connection is idle."""
         return self._has_no_room and not any(link.idle for link in self._links.values())
 
     @handler("connect")
@@ -267,11 +271,14 @@
             self._read(link)
 
     def _take_accepted(self, sock: socket) -> bool:
-        """Read a new connection of a late host at once; return whether it was taken.
+        """Read a new connection at once if the host is overloaded.
 
-        To watch a connection, and to wait for its end, costs several times what it
-        takes to turn its request away. One whose request has not arrived whole is
-        watched, since closing it with bytes on their way would reset it.
+        Polling a connection until its end costs several times as much as rejecting
+        its request. A connection whose request is incomplete is polled nevertheless:
+        closing it while bytes are in transit would reset it.
+
+        Returns:
+            True if the connection needs no further setup.
         """
         if not self._gate.is_closing or self._has_no_room:
             return False
@@ -304,8 +311,8 @@
         data = received(link.sock)
         if data is None:
             return
-        # A late host finds a request and its caller's close together. To decide
-        # anything for it would only keep those waiting who are still there.
+        # On an overloaded host a request may arrive together with its caller's
+        # close. Handling it would only delay callers that are still connected.
         more = received(link.sock) if 0 < len(data) < READ_SIZE else None
         if data and more != b"":
             if link.conn.phase is Phase.IDLE and self._gate.turns_away(data):
@@ -328,8 +335,8 @@
 
     @handler("disconnect")
     def _on_disconnect(self, sock: socket) -> None:
-        # The server keeps an empty buffer and a place in its closing queue for
-        # sockets that broke while writing; over days they would pile up.
+        # ``circuits`` keeps an empty buffer and a closing queue entry for sockets that
+        # failed while writing. Without this they would leak.
         server = self.sockets
         server._buffers.pop(sock, None)
         if sock in server._closeq:
--- a/greengageflow/net/calls.py
+++ b/greengageflow/net/calls.py
@@ -1,4 +1,4 @@
-"""Typed calls of callers, made from HTTP requests."""
+"""Typed calls, parsed from callers' HTTP requests."""
 
 import re
 from collections.abc import Iterator
@@ -28,14 +28,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerRequest:
-    """One whole HTTP request of a caller.
+    """A complete HTTP request of a caller.
 
     Args:
         method: HTTP method.
-        target: Path and query as sent.
-        headers: Names in lower case and values, in the order received.
-        body: Whole body.
-        http_1_0: True for a caller that speaks HTTP/1.0.
+        target: Path and query as received.
+        headers: Lower-case names and values, in the order received.
+        body: Complete body.
+        http_1_0: True for an HTTP/1.0 request.
     """
 
     method: str
@@ -68,15 +68,15 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class _Call:
-    """What a caller says with any call that goes to an endpoint.
+    """Fields common to all calls that go to an endpoint.
 
     Args:
         account_key: Bearer key, or empty.
         cost_hint: Expected cost in tokens, or None.
-        idempotency_key: Key of a protected action, or empty.
+        idempotency_key: Idempotency key of a protected action, or empty.
         traceparent: W3C trace context, or empty.
-        deadline_s: Seconds that the caller waits, or None.
-        reply: Takes the answer.
+        deadline_s: Seconds until the caller gives up, or None.
+        reply: Sends the answer.
     """
 
     account_key: str
@@ -93,8 +93,8 @@
 
     Args:
         model: Name of the model.
-        stream: True when the answer is streamed.
-        body: JSON object, checked, as it goes to the engine.
+        stream: True if the answer is streamed.
+        body: Validated JSON object that is sent to the engine.
     """
 
     model: str
@@ -104,16 +104,16 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ServiceCall(_Call):
-    """A call to a plain service.
+    """A call to a service.
 
     Args:
         service: Name of the service.
-        path: Path below the service, without a leading slash and with one
-            spelling for each resource.
+        path: Canonical path below the service, without a leading slash; see
+            ``canonical_path``.
         query: Query without the question mark.
         method: HTTP method.
-        headers: Names in lower case and values.
-        body: Whole body.
+        headers: Lower-case names and values.
+        body: Complete body.
     """
 
     service: str
@@ -125,18 +125,18 @@
 
     @property
     def target(self) -> str:
-        """Path and query to ask a replica of the service for."""
+        """Path and query for a replica of the service."""
         return f"/{self.path}" + (f"?{self.query}" if self.query else "")
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StatusCall:
-    """An operator asks for the router's status.
+    """An operator's request for the router's status.
 
     Args:
         account_key: Bearer key, or empty.
-        request: Id of a request to tell of, or empty.
-        reply: Takes the answer.
+        request: Id of a request to report on, or empty.
+        reply: Sends the answer.
     """
 
     account_key: str
@@ -146,10 +146,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class HealthCall:
-    """The balancer asks whether to send requests here.
+    """A load balancer's health check.
 
     Args:
-        reply: Takes the answer.
+        reply: Sends the answer.
     """
 
     reply: "Reply" = field(compare=False, repr=False)
@@ -201,7 +201,7 @@
 
 def _segments(path: str) -> Iterator[str]:
     if _ESCAPE.search(path):
-        raise RouterError(ErrorKind.BAD_REQUEST, "path: broken percent escape")
+        raise RouterError(ErrorKind.BAD_REQUEST, "path: invalid percent escape")
     for part in path.split("/"):
         try:
             text = unquote(part, errors="strict")
@@ -213,14 +213,14 @@
 
 
 def canonical_path(path: str) -> str:
-    """Return the one spelling of ``path`` (no leading slash).
+    """Return the canonical form of ``path`` (no leading slash).
 
-    A service may read ``a/./b``, ``%61/b`` and ``a//b`` all as ``a/b``. A route that
-    is marked as not repeatable could be entered by such a spelling without the
-    protection, so escapes are undone and the rest is refused.
+    A service may read ``a/./b``, ``%61/b`` and ``a//b`` all as ``a/b``. Such variants
+    could bypass the protection of a route that is marked as not repeatable. Therefore
+    needless escapes are decoded and the other variants rejected.
 
     Raises:
-        RouterError: The path has an ambiguous or broken segment.
+        RouterError: The path has an ambiguous or invalid segment.
     """
     parts = list(_segments(path))
     if "" in parts[:-1]:
@@ -232,7 +232,7 @@
     common = _common(request)
     chat = parse_chat(request.body)
     if chat.stream and request.http_1_0:
-        message = "stream: needs HTTP/1.1, or a cut answer would look whole"
+        message = "stream: requires HTTP/1.1; over 1.0 a cut answer looks complete"
         raise RouterError(ErrorKind.BAD_REQUEST, message)
     if common["cost_hint"] is None and chat.max_tokens is not None:
         common["cost_hint"] = float(min(chat.max_tokens, COST_LIMIT))
@@ -260,10 +260,10 @@
 
 
 class OwnInterface:
-    """The product's own interface; see ``CallInterface``."""
+    """The native API of this project; see ``CallInterface``."""
 
     def allowed_methods(self, path: str) -> frozenset[str]:
-        """Return the methods that ``path`` takes; none for an unknown path."""
+        """Return the methods allowed for ``path``; empty for an unknown path."""
         if path == CHAT_PATH:
             return frozenset({"POST"})
         if path in (HEALTH_PATH, STATUS_PATH):
@@ -273,10 +273,10 @@
         return frozenset()
 
     def check_target(self, method: str, path: str) -> None:
-        """Refuse a path or method that cannot be answered.
+        """Reject an unsupported path or method.
 
         Raises:
-            RouterError: Unknown path, or a method that the path does not take.
+            RouterError: The path is unknown, or the method not allowed for it.
         """
         methods = self.allowed_methods(path)
         if not methods:
@@ -286,7 +286,7 @@
             raise RouterError(ErrorKind.METHOD_NOT_ALLOWED, message)
 
     def parse_call(self, request: CallerRequest, reply: "Reply") -> CallerCall:
-        """Return the typed call in a request that passed ``check_target``.
+        """Parse a request that passed ``check_target`` into a typed call.
 
         Raises:
             RouterError: The request is not valid; the message names the field.
@@ -303,7 +303,7 @@
         return _service_call(request, reply)
 
     def retry_after(self, seconds: float) -> str:
-        """Return a time to come back in whole seconds."""
+        """Return the ``Retry-After`` value for a delay, in whole seconds."""
         return str(max(1, ceil(seconds)))
 
 
--- a/greengageflow/net/chat.py
+++ b/greengageflow/net/chat.py
@@ -1,4 +1,4 @@
-"""The body of a chat request, checked."""
+"""Validation of the body of a chat request."""
 
 import json
 from dataclasses import dataclass
@@ -9,13 +9,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ChatBody:
-    """A checked chat request.
+    """A validated chat request.
 
     Args:
-        document: The caller's JSON object, as it goes to the engine.
+        document: The caller's JSON object, sent unchanged to the engine.
         model: Name of the model.
-        stream: True when the answer is streamed.
-        max_tokens: Most tokens of the answer, or None.
+        stream: True if the answer is streamed.
+        max_tokens: Maximum number of tokens in the answer, or None.
     """
 
     document: dict[str, Any]
@@ -72,15 +72,15 @@
     if value is None:
         return None
     if not isinstance(value, int) or isinstance(value, bool) or value < 1:
-        _refuse(field, "must be a whole number above zero")
+        _refuse(field, "must be a positive integer")
     return value
 
 
 def parse_chat(body: bytes) -> ChatBody:
-    """Return the checked chat request in ``body``.
+    """Parse and validate a chat request.
 
     Raises:
-        RouterError: The body is not a chat request; the message names the field.
+        RouterError: The request is not valid; the message names the field.
     """
     document = _load(body)
     model = _text(document.get("model"), "model")
--- a/greengageflow/net/forward_calls.py
+++ b/greengageflow/net/forward_calls.py
@@ -1,4 +1,4 @@
-"""Typed calls of callers whose requests are forwarded as they came."""
+"""Typed calls of callers whose requests are forwarded unchanged."""
 
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
@@ -14,8 +14,8 @@
     """A request to be forwarded.
 
     Args:
-        request: The request.
-        reply: Takes the answer.
+        request: The request to forward.
+        reply: Sends the answer.
     """
 
     request: ForwardRequest
@@ -24,11 +24,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PageCall:
-    """Somebody of the operators asks for a page of this router.
+    """An operator's request for a page of this router.
 
     Args:
-        path: Its path.
-        reply: Takes the answer.
+        path: Path of the page.
+        reply: Sends the answer.
     """
 
     path: str
--- a/greengageflow/net/poller.py
+++ b/greengageflow/net/poller.py
@@ -1,4 +1,4 @@
-"""The poller of a program that has thousands of sockets."""
+"""Poller for processes with thousands of sockets."""
 
 from collections.abc import Callable, Iterable, Iterator
 from select import EPOLLIN, EPOLLOUT
@@ -13,32 +13,32 @@
 
 
 class SocketSet:
-    """Sockets in the order in which they came, in place of a list of ``circuits``.
+    """Ordered set of sockets that replaces a list of ``circuits``.
 
-    ``circuits`` looks sockets up in lists, some ten times for each connection; beside
-    thousands that are open, that costs more than all the rest.
+    ``circuits`` searches lists of sockets about ten times for each connection. With
+    thousands of open sockets that costs more than all other work.
 
     Args:
-        socks: The first ones.
+        socks: Initial members.
     """
 
     def __init__(self, socks: Iterable[socket | int] = ()) -> None:
         self._socks = dict.fromkeys(socks)
 
     def __contains__(self, sock: socket | int) -> bool:
-        """Return whether a socket is among them."""
+        """Return whether the set contains a socket."""
         return sock in self._socks
 
     def __iter__(self) -> Iterator[socket | int]:
-        """Yield the sockets."""
+        """Iterate over the sockets in insertion order."""
         return iter(self._socks)
 
     def __len__(self) -> int:
-        """Return how many there are."""
+        """Return the number of sockets."""
         return len(self._socks)
 
     def __getitem__(self, part: slice) -> list[socket | int]:
-        """Return a part of them as a list."""
+        """Return a slice as a list."""
         return list(self._socks)[part]
 
     def append(self, sock: socket | int) -> None:
@@ -46,19 +46,19 @@
         self._socks[sock] = None
 
     def remove(self, sock: socket | int) -> None:
-        """Take a socket away."""
+        """Remove a socket."""
         del self._socks[sock]
 
 
 class SocketPoller(EPoll):
-    """``EPoll`` for thousands of sockets and events a second.
+    """``EPoll`` for thousands of sockets and events per second.
 
-    What it costs for a socket does not grow with the number of others. A component
-    that has ``on_readable`` or ``on_writable`` is called with its socket at once; an
-    event of ``circuits`` on the way there would cost as much as reading the socket.
+    The cost per socket does not depend on the number of sockets. A component that has
+    ``on_readable`` or ``on_writable`` is called directly with its socket, because an
+    event of ``circuits`` would cost as much as reading the socket.
 
     Attributes:
-        load: How long the rounds between two looks for events are.
+        load: Average duration of the event loop's rounds.
     """
 
     def __init__(self) -> None:
@@ -69,12 +69,12 @@
         self._write = SocketSet(self._write)
 
     def addReader(self, source: object, fd: socket) -> None:  # noqa: N802
-        """Watch a socket for bytes that arrive."""
+        """Watch a socket for readability."""
         self._sources[fd] = source
         super().addReader(source, fd)
 
     def addWriter(self, source: object, fd: socket) -> None:  # noqa: N802
-        """Watch a socket for room to write."""
+        """Watch a socket for writability."""
         self._sources[fd] = source
         super().addWriter(source, fd)
 
@@ -87,7 +87,8 @@
         self.load.end(monotonic())
         ready = self._look(event.time_left)
         self.load.begin(monotonic())
-        # By socket: one that is closed below may leave its number to a new one.
+        # Compare sockets: a handler below may close a socket, and a new one may get
+        # its file descriptor.
         found = [(number, self._map.get(number), flags) for number, flags in ready]
         for number, sock, flags in found:
             if sock is not None and self._map.get(number) is sock:
@@ -120,5 +121,5 @@
         try:
             take(sock)
         except Exception:
-            # As an event's handler that fails: it costs its own socket's turn only.
+            # As for a failing event handler: other sockets are not affected.
             self.fire(exception(*exc_info(), handler=take, fevent=None))
--- a/greengageflow/net/reply.py
+++ b/greengageflow/net/reply.py
@@ -1,4 +1,4 @@
-"""The answer to one call of a caller."""
+"""Answer to one call of a caller."""
 
 import json
 from collections.abc import Callable, Iterable
@@ -22,39 +22,39 @@
 
 
 class AnswerSink(Protocol):
-    """Where an answer goes: the caller's connection."""
+    """Destination of an answer: the caller's connection."""
 
     @property
     def blocked(self) -> bool:
-        """True when the caller reads too slowly for more."""
+        """Whether the stream should pause because the caller reads too slowly."""
 
     def send_whole(
         self, status: int, headers: Iterable[Header], body: bytes, *, close: bool
     ) -> None:
-        """Send a whole answer."""
+        """Send a complete answer."""
 
     def send_head(self, status: int, headers: Iterable[Header]) -> None:
-        """Begin a streamed answer."""
+        """Start a streamed answer."""
 
     def send_piece(self, data: bytes) -> None:
-        """Send a piece of a streamed answer."""
+        """Send a chunk of a streamed answer."""
 
     def send_end(self, data: bytes) -> None:
-        """Send the last piece and end the streamed answer."""
+        """Send the last chunk and end the streamed answer."""
 
     def cut(self, data: bytes) -> None:
-        """Send ``data`` and close without ending the answer."""
+        """Send ``data`` and close with the answer incomplete."""
 
 
 def whole_seconds(seconds: float) -> str:
-    """Return a time to come back as HTTP writes it, in whole seconds."""
+    """Return a delay as a ``Retry-After`` value, rounded up to whole seconds."""
     return str(max(1, ceil(seconds)))
 
 
 def error_headers(
     exc: RouterError, retry_after: Callable[[float], str] = whole_seconds
 ) -> list[Header]:
-    """Return the headers that go with an error's body."""
+    """Return the extra headers of an error answer."""
     headers = []
     if exc.retry_after_s is not None:
         headers.append(("Retry-After", retry_after(exc.retry_after_s)))
@@ -65,11 +65,12 @@
 
 @lru_cache(maxsize=2)
 def busy_answer(retry_after: Callable[[float], str], _second: int) -> bytes:
-    """Return a whole answer that refuses a request and ends the connection.
+    """Return the complete answer that rejects a request and ends its connection.
 
     Args:
-        retry_after: Writes a time to come back.
-        _second: Time of day; each answer is made once a second.
+        retry_after: Formats the retry delay.
+        _second: Time in whole seconds; the cache builds one answer per second, with
+            the current date.
     """
     text = "this host is busy"
     exc = RouterError(ErrorKind.HOST_BUSY, text, retry_after_s=RETRY_AFTER_S)
@@ -87,35 +88,35 @@
 
 
 class Reply:
-    """Answers one call, once; after the end or when the caller is gone it is inert.
+    """Answers one call once; does nothing after the end or the caller's disconnect.
 
     Args:
         sink: The caller's connection.
-        retry_after: Writes a time to come back.
+        retry_after: Formats a retry delay.
     """
 
     def __init__(
         self, sink: AnswerSink, retry_after: Callable[[float], str] = whole_seconds
     ) -> None:
         self.on_drain: Callable[[], None] | None = None
-        """Called when a caller that blocked reads again."""
+        """Called when a paused stream may resume."""
         self._sink: AnswerSink | None = sink
         self._streaming = False
         self._retry_after = retry_after
 
     @property
     def open(self) -> bool:
-        """True until the answer has ended or the caller is gone."""
+        """True until the answer ends or the caller disconnects."""
         return self._sink is not None
 
     @property
     def streaming(self) -> bool:
-        """True once a streamed answer has begun."""
+        """True once a streamed answer has started."""
         return self._streaming
 
     @property
     def blocked(self) -> bool:
-        """True when pieces should be held back until ``on_drain`` is called."""
+        """True if the stream should pause until ``on_drain`` is called."""
         return self._sink is not None and self._sink.blocked
 
     def _take_sink(self) -> AnswerSink | None:
@@ -123,7 +124,7 @@
         return sink
 
     def detach(self) -> None:
-        """Note that the caller is gone."""
+        """Disable the reply because the caller has disconnected."""
         self._take_sink()
 
     def json(self, status: int, obj: Any, headers: Iterable[Header] = ()) -> None:
@@ -139,12 +140,12 @@
         *,
         close: bool = False,
     ) -> None:
-        """Answer with bytes.
+        """Answer with a body of bytes.
 
         Args:
             status: HTTP status code.
             headers: Headers; length and framing are added.
-            body: Whole body.
+            body: Complete body.
             close: True to close the connection afterwards.
         """
         if self._streaming:
@@ -160,7 +161,7 @@
         *,
         close: bool = False,
     ) -> None:
-        """Answer with an error; a streamed answer that has begun is cut."""
+        """Answer with an error; aborts a streamed answer that has started."""
         if self._streaming:
             self.abort(exc)
             return
@@ -170,35 +171,35 @@
         self.raw(exc.status, all_headers, body, close=close)
 
     def start_stream(self, headers: Iterable[Header] = ()) -> None:
-        """Begin a stream of server-sent events."""
+        """Start a stream of server-sent events."""
         self.begin(200, (*STREAM_HEADERS, *headers))
 
     def begin(self, status: int, headers: Iterable[Header]) -> None:
-        """Begin an answer whose body comes in pieces."""
+        """Start an answer whose body is sent in chunks."""
         if self._sink is not None and not self._streaming:
             self._streaming = True
             self._sink.send_head(status, headers)
 
     def piece(self, data: bytes) -> None:
-        """Send whole events of the stream."""
+        """Send a chunk of a started answer; of an event stream, only whole events."""
         if self._sink is not None:
             self._sink.send_piece(data)
 
     def end_stream(self) -> None:
-        """End the stream as complete, with ``[DONE]``."""
+        """Complete the stream with ``[DONE]``."""
         self.finish(STREAM_END)
 
     def finish(self, data: bytes = b"") -> None:
-        """Send the last bytes and end an answer that was begun."""
+        """Send the last bytes and complete a started answer."""
         sink = self._take_sink()
         if sink is not None:
             sink.send_end(data)
 
     def abort(self, exc: RouterError | None = None) -> None:
-        """Close so that the caller sees that the answer is not whole.
+        """Close the connection such that the caller sees an incomplete answer.
 
         Args:
-            exc: Sent as an ``error`` event first when the answer is a stream.
+            exc: Sent first as an ``error`` event if the answer is a stream.
         """
         sink = self._take_sink()
         if sink is None:
--- a/greengageflow/net/timers.py
+++ b/greengageflow/net/timers.py
@@ -1,4 +1,4 @@
-"""The timer service that every part of a process subscribes to."""
+"""Timer service of a process."""
 
 from collections.abc import Callable, Iterator
 from heapq import heappop, heappush
@@ -11,15 +11,15 @@
 from greengageflow.events import Event, log
 
 EARLY_PART = 0.1
-"""Part of its interval by which a repeated call may come early.
+"""Fraction of its interval by which a periodic call may be early.
 
-Most turns of an idle router's loop are repeated calls. Those that nearly coincide
-share a turn from then on.
+Most iterations of an idle router's event loop serve periodic calls. Calls that nearly
+coincide share an iteration from then on.
 """
 
 
 class Subscription:
-    """One timer; call ``cancel`` to end it."""
+    """A timer; ``cancel`` stops it."""
 
     __slots__ = ("call", "early_s", "interval_s", "live")
 
@@ -35,7 +35,7 @@
 
 
 class Timers(BaseComponent):
-    """Calls subscribers when their time has come, on the circuits loop.
+    """Calls subscribers on the ``circuits`` event loop when their timers expire.
 
     Example:
         >>> timers = Timers().register(app)
@@ -52,7 +52,7 @@
 
     @property
     def now(self) -> float:
-        """Monotonic time in seconds, the clock of all parts."""
+        """Monotonic time in seconds."""
         return monotonic()
 
     def after(self, delay_s: float, call: Callable[[], None]) -> Subscription:
@@ -74,13 +74,13 @@
                 yield sub
 
     def _call(self, sub: Subscription) -> None:
-        # One subscriber's fault must not take the others' turn: a request that
-        # cannot be ended would hold up the deadlines of all.
+        # An exception in one subscriber must not keep others from being called:
+        # one failing request would delay the deadlines of all others.
         try:
             sub.call()
         except Exception as exc:
             log(Event.INTERNAL, error=repr(exc))
-            logger.opt(exception=exc).error("subscriber failed")
+            logger.opt(exception=exc).error("timer subscriber raised an exception")
 
     @handler("generate_events", channel="*", priority=1)
     def _on_generate_events(self, event) -> None:
@@ -88,7 +88,7 @@
             self._call(sub)
             if sub.interval_s is not None and sub.live:
                 self._push(sub.interval_s, sub)
-        # What subscribers fired waits in the queue; the poller would sleep on it.
+        # Do not let the poller sleep while events of subscribers are queued.
         if len(self.root):
             event.reduce_time_left(0)
         if self._heap:
