--- a/tests/caller_server.py
+++ b/tests/caller_server.py
@@ -1,4 +1,4 @@
-"""A caller server on a loop in a thread, and requests for it as bytes."""
+"""A ``CallerServer`` on an event loop in a thread, and raw requests for it."""
 
 import json
 from contextlib import closing
@@ -13,7 +13,7 @@
 
 
 class Handler:
-    """Keeps the calls; answers service calls with what it got."""
+    """Records calls; answers service calls with an echo of the request."""
 
     def __init__(self):
         self.calls = []
@@ -51,7 +51,7 @@
         return Caller(self.callers.address)
 
     def ask(self, data):
-        """Send ``data``, return everything up to the close of the connection."""
+        """Send ``data`` and return everything received until the connection closes."""
         with closing(self.caller().sock) as sock:
             sock.sendall(data)
             answer = b""
--- a/tests/test_caller_limits.py
+++ b/tests/test_caller_limits.py
@@ -41,10 +41,9 @@
 
 
 def test_a_caller_that_never_reads_is_let_go():
-    """The endpoint is freed although the caller keeps its connection open.
+    """A caller that requests a stream and never reads does not occupy an endpoint.
 
-    The caller asks for a stream and never reads; after the write limit its
-    connection is closed and the handler hears that it is gone.
+    After ``write_s`` the connection is closed and the handler is notified.
     """
     with closing(Server(Limits(write_s=0.1))) as server:
         caller = server.caller()
@@ -56,11 +55,11 @@
 
 
 def test_draining_ends_each_connection_after_its_answer():
-    """A planned stop cuts nobody.
+    """Draining truncates no answer.
 
-    One caller waits for its answer, one streams and one is idle when the router
-    starts to drain. The first two get their answers to the end; then all three
-    connections end and no new one is taken.
+    One caller waits for its answer, one receives a stream and one is idle when the
+    drain starts. The first two get their complete answers, all three connections are
+    closed, and no new connection is accepted.
     """
     with closing(Server()) as server:
         idle, waiting = server.caller(), server.caller()
@@ -82,9 +81,11 @@
 
 
 def test_a_connection_that_arrives_when_draining_begins_is_no_fault():
-    """A caller connects in the very round in which the router begins to drain. circuits
-    accepts one round after it has seen the connection; with the listening socket gone
-    by then, accepting failed and was logged as a fault of the program."""
+    """A caller connects in the same event loop round in which the drain starts.
+
+    circuits accepts one round after it has seen the connection. The listening socket
+    was already closed then, so that accepting failed with a logged exception.
+    """
     with closing(Server()) as server:
         app, web = server.loop.app, server.callers.sockets
         drain = handler("drain_now")(lambda _manager: server.callers.drain())
@@ -102,10 +103,10 @@
 
 
 def test_bodies_under_way_are_bounded_together(server):
-    """Many callers with large bodies cannot fill the router's memory.
+    """Many callers with large bodies cannot exhaust the router's memory.
 
-    A body that finds no room among those under way is refused with a time to come
-    back; once the others are done or gone there is room again.
+    A body beyond the shared budget is rejected with 429. The budget is released when
+    other bodies are complete or their callers disconnect.
     """
     server.callers._budget._limit = 1500
     first = server.caller()
@@ -137,11 +138,11 @@
         fourth = server.caller()
         fourth.send(post("/services/a/b"))
         fourth.until(b"POST /b ")
-        assert third.rest() == b"", "on which nothing was asked any more"
+        assert third.rest() == b"", "idle connection is closed to make room"
 
 
 class NoPosts:
-    """A gate that turns away what is posted."""
+    """A gate that rejects POST requests."""
 
     def __init__(self, is_closing):
         self.is_closing = is_closing
@@ -153,8 +154,10 @@
 @pytest.mark.parametrize("size", [0, 10, 500_000])
 @pytest.mark.parametrize("is_closing", [False, True])
 def test_a_request_that_is_turned_away_gets_a_whole_answer(is_closing, size):
-    """A late host answers before it has read a long body. Closing at once would reset
-    the connection, and the caller might never see the answer."""
+    """An overloaded host answers before it has read a long body.
+
+    Closing at once would reset the connection and could lose the answer.
+    """
     with closing(Server()) as server:
         server.callers._gate = NoPosts(is_closing)
         answer = server.ask(post("/services/a/b", b"x" * size))
@@ -181,7 +184,7 @@
     ],
 )
 def test_only_what_is_plainly_whole_is_answered_without_being_watched(data, is_whole):
-    """Closing with bytes on their way would reset the connection."""
+    """Closing while bytes are in transit would reset the connection."""
     assert is_single_request(data) is is_whole
 
 
--- a/tests/test_caller_streams.py
+++ b/tests/test_caller_streams.py
@@ -33,10 +33,10 @@
 
 
 def test_a_cut_stream_never_looks_whole(server):
-    """The caller sees an error event and a broken body, and no end mark.
+    """An aborted stream has an error event but neither ``[DONE]`` nor the last chunk.
 
-    The endpoint's stream broke off for good after some pieces. Neither the end
-    mark nor the last chunk is sent, so that no client takes it for a whole answer.
+    The endpoint's stream fails for good after some chunks. No client may take the
+    answer for a complete one.
     """
     caller, reply = start_stream(server)
     error = RouterError(ErrorKind.ENDPOINT_CUT, "cut", ran=Ran.YES)
@@ -48,10 +48,9 @@
 
 
 def test_a_caller_that_leaves_is_reported(server):
-    """The endpoint's work can be cancelled when nobody waits for it.
+    """The handler is notified once when a caller closes in the middle of a stream.
 
-    The caller closes in the middle of its stream; the handler hears of it once,
-    and pieces that still come are dropped.
+    The endpoint's work can then be cancelled. Chunks that follow are discarded.
     """
     caller, reply = start_stream(server)
     caller.sock.close()
@@ -72,11 +71,10 @@
 
 
 def test_a_connection_reset_with_bytes_queued_leaves_nothing(server):
-    """Memory does not grow with callers that vanish.
+    """No state is left of a connection that is reset with data queued.
 
-    The caller's connection is reset while pieces wait to be sent to it. The write
-    event that was under way makes the server below create the queue anew, for a
-    socket that is closed by then.
+    A pending write event makes the circuits server create the queue again for the
+    socket, which is closed by then. Memory would grow with each such caller.
     """
     caller, reply = start_stream(server)
     server.loop.call(lambda: reply.piece(b"x" * 5_000_000))
@@ -88,10 +86,10 @@
 
 
 def test_a_refusal_reaches_a_caller_that_is_still_sending(server):
-    """The caller reads why its body was refused, although it sent all of it.
+    """A caller that sends its whole body before reading gets the rejection.
 
-    The answer goes out at the request's head and the rest of the body is still on
-    its way. Closing at once would reset the connection and lose the answer.
+    The answer is sent as soon as the headers are read, while the body is in transit.
+    Closing at once would reset the connection and lose the answer.
     """
     body = b"x" * 5_000_000
     answer = server.ask(post("/services/a/b", body))
@@ -99,10 +97,10 @@
 
 
 def test_a_slow_reader_holds_the_stream_back(server):
-    """A slow caller gets all its pieces, and the router holds few of them.
+    """Backpressure: a slow caller gets all chunks while few of them are buffered.
 
-    The caller stops reading; once the high-water mark is reached the reply says
-    that it is blocked, and calls back when the caller has read again.
+    The caller stops reading. Above the high-water mark the reply is ``blocked``, and
+    it calls ``on_drain`` once the caller has read again.
     """
     caller, reply = start_stream(server)
     drained = []
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -141,10 +141,10 @@
 
 @pytest.mark.parametrize("name", REFUSED)
 def test_bad_requests_are_refused_and_the_connection_ends(server, name):
-    """The caller sees one clear error, in JSON, and then the end.
+    """A malformed request gets one JSON error, and the connection is closed.
 
-    Each request is broken in a way that loses, mixes or crashes requests in the
-    parser of circuits.web; here it is refused before anything is handed over.
+    The parser of circuits.web loses such requests, mixes them up or crashes. Here
+    they are rejected before any call reaches the handler.
     """
     data, status = REFUSED[name]
     answer = server.ask(data)
@@ -168,10 +168,10 @@
 
 
 def test_pipelined_requests_are_answered_in_order(server):
-    """The caller gets each answer in the place of its own request.
+    """Answers come in the order of the requests.
 
-    Three requests arrive in one read. The first answer is given late; the others
-    wait for it, although theirs would be ready at once.
+    Three requests arrive in one read. The last two would be answered at once but
+    have to wait for the first, which is answered late.
     """
     caller = server.caller()
     caller.send(chat() + post("/services/a/1", b"x") + post("/services/a/2", b"y"))
@@ -185,10 +185,10 @@
 
 
 def test_a_pipelined_request_may_arrive_in_parts(server):
-    """The second request is read whole although it began behind the first.
+    """A pipelined request that is split at a line end is parsed completely.
 
-    Its first bytes come with the first request and the rest, which begins with a
-    line end, after the first answer; those bytes are not an empty line to skip.
+    Its first bytes arrive with the first request. The rest arrives after the first
+    answer and starts with CRLF, which must not be skipped as an empty line.
     """
     caller = server.caller()
     caller.send(GET + b"\r\n" + GET[:-2])
@@ -199,10 +199,11 @@
 
 
 def test_requests_far_ahead_of_their_answer_are_left_in_the_socket(server):
-    """All answers come, in order, and memory stays bounded.
+    """Pipelined requests beyond the read-ahead limit stay in the socket.
 
-    A caller sends far more requests than are read ahead while the first one still
-    waits; the router stops reading and goes on once the first is answered.
+    The caller sends far more than the limit while its first request is unanswered.
+    The server stops reading, so its memory stays bounded, and resumes after the first
+    answer. All requests are answered in order.
     """
     caller = server.caller()
     caller.send(chat())
@@ -258,10 +259,10 @@
     "path", [".", "a/..", "a//b", "%2fa", "a%5cb", "%00", "%ff", "%4", "/a"]
 )
 def test_ambiguous_paths_are_refused(path):
-    """A caller cannot slip past the rule that a route runs at most once.
+    """A path variant cannot bypass the protection of a non-repeatable route.
 
-    A service may read these paths as another one, whose route is not repeatable;
-    the router would match the spelling as sent and repeat the call.
+    A service may read these paths as that of another route that is not repeatable.
+    The router would match the path as sent and retry the call.
     """
     with pytest.raises(RouterError):
         canonical_path(path)
--- a/tests/test_poller.py
+++ b/tests/test_poller.py
@@ -1,4 +1,4 @@
-"""What looking a socket up costs beside thousands of others, by comparisons."""
+"""The poller: cost of socket lookups, in comparisons, and dispatch of events."""
 
 from socket import socketpair
 from types import SimpleNamespace
@@ -11,7 +11,7 @@
 
 
 class Counted:
-    """Stands for a socket; counts how often one is compared with another."""
+    """Stand-in for a socket; counts equality comparisons."""
 
     compared = 0
 
@@ -24,8 +24,11 @@
 
 
 def test_a_socket_is_found_without_a_look_at_all_others():
-    """A host with thousands of connections spent most of its processor time on lists
-    of sockets: each connection was looked for some ten times among all others."""
+    """Lookups do not compare with all other sockets.
+
+    A host with thousands of connections spent most of its CPU time searching lists of
+    sockets, about ten times for each connection.
+    """
     socks = [Counted() for _ in range(MANY)]
     found = SocketSet(socks)
     Counted.compared = 0
@@ -55,7 +58,7 @@
 
 
 class Source(BaseComponent):
-    """Takes its sockets' events from the poller itself, or of circuits where not."""
+    """Reads through a direct call of the poller and writes through circuits events."""
 
     channel = "source"
 
@@ -104,8 +107,11 @@
 
 
 def test_a_source_that_fails_or_closes_others_harms_no_other_socket():
-    """Two sockets are ready together; handling the first closes the second. Its number
-    may already belong to a new socket, which must not be taken for it."""
+    """Two sockets are ready together; the handler of the first closes the second.
+
+    The second one's file descriptor may already belong to a new socket, which must not
+    be handled in its place.
+    """
     source = Source()
     poller = SocketPoller().register(source)
     pairs = [socketpair() for _ in range(2)]
--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -1,4 +1,4 @@
-"""When subscribers of the timer service are called, in simulated time."""
+"""The timer service in simulated time."""
 
 from types import SimpleNamespace
 
@@ -9,7 +9,7 @@
 
 
 class Loop:
-    """A poller that sleeps until the timers want to be woken."""
+    """Simulated event loop that sleeps until the next timer."""
 
     def __init__(self, monkeypatch):
         self.now = 100.0
@@ -35,7 +35,7 @@
 
 
 def test_repeated_calls_that_nearly_coincide_share_a_turn(loop):
-    """An idle host of a large fleet spends most of its time on turns of its loop."""
+    """An idle host of a large fleet spends most CPU time on event loop iterations."""
     calls = []
     for offset, interval_s in ((0.0, 0.05), (0.003, 0.05), (0.004, 0.1), (0.011, 0.2)):
         loop.now = 100.0 + offset
@@ -51,7 +51,7 @@
 
 
 def test_a_single_call_is_never_early(loop):
-    """Deadlines and retries are promises to others."""
+    """Deadlines and retries must not come before their time."""
     at = []
     loop.timers.every(0.05, lambda: None)
     loop.timers.after(0.0521, lambda: at.append(loop.now))
