--- a/greengageflow/daemon/admission.py
+++ b/greengageflow/daemon/admission.py
@@ -27,7 +27,7 @@
         self._numbers = count(1)
 
     @property
-    def unready(self) -> RouterError | None:
+    def readiness_error(self) -> RouterError | None:
         """Why no calls can be admitted, or None."""
         if self._cfg.revision:
             return None
@@ -49,8 +49,8 @@
             RouterError: The account, model or service is unknown, the route requires
                 an idempotency key, or there is no configuration yet.
         """
-        if self.unready:
-            raise self.unready
+        if self.readiness_error:
+            raise self.readiness_error
         account = self._account(call.account_key)
         pool = self._pool(call)
         deadline_s = min(call.deadline_s or pool.deadline_s, pool.deadline_s)
--- a/greengageflow/daemon/dispatch.py
+++ b/greengageflow/daemon/dispatch.py
@@ -103,11 +103,11 @@
 
     # Calls.
 
-    def unready(self) -> RouterError | None:
+    def readiness_error(self) -> RouterError | None:
         """Return why the load balancer should send no requests here, or None."""
         if self.stopping:
             return RouterError(ErrorKind.STOPPING, "this router is stopping")
-        return self._admission.unready
+        return self._admission.readiness_error
 
     def on_call(self, call: ChatCall | ServiceCall | StatusCall) -> None:
         """Handle a call; the answer may come later."""
@@ -165,7 +165,7 @@
                 self._control.run(cancelled)
                 self._refuse(ctx, self._quarantine_error(ctx))
 
-    def on_gone(self, call: ChatCall | ServiceCall | StatusCall) -> None:
+    def on_caller_disconnect(self, call: ChatCall | ServiceCall | StatusCall) -> None:
         """Cancel the request of a caller that has disconnected."""
         ctx = self._active.for_call(call)
         if ctx is None:
--- a/greengageflow/daemon/forward_admission.py
+++ b/greengageflow/daemon/forward_admission.py
@@ -54,7 +54,7 @@
         """Return the account that owns a key, or an empty string."""
         return self._routing.accounts.get(key, "")
 
-    def unready(self) -> RouterError | None:
+    def readiness_error(self) -> RouterError | None:
         """Return why no requests can be admitted, or None."""
         if not self._routing.version:
             return RouterError(ErrorKind.NOT_CONFIGURED, "no configuration yet")
--- a/greengageflow/daemon/forwarder.py
+++ b/greengageflow/daemon/forwarder.py
@@ -109,11 +109,11 @@
 
     # Calls.
 
-    def unready(self) -> RouterError | None:
+    def readiness_error(self) -> RouterError | None:
         """Return why the load balancer should send no requests here, or None."""
         if self.stopping:
             return RouterError(ErrorKind.STOPPING, "this router is stopping")
-        return self._admission.unready()
+        return self._admission.readiness_error()
 
     def on_call(self, call: ForwardCall) -> None:
         """Handle a call; the answer may come later."""
@@ -164,7 +164,7 @@
     def _is_open(self, ctx: ForwardContext) -> bool:
         return self._active.get(ctx.id) is ctx
 
-    def on_gone(self, call: ForwardCall) -> None:
+    def on_caller_disconnect(self, call: ForwardCall) -> None:
         """Cancel the request of a caller that has disconnected."""
         ctx = self._by_call.get(id(call))
         if ctx is None:
--- a/greengageflow/daemon/gateway.py
+++ b/greengageflow/daemon/gateway.py
@@ -241,7 +241,7 @@
         )
         pages = GatewayPages(
             self._metrics,
-            unready=self._unready,
+            readiness_error=self._readiness_error,
             waiting=lambda: self._placement.waiting,
             running=lambda: self._in_flight,
             callers=self._callers,
@@ -282,10 +282,10 @@
     def _in_flight(self) -> int:
         return self._forwarder.active_requests - self._placement.waiting
 
-    def _unready(self) -> RouterError | None:
+    def _readiness_error(self) -> RouterError | None:
         if self._callers.full:
             return RouterError(ErrorKind.HOST_BUSY, "no room for one more connection")
-        return self._forwarder.unready()
+        return self._forwarder.readiness_error()
 
     # Other routers.
 
@@ -359,7 +359,7 @@
 
     def _on_routing(self, routing: Routing) -> None:
         self._forwarder.on_routing(routing)
-        self._callers.set_bounds(routing.bounds)
+        self._callers.set_request_limits(routing.bounds)
 
     def _on_endpoint_leaving(self, endpoint: str, source: str) -> None:
         self._log.write(
@@ -432,7 +432,7 @@
         self._forwarder.stopping = self._exchange.stopping = True
         self._placement.stopping = True
         self._stop_started_at = self._timers.now
-        self._callers.end_with_answers()
+        self._callers.close_after_answers()
         self._timers.after(BALANCER_DRAIN_S, self._refuse_new)
 
     def _refuse_new(self) -> None:
@@ -442,7 +442,7 @@
 
     def _stop_when_done(self) -> None:
         waited_s = self._timers.now - self._stop_started_at
-        busy = self._forwarder.active_requests or self._callers.answering
+        busy = self._forwarder.active_requests or self._callers.unfinished_answers
         if busy and waited_s < self._settings.bounds.grace_s - EXIT_MARGIN_S:
             return
         self._log.write(
--- a/greengageflow/daemon/gateway_pages.py
+++ b/greengageflow/daemon/gateway_pages.py
@@ -13,8 +13,8 @@
 
     Args:
         page: The metrics.
-        unready: Returns the reason for which the balancer should send no requests, or
-            None.
+        readiness_error: Returns the reason for which the balancer should send no
+            requests, or None.
         waiting: Returns the number of queued requests.
         running: Returns the number of requests sent to endpoints.
         callers: Server whose connections are counted.
@@ -38,7 +38,7 @@
         self,
         page: MetricsPage,
         *,
-        unready: Callable[[], RouterError | None],
+        readiness_error: Callable[[], RouterError | None],
         waiting: Callable[[], int],
         running: Callable[[], int],
         callers: CallerServer,
@@ -54,14 +54,18 @@
         quarantined: Callable[[], int],
         stale_retries: Callable[[], int],
     ) -> None:
-        self.unready = unready
+        self.readiness_error = readiness_error
         self._page = page
         page.register_reader(PageMetric.WAITING, waiting)
         page.register_reader(PageMetric.RUNNING, running)
         page.register_reader(PageMetric.CONNECTIONS, lambda: callers.connections)
-        page.register_reader(PageMetric.CONNECTIONS_TAKEN, lambda: callers.taken)
+        page.register_reader(
+            PageMetric.CONNECTIONS_TAKEN, lambda: callers.accepted_connections
+        )
         page.register_reader(PageMetric.ABANDONED, lambda: callers.abandoned)
-        page.register_reader(PageMetric.CONNECTIONS_WAITING, lambda: callers.unaccepted)
+        page.register_reader(
+            PageMetric.CONNECTIONS_WAITING, lambda: callers.accept_queue_length
+        )
         page.register_reader(PageMetric.LOOP_LATE, loop_delay_s)
         page.register_reader(PageMetric.PEERS_LIVE, peers)
         page.register_reader(PageMetric.CONFIG_VERSION, version)
@@ -82,5 +86,5 @@
         headers = (("Content-Type", CONTENT_TYPE),)
         call.reply.raw(200, headers, self._page.render())
 
-    def on_gone(self, call: PageCall) -> None:
+    def on_caller_disconnect(self, call: PageCall) -> None:
         """Do nothing: pages are served synchronously, so no state is kept."""
--- a/greengageflow/daemon/load_shedder.py
+++ b/greengageflow/daemon/load_shedder.py
@@ -44,11 +44,11 @@
         self._shed_requests = 0
 
     @property
-    def is_closing(self) -> bool:
+    def may_shed(self) -> bool:
         """Whether the event loop is so slow that requests may be shed."""
         return self._load.average_s(self._timers.now) > OVERLOAD_ROUND_S
 
-    def turns_away(self, data: bytes) -> bool:
+    def should_shed(self, data: bytes) -> bool:
         """Return whether to shed a request whose first bytes are ``data``."""
         now = self._timers.now
         account = self._account_of(data)
--- a/greengageflow/daemon/router.py
+++ b/greengageflow/daemon/router.py
@@ -301,7 +301,7 @@
         left = self._requests.active_requests
         busy = (
             left
-            or self._callers.answering
+            or self._callers.unfinished_answers
             or self._control.actions.unreported
             or self._orders.busy
         )
--- a/greengageflow/net/_caller_conn.py
+++ b/greengageflow/net/_caller_conn.py
@@ -323,7 +323,7 @@
         if reply is not None:
             reply.detach()
         if call is not None:
-            self._handler.on_gone(call)
+            self._handler.on_caller_disconnect(call)
 
     def check_time(self, now: float) -> None:
         """Enforce the timeouts."""
--- a/greengageflow/net/_caller_parts.py
+++ b/greengageflow/net/_caller_parts.py
@@ -88,7 +88,7 @@
     def on_call(self, call: Any) -> None:
         """Handle a call."""
 
-    def on_gone(self, call: Any) -> None:
+    def on_caller_disconnect(self, call: Any) -> None:
         """Handle the disconnect of a caller whose call is unanswered."""
 
 
@@ -120,18 +120,18 @@
     """Decides which requests an overloaded host rejects unread."""
 
     @property
-    def is_closing(self) -> bool:
+    def may_shed(self) -> bool:
         """Whether requests may currently be rejected."""
 
-    def turns_away(self, data: bytes) -> bool:
+    def should_shed(self, data: bytes) -> bool:
         """Return whether to reject a request that begins with ``data``."""
 
 
-class OpenGate:
+class AdmitAllGate:
     """Admits every request."""
 
-    is_closing = False
+    may_shed = False
 
-    def turns_away(self, _data: bytes) -> bool:
+    def should_shed(self, _data: bytes) -> bool:
         """Return False: the request is read."""
         return False
--- a/greengageflow/net/callers.py
+++ b/greengageflow/net/callers.py
@@ -21,16 +21,16 @@
 from greengageflow.net._caller_conn import CallerConnection, Phase
 from greengageflow.net._caller_link import READ_SIZE, CallerLink, received
 from greengageflow.net._caller_parts import (
+    AdmitAllGate,
     BodyBudget,
     CallInterface,
     Limits,
-    OpenGate,
     RequestGate,
 )
 from greengageflow.net._http_parse import is_single_request
 from greengageflow.net.caller_sockets import CallerSockets
 from greengageflow.net.calls import (
-    OWN_INTERFACE,
+    NATIVE_INTERFACE,
     CallerCall,
     ChatCall,
     HealthCall,
@@ -52,7 +52,7 @@
     "StatusCall",
 ]
 
-SWEEP_S = 0.2
+TIMEOUT_CHECK_INTERVAL_S = 0.2
 GIVE_WAY = 16
 """Reciprocal of the share of connections closed at once to make room."""
 
@@ -67,10 +67,10 @@
     def on_call(self, call: ChatCall | ServiceCall | StatusCall) -> None:
         """Handle a call and answer it through ``call.reply``, now or later."""
 
-    def on_gone(self, call: ChatCall | ServiceCall | StatusCall) -> None:
+    def on_caller_disconnect(self, call: ChatCall | ServiceCall | StatusCall) -> None:
         """Handle the disconnect of a caller whose call is unanswered."""
 
-    def unready(self) -> RouterError | None:
+    def readiness_error(self) -> RouterError | None:
         """Return why the load balancer should send no requests, or None."""
 
 
@@ -109,7 +109,7 @@
         limits: Limits | None = None,
         max_connections: int = 4096,
         body_budget: int = 67_108_864,
-        interface: CallInterface = OWN_INTERFACE,
+        interface: CallInterface = NATIVE_INTERFACE,
         gate: RequestGate | None = None,
         on_full: Callable[[int, int], None] = lambda _open, _idle: None,
         channel: str = "callers",
@@ -127,14 +127,14 @@
         self._interface = interface
         self._budget = BodyBudget(body_budget)
         self._max_connections = max_connections
-        self.taken = 0
+        self.accepted_connections = 0
         self.abandoned = 0
-        self._gate = gate or OpenGate()
+        self._gate = gate or AdmitAllGate()
         self._on_full = on_full
         self._links: dict[socket, CallerLink] = {}
         self._address = (self.sockets.host, self.sockets.port)
         self._timers = timers
-        timers.every(SWEEP_S, self._on_sweep)
+        timers.every(TIMEOUT_CHECK_INTERVAL_S, self._on_sweep)
 
     @property
     def address(self) -> tuple[str, int]:
@@ -147,7 +147,7 @@
         return len(self._links)
 
     @property
-    def unaccepted(self) -> float:
+    def accept_queue_length(self) -> float:
         """Connections in the accept queue, or NaN if the system does not report it."""
         sock = self.sockets._sock
         try:
@@ -157,7 +157,7 @@
         return unpack_from("I", info, _INFO_WAITING)[0]
 
     @property
-    def answering(self) -> int:
+    def unfinished_answers(self) -> int:
         """Number of connections whose answer is not complete or not fully sent."""
         return sum(
             link.conn.phase is Phase.ANSWERING or link.conn.queued > 0
@@ -168,7 +168,7 @@
         """Change the maximum body size for requests that begin from now on."""
         self.limits = replace(self.limits, body=body_limit)
 
-    def set_bounds(self, bounds: CallerLimits) -> None:
+    def set_request_limits(self, bounds: CallerLimits) -> None:
         """Change the request limits for requests that begin from now on."""
         self.limits = replace(
             self.limits,
@@ -178,7 +178,7 @@
             keep_alive_s=bounds.idle_s,
         )
 
-    def end_with_answers(self) -> None:
+    def close_after_answers(self) -> None:
         """Close each connection after its next answer, with ``Connection: close``."""
         self.limits = replace(self.limits, last_answer=True)
 
@@ -206,22 +206,22 @@
         if not isinstance(call, HealthCall):
             self._handler.on_call(call)
             return
-        error = self._handler.unready()
+        error = self._handler.readiness_error()
         if error is None:
             call.reply.json(200, {"status": "ok"})
         else:
             call.reply.error(error)
 
-    def on_gone(self, call: CallerCall) -> None:
+    def on_caller_disconnect(self, call: CallerCall) -> None:
         """Tell the handler that a caller has disconnected."""
         if not isinstance(call, HealthCall):
-            self._handler.on_gone(call)
+            self._handler.on_caller_disconnect(call)
 
     # Sockets.
 
     def _admit(self, sock: socket) -> CallerLink | None:
         link = CallerLink(self.sockets, sock)
-        self.taken += 1
+        self.accepted_connections += 1
         if self._has_no_room and not self._make_room():
             link.drop()
             return None
@@ -280,19 +280,19 @@
         Returns:
             True if the connection needs no further setup.
         """
-        if not self._gate.is_closing or self._has_no_room:
+        if not self._gate.may_shed or self._has_no_room:
             return False
         data = received(sock)
         if data is None:
             return False
         if not data:
-            self.taken += 1
+            self.accepted_connections += 1
             self.abandoned += 1
             sock.close()
             return True
-        is_turned_away = self._gate.turns_away(data)
+        is_turned_away = self._gate.should_shed(data)
         if is_turned_away and is_single_request(data):
-            self.taken += 1
+            self.accepted_connections += 1
             with suppress(OSError):
                 sock.send(busy_answer(self._interface.retry_after, int(time())))
             sock.close()
@@ -315,7 +315,7 @@
         # close. Handling it would only delay callers that are still connected.
         more = received(link.sock) if 0 < len(data) < READ_SIZE else None
         if data and more != b"":
-            if link.conn.phase is Phase.IDLE and self._gate.turns_away(data):
+            if link.conn.phase is Phase.IDLE and self._gate.should_shed(data):
                 link.conn.turn_away()
                 return
             link.conn.receive(data + more if more else data)
--- a/greengageflow/net/calls.py
+++ b/greengageflow/net/calls.py
@@ -259,7 +259,7 @@
     )
 
 
-class OwnInterface:
+class NativeInterface:
     """The native API of this project; see ``CallInterface``."""
 
     def allowed_methods(self, path: str) -> frozenset[str]:
@@ -307,4 +307,4 @@
         return str(max(1, ceil(seconds)))
 
 
-OWN_INTERFACE = OwnInterface()
+NATIVE_INTERFACE = NativeInterface()
--- a/tests/caller_server.py
+++ b/tests/caller_server.py
@@ -31,10 +31,10 @@
                 text = f"{call.method} {call.target} ".encode() + call.body
                 call.reply.raw(200, (("X-Name", "\xe9"),), text)
 
-    def on_gone(self, call):
+    def on_caller_disconnect(self, call):
         self.gone.append(call)
 
-    def unready(self):
+    def readiness_error(self):
         return self.error
 
 
--- a/tests/test_arrival_gate.py
+++ b/tests/test_arrival_gate.py
@@ -150,7 +150,7 @@
     for number in range(15_000):
         timers.now += 0.002
         for key in (f"made-up-{number}", *["held"] * (number % 750 == 0)):
-            read = not shedder.turns_away(key.encode())
+            read = not shedder.should_shed(key.encode())
             sent = counts.setdefault(key == "held", [0, 0])
             sent[0] += 1
             sent[1] += read
--- a/tests/test_caller_limits.py
+++ b/tests/test_caller_limits.py
@@ -9,7 +9,7 @@
 from http_fakes import wait_for
 
 from greengageflow.net._http_parse import is_single_request
-from greengageflow.net.callers import SWEEP_S, Limits
+from greengageflow.net.callers import TIMEOUT_CHECK_INTERVAL_S, Limits
 from greengageflow.platform.interfaces import CallerInterface
 from greengageflow.platform.names import CREDENTIAL
 
@@ -74,7 +74,7 @@
         assert b"\r\nconnection: close\r\n" in answer
         server.loop.call(lambda: reply.piece(b"x" * 9_000_000))
         server.loop.call(reply.end_stream)
-        sleep(3 * SWEEP_S)
+        sleep(3 * TIMEOUT_CHECK_INTERVAL_S)
         assert stream.rest().endswith(b"0\r\n\r\n")
         with pytest.raises(ConnectionRefusedError):
             server.caller()
@@ -141,25 +141,25 @@
         assert third.rest() == b"", "idle connection is closed to make room"
 
 
-class NoPosts:
+class RejectPosts:
     """A gate that rejects POST requests."""
 
-    def __init__(self, is_closing):
-        self.is_closing = is_closing
+    def __init__(self, may_shed):
+        self.may_shed = may_shed
 
-    def turns_away(self, data):
+    def should_shed(self, data):
         return data.startswith(b"POST")
 
 
 @pytest.mark.parametrize("size", [0, 10, 500_000])
-@pytest.mark.parametrize("is_closing", [False, True])
-def test_a_request_that_is_turned_away_gets_a_whole_answer(is_closing, size):
+@pytest.mark.parametrize("may_shed", [False, True])
+def test_a_request_that_is_turned_away_gets_a_whole_answer(may_shed, size):
     """An overloaded host answers before it has read a long body.
 
     Closing at once would reset the connection and could lose the answer.
     """
     with closing(Server()) as server:
-        server.callers._gate = NoPosts(is_closing)
+        server.callers._gate = RejectPosts(may_shed)
         answer = server.ask(post("/services/a/b", b"x" * size))
         head, _, body = answer.partition(b"\r\n\r\n")
         assert head.startswith(b"HTTP/1.1 503 ")
