--- a/greengageflow/net/_caller_conn.py
+++ b/greengageflow/net/_caller_conn.py
@@ -29,9 +29,9 @@
 from greengageflow.net.calls import CallerCall, CallerRequest
 from greengageflow.net.reply import Header, Reply, busy_answer
 
-BODILESS = frozenset({204, 304})
+BODILESS_STATUSES = frozenset({204, 304})
 HTTP_VERSIONS = frozenset({"1.0", "1.1"})
-CLOSE: Header = ("connection", "close")
+CONNECTION_CLOSE: Header = ("connection", "close")
 
 
 class Phase(Enum):
@@ -63,28 +63,28 @@
         interface: CallInterface,
     ) -> None:
         self.phase = Phase.IDLE
-        self.phase_at = monotonic()
-        self.moved_at = self.phase_at
+        self.phase_started_at = monotonic()
+        self.send_progress_at = self.phase_started_at
         self.queued = 0
         self._link = link
         self._handler = handler
         self._limits = limits
         self._budget = budget
         self._interface = interface
-        self._requests = RequestParser(limits().headers)
+        self._requests = RequestParser(limits().header_bytes)
         self._head: RequestHead | None = None
-        self._whole = False
-        self._unread: list[bytes] = []
+        self._is_request_complete = False
+        self._pipelined: list[bytes] = []
         self._body = bytearray()
         self._call: CallerCall | None = None
         self._reply: Reply | None = None
-        self._ahead = 0
+        self._pipelined_bytes = 0
         self._was_blocked = False
         self._advancing = False
 
     def _enter(self, phase: Phase) -> None:
         self.phase = phase
-        self.phase_at = monotonic()
+        self.phase_started_at = monotonic()
 
     # Requests.
 
@@ -98,17 +98,17 @@
         if not data:
             return
         if self.phase is Phase.ANSWERING:
-            self._unread.append(data)
-            self._ahead += len(data)
-            if self._ahead > self._limits().ahead:
-                self._link.read_on(False)
+            self._pipelined.append(data)
+            self._pipelined_bytes += len(data)
+            if self._pipelined_bytes > self._limits().pipelined_bytes:
+                self._link.set_reading(False)
             return
         self._requests.feed(data)
         if self.phase is Phase.IDLE:
             self._enter(Phase.READING)
         self._advance()
 
-    def turn_away(self) -> None:
+    def reject_unread(self) -> None:
         """Reject a request unread and close the connection."""
         self._enter(Phase.ANSWERING)
         # Parsing the request would cost most of what handling it does.
@@ -155,16 +155,20 @@
 
     def _on_head(self, head: RequestHead) -> None:
         self._head = head
-        self._whole = False
+        self._is_request_complete = False
         headers = dict(head.headers)
         self._check_head(head, headers)
-        waits = headers.get("expect", "").lower() == "100-continue"
-        if waits and head.version == "1.1" and not self._requests.has_pending_events:
+        expects_continue = headers.get("expect", "").lower() == "100-continue"
+        if (
+            expects_continue
+            and head.version == "1.1"
+            and not self._requests.has_pending_events
+        ):
             self._link.send(CONTINUE_RESPONSE)
 
     def _check_head(self, head: RequestHead, headers: dict[str, str]) -> None:
         limits = self._limits()
-        if head.size > limits.headers:
+        if head.size > limits.header_bytes:
             raise RouterError(ErrorKind.HEADERS_TOO_LARGE, "headers too large")
         if head.version not in HTTP_VERSIONS:
             raise RouterError(ErrorKind.BAD_REQUEST, "HTTP version must be 1.0 or 1.1")
@@ -175,7 +179,7 @@
             message = "content-length and transfer-encoding must not be combined"
             raise RouterError(ErrorKind.BAD_REQUEST, message)
         self._interface.check_target(head.method, self._path(head))
-        if length is not None and int(length) > limits.body:
+        if length is not None and int(length) > limits.body_bytes:
             self._refuse_body(limits)
 
     @staticmethod
@@ -184,27 +188,29 @@
 
     @staticmethod
     def _refuse_body(limits: Limits) -> None:
-        message = f"body larger than {limits.body} bytes"
+        message = f"body larger than {limits.body_bytes} bytes"
         raise RouterError(ErrorKind.BODY_TOO_LARGE, message)
 
     def _on_body(self, data: bytes) -> None:
-        self._budget.take(len(data))
+        self._budget.reserve(len(data))
         self._body += data
         limits = self._limits()
-        if len(self._body) > limits.body:
+        if len(self._body) > limits.body_bytes:
             self._refuse_body(limits)
 
-    def _take_body(self) -> bytes:
-        self._budget.give(len(self._body))
+    def _release_body(self) -> bytes:
+        self._budget.release(len(self._body))
         body, self._body = bytes(self._body), bytearray()
         return body
 
     def _on_request(self) -> None:
         head = self._head
-        self._whole = True
-        body, is_old = self._take_body(), head.version == "1.0"
-        request = CallerRequest(head.method, head.target, head.headers, body, is_old)
-        self._ahead = 0
+        self._is_request_complete = True
+        body, is_http_1_0 = self._release_body(), head.version == "1.0"
+        request = CallerRequest(
+            head.method, head.target, head.headers, body, is_http_1_0
+        )
+        self._pipelined_bytes = 0
         self._enter(Phase.ANSWERING)
         self._reply = reply = Reply(self, self._interface.retry_after)
         try:
@@ -219,7 +225,7 @@
 
     def _refuse(self, exc: RouterError) -> None:
         """Answer a request that is not completely read, then close."""
-        self._take_body()
+        self._release_body()
         headers: list[Header] = []
         if exc.kind is ErrorKind.METHOD_NOT_ALLOWED:
             methods = self._interface.allowed_methods(self._path(self._head))
@@ -232,39 +238,39 @@
     @property
     def blocked(self) -> bool:
         """Whether the stream should pause because the caller reads too slowly."""
-        if self.queued > self._limits().high_water:
+        if self.queued > self._limits().high_water_bytes:
             self._was_blocked = True
         return self._was_blocked
 
-    def send_whole(
+    def send_complete(
         self, status: int, headers: Iterable[Header], body: bytes, *, close: bool
     ) -> None:
         """Send a complete answer."""
         lines = [date_header(), *headers]
         is_head = self._head is not None and self._head.method == "HEAD"
-        has_body = status not in BODILESS and not is_head
-        if status not in BODILESS and (body or not is_head):
+        has_body = status not in BODILESS_STATUSES and not is_head
+        if status not in BODILESS_STATUSES and (body or not is_head):
             lines.append(("content-length", str(len(body))))
-        is_last = close or self._ends_with_answer
+        is_last = close or self._closes_after_answer
         if is_last:
-            lines.append(CLOSE)
+            lines.append(CONNECTION_CLOSE)
         self._link.send(response_head(status, lines) + (body if has_body else b""))
         self._on_answered(is_last)
 
     @property
-    def _ends_with_answer(self) -> bool:
+    def _closes_after_answer(self) -> bool:
         limits = self._limits()
-        is_last = limits.last_answer or limits.keep_alive_s <= 0
-        return is_last or not (self._whole and self._head.keep_alive)
+        is_last = limits.close_after_answer or limits.keep_alive_s <= 0
+        return is_last or not (self._is_request_complete and self._head.keep_alive)
 
     def send_head(self, status: int, headers: Iterable[Header]) -> None:
         """Start a streamed answer."""
         lines = [date_header(), *headers, ("transfer-encoding", "chunked")]
-        if self._limits().last_answer or not self._head.keep_alive:
-            lines.append(CLOSE)
+        if self._limits().close_after_answer or not self._head.keep_alive:
+            lines.append(CONNECTION_CLOSE)
         self._link.send(response_head(status, lines))
 
-    def send_piece(self, data: bytes) -> None:
+    def send_chunk(self, data: bytes) -> None:
         """Send a chunk of a streamed answer."""
         # Always chunked: HTTP/1.0 requests for streams are rejected.
         if data:
@@ -274,12 +280,14 @@
         """Send the last chunk and end the streamed answer."""
         last = chunk(data) if data else b""
         self._link.send(last + LAST_CHUNK)
-        self._on_answered(self._limits().last_answer or not self._head.keep_alive)
+        self._on_answered(
+            self._limits().close_after_answer or not self._head.keep_alive
+        )
 
-    def cut(self, data: bytes) -> None:
+    def abort(self, data: bytes) -> None:
         """Send ``data`` and close with the answer incomplete."""
         if data:
-            self.send_piece(data)
+            self.send_chunk(data)
         self._close()
 
     def _on_answered(self, is_last: bool) -> None:
@@ -289,16 +297,16 @@
             self._close()
             return
         self._enter(Phase.IDLE)
-        self._link.read_on(True)
-        unread, self._unread = self._unread, []
-        for data in unread:
+        self._link.set_reading(True)
+        pipelined, self._pipelined = self._pipelined, []
+        for data in pipelined:
             self._requests.feed(data)
         self._advance()
 
     def _close(self) -> None:
         self._call = self._reply = None
         self._enter(Phase.CLOSING)
-        self._link.read_on(True)
+        self._link.set_reading(True)
         self._link.finish()
 
     # Socket events.
@@ -306,17 +314,17 @@
     def on_sent(self, queued: int) -> None:
         """Update the send queue, now ``queued`` bytes; resume a paused stream."""
         self.queued = queued
-        self.moved_at = monotonic()
-        if not self._was_blocked or queued > self._limits().low_water:
+        self.send_progress_at = monotonic()
+        if not self._was_blocked or queued > self._limits().low_water_bytes:
             return
         self._was_blocked = False
         reply = self._reply
         if reply is not None and reply.on_drain is not None:
             reply.on_drain()
 
-    def on_lost(self) -> None:
+    def on_closed(self) -> None:
         """Handle the close of the socket."""
-        self._take_body()
+        self._release_body()
         call, reply = self._call, self._reply
         self._call = self._reply = None
         self._enter(Phase.CLOSING)
@@ -325,31 +333,36 @@
         if call is not None:
             self._handler.on_caller_disconnect(call)
 
-    def check_time(self, now: float) -> None:
+    def check_timeouts(self, now: float) -> None:
         """Enforce the timeouts."""
         limits = self._limits()
-        waited_s = now - self.phase_at
-        if self.queued and now - self.moved_at > limits.write_s:
+        waited_s = now - self.phase_started_at
+        if self.queued and now - self.send_progress_at > limits.write_s:
             self._link.drop()
-        elif self.phase is Phase.READING and waited_s > self._reading_s(limits):
-            message = f"request not received within {self._reading_s(limits):g} s"
+        elif self.phase is Phase.READING and waited_s > self._request_timeout_s(limits):
+            message = (
+                f"request not received within {self._request_timeout_s(limits):g} s"
+            )
             self._refuse(RouterError(ErrorKind.REQUEST_TIMEOUT, message))
-        elif self._is_over(now, limits):
+        elif self._is_expired(now, limits):
             self._link.drop()
 
-    def _reading_s(self, limits: Limits) -> float:
-        is_body = self._head is not None and not self._whole
-        return limits.body_s if is_body else limits.request_s
+    def _request_timeout_s(self, limits: Limits) -> float:
+        is_body = self._head is not None and not self._is_request_complete
+        return limits.body_s if is_body else limits.header_s
 
-    def _is_over(self, now: float, limits: Limits) -> bool:
+    def _is_expired(self, now: float, limits: Limits) -> bool:
         # The phase changes as soon as the answer is queued. The caller may still be
         # reading it, and closing now would truncate it.
         if self.queued:
             return False
         match self.phase:
             case Phase.IDLE:
-                return now - self.phase_at > limits.keep_alive_s
+                return now - self.phase_started_at > limits.keep_alive_s
             case Phase.CLOSING:
                 # The linger time starts when the last byte is sent, not when queued.
-                return now - max(self.phase_at, self.moved_at) > limits.linger_s
+                return (
+                    now - max(self.phase_started_at, self.send_progress_at)
+                    > limits.linger_s
+                )
         return False
--- a/greengageflow/net/_caller_link.py
+++ b/greengageflow/net/_caller_link.py
@@ -6,8 +6,8 @@
 from greengageflow.net._caller_conn import CallerConnection, Phase
 from greengageflow.net.caller_sockets import CallerSockets
 
-READ_SIZE = 65_536
-QUEUE_SLICE = 65_536
+MAX_READ_BYTES = 65_536
+QUEUE_SLICE_BYTES = 65_536
 
 
 class CallerLink:
@@ -45,9 +45,11 @@
         if not rest or not self.open:
             return
         if not self.conn.queued:
-            self.conn.moved_at = monotonic()
-        for start in range(0, len(rest), QUEUE_SLICE):
-            self._server.write(self.sock, bytes(rest[start : start + QUEUE_SLICE]))
+            self.conn.send_progress_at = monotonic()
+        for start in range(0, len(rest), QUEUE_SLICE_BYTES):
+            self._server.write(
+                self.sock, bytes(rest[start : start + QUEUE_SLICE_BYTES])
+            )
         self.conn.queued += len(rest)
 
     def _send_now(self, data: memoryview) -> int:
@@ -63,9 +65,9 @@
         """Close after all queued data is sent."""
         self.finishing = True
         if not self.conn.queued:
-            self.shut()
+            self.shut_down_sending()
 
-    def shut(self) -> None:
+    def shut_down_sending(self) -> None:
         """Shut down the sending side; the caller's close ends the connection.
 
         Closing while bytes from the caller are unread would reset the connection, and
@@ -82,21 +84,21 @@
             self.open = False
             self._server._close(self.sock)
 
-    def read_on(self, wanted: bool) -> None:
+    def set_reading(self, enabled: bool) -> None:
         """Resume or pause reading from the socket."""
         if not self.open:
             return
         poller = self._server._poller
-        if wanted and not poller.isReading(self.sock):
+        if enabled and not poller.isReading(self.sock):
             poller.addReader(self._server, self.sock)
-        elif not wanted and poller.isReading(self.sock):
+        elif not enabled and poller.isReading(self.sock):
             poller.removeReader(self.sock)
 
 
-def received(sock: socket) -> bytes | None:
+def receive_available(sock: socket) -> bytes | None:
     """Return received bytes, empty at end of stream, or None if there are none."""
     try:
-        return sock.recv(READ_SIZE)
+        return sock.recv(MAX_READ_BYTES)
     except (BlockingIOError, InterruptedError):
         return None
     except OSError:
--- a/greengageflow/net/_caller_parts.py
+++ b/greengageflow/net/_caller_parts.py
@@ -12,32 +12,32 @@
     """Limits of a caller's connection.
 
     Args:
-        body: Maximum size of a request body, in bytes.
-        headers: Maximum size of request line and headers, in bytes.
-        request_s: Maximum seconds from a request's first byte to the end of its
+        body_bytes: Maximum size of a request body, in bytes.
+        header_bytes: Maximum size of request line and headers, in bytes.
+        header_s: Maximum seconds from a request's first byte to the end of its
             headers.
         body_s: Maximum seconds from the end of the headers to the last byte.
         keep_alive_s: Maximum idle seconds between requests; 0 closes each connection
             after its current answer.
         write_s: Maximum seconds during which the caller reads nothing of its answer.
         linger_s: Maximum seconds to wait for the caller's close after ours.
-        high_water: Unsent bytes above which a stream should pause.
-        low_water: Unsent bytes at which a paused stream resumes.
-        ahead: Maximum bytes buffered of pipelined requests during an answer.
-        last_answer: Send ``Connection: close`` with each answer and close after it.
+        high_water_bytes: Unsent bytes above which a stream should pause.
+        low_water_bytes: Unsent bytes at which a paused stream resumes.
+        pipelined_bytes: Maximum bytes buffered of pipelined requests during an answer.
+        close_after_answer: Close after each answer, with ``Connection: close``.
     """
 
-    body: int = 1_048_576
-    headers: int = 16_384
-    request_s: float = 10.0
+    body_bytes: int = 1_048_576
+    header_bytes: int = 16_384
+    header_s: float = 10.0
     body_s: float = 10.0
     keep_alive_s: float = 75.0
     write_s: float = 30.0
     linger_s: float = 2.0
-    high_water: int = 262_144
-    low_water: int = 65_536
-    ahead: int = 65_536
-    last_answer: bool = False
+    high_water_bytes: int = 262_144
+    low_water_bytes: int = 65_536
+    pipelined_bytes: int = 65_536
+    close_after_answer: bool = False
 
 
 class BodyBudget:
@@ -51,7 +51,7 @@
         self.used = 0
         self._limit = limit
 
-    def take(self, size: int) -> None:
+    def reserve(self, size: int) -> None:
         """Reserve ``size`` bytes.
 
         Raises:
@@ -61,7 +61,7 @@
             raise RouterError(ErrorKind.QUEUE_FULL, "too many large bodies at once")
         self.used += size
 
-    def give(self, size: int) -> None:
+    def release(self, size: int) -> None:
         """Release ``size`` bytes."""
         self.used -= size
 
@@ -78,7 +78,7 @@
     def drop(self) -> None:
         """Close immediately."""
 
-    def read_on(self, wanted: bool) -> None:
+    def set_reading(self, enabled: bool) -> None:
         """Resume or pause reading from the socket."""
 
 
--- a/greengageflow/net/caller_sockets.py
+++ b/greengageflow/net/caller_sockets.py
@@ -9,10 +9,10 @@
 
 from greengageflow.net.poller import SocketSet
 
-SEND_BUFFER = 131_072
+SEND_BUFFER_BYTES = 131_072
 """Kernel send buffer of a caller's socket, in bytes."""
 
-MOST_UNACCEPTED = 384
+MAX_ACCEPT_QUEUE = 384
 """Accept queue length; one pass can reject that many connections in time."""
 
 
@@ -44,12 +44,12 @@
     ) -> None:
         super().__init__(
             (ip, port),
-            backlog=MOST_UNACCEPTED,
+            backlog=MAX_ACCEPT_QUEUE,
             channel=channel,
-            socket_options=[(SOL_SOCKET, SO_SNDBUF, SEND_BUFFER)],
+            socket_options=[(SOL_SOCKET, SO_SNDBUF, SEND_BUFFER_BYTES)],
         )
         self._clients = SocketSet()
-        self._resting = False
+        self._is_accept_paused = False
         self._on_accepted = on_accepted
         self._on_bytes = on_bytes
 
@@ -63,21 +63,21 @@
         # write buffer to drain while the poller keeps reporting the end of stream.
         # A caller that stops reading would then use a whole core.
         if sock is self._sock:
-            self.accept_waiting()
+            self.accept_queued()
         else:
             self._on_bytes(sock)
 
-    def accept_again(self) -> bool:
+    def resume_accepting(self) -> bool:
         """Resume accepting if it was paused; return whether it was."""
-        if not self._resting or self._sock is None:
+        if not self._is_accept_paused or self._sock is None:
             return False
-        self._resting = False
+        self._is_accept_paused = False
         self._poller.addReader(self, self._sock)
         return True
 
-    def accept_waiting(self) -> None:
+    def accept_queued(self) -> None:
         """Accept all queued connections."""
-        for _ in range(MOST_UNACCEPTED):
+        for _ in range(MAX_ACCEPT_QUEUE):
             try:
                 sock, _ = self._sock.accept()
             except BlockingIOError:
@@ -88,7 +88,7 @@
                 # No file descriptor is left. The poller would keep reporting the
                 # listener, and the process would use a whole core in vain.
                 self._poller.removeReader(self._sock)
-                self._resting = True
+                self._is_accept_paused = True
                 return
             with suppress(OSError):
                 sock.setblocking(False)
--- a/greengageflow/net/callers.py
+++ b/greengageflow/net/callers.py
@@ -19,7 +19,7 @@
 from greengageflow.core.routes import CallerLimits
 from greengageflow.errors import RouterError
 from greengageflow.net._caller_conn import CallerConnection, Phase
-from greengageflow.net._caller_link import READ_SIZE, CallerLink, received
+from greengageflow.net._caller_link import MAX_READ_BYTES, CallerLink, receive_available
 from greengageflow.net._caller_parts import (
     AdmitAllGate,
     BodyBudget,
@@ -53,11 +53,11 @@
 ]
 
 TIMEOUT_CHECK_INTERVAL_S = 0.2
-GIVE_WAY = 16
+IDLE_CLOSE_DIVISOR = 16
 """Reciprocal of the share of connections closed at once to make room."""
 
-_INFO_SIZE = 104
-_INFO_WAITING = 24
+_TCP_INFO_BYTES = 104
+_TCP_INFO_QUEUE_OFFSET = 24
 """Offset of the accept queue's length in Linux's ``tcp_info`` of a listener."""
 
 
@@ -120,7 +120,7 @@
             ip,
             port,
             self.channel,
-            on_accepted=self._take_accepted,
+            on_accepted=self._read_on_accept,
             on_bytes=self._on_bytes,
         ).register(self)
         self._handler = handler
@@ -151,10 +151,10 @@
         """Connections in the accept queue, or NaN if the system does not report it."""
         sock = self.sockets._sock
         try:
-            info = sock.getsockopt(IPPROTO_TCP, TCP_INFO, _INFO_SIZE)
+            info = sock.getsockopt(IPPROTO_TCP, TCP_INFO, _TCP_INFO_BYTES)
         except (OSError, AttributeError):
             return nan
-        return unpack_from("I", info, _INFO_WAITING)[0]
+        return unpack_from("I", info, _TCP_INFO_QUEUE_OFFSET)[0]
 
     @property
     def unfinished_answers(self) -> int:
@@ -166,28 +166,28 @@
 
     def set_body_limit(self, body_limit: int) -> None:
         """Change the maximum body size for requests that begin from now on."""
-        self.limits = replace(self.limits, body=body_limit)
+        self.limits = replace(self.limits, body_bytes=body_limit)
 
-    def set_request_limits(self, bounds: CallerLimits) -> None:
+    def set_request_limits(self, limits: CallerLimits) -> None:
         """Change the request limits for requests that begin from now on."""
         self.limits = replace(
             self.limits,
-            body=bounds.body_bytes,
-            headers=bounds.header_bytes,
-            request_s=bounds.header_s,
-            keep_alive_s=bounds.idle_s,
+            body_bytes=limits.body_bytes,
+            header_bytes=limits.header_bytes,
+            header_s=limits.header_s,
+            keep_alive_s=limits.idle_s,
         )
 
     def close_after_answers(self) -> None:
         """Close each connection after its next answer, with ``Connection: close``."""
-        self.limits = replace(self.limits, last_answer=True)
+        self.limits = replace(self.limits, close_after_answer=True)
 
     def stop_listening(self) -> None:
         """Accept no new connections; open ones continue."""
         server = self.sockets
         if server._sock is not None:
             # Closing the listener resets connections still in its accept queue.
-            server.accept_waiting()
+            server.accept_queued()
             server._close(server._sock)
 
     def drain(self) -> None:
@@ -219,10 +219,10 @@
 
     # Sockets.
 
-    def _admit(self, sock: socket) -> CallerLink | None:
+    def _add_link(self, sock: socket) -> CallerLink | None:
         link = CallerLink(self.sockets, sock)
         self.accepted_connections += 1
-        if self._has_no_room and not self._make_room():
+        if self._is_at_connection_limit and not self._close_idle_links():
             link.drop()
             return None
         link.conn = CallerConnection(
@@ -232,13 +232,13 @@
         return link
 
     @property
-    def _has_no_room(self) -> bool:
+    def _is_at_connection_limit(self) -> bool:
         if len(self._links) < self._max_connections:
             return False
         # Closed connections stay listed until their disconnect event.
         return sum(link.open for link in self._links.values()) >= self._max_connections
 
-    def _make_room(self) -> bool:
+    def _close_idle_links(self) -> bool:
         """Close the longest idle connections; return whether there were any.
 
         A caller whose next request crosses the close can safely send it again. A
@@ -246,31 +246,33 @@
         file descriptors, gets no answer.
         """
         idle = [link for link in self._links.values() if link.idle]
-        idle.sort(key=lambda link: link.conn.phase_at)
-        some = idle[: 1 + self._max_connections // GIVE_WAY]
-        self._on_full(len(self._links), len(some))
-        for link in some:
+        idle.sort(key=lambda link: link.conn.phase_started_at)
+        closing = idle[: 1 + self._max_connections // IDLE_CLOSE_DIVISOR]
+        self._on_full(len(self._links), len(closing))
+        for link in closing:
             link.drop()
-        return bool(some)
+        return bool(closing)
 
     @property
     def full(self) -> bool:
         """Whether the connection limit is reached and no connection is idle."""
-        return self._has_no_room and not any(link.idle for link in self._links.values())
+        return self._is_at_connection_limit and not any(
+            link.idle for link in self._links.values()
+        )
 
     @handler("connect")
     def _on_connect(self, sock: socket, *_peer: object) -> None:
         if sock not in self._links and sock in self.sockets._clients:
-            self._admit(sock)
+            self._add_link(sock)
 
     def _on_bytes(self, sock: socket) -> None:
         link = self._links.get(sock)
         if link is None and sock in self.sockets._clients:
-            link = self._admit(sock)
+            link = self._add_link(sock)
         if link is not None:
             self._read(link)
 
-    def _take_accepted(self, sock: socket) -> bool:
+    def _read_on_accept(self, sock: socket) -> bool:
         """Read a new connection at once if the host is overloaded.
 
         Polling a connection until its end costs several times as much as rejecting
@@ -280,9 +282,9 @@
         Returns:
             True if the connection needs no further setup.
         """
-        if not self._gate.may_shed or self._has_no_room:
+        if not self._gate.may_shed or self._is_at_connection_limit:
             return False
-        data = received(sock)
+        data = receive_available(sock)
         if data is None:
             return False
         if not data:
@@ -290,17 +292,17 @@
             self.abandoned += 1
             sock.close()
             return True
-        is_turned_away = self._gate.should_shed(data)
-        if is_turned_away and is_single_request(data):
+        is_shed = self._gate.should_shed(data)
+        if is_shed and is_single_request(data):
             self.accepted_connections += 1
             with suppress(OSError):
                 sock.send(busy_answer(self._interface.retry_after, int(time())))
             sock.close()
             return True
         self.sockets._on_accept_done(sock)
-        link = self._admit(sock)
-        if link is not None and is_turned_away:
-            link.conn.turn_away()
+        link = self._add_link(sock)
+        if link is not None and is_shed:
+            link.conn.reject_unread()
         elif link is not None:
             link.conn.receive(data)
         return True
@@ -308,17 +310,19 @@
     def _read(self, link: CallerLink) -> None:
         if not link.open:
             return
-        data = received(link.sock)
+        data = receive_available(link.sock)
         if data is None:
             return
         # On an overloaded host a request may arrive together with its caller's
         # close. Handling it would only delay callers that are still connected.
-        more = received(link.sock) if 0 < len(data) < READ_SIZE else None
-        if data and more != b"":
+        more_data = (
+            receive_available(link.sock) if 0 < len(data) < MAX_READ_BYTES else None
+        )
+        if data and more_data != b"":
             if link.conn.phase is Phase.IDLE and self._gate.should_shed(data):
-                link.conn.turn_away()
+                link.conn.reject_unread()
                 return
-            link.conn.receive(data + more if more else data)
+            link.conn.receive(data + more_data if more_data else data)
             return
         if data and link.conn.phase is Phase.IDLE:
             self.abandoned += 1
@@ -331,7 +335,7 @@
             return
         link.conn.on_sent(link.queued)
         if link.finishing and not link.conn.queued:
-            link.shut()
+            link.shut_down_sending()
 
     @handler("disconnect")
     def _on_disconnect(self, sock: socket) -> None:
@@ -344,12 +348,12 @@
         link = self._links.pop(sock, None)
         if link is not None:
             link.open = False
-            link.conn.on_lost()
+            link.conn.on_closed()
 
     def _on_sweep(self) -> None:
         now = monotonic()
-        if self.sockets.accept_again():
+        if self.sockets.resume_accepting():
             self._on_full(len(self._links), 0)
         for link in list(self._links.values()):
             if link.open:
-                link.conn.check_time(now)
+                link.conn.check_timeouts(now)
--- a/greengageflow/net/reply.py
+++ b/greengageflow/net/reply.py
@@ -28,7 +28,7 @@
     def blocked(self) -> bool:
         """Whether the stream should pause because the caller reads too slowly."""
 
-    def send_whole(
+    def send_complete(
         self, status: int, headers: Iterable[Header], body: bytes, *, close: bool
     ) -> None:
         """Send a complete answer."""
@@ -36,13 +36,13 @@
     def send_head(self, status: int, headers: Iterable[Header]) -> None:
         """Start a streamed answer."""
 
-    def send_piece(self, data: bytes) -> None:
+    def send_chunk(self, data: bytes) -> None:
         """Send a chunk of a streamed answer."""
 
     def send_end(self, data: bytes) -> None:
         """Send the last chunk and end the streamed answer."""
 
-    def cut(self, data: bytes) -> None:
+    def abort(self, data: bytes) -> None:
         """Send ``data`` and close with the answer incomplete."""
 
 
@@ -152,7 +152,7 @@
             self.abort()
         sink = self._take_sink()
         if sink is not None:
-            sink.send_whole(status, headers, body, close=close)
+            sink.send_complete(status, headers, body, close=close)
 
     def error(
         self,
@@ -166,8 +166,8 @@
             self.abort(exc)
             return
         body = json.dumps(exc.body).encode()
-        told = error_headers(exc, self._retry_after)
-        all_headers = (("Content-Type", JSON_TYPE), *told, *headers)
+        kind_headers = error_headers(exc, self._retry_after)
+        all_headers = (("Content-Type", JSON_TYPE), *kind_headers, *headers)
         self.raw(exc.status, all_headers, body, close=close)
 
     def start_stream(self, headers: Iterable[Header] = ()) -> None:
@@ -183,7 +183,7 @@
     def piece(self, data: bytes) -> None:
         """Send a chunk of a started answer; of an event stream, only whole events."""
         if self._sink is not None:
-            self._sink.send_piece(data)
+            self._sink.send_chunk(data)
 
     def end_stream(self) -> None:
         """Complete the stream with ``[DONE]``."""
@@ -206,6 +206,6 @@
             return
         if exc is not None and self._streaming:
             body = json.dumps(exc.body).encode()
-            sink.cut(b"event: error\ndata: " + body + b"\n\n")
+            sink.abort(b"event: error\ndata: " + body + b"\n\n")
         else:
-            sink.cut(b"")
+            sink.abort(b"")
--- a/tests/caller_server.py
+++ b/tests/caller_server.py
@@ -8,7 +8,7 @@
 from greengageflow.errors import ErrorKind, RouterError
 from greengageflow.net.callers import CallerServer, Limits, ServiceCall
 
-LIMITS = Limits(body=1000, headers=2000, request_s=30, linger_s=0.5)
+LIMITS = Limits(body_bytes=1000, header_bytes=2000, header_s=30, linger_s=0.5)
 CHAT = {"model": "m", "messages": [{"role": "user", "content": "hi"}]}
 
 
--- a/tests/test_caller_limits.py
+++ b/tests/test_caller_limits.py
@@ -21,9 +21,9 @@
 
 
 TIMED = {
-    "slow headers": (Limits(request_s=0.1, linger_s=0.1), GET, b"HTTP/1.1 408 "),
+    "slow headers": (Limits(header_s=0.1, linger_s=0.1), GET, b"HTTP/1.1 408 "),
     "slow body": (
-        Limits(request_s=0.1, linger_s=0.1),
+        Limits(header_s=0.1, linger_s=0.1),
         POST + b"Content-Length: 9\r\n\r\nabc",
         b"HTTP/1.1 408 ",
     ),
--- a/tests/test_caller_streams.py
+++ b/tests/test_caller_streams.py
@@ -117,7 +117,7 @@
     server.loop.call(push)
     assert not drained
     link = next(iter(server.callers._links.values()))
-    assert link.queued < LIMITS.high_water + 2 * len(piece)
+    assert link.queued < LIMITS.high_water_bytes + 2 * len(piece)
     for _ in range(sent):
         caller.until(b"x\n\n")
     wait_for(lambda: drained)
