--- a/greengageflow/net/calls.py
+++ b/greengageflow/net/calls.py
@@ -19,8 +19,8 @@
 SERVICE_PREFIX = "/services/"
 SERVICE_METHODS = frozenset({"GET", "HEAD", "POST", "PUT", "PATCH", "DELETE"})
 READ_METHODS = frozenset({"GET", "HEAD"})
-KEY_LIMIT = 255
-COST_LIMIT = 1e9
+MAX_KEY_CHARS = 255
+MAX_HEADER_NUMBER = 1e9
 
 _TRACEPARENT = re.compile(r"[0-9a-f]{2}-[0-9a-f]{32}-[0-9a-f]{16}-[0-9a-f]{2}")
 _ESCAPE = re.compile(r"%(?![0-9A-Fa-f]{2})")
@@ -158,12 +158,14 @@
 CallerCall = ChatCall | ServiceCall | StatusCall | HealthCall
 
 
-def _bearer(value: str) -> str:
+def _parse_bearer_key(value: str) -> str:
     scheme, _, key = value.strip().partition(" ")
     return key.strip() if scheme.lower() == "bearer" else ""
 
 
-def _positive(request: CallerRequest, name: str, limit: float) -> float | None:
+def _parse_positive_number(
+    request: CallerRequest, name: str, limit: float
+) -> float | None:
     text = request.header(name)
     if not text:
         return None
@@ -176,30 +178,32 @@
     return value
 
 
-def _idempotency_key(request: CallerRequest) -> str:
+def _parse_idempotency_key(request: CallerRequest) -> str:
     key = request.header("idempotency-key")
-    if len(key) > KEY_LIMIT or not all("!" <= char <= "~" for char in key):
-        message = f"idempotency-key: at most {KEY_LIMIT} visible ASCII characters"
+    if len(key) > MAX_KEY_CHARS or not all("!" <= char <= "~" for char in key):
+        message = f"idempotency-key: at most {MAX_KEY_CHARS} visible ASCII characters"
         raise RouterError(ErrorKind.BAD_REQUEST, message)
     return key
 
 
-def _traceparent(request: CallerRequest) -> str:
+def _parse_traceparent(request: CallerRequest) -> str:
     value = request.header("traceparent")
     return value if _TRACEPARENT.fullmatch(value) else ""
 
 
-def _common(request: CallerRequest) -> dict[str, Any]:
+def _parse_common_fields(request: CallerRequest) -> dict[str, Any]:
     return {
-        "account_key": _bearer(request.header("authorization")),
-        "cost_hint": _positive(request, "x-cost-hint", COST_LIMIT),
-        "idempotency_key": _idempotency_key(request),
-        "traceparent": _traceparent(request),
-        "deadline_s": _positive(request, "x-deadline-s", COST_LIMIT),
+        "account_key": _parse_bearer_key(request.header("authorization")),
+        "cost_hint": _parse_positive_number(request, "x-cost-hint", MAX_HEADER_NUMBER),
+        "idempotency_key": _parse_idempotency_key(request),
+        "traceparent": _parse_traceparent(request),
+        "deadline_s": _parse_positive_number(
+            request, "x-deadline-s", MAX_HEADER_NUMBER
+        ),
     }
 
 
-def _segments(path: str) -> Iterator[str]:
+def _canonical_segments(path: str) -> Iterator[str]:
     if _ESCAPE.search(path):
         raise RouterError(ErrorKind.BAD_REQUEST, "path: invalid percent escape")
     for part in path.split("/"):
@@ -222,30 +226,30 @@
     Raises:
         RouterError: The path has an ambiguous or invalid segment.
     """
-    parts = list(_segments(path))
+    parts = list(_canonical_segments(path))
     if "" in parts[:-1]:
         raise RouterError(ErrorKind.BAD_REQUEST, "path: empty segment")
     return "/".join(parts)
 
 
-def _chat_call(request: CallerRequest, reply: "Reply") -> ChatCall:
-    common = _common(request)
+def _parse_chat_call(request: CallerRequest, reply: "Reply") -> ChatCall:
+    common_fields = _parse_common_fields(request)
     chat = parse_chat(request.body)
     if chat.stream and request.http_1_0:
         message = "stream: requires HTTP/1.1; over 1.0 a cut answer looks complete"
         raise RouterError(ErrorKind.BAD_REQUEST, message)
-    if common["cost_hint"] is None and chat.max_tokens is not None:
-        common["cost_hint"] = float(min(chat.max_tokens, COST_LIMIT))
+    if common_fields["cost_hint"] is None and chat.max_tokens is not None:
+        common_fields["cost_hint"] = float(min(chat.max_tokens, MAX_HEADER_NUMBER))
     return ChatCall(
         model=chat.model,
         stream=chat.stream,
         body=chat.document,
         reply=reply,
-        **common,
+        **common_fields,
     )
 
 
-def _service_call(request: CallerRequest, reply: "Reply") -> ServiceCall:
+def _parse_service_call(request: CallerRequest, reply: "Reply") -> ServiceCall:
     service, _, path = request.path.removeprefix(SERVICE_PREFIX).partition("/")
     return ServiceCall(
         service=canonical_path(service),
@@ -255,7 +259,7 @@
         headers=request.headers,
         body=request.body,
         reply=reply,
-        **_common(request),
+        **_parse_common_fields(request),
     )
 
 
@@ -295,12 +299,12 @@
             case "/healthz":
                 return HealthCall(reply=reply)
             case "/status":
-                key = _bearer(request.header("authorization"))
-                asked = parse_qs(request.query).get("request", [""])[0]
-                return StatusCall(account_key=key, request=asked, reply=reply)
+                key = _parse_bearer_key(request.header("authorization"))
+                request_id = parse_qs(request.query).get("request", [""])[0]
+                return StatusCall(account_key=key, request=request_id, reply=reply)
             case "/v1/chat/completions":
-                return _chat_call(request, reply)
-        return _service_call(request, reply)
+                return _parse_chat_call(request, reply)
+        return _parse_service_call(request, reply)
 
     def retry_after(self, seconds: float) -> str:
         """Return the ``Retry-After`` value for a delay, in whole seconds."""
--- a/greengageflow/net/chat.py
+++ b/greengageflow/net/chat.py
@@ -24,55 +24,55 @@
     max_tokens: int | None = None
 
 
-def _refuse(field: str, problem: str) -> NoReturn:
+def _reject(field: str, problem: str) -> NoReturn:
     raise RouterError(ErrorKind.BAD_REQUEST, f"{field}: {problem}")
 
 
-def _no_constant(name: str) -> NoReturn:
+def _reject_constant(name: str) -> NoReturn:
     raise ValueError(f"{name} is not JSON")
 
 
-def _load(body: bytes) -> dict[str, Any]:
+def _parse_object(body: bytes) -> dict[str, Any]:
     try:
-        document = json.loads(body, parse_constant=_no_constant)
+        document = json.loads(body, parse_constant=_reject_constant)
     except (ValueError, RecursionError) as exc:
         reason = "nested too deeply" if isinstance(exc, RecursionError) else exc
-        _refuse("body", f"not valid JSON: {reason}")
+        _reject("body", f"not valid JSON: {reason}")
     if not isinstance(document, dict):
-        _refuse("body", "must be a JSON object")
+        _reject("body", "must be a JSON object")
     return document
 
 
-def _text(value: Any, field: str, *, may_be_empty: bool = False) -> str:
+def _check_text(value: Any, field: str, *, may_be_empty: bool = False) -> str:
     if not isinstance(value, str):
-        _refuse(field, "must be a string")
+        _reject(field, "must be a string")
     if not value and not may_be_empty:
-        _refuse(field, "must not be empty")
+        _reject(field, "must not be empty")
     return value
 
 
 def _check_messages(messages: Any) -> None:
     if not isinstance(messages, list) or not messages:
-        _refuse("messages", "must be a list with at least one message")
-    for number, message in enumerate(messages):
-        field = f"messages[{number}]"
+        _reject("messages", "must be a list with at least one message")
+    for index, message in enumerate(messages):
+        field = f"messages[{index}]"
         if not isinstance(message, dict):
-            _refuse(field, "must be an object with role and content")
-        _text(message.get("role"), f"{field}.role")
-        _text(message.get("content"), f"{field}.content", may_be_empty=True)
+            _reject(field, "must be an object with role and content")
+        _check_text(message.get("role"), f"{field}.role")
+        _check_text(message.get("content"), f"{field}.content", may_be_empty=True)
 
 
-def _flag(value: Any, field: str) -> bool:
+def _check_flag(value: Any, field: str) -> bool:
     if not isinstance(value, bool):
-        _refuse(field, "must be true or false")
+        _reject(field, "must be true or false")
     return value
 
 
-def _count(value: Any, field: str) -> int | None:
+def _check_count(value: Any, field: str) -> int | None:
     if value is None:
         return None
     if not isinstance(value, int) or isinstance(value, bool) or value < 1:
-        _refuse(field, "must be a positive integer")
+        _reject(field, "must be a positive integer")
     return value
 
 
@@ -82,9 +82,9 @@
     Raises:
         RouterError: The request is not valid; the message names the field.
     """
-    document = _load(body)
-    model = _text(document.get("model"), "model")
+    document = _parse_object(body)
+    model = _check_text(document.get("model"), "model")
     _check_messages(document.get("messages"))
-    stream = _flag(document.get("stream", False), "stream")
-    max_tokens = _count(document.get("max_tokens"), "max_tokens")
+    stream = _check_flag(document.get("stream", False), "stream")
+    max_tokens = _check_count(document.get("max_tokens"), "max_tokens")
     return ChatBody(document, model, stream, max_tokens)
--- a/greengageflow/net/poller.py
+++ b/greengageflow/net/poller.py
@@ -37,9 +37,9 @@
         """Return the number of sockets."""
         return len(self._socks)
 
-    def __getitem__(self, part: slice) -> list[socket | int]:
+    def __getitem__(self, selection: slice) -> list[socket | int]:
         """Return a slice as a list."""
-        return list(self._socks)[part]
+        return list(self._socks)[selection]
 
     def append(self, sock: socket | int) -> None:
         """Add a socket."""
@@ -85,41 +85,41 @@
 
     def _generate_events(self, event: object) -> None:
         self.load.end(monotonic())
-        ready = self._look(event.time_left)
+        ready = self._poll(event.time_left)
         self.load.begin(monotonic())
         # Compare sockets: a handler below may close a socket, and a new one may get
         # its file descriptor.
-        found = [(number, self._map.get(number), flags) for number, flags in ready]
-        for number, sock, flags in found:
-            if sock is not None and self._map.get(number) is sock:
-                self._handle(number, sock, flags)
+        ready_sockets = [(fd, self._map.get(fd), flags) for fd, flags in ready]
+        for fd, sock, flags in ready_sockets:
+            if sock is not None and self._map.get(fd) is sock:
+                self._handle_socket(fd, sock, flags)
 
-    def _look(self, time_left: float) -> list[tuple[int, int]]:
+    def _poll(self, time_left: float) -> list[tuple[int, int]]:
         try:
             return self._poller.poll(time_left if time_left >= 0 else None)
         except InterruptedError:
             return []
 
-    def _handle(self, number: int, sock: socket, flags: int) -> None:
+    def _handle_socket(self, fd: int, sock: socket, flags: int) -> None:
         source = self._sources.get(sock)
         is_lost = flags & self._disconnected_flag and not flags & EPOLLIN
-        read = getattr(source, "on_readable", None) if flags & EPOLLIN else None
-        write = getattr(source, "on_writable", None) if flags & EPOLLOUT else None
-        if is_lost or not (read or write):
-            self._process(number, flags)
+        on_readable = getattr(source, "on_readable", None) if flags & EPOLLIN else None
+        on_writable = getattr(source, "on_writable", None) if flags & EPOLLOUT else None
+        if is_lost or not (on_readable or on_writable):
+            self._process(fd, flags)
             return
-        if read:
-            self._call(read, sock)
-        if self._map.get(number) is not sock or not flags & EPOLLOUT:
+        if on_readable:
+            self._call(on_readable, sock)
+        if self._map.get(fd) is not sock or not flags & EPOLLOUT:
             return
-        if write:
-            self._call(write, sock)
+        if on_writable:
+            self._call(on_writable, sock)
         else:
-            self._process(number, EPOLLOUT)
+            self._process(fd, EPOLLOUT)
 
-    def _call(self, take: Callable[[socket], None], sock: socket) -> None:
+    def _call(self, callback: Callable[[socket], None], sock: socket) -> None:
         try:
-            take(sock)
+            callback(sock)
         except Exception:
             # As for a failing event handler: other sockets are not affected.
-            self.fire(exception(*exc_info(), handler=take, fevent=None))
+            self.fire(exception(*exc_info(), handler=callback, fevent=None))
--- a/greengageflow/net/timers.py
+++ b/greengageflow/net/timers.py
@@ -10,7 +10,7 @@
 
 from greengageflow.events import Event, log
 
-EARLY_PART = 0.1
+EARLY_FRACTION = 0.1
 """Fraction of its interval by which a periodic call may be early.
 
 Most iterations of an idle router's event loop serve periodic calls. Calls that nearly
@@ -21,17 +21,17 @@
 class Subscription:
     """A timer; ``cancel`` stops it."""
 
-    __slots__ = ("call", "early_s", "interval_s", "live")
+    __slots__ = ("callback", "early_s", "interval_s", "is_active")
 
-    def __init__(self, call: Callable[[], None], interval_s: float | None) -> None:
-        self.call = call
+    def __init__(self, callback: Callable[[], None], interval_s: float | None) -> None:
+        self.callback = callback
         self.interval_s = interval_s
-        self.early_s = EARLY_PART * (interval_s or 0.0)
-        self.live = True
+        self.early_s = EARLY_FRACTION * (interval_s or 0.0)
+        self.is_active = True
 
     def cancel(self) -> None:
         """Stop calling the subscriber."""
-        self.live = False
+        self.is_active = False
 
 
 class Timers(BaseComponent):
@@ -48,46 +48,46 @@
     def __init__(self) -> None:
         super().__init__()
         self._heap: list[tuple[float, int, Subscription]] = []
-        self._order = count()
+        self._sequence = count()
 
     @property
     def now(self) -> float:
         """Monotonic time in seconds."""
         return monotonic()
 
-    def after(self, delay_s: float, call: Callable[[], None]) -> Subscription:
+    def after(self, delay_s: float, callback: Callable[[], None]) -> Subscription:
         """Call once after ``delay_s`` seconds."""
-        return self._push(delay_s, Subscription(call, None))
+        return self._schedule(delay_s, Subscription(callback, None))
 
-    def every(self, interval_s: float, call: Callable[[], None]) -> Subscription:
+    def every(self, interval_s: float, callback: Callable[[], None]) -> Subscription:
         """Call about every ``interval_s`` seconds, first after one interval."""
-        return self._push(interval_s, Subscription(call, interval_s))
+        return self._schedule(interval_s, Subscription(callback, interval_s))
 
-    def _push(self, delay_s: float, sub: Subscription) -> Subscription:
-        heappush(self._heap, (monotonic() + delay_s, next(self._order), sub))
+    def _schedule(self, delay_s: float, sub: Subscription) -> Subscription:
+        heappush(self._heap, (monotonic() + delay_s, next(self._sequence), sub))
         return sub
 
-    def _due(self, now: float) -> Iterator[Subscription]:
+    def _pop_due(self, now: float) -> Iterator[Subscription]:
         while self._heap and self._heap[0][0] - self._heap[0][2].early_s <= now:
             _, _, sub = heappop(self._heap)
-            if sub.live:
+            if sub.is_active:
                 yield sub
 
     def _call(self, sub: Subscription) -> None:
         # An exception in one subscriber must not keep others from being called:
         # one failing request would delay the deadlines of all others.
         try:
-            sub.call()
+            sub.callback()
         except Exception as exc:
             log(Event.INTERNAL, error=repr(exc))
             logger.opt(exception=exc).error("timer subscriber raised an exception")
 
     @handler("generate_events", channel="*", priority=1)
     def _on_generate_events(self, event) -> None:
-        for sub in list(self._due(monotonic())):
+        for sub in list(self._pop_due(monotonic())):
             self._call(sub)
-            if sub.interval_s is not None and sub.live:
-                self._push(sub.interval_s, sub)
+            if sub.interval_s is not None and sub.is_active:
+                self._schedule(sub.interval_s, sub)
         # Do not let the poller sleep while events of subscribers are queued.
         if len(self.root):
             event.reduce_time_left(0)
--- a/tests/test_config_follower.py
+++ b/tests/test_config_follower.py
@@ -45,9 +45,9 @@
         end = self.now + seconds
         while self.heap and self.heap[0][0] <= end and not until():
             self.now, _, sub = heappop(self.heap)
-            if not sub.live:
+            if not sub.is_active:
                 continue
-            sub.call()
+            sub.callback()
             if sub.interval_s is not None:
                 heappush(self.heap, (self.now + sub.interval_s, next(self.order), sub))
         return until()
