--- a/tests/caller_server.py
+++ b/tests/caller_server.py
@@ -17,7 +17,7 @@
 
     def __init__(self):
         self.calls = []
-        self.gone = []
+        self.disconnected = []
         self.error = None
 
     def on_call(self, call):
@@ -32,7 +32,7 @@
                 call.reply.raw(200, (("X-Name", "\xe9"),), text)
 
     def on_caller_disconnect(self, call):
-        self.gone.append(call)
+        self.disconnected.append(call)
 
     def readiness_error(self):
         return self.error
@@ -50,7 +50,7 @@
     def caller(self):
         return Caller(self.callers.address)
 
-    def ask(self, data):
+    def request(self, data):
         """Send ``data`` and return everything received until the connection closes."""
         with closing(self.caller().sock) as sock:
             sock.sendall(data)
@@ -79,11 +79,11 @@
     return post("/v1/chat/completions", CHAT | fields, *headers)
 
 
-def last(*headers):
+def closing_headers(*headers):
     return ("Connection: close", *headers)
 
 
-def error_of(answer):
+def error_body(answer):
     return json.loads(answer.partition(b"\r\n\r\n")[2])["error"]
 
 
--- a/tests/test_caller_limits.py
+++ b/tests/test_caller_limits.py
@@ -3,7 +3,7 @@
 from time import sleep
 
 import pytest
-from caller_server import GET, POST, Server, chat, last, post, start_stream
+from caller_server import GET, POST, Server, chat, closing_headers, post, start_stream
 from circuits import Event, handler
 from circuits.core.pollers import _read
 from http_fakes import wait_for
@@ -20,7 +20,7 @@
         yield server
 
 
-TIMED = {
+TIMEOUTS = {
     "slow headers": (Limits(header_s=0.1, linger_s=0.1), GET, b"HTTP/1.1 408 "),
     "slow body": (
         Limits(header_s=0.1, linger_s=0.1),
@@ -31,16 +31,16 @@
 }
 
 
-@pytest.mark.parametrize("name", TIMED)
-def test_a_slow_caller_is_let_go(name):
-    limits, data, start = TIMED[name]
+@pytest.mark.parametrize("name", TIMEOUTS)
+def test_slow_callers_are_disconnected(name):
+    limits, data, start = TIMEOUTS[name]
     with closing(Server(limits)) as server:
-        answer = server.ask(data)
+        answer = server.request(data)
         assert answer.startswith(start)
         assert bool(answer) == bool(start)
 
 
-def test_a_caller_that_never_reads_is_let_go():
+def test_a_caller_that_never_reads_is_disconnected():
     """A caller that requests a stream and never reads does not occupy an endpoint.
 
     After ``write_s`` the connection is closed and the handler is notified.
@@ -51,7 +51,7 @@
         call = wait_for(lambda: server.handler.calls)[0]
         server.loop.call(call.reply.start_stream)
         server.loop.call(lambda: call.reply.piece(b"x" * 20_000_000))
-        wait_for(lambda: server.handler.gone)
+        wait_for(lambda: server.handler.disconnected)
 
 
 def test_draining_ends_each_connection_after_its_answer():
@@ -80,29 +80,29 @@
             server.caller()
 
 
-def test_a_connection_that_arrives_when_draining_begins_is_no_fault():
+def test_a_connection_that_arrives_as_the_drain_starts_is_closed_cleanly():
     """A caller connects in the same event loop round in which the drain starts.
 
     circuits accepts one round after it has seen the connection. The listening socket
     was already closed then, so that accepting failed with a logged exception.
     """
     with closing(Server()) as server:
-        app, web = server.loop.app, server.callers.sockets
+        app, tcp_server = server.loop.app, server.callers.sockets
         drain = handler("drain_now")(lambda _manager: server.callers.drain())
 
-        def arrive_and_drain():
+        def connect_and_drain():
             app.addHandler(drain)
-            app.fire(_read(web._sock), web.channel)
+            app.fire(_read(tcp_server._sock), tcp_server.channel)
             app.fire(Event.create("drain_now"), "*")
 
-        late = server.caller()
-        server.loop.call(arrive_and_drain)
-        assert late.rest() == b""
+        late_caller = server.caller()
+        server.loop.call(connect_and_drain)
+        assert late_caller.rest() == b""
         with pytest.raises(ConnectionRefusedError):
             server.caller()
 
 
-def test_bodies_under_way_are_bounded_together(server):
+def test_the_total_size_of_unfinished_bodies_is_limited(server):
     """Many callers with large bodies cannot exhaust the router's memory.
 
     A body beyond the shared budget is rejected with 429. The budget is released when
@@ -113,14 +113,16 @@
     first.send(POST + b"Content-Length: 1000\r\n\r\n" + b"x" * 900)
     wait_for(lambda: server.callers._budget.used == 900)
     body = b"y" * 800
-    answer = server.ask(post("/services/a/b", body))
+    answer = server.request(post("/services/a/b", body))
     assert answer.startswith(b"HTTP/1.1 429 ")
     first.sock.close()
     wait_for(lambda: server.callers._budget.used == 0)
-    assert server.ask(post("/services/a/b", body, *last())).endswith(body)
+    assert server.request(post("/services/a/b", body, *closing_headers())).endswith(
+        body
+    )
 
 
-def test_too_many_connections_are_closed_and_places_come_back():
+def test_connections_beyond_the_limit_are_closed_until_others_end():
     with closing(Server()) as server:
         server.callers._max_connections = 1
         first = server.caller()
@@ -153,25 +155,25 @@
 
 @pytest.mark.parametrize("size", [0, 10, 500_000])
 @pytest.mark.parametrize("may_shed", [False, True])
-def test_a_request_that_is_turned_away_gets_a_whole_answer(may_shed, size):
+def test_a_shed_request_gets_a_complete_answer(may_shed, size):
     """An overloaded host answers before it has read a long body.
 
     Closing at once would reset the connection and could lose the answer.
     """
     with closing(Server()) as server:
         server.callers._gate = RejectPosts(may_shed)
-        answer = server.ask(post("/services/a/b", b"x" * size))
+        answer = server.request(post("/services/a/b", b"x" * size))
         head, _, body = answer.partition(b"\r\n\r\n")
         assert head.startswith(b"HTTP/1.1 503 ")
         assert b"\r\nRetry-After: " in head and b"\r\nConnection: close" in head
         assert json.loads(body)["error"]["ran"] == "no"
         assert not server.handler.calls
         get = b"GET /services/a/b HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
-        assert server.ask(get).startswith(b"HTTP/1.1 200 ")
+        assert server.request(get).startswith(b"HTTP/1.1 200 ")
 
 
 @pytest.mark.parametrize(
-    ("data", "is_whole"),
+    ("data", "is_single"),
     [
         (b"GET / HTTP/1.1\r\nHost: x\r\n\r\n", True),
         (b"POST / HTTP/1.1\r\nContent-Length: 2\r\n\r\nab", True),
@@ -183,9 +185,9 @@
         (b"", False),
     ],
 )
-def test_only_what_is_plainly_whole_is_answered_without_being_watched(data, is_whole):
+def test_only_a_single_complete_request_is_answered_without_polling(data, is_single):
     """Closing while bytes are in transit would reset the connection."""
-    assert is_single_request(data) is is_whole
+    assert is_single_request(data) is is_single
 
 
 def test_the_key_of_a_request_is_found_without_parsing_it():
--- a/tests/test_caller_streams.py
+++ b/tests/test_caller_streams.py
@@ -19,12 +19,12 @@
 @pytest.fixture
 def server(shared):
     shared.handler.calls.clear()
-    shared.handler.gone.clear()
+    shared.handler.disconnected.clear()
     shared.handler.error = None
     return shared
 
 
-def test_a_whole_stream_ends_with_its_mark(server):
+def test_a_complete_stream_ends_with_done(server):
     caller, reply = start_stream(server)
     server.loop.call(reply.end_stream)
     assert caller.until(b"0\r\n\r\n") == b"e\r\ndata: [DONE]\n\n\r\n0\r\n\r\n"
@@ -32,7 +32,7 @@
     caller.until(b"POST /b next")
 
 
-def test_a_cut_stream_never_looks_whole(server):
+def test_an_aborted_stream_never_looks_complete(server):
     """An aborted stream has an error event but neither ``[DONE]`` nor the last chunk.
 
     The endpoint's stream fails for good after some chunks. No client may take the
@@ -47,30 +47,30 @@
     assert not rest.endswith(b"0\r\n\r\n")
 
 
-def test_a_caller_that_leaves_is_reported(server):
+def test_a_disconnect_of_the_caller_is_reported_once(server):
     """The handler is notified once when a caller closes in the middle of a stream.
 
     The endpoint's work can then be cancelled. Chunks that follow are discarded.
     """
     caller, reply = start_stream(server)
     caller.sock.close()
-    wait_for(lambda: server.handler.gone)
+    wait_for(lambda: server.handler.disconnected)
     assert not reply.open
     server.loop.call(lambda: reply.piece(b"data: 2\n\n"))
     server.loop.call(reply.end_stream)
-    assert len(server.handler.gone) == 1
-    assert_nothing_left(server)
+    assert len(server.handler.disconnected) == 1
+    assert_no_state_left(server)
 
 
-def assert_nothing_left(server):
+def assert_no_state_left(server):
     wait_for(lambda: server.callers.connections == 0)
-    inner = server.callers.sockets
-    assert not inner._buffers
-    assert not inner._closeq
-    assert not inner._clients
+    tcp_server = server.callers.sockets
+    assert not tcp_server._buffers
+    assert not tcp_server._closeq
+    assert not tcp_server._clients
 
 
-def test_a_connection_reset_with_bytes_queued_leaves_nothing(server):
+def test_a_connection_reset_with_bytes_queued_leaves_no_state(server):
     """No state is left of a connection that is reset with data queued.
 
     A pending write event makes the circuits server create the queue again for the
@@ -80,23 +80,23 @@
     server.loop.call(lambda: reply.piece(b"x" * 5_000_000))
     caller.sock.setsockopt(SOL_SOCKET, SO_LINGER, pack("ii", 1, 0))
     caller.sock.close()
-    wait_for(lambda: server.handler.gone)
+    wait_for(lambda: server.handler.disconnected)
     server.loop.call(lambda: None)
-    assert_nothing_left(server)
+    assert_no_state_left(server)
 
 
-def test_a_refusal_reaches_a_caller_that_is_still_sending(server):
+def test_a_rejection_reaches_a_caller_that_is_still_sending(server):
     """A caller that sends its whole body before reading gets the rejection.
 
     The answer is sent as soon as the headers are read, while the body is in transit.
     Closing at once would reset the connection and lose the answer.
     """
     body = b"x" * 5_000_000
-    answer = server.ask(post("/services/a/b", body))
+    answer = server.request(post("/services/a/b", body))
     assert answer.startswith(b"HTTP/1.1 413 ")
 
 
-def test_a_slow_reader_holds_the_stream_back(server):
+def test_a_slow_reader_pauses_the_stream(server):
     """Backpressure: a slow caller gets all chunks while few of them are buffered.
 
     The caller stops reading. Above the high-water mark the reply is ``blocked``, and
@@ -108,13 +108,13 @@
     piece = b"data: " + b"x" * 10_000 + b"\n\n"
     sent = 0
 
-    def push():
+    def fill():
         nonlocal sent
         while not reply.blocked:
             reply.piece(piece)
             sent += 1
 
-    server.loop.call(push)
+    server.loop.call(fill)
     assert not drained
     link = next(iter(server.callers._links.values()))
     assert link.queued < LIMITS.high_water_bytes + 2 * len(piece)
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -2,7 +2,17 @@
 from contextlib import closing
 
 import pytest
-from caller_server import CHAT, CHUNKED, GET, POST, Server, chat, error_of, last, post
+from caller_server import (
+    CHAT,
+    CHUNKED,
+    GET,
+    POST,
+    Server,
+    chat,
+    closing_headers,
+    error_body,
+    post,
+)
 from http_fakes import wait_for
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -22,7 +32,7 @@
 @pytest.fixture
 def server(shared):
     shared.handler.calls.clear()
-    shared.handler.gone.clear()
+    shared.handler.disconnected.clear()
     shared.handler.error = None
     return shared
 
@@ -74,9 +84,11 @@
 
 @pytest.mark.parametrize("field", BAD_CHATS)
 def test_a_bad_chat_body_names_its_field(server, field):
-    answer = server.ask(post("/v1/chat/completions", BAD_CHATS[field], *last()))
+    answer = server.request(
+        post("/v1/chat/completions", BAD_CHATS[field], *closing_headers())
+    )
     assert answer.startswith(b"HTTP/1.1 400 ")
-    error = error_of(answer)
+    error = error_body(answer)
     assert (error["kind"], error["ran"]) == ("bad_request", "no")
     assert field.split(":")[0] in error["message"] or field == "nested"
     assert not server.handler.calls
@@ -93,24 +105,31 @@
 
 @settings(max_examples=60)
 @given(st.binary(max_size=40) | JSON.map(lambda value: json.dumps(value).encode()))
-def test_any_chat_body_is_taken_or_refused(body):
+def test_any_chat_body_is_accepted_or_rejected(body):
     try:
         parse_chat(body)
     except RouterError as exc:
         assert exc.kind is ErrorKind.BAD_REQUEST
 
 
-REFUSED = {
-    "unknown path": (post("/nope", b"", *last()), 404),
-    "method": (post("/healthz", b"", *last()), 405),
-    "odd method": (post("/services/a/b", b"", *last(), method="TRACE"), 405),
-    "dot segment": (post("/services/a/x/%2e%2e/b", b"", *last()), 400),
-    "broken escape": (post("/services/a/%zz", b"", *last()), 400),
-    "deadline": (post("/services/a/b", b"", *last("X-Deadline-S: nan")), 400),
-    "cost": (post("/services/a/b", b"", *last("X-Cost-Hint: -1")), 400),
-    "key": (post("/services/a/b", b"", *last("Idempotency-Key: a b")), 400),
+BAD_REQUESTS = {
+    "unknown path": (post("/nope", b"", *closing_headers()), 404),
+    "method": (post("/healthz", b"", *closing_headers()), 405),
+    "odd method": (post("/services/a/b", b"", *closing_headers(), method="TRACE"), 405),
+    "dot segment": (post("/services/a/x/%2e%2e/b", b"", *closing_headers()), 400),
+    "broken escape": (post("/services/a/%zz", b"", *closing_headers()), 400),
+    "deadline": (
+        post("/services/a/b", b"", *closing_headers("X-Deadline-S: nan")),
+        400,
+    ),
+    "cost": (post("/services/a/b", b"", *closing_headers("X-Cost-Hint: -1")), 400),
+    "key": (post("/services/a/b", b"", *closing_headers("Idempotency-Key: a b")), 400),
     "two keys": (
-        post("/services/a/b", b"", *last("Idempotency-Key: a", "Idempotency-Key: b")),
+        post(
+            "/services/a/b",
+            b"",
+            *closing_headers("Idempotency-Key: a", "Idempotency-Key: b"),
+        ),
         400,
     ),
     "length not a number": (POST + b"Content-Length: abc\r\n\r\n", 400),
@@ -139,22 +158,22 @@
 }
 
 
-@pytest.mark.parametrize("name", REFUSED)
-def test_bad_requests_are_refused_and_the_connection_ends(server, name):
+@pytest.mark.parametrize("name", BAD_REQUESTS)
+def test_bad_requests_are_rejected_and_the_connection_is_closed(server, name):
     """A malformed request gets one JSON error, and the connection is closed.
 
     The parser of circuits.web loses such requests, mixes them up or crashes. Here
     they are rejected before any call reaches the handler.
     """
-    data, status = REFUSED[name]
-    answer = server.ask(data)
+    data, status = BAD_REQUESTS[name]
+    answer = server.request(data)
     assert answer.startswith(b"HTTP/1.1 %d " % status)
     assert answer.count(b"\r\nDate: ") == 1
-    assert error_of(answer)["ran"] == "no"
+    assert error_body(answer)["ran"] == "no"
     assert not server.handler.calls
 
 
-def test_a_request_in_single_bytes_is_whole(server):
+def test_a_request_in_single_bytes_is_parsed_completely(server):
     caller = server.caller()
     head = POST + CHUNKED + b"Expect: 100-continue\r\n\r\n"
     for byte in head:
@@ -198,7 +217,7 @@
     assert server.handler.calls[1].headers == (("host", "x"), ("x-a", "b"))
 
 
-def test_requests_far_ahead_of_their_answer_are_left_in_the_socket(server):
+def test_requests_beyond_the_read_ahead_limit_stay_in_the_socket(server):
     """Pipelined requests beyond the read-ahead limit stay in the socket.
 
     The caller sends far more than the limit while its first request is unanswered.
@@ -209,8 +228,8 @@
     caller.send(chat())
     call = wait_for(lambda: server.handler.calls)[0]
     count = 400
-    many = b"".join(post(f"/services/a/{n}", b"x" * 900) for n in range(count))
-    caller.send(many)
+    requests = b"".join(post(f"/services/a/{n}", b"x" * 900) for n in range(count))
+    caller.send(requests)
     poller = server.loop.pool._find_poller()
     link = next(iter(server.callers._links.values()))
     wait_for(lambda: not poller.isReading(link.sock))
@@ -219,27 +238,27 @@
         caller.until(b"POST /%d " % number)
 
 
-def test_every_refusal_says_when_to_come_back(server):
-    answer = server.ask(post("/services/a/refuse", b"", *last()))
+def test_rejections_have_a_retry_after_header(server):
+    answer = server.request(post("/services/a/refuse", b"", *closing_headers()))
     assert answer.startswith(b"HTTP/1.1 429 ")
     assert b"\r\nRetry-After: 2\r\n" in answer
-    assert error_of(answer)["retry_after_s"] == 1.2
+    assert error_body(answer)["retry_after_s"] == 1.2
 
 
-def test_a_fault_of_the_program_is_answered_without_its_traceback(server):
-    answer = server.ask(post("/services/a/boom", b"", *last()))
+def test_an_internal_error_is_answered_without_its_traceback(server):
+    answer = server.request(post("/services/a/boom", b"", *closing_headers()))
     assert answer.startswith(b"HTTP/1.1 500 ")
     assert b"ZeroDivision" not in answer
     wait_for(lambda: server.loop.exceptions)
     server.loop.exceptions.clear()
 
 
-def test_health_follows_the_handler(server):
-    get = post("/healthz", b"", *last(), method="GET")
-    assert server.ask(get).endswith(b'{"status": "ok"}')
-    assert server.ask(get.replace(b"GET", b"HEAD")).endswith(b"\r\n\r\n")
+def test_health_check_reports_the_handlers_readiness_error(server):
+    get = post("/healthz", b"", *closing_headers(), method="GET")
+    assert server.request(get).endswith(b'{"status": "ok"}')
+    assert server.request(get.replace(b"GET", b"HEAD")).endswith(b"\r\n\r\n")
     server.handler.error = RouterError(ErrorKind.STOPPING, "stopping")
-    assert server.ask(get).startswith(b"HTTP/1.1 503 ")
+    assert server.request(get).startswith(b"HTTP/1.1 503 ")
     caller = server.caller()
     caller.send(b"GET /status HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer K\r\n\r\n")
     call = wait_for(lambda: server.handler.calls)[0]
@@ -250,7 +269,7 @@
     ("path", "canonical"),
     [("a/%62", "a/b"), ("a%20b/", "a%20b/"), ("%C3%A9", "%C3%A9"), ("", "")],
 )
-def test_a_path_has_one_spelling(path, canonical):
+def test_a_path_has_one_canonical_form(path, canonical):
     assert canonical_path(path) == canonical
     assert canonical_path(canonical) == canonical
 
@@ -258,7 +277,7 @@
 @pytest.mark.parametrize(
     "path", [".", "a/..", "a//b", "%2fa", "a%5cb", "%00", "%ff", "%4", "/a"]
 )
-def test_ambiguous_paths_are_refused(path):
+def test_ambiguous_paths_are_rejected(path):
     """A path variant cannot bypass the protection of a non-repeatable route.
 
     A service may read these paths as that of another route that is not repeatable.
--- a/tests/test_poller.py
+++ b/tests/test_poller.py
@@ -7,54 +7,57 @@
 
 from greengageflow.net.poller import SocketPoller, SocketSet
 
-MANY = 2000
+SOCKET_COUNT = 2000
 
 
-class Counted:
+class CountingSocket:
     """Stand-in for a socket; counts equality comparisons."""
 
-    compared = 0
+    comparisons = 0
 
     def __hash__(self):
         return id(self)
 
     def __eq__(self, other):
-        Counted.compared += 1
+        CountingSocket.comparisons += 1
         return self is other
 
 
-def test_a_socket_is_found_without_a_look_at_all_others():
+def test_socket_lookups_do_not_compare_with_all_others():
     """Lookups do not compare with all other sockets.
 
     A host with thousands of connections spent most of its CPU time searching lists of
     sockets, about ten times for each connection.
     """
-    socks = [Counted() for _ in range(MANY)]
-    found = SocketSet(socks)
-    Counted.compared = 0
+    socks = [CountingSocket() for _ in range(SOCKET_COUNT)]
+    socket_set = SocketSet(socks)
+    CountingSocket.comparisons = 0
     for sock in socks[::-1]:
-        assert sock in found
-        found.remove(sock)
-        assert sock not in found
-        found.append(sock)
-    assert Counted.compared < 10 * MANY
-    assert found[:] == list(found) == socks[::-1] and len(found) == MANY
-
-
-def test_the_poller_watches_and_forgets_sockets():
-    one, other = socketpair()
+        assert sock in socket_set
+        socket_set.remove(sock)
+        assert sock not in socket_set
+        socket_set.append(sock)
+    assert CountingSocket.comparisons < 10 * SOCKET_COUNT
+    assert (
+        socket_set[:] == list(socket_set) == socks[::-1]
+        and len(socket_set) == SOCKET_COUNT
+    )
+
+
+def test_the_poller_adds_and_discards_sockets():
+    local, remote = socketpair()
     poller = SocketPoller()
     target = BaseComponent(channel="here")
-    poller.addReader(target, one)
-    poller.addWriter(target, one)
-    assert poller.isReading(one) and poller.isWriting(one)
-    assert poller.getTarget(one) == "here"
-    poller.removeReader(one)
-    assert not poller.isReading(one) and poller.isWriting(one)
-    poller.discard(one)
-    assert not poller.isWriting(one)
-    one.close()
-    other.close()
+    poller.addReader(target, local)
+    poller.addWriter(target, local)
+    assert poller.isReading(local) and poller.isWriting(local)
+    assert poller.getTarget(local) == "here"
+    poller.removeReader(local)
+    assert not poller.isReading(local) and poller.isWriting(local)
+    poller.discard(local)
+    assert not poller.isWriting(local)
+    local.close()
+    remote.close()
 
 
 class Source(BaseComponent):
@@ -64,13 +67,13 @@
 
     def __init__(self):
         super().__init__()
-        self.read, self.events, self.faults = [], [], []
-        self.closes = None
+        self.received, self.events, self.errors = [], [], []
+        self.to_close = None
 
     def on_readable(self, sock):
-        self.read.append(sock.recv(10))
-        if self.closes:
-            poller, other = self.closes
+        self.received.append(sock.recv(10))
+        if self.to_close:
+            poller, other = self.to_close
             poller.discard(other)
             other.close()
             raise RuntimeError("failed")
@@ -81,32 +84,32 @@
 
     @handler("exception", channel="*")
     def _on_exception(self, _kind, exc, _trace, **_rest):
-        self.faults.append(str(exc))
+        self.errors.append(str(exc))
 
 
-def turn(source, poller):
+def run_round(source, poller):
     poller._generate_events(SimpleNamespace(time_left=0.0))
     for _ in range(3):
         source.flush()
 
 
-def test_sources_are_called_at_once_and_others_get_events():
+def test_readable_sources_are_called_directly_and_others_get_events():
     source = Source()
     poller = SocketPoller().register(source)
-    one, other = socketpair()
-    poller.addReader(source, one)
-    poller.addWriter(source, one)
-    other.send(b"abc")
-    turn(source, poller)
-    assert source.read == [b"abc"]
-    assert source.events == [one]
-    poller.discard(one)
+    local, remote = socketpair()
+    poller.addReader(source, local)
+    poller.addWriter(source, local)
+    remote.send(b"abc")
+    run_round(source, poller)
+    assert source.received == [b"abc"]
+    assert source.events == [local]
+    poller.discard(local)
     assert not poller._sources
-    one.close()
-    other.close()
+    local.close()
+    remote.close()
 
 
-def test_a_source_that_fails_or_closes_others_harms_no_other_socket():
+def test_a_failing_source_that_closes_another_socket_affects_no_other():
     """Two sockets are ready together; the handler of the first closes the second.
 
     The second one's file descriptor may already belong to a new socket, which must not
@@ -115,13 +118,13 @@
     source = Source()
     poller = SocketPoller().register(source)
     pairs = [socketpair() for _ in range(2)]
-    for one, other in pairs:
-        poller.addReader(source, one)
-        other.send(b"abc")
-    source.closes = poller, pairs[1][0]
-    turn(source, poller)
-    assert source.read == [b"abc"]
-    assert source.faults == ["failed"]
+    for local, remote in pairs:
+        poller.addReader(source, local)
+        remote.send(b"abc")
+    source.to_close = poller, pairs[1][0]
+    run_round(source, poller)
+    assert source.received == [b"abc"]
+    assert source.errors == ["failed"]
     for pair in pairs:
         for sock in pair:
             sock.close()
--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -13,7 +13,7 @@
 
     def __init__(self, monkeypatch):
         self.now = 100.0
-        self.turns = 0
+        self.iterations = 0
         monkeypatch.setattr(timers_module, "monotonic", lambda: self.now)
         self.timers = Timers()
 
@@ -25,7 +25,7 @@
                 e, "left", min(e.left, s)
             )
             self.timers._on_generate_events(event)
-            self.turns += 1
+            self.iterations += 1
             self.now += max(event.left, 1e-6)
 
 
@@ -34,23 +34,23 @@
     return Loop(monkeypatch)
 
 
-def test_repeated_calls_that_nearly_coincide_share_a_turn(loop):
+def test_periodic_calls_that_nearly_coincide_share_an_iteration(loop):
     """An idle host of a large fleet spends most CPU time on event loop iterations."""
     calls = []
     for offset, interval_s in ((0.0, 0.05), (0.003, 0.05), (0.004, 0.1), (0.011, 0.2)):
         loop.now = 100.0 + offset
         name = (offset, interval_s)
         loop.timers.every(interval_s, lambda name=name: calls.append((name, loop.now)))
-    loop.turns = 0
+    loop.iterations = 0
     loop.run(10)
-    assert loop.turns <= 10 / 0.05 * 1.2
+    assert loop.iterations <= 10 / 0.05 * 1.2
     for name in {name for name, _ in calls}:
-        times = [at for called, at in calls if called == name]
+        times = [at for called_name, at in calls if called_name == name]
         gaps = [b - a for a, b in zip(times, times[1:], strict=False)]
         assert min(gaps) >= 0.89 * name[1] and max(gaps) <= 1.01 * name[1]
 
 
-def test_a_single_call_is_never_early(loop):
+def test_one_shot_calls_are_never_early(loop):
     """Deadlines and retries must not come before their time."""
     at = []
     loop.timers.every(0.05, lambda: None)
