--- a/greengageflow/daemon/endpoint_run.py
+++ b/greengageflow/daemon/endpoint_run.py
@@ -48,7 +48,7 @@
         if not reply.streaming:
             reply.start_stream((("X-Request-Id", ctx.wire_id),))
         raw = b"".join(piece.raw for piece in pieces)
-        reply.piece(raw)
+        reply.send_chunk(raw)
         ctx.pieces += len(pieces)
         if ctx.protected and len(ctx.streamed_body) <= MAX_STORED_BODY_BYTES:
             ctx.streamed_body += raw
--- a/greengageflow/daemon/forwarder.py
+++ b/greengageflow/daemon/forwarder.py
@@ -250,7 +250,7 @@
         else:
             ctx.longest_pause_s = max(ctx.longest_pause_s, now - ctx.last_progress_at)
         ctx.last_progress_at = now
-        ctx.reply.piece(b"".join(new_events(ctx, frames)))
+        ctx.reply.send_chunk(b"".join(new_events(ctx, frames)))
         if ctx.reply.blocked:
             attempt.pause()
             ctx.reply.on_drain = attempt.resume
--- a/greengageflow/net/_caller_conn.py
+++ b/greengageflow/net/_caller_conn.py
@@ -27,7 +27,7 @@
     response_head,
 )
 from greengageflow.net.calls import CallerCall, CallerRequest
-from greengageflow.net.reply import Header, Reply, busy_answer
+from greengageflow.net.reply import Header, Reply, host_busy_response
 
 BODILESS_STATUSES = frozenset({204, 304})
 HTTP_VERSIONS = frozenset({"1.0", "1.1"})
@@ -65,7 +65,7 @@
         self.phase = Phase.IDLE
         self.phase_started_at = monotonic()
         self.send_progress_at = self.phase_started_at
-        self.queued = 0
+        self.queued_bytes = 0
         self._link = link
         self._handler = handler
         self._limits = limits
@@ -82,7 +82,7 @@
         self._was_blocked = False
         self._advancing = False
 
-    def _enter(self, phase: Phase) -> None:
+    def _set_phase(self, phase: Phase) -> None:
         self.phase = phase
         self.phase_started_at = monotonic()
 
@@ -105,14 +105,14 @@
             return
         self._requests.feed(data)
         if self.phase is Phase.IDLE:
-            self._enter(Phase.READING)
+            self._set_phase(Phase.READING)
         self._advance()
 
     def reject_unread(self) -> None:
         """Reject a request unread and close the connection."""
-        self._enter(Phase.ANSWERING)
+        self._set_phase(Phase.ANSWERING)
         # Parsing the request would cost most of what handling it does.
-        self._link.send(busy_answer(self._interface.retry_after, int(time())))
+        self._link.send(host_busy_response(self._interface.retry_after, int(time())))
         self._close()
 
     def _advance(self) -> None:
@@ -127,13 +127,13 @@
         finally:
             self._advancing = False
         if self.phase is Phase.IDLE and self._requests.has_more:
-            self._enter(Phase.READING)
+            self._set_phase(Phase.READING)
 
     def _step(self) -> bool:
         try:
             match self._requests.next():
                 case RequestHead() as head:
-                    self._enter(Phase.READING)
+                    self._set_phase(Phase.READING)
                     self._on_head(head)
                 case Body(data):
                     self._on_body(data)
@@ -142,9 +142,9 @@
                 case None:
                     return False
         except BadMessage as exc:
-            self._refuse(self._protocol_error(exc))
+            self._reject(self._protocol_error(exc))
         except RouterError as exc:
-            self._refuse(exc)
+            self._reject(exc)
         return True
 
     @staticmethod
@@ -180,14 +180,14 @@
             raise RouterError(ErrorKind.BAD_REQUEST, message)
         self._interface.check_target(head.method, self._path(head))
         if length is not None and int(length) > limits.body_bytes:
-            self._refuse_body(limits)
+            self._reject_body(limits)
 
     @staticmethod
     def _path(head: RequestHead) -> str:
         return head.target.partition("?")[0]
 
     @staticmethod
-    def _refuse_body(limits: Limits) -> None:
+    def _reject_body(limits: Limits) -> None:
         message = f"body larger than {limits.body_bytes} bytes"
         raise RouterError(ErrorKind.BODY_TOO_LARGE, message)
 
@@ -196,7 +196,7 @@
         self._body += data
         limits = self._limits()
         if len(self._body) > limits.body_bytes:
-            self._refuse_body(limits)
+            self._reject_body(limits)
 
     def _release_body(self) -> bytes:
         self._budget.release(len(self._body))
@@ -211,7 +211,7 @@
             head.method, head.target, head.headers, body, is_http_1_0
         )
         self._pipelined_bytes = 0
-        self._enter(Phase.ANSWERING)
+        self._set_phase(Phase.ANSWERING)
         self._reply = reply = Reply(self, self._interface.retry_after)
         try:
             self._call = self._interface.parse_call(request, reply)
@@ -223,14 +223,14 @@
             reply.error(RouterError(ErrorKind.INTERNAL, "internal error of the router"))
             raise
 
-    def _refuse(self, exc: RouterError) -> None:
+    def _reject(self, exc: RouterError) -> None:
         """Answer a request that is not completely read, then close."""
         self._release_body()
         headers: list[Header] = []
         if exc.kind is ErrorKind.METHOD_NOT_ALLOWED:
             methods = self._interface.allowed_methods(self._path(self._head))
             headers.append(("Allow", ", ".join(sorted(methods))))
-        self._enter(Phase.ANSWERING)
+        self._set_phase(Phase.ANSWERING)
         Reply(self, self._interface.retry_after).error(exc, headers, close=True)
 
     # Answers: the methods of ``reply.AnswerSink``.
@@ -238,7 +238,7 @@
     @property
     def blocked(self) -> bool:
         """Whether the stream should pause because the caller reads too slowly."""
-        if self.queued > self._limits().high_water_bytes:
+        if self.queued_bytes > self._limits().high_water_bytes:
             self._was_blocked = True
         return self._was_blocked
 
@@ -296,7 +296,7 @@
         if is_last:
             self._close()
             return
-        self._enter(Phase.IDLE)
+        self._set_phase(Phase.IDLE)
         self._link.set_reading(True)
         pipelined, self._pipelined = self._pipelined, []
         for data in pipelined:
@@ -305,17 +305,17 @@
 
     def _close(self) -> None:
         self._call = self._reply = None
-        self._enter(Phase.CLOSING)
+        self._set_phase(Phase.CLOSING)
         self._link.set_reading(True)
         self._link.finish()
 
     # Socket events.
 
-    def on_sent(self, queued: int) -> None:
-        """Update the send queue, now ``queued`` bytes; resume a paused stream."""
-        self.queued = queued
+    def on_sent(self, queued_bytes: int) -> None:
+        """Update the send queue, now ``queued_bytes`` bytes; resume a paused stream."""
+        self.queued_bytes = queued_bytes
         self.send_progress_at = monotonic()
-        if not self._was_blocked or queued > self._limits().low_water_bytes:
+        if not self._was_blocked or queued_bytes > self._limits().low_water_bytes:
             return
         self._was_blocked = False
         reply = self._reply
@@ -327,7 +327,7 @@
         self._release_body()
         call, reply = self._call, self._reply
         self._call = self._reply = None
-        self._enter(Phase.CLOSING)
+        self._set_phase(Phase.CLOSING)
         if reply is not None:
             reply.detach()
         if call is not None:
@@ -337,13 +337,13 @@
         """Enforce the timeouts."""
         limits = self._limits()
         waited_s = now - self.phase_started_at
-        if self.queued and now - self.send_progress_at > limits.write_s:
+        if self.queued_bytes and now - self.send_progress_at > limits.write_s:
             self._link.drop()
         elif self.phase is Phase.READING and waited_s > self._request_timeout_s(limits):
             message = (
                 f"request not received within {self._request_timeout_s(limits):g} s"
             )
-            self._refuse(RouterError(ErrorKind.REQUEST_TIMEOUT, message))
+            self._reject(RouterError(ErrorKind.REQUEST_TIMEOUT, message))
         elif self._is_expired(now, limits):
             self._link.drop()
 
@@ -354,7 +354,7 @@
     def _is_expired(self, now: float, limits: Limits) -> bool:
         # The phase changes as soon as the answer is queued. The caller may still be
         # reading it, and closing now would truncate it.
-        if self.queued:
+        if self.queued_bytes:
             return False
         match self.phase:
             case Phase.IDLE:
--- a/greengageflow/net/_caller_link.py
+++ b/greengageflow/net/_caller_link.py
@@ -22,7 +22,7 @@
         self.sock = sock
         self.conn: CallerConnection | None = None
         self.open = True
-        self.finishing = False
+        self.is_finishing = False
         self._server = server
 
     @property
@@ -31,7 +31,7 @@
         return self.open and self.conn.phase is Phase.IDLE
 
     @property
-    def queued(self) -> int:
+    def queued_bytes(self) -> int:
         """Number of bytes queued for sending."""
         return sum(map(len, self._server._buffers.get(self.sock, ())))
 
@@ -40,17 +40,17 @@
         if not self.open:
             return
         rest = memoryview(data)
-        if not self.conn.queued:
+        if not self.conn.queued_bytes:
             rest = rest[self._send_now(rest) :]
         if not rest or not self.open:
             return
-        if not self.conn.queued:
+        if not self.conn.queued_bytes:
             self.conn.send_progress_at = monotonic()
         for start in range(0, len(rest), QUEUE_SLICE_BYTES):
             self._server.write(
                 self.sock, bytes(rest[start : start + QUEUE_SLICE_BYTES])
             )
-        self.conn.queued += len(rest)
+        self.conn.queued_bytes += len(rest)
 
     def _send_now(self, data: memoryview) -> int:
         try:
@@ -63,8 +63,8 @@
 
     def finish(self) -> None:
         """Close after all queued data is sent."""
-        self.finishing = True
-        if not self.conn.queued:
+        self.is_finishing = True
+        if not self.conn.queued_bytes:
             self.shut_down_sending()
 
     def shut_down_sending(self) -> None:
--- a/greengageflow/net/callers.py
+++ b/greengageflow/net/callers.py
@@ -37,7 +37,7 @@
     ServiceCall,
     StatusCall,
 )
-from greengageflow.net.reply import Reply, busy_answer
+from greengageflow.net.reply import Reply, host_busy_response
 from greengageflow.net.timers import Timers
 
 __all__ = [
@@ -134,7 +134,7 @@
         self._links: dict[socket, CallerLink] = {}
         self._address = (self.sockets.host, self.sockets.port)
         self._timers = timers
-        timers.every(TIMEOUT_CHECK_INTERVAL_S, self._on_sweep)
+        timers.every(TIMEOUT_CHECK_INTERVAL_S, self._check_timeouts)
 
     @property
     def address(self) -> tuple[str, int]:
@@ -160,7 +160,7 @@
     def unfinished_answers(self) -> int:
         """Number of connections whose answer is not complete or not fully sent."""
         return sum(
-            link.conn.phase is Phase.ANSWERING or link.conn.queued > 0
+            link.conn.phase is Phase.ANSWERING or link.conn.queued_bytes > 0
             for link in self._links.values()
         )
 
@@ -296,7 +296,7 @@
         if is_shed and is_single_request(data):
             self.accepted_connections += 1
             with suppress(OSError):
-                sock.send(busy_answer(self._interface.retry_after, int(time())))
+                sock.send(host_busy_response(self._interface.retry_after, int(time())))
             sock.close()
             return True
         self.sockets._on_accept_done(sock)
@@ -333,8 +333,8 @@
         link = self._links.get(sock)
         if link is None or not link.open:
             return
-        link.conn.on_sent(link.queued)
-        if link.finishing and not link.conn.queued:
+        link.conn.on_sent(link.queued_bytes)
+        if link.is_finishing and not link.conn.queued_bytes:
             link.shut_down_sending()
 
     @handler("disconnect")
@@ -350,7 +350,7 @@
             link.open = False
             link.conn.on_closed()
 
-    def _on_sweep(self) -> None:
+    def _check_timeouts(self) -> None:
         now = monotonic()
         if self.sockets.resume_accepting():
             self._on_full(len(self._links), 0)
--- a/greengageflow/net/reply.py
+++ b/greengageflow/net/reply.py
@@ -46,13 +46,13 @@
         """Send ``data`` and close with the answer incomplete."""
 
 
-def whole_seconds(seconds: float) -> str:
+def format_retry_after(seconds: float) -> str:
     """Return a delay as a ``Retry-After`` value, rounded up to whole seconds."""
     return str(max(1, ceil(seconds)))
 
 
 def error_headers(
-    exc: RouterError, retry_after: Callable[[float], str] = whole_seconds
+    exc: RouterError, retry_after: Callable[[float], str] = format_retry_after
 ) -> list[Header]:
     """Return the extra headers of an error answer."""
     headers = []
@@ -64,7 +64,7 @@
 
 
 @lru_cache(maxsize=2)
-def busy_answer(retry_after: Callable[[float], str], _second: int) -> bytes:
+def host_busy_response(retry_after: Callable[[float], str], _second: int) -> bytes:
     """Return the complete answer that rejects a request and ends its connection.
 
     Args:
@@ -96,7 +96,7 @@
     """
 
     def __init__(
-        self, sink: AnswerSink, retry_after: Callable[[float], str] = whole_seconds
+        self, sink: AnswerSink, retry_after: Callable[[float], str] = format_retry_after
     ) -> None:
         self.on_drain: Callable[[], None] | None = None
         """Called when a paused stream may resume."""
@@ -119,13 +119,13 @@
         """True if the stream should pause until ``on_drain`` is called."""
         return self._sink is not None and self._sink.blocked
 
-    def _take_sink(self) -> AnswerSink | None:
+    def _detach_sink(self) -> AnswerSink | None:
         sink, self._sink = self._sink, None
         return sink
 
     def detach(self) -> None:
         """Disable the reply because the caller has disconnected."""
-        self._take_sink()
+        self._detach_sink()
 
     def json(self, status: int, obj: Any, headers: Iterable[Header] = ()) -> None:
         """Answer with a JSON document."""
@@ -150,7 +150,7 @@
         """
         if self._streaming:
             self.abort()
-        sink = self._take_sink()
+        sink = self._detach_sink()
         if sink is not None:
             sink.send_complete(status, headers, body, close=close)
 
@@ -180,7 +180,7 @@
             self._streaming = True
             self._sink.send_head(status, headers)
 
-    def piece(self, data: bytes) -> None:
+    def send_chunk(self, data: bytes) -> None:
         """Send a chunk of a started answer; of an event stream, only whole events."""
         if self._sink is not None:
             self._sink.send_chunk(data)
@@ -191,7 +191,7 @@
 
     def finish(self, data: bytes = b"") -> None:
         """Send the last bytes and complete a started answer."""
-        sink = self._take_sink()
+        sink = self._detach_sink()
         if sink is not None:
             sink.send_end(data)
 
@@ -201,7 +201,7 @@
         Args:
             exc: Sent first as an ``error`` event if the answer is a stream.
         """
-        sink = self._take_sink()
+        sink = self._detach_sink()
         if sink is None:
             return
         if exc is not None and self._streaming:
--- a/tests/caller_server.py
+++ b/tests/caller_server.py
@@ -92,6 +92,6 @@
     caller.send(chat(stream=True))
     call = wait_for(lambda: server.handler.calls)[0]
     server.loop.call(call.reply.start_stream)
-    server.loop.call(lambda: call.reply.piece(b"data: 1\n\n"))
+    server.loop.call(lambda: call.reply.send_chunk(b"data: 1\n\n"))
     assert b"text/event-stream" in caller.until(b"data: 1\n\n\r\n")
     return caller, call.reply
--- a/tests/test_caller_limits.py
+++ b/tests/test_caller_limits.py
@@ -50,7 +50,7 @@
         caller.send(chat(stream=True))
         call = wait_for(lambda: server.handler.calls)[0]
         server.loop.call(call.reply.start_stream)
-        server.loop.call(lambda: call.reply.piece(b"x" * 20_000_000))
+        server.loop.call(lambda: call.reply.send_chunk(b"x" * 20_000_000))
         wait_for(lambda: server.handler.disconnected)
 
 
@@ -72,7 +72,7 @@
         answer = waiting.rest()
         assert answer.endswith(b'"whole"')
         assert b"\r\nconnection: close\r\n" in answer
-        server.loop.call(lambda: reply.piece(b"x" * 9_000_000))
+        server.loop.call(lambda: reply.send_chunk(b"x" * 9_000_000))
         server.loop.call(reply.end_stream)
         sleep(3 * TIMEOUT_CHECK_INTERVAL_S)
         assert stream.rest().endswith(b"0\r\n\r\n")
--- a/tests/test_caller_streams.py
+++ b/tests/test_caller_streams.py
@@ -56,7 +56,7 @@
     caller.sock.close()
     wait_for(lambda: server.handler.disconnected)
     assert not reply.open
-    server.loop.call(lambda: reply.piece(b"data: 2\n\n"))
+    server.loop.call(lambda: reply.send_chunk(b"data: 2\n\n"))
     server.loop.call(reply.end_stream)
     assert len(server.handler.disconnected) == 1
     assert_no_state_left(server)
@@ -77,7 +77,7 @@
     socket, which is closed by then. Memory would grow with each such caller.
     """
     caller, reply = start_stream(server)
-    server.loop.call(lambda: reply.piece(b"x" * 5_000_000))
+    server.loop.call(lambda: reply.send_chunk(b"x" * 5_000_000))
     caller.sock.setsockopt(SOL_SOCKET, SO_LINGER, pack("ii", 1, 0))
     caller.sock.close()
     wait_for(lambda: server.handler.disconnected)
@@ -105,19 +105,19 @@
     caller, reply = start_stream(server)
     drained = []
     reply.on_drain = lambda: drained.append(1)
-    piece = b"data: " + b"x" * 10_000 + b"\n\n"
+    chunk = b"data: " + b"x" * 10_000 + b"\n\n"
     sent = 0
 
     def fill():
         nonlocal sent
         while not reply.blocked:
-            reply.piece(piece)
+            reply.send_chunk(chunk)
             sent += 1
 
     server.loop.call(fill)
     assert not drained
     link = next(iter(server.callers._links.values()))
-    assert link.queued < LIMITS.high_water_bytes + 2 * len(piece)
+    assert link.queued_bytes < LIMITS.high_water_bytes + 2 * len(chunk)
     for _ in range(sent):
         caller.until(b"x\n\n")
     wait_for(lambda: drained)
