--- a/greengageflow/net/_caller_conn.py
+++ b/greengageflow/net/_caller_conn.py
@@ -312,7 +312,7 @@
     # Socket events.
 
     def on_sent(self, queued_bytes: int) -> None:
-        """Update the send queue, now ``queued_bytes`` bytes; resume a paused stream."""
+        """Update the size of the send queue; resume a paused stream if it is short."""
         self.queued_bytes = queued_bytes
         self.send_progress_at = monotonic()
         if not self._was_blocked or queued_bytes > self._limits().low_water_bytes:
--- a/greengageflow/net/callers.py
+++ b/greengageflow/net/callers.py
@@ -186,7 +186,8 @@
         """Accept no new connections; open ones continue."""
         server = self.sockets
         if server._sock is not None:
-            # Closing the listener resets connections still in its accept queue.
+            # Closing the listener resets connections still in its accept queue;
+            # once accepted, they get an answer.
             server.accept_queued()
             server._close(server._sock)
 
