--- a/greengageflow/net/_caller_conn.py
+++ b/greengageflow/net/_caller_conn.py
@@ -1,4 +1,4 @@
-"""The HTTP/1.1 side of one caller's connection, without its socket."""
+"""HTTP/1.1 protocol of one caller's connection, independent of the socket."""
 
 from collections.abc import Callable, Iterable
 from enum import Enum, auto
@@ -27,15 +27,15 @@
     response_head,
 )
 from greengageflow.net.calls import CallerCall, CallerRequest
-from greengageflow.net.reply import Header, Reply, busy_answer
+from greengageflow.net.reply import Header, Reply, host_busy_response
 
-BODILESS = frozenset({204, 304})
+BODILESS_STATUSES = frozenset({204, 304})
 HTTP_VERSIONS = frozenset({"1.0", "1.1"})
-CLOSE: Header = ("connection", "close")
+CONNECTION_CLOSE: Header = ("connection", "close")
 
 
 class Phase(Enum):
-    """Where a connection stands."""
+    """State of a connection."""
 
     IDLE = auto()
     READING = auto()
@@ -44,14 +44,14 @@
 
 
 class CallerConnection:
-    """Reads requests one after the other and frames their answers.
+    """Parses requests one at a time and frames their answers.
 
     Args:
-        link: The socket.
-        handler: Takes the calls.
-        limits: Gives the bounds in force.
-        budget: Shared by all connections.
-        interface: How callers speak.
+        link: Socket of the connection.
+        handler: Handles the calls.
+        limits: Returns the current limits.
+        budget: Body budget shared by all connections.
+        interface: Parses requests into calls.
     """
 
     def __init__(
@@ -63,61 +63,61 @@
         interface: CallInterface,
     ) -> None:
         self.phase = Phase.IDLE
-        self.phase_at = monotonic()
-        self.moved_at = self.phase_at
-        self.queued = 0
+        self.phase_started_at = monotonic()
+        self.send_progress_at = self.phase_started_at
+        self.queued_bytes = 0
         self._link = link
         self._handler = handler
         self._limits = limits
         self._budget = budget
         self._interface = interface
-        self._requests = RequestParser(limits().headers)
+        self._requests = RequestParser(limits().header_bytes)
         self._head: RequestHead | None = None
-        self._whole = False
-        self._unread: list[bytes] = []
+        self._is_request_complete = False
+        self._pipelined: list[bytes] = []
         self._body = bytearray()
         self._call: CallerCall | None = None
         self._reply: Reply | None = None
-        self._ahead = 0
+        self._pipelined_bytes = 0
         self._was_blocked = False
         self._advancing = False
 
-    def _enter(self, phase: Phase) -> None:
+    def _set_phase(self, phase: Phase) -> None:
         self.phase = phase
-        self.phase_at = monotonic()
+        self.phase_started_at = monotonic()
 
-    # Reading.
+    # Requests.
 
     def receive(self, data: bytes) -> None:
-        """Take bytes from the caller."""
+        """Process bytes received from the caller."""
         if self.phase is Phase.CLOSING:
             return
         if self.phase is Phase.IDLE:
-            # Some clients end a body with an empty line that is not part of it.
+            # Some clients send an extra empty line after a body.
             data = data.lstrip(b"\r\n")
         if not data:
             return
         if self.phase is Phase.ANSWERING:
-            self._unread.append(data)
-            self._ahead += len(data)
-            if self._ahead > self._limits().ahead:
-                self._link.read_on(False)
+            self._pipelined.append(data)
+            self._pipelined_bytes += len(data)
+            if self._pipelined_bytes > self._limits().pipelined_bytes:
+                self._link.set_reading(False)
             return
         self._requests.feed(data)
         if self.phase is Phase.IDLE:
-            self._enter(Phase.READING)
+            self._set_phase(Phase.READING)
         self._advance()
 
-    def turn_away(self) -> None:
-        """Answer a request unread, and close."""
-        self._enter(Phase.ANSWERING)
-        # Through no parser: that would cost most of what the request itself does.
-        self._link.send(busy_answer(self._interface.retry_after, int(time())))
+    def reject_unread(self) -> None:
+        """Reject a request unread and close the connection."""
+        self._set_phase(Phase.ANSWERING)
+        # Parsing the request would cost most of what handling it does.
+        self._link.send(host_busy_response(self._interface.retry_after, int(time())))
         self._close()
 
     def _advance(self) -> None:
-        # An answer given from within ``on_call`` comes back here; the loop that
-        # is already running takes the next request.
+        # An answer from within ``on_call`` re-enters this method; the loop that is
+        # already running then continues with the next request.
         if self._advancing:
             return
         self._advancing = True
@@ -127,13 +127,13 @@
         finally:
             self._advancing = False
         if self.phase is Phase.IDLE and self._requests.has_more:
-            self._enter(Phase.READING)
+            self._set_phase(Phase.READING)
 
     def _step(self) -> bool:
         try:
             match self._requests.next():
                 case RequestHead() as head:
-                    self._enter(Phase.READING)
+                    self._set_phase(Phase.READING)
                     self._on_head(head)
                 case Body(data):
                     self._on_body(data)
@@ -142,9 +142,9 @@
                 case None:
                     return False
         except BadMessage as exc:
-            self._refuse(self._protocol_error(exc))
+            self._reject(self._protocol_error(exc))
         except RouterError as exc:
-            self._refuse(exc)
+            self._reject(exc)
         return True
 
     @staticmethod
@@ -155,57 +155,63 @@
 
     def _on_head(self, head: RequestHead) -> None:
         self._head = head
-        self._whole = False
+        self._is_request_complete = False
         headers = dict(head.headers)
         self._check_head(head, headers)
-        waits = headers.get("expect", "").lower() == "100-continue"
-        if waits and head.version == "1.1" and not self._requests.has_pending_events:
+        expects_continue = headers.get("expect", "").lower() == "100-continue"
+        if (
+            expects_continue
+            and head.version == "1.1"
+            and not self._requests.has_pending_events
+        ):
             self._link.send(CONTINUE_RESPONSE)
 
     def _check_head(self, head: RequestHead, headers: dict[str, str]) -> None:
         limits = self._limits()
-        if head.size > limits.headers:
+        if head.size > limits.header_bytes:
             raise RouterError(ErrorKind.HEADERS_TOO_LARGE, "headers too large")
         if head.version not in HTTP_VERSIONS:
-            raise RouterError(ErrorKind.BAD_REQUEST, "HTTP/1.1 is spoken here")
+            raise RouterError(ErrorKind.BAD_REQUEST, "HTTP version must be 1.0 or 1.1")
         length = headers.get("content-length")
-        # With both, two readers of the same bytes may disagree where the request
-        # ends, and the rest is taken for another caller's request.
+        # With both headers, two parsers may disagree on where the request ends, and
+        # one reads the rest as another caller's request (request smuggling).
         if length is not None and "transfer-encoding" in headers:
-            message = "content-length and transfer-encoding exclude each other"
+            message = "content-length and transfer-encoding must not be combined"
             raise RouterError(ErrorKind.BAD_REQUEST, message)
         self._interface.check_target(head.method, self._path(head))
-        if length is not None and int(length) > limits.body:
-            self._refuse_body(limits)
+        if length is not None and int(length) > limits.body_bytes:
+            self._reject_body(limits)
 
     @staticmethod
     def _path(head: RequestHead) -> str:
         return head.target.partition("?")[0]
 
     @staticmethod
-    def _refuse_body(limits: Limits) -> None:
-        message = f"body larger than {limits.body} bytes"
+    def _reject_body(limits: Limits) -> None:
+        message = f"body larger than {limits.body_bytes} bytes"
         raise RouterError(ErrorKind.BODY_TOO_LARGE, message)
 
     def _on_body(self, data: bytes) -> None:
-        self._budget.take(len(data))
+        self._budget.reserve(len(data))
         self._body += data
         limits = self._limits()
-        if len(self._body) > limits.body:
-            self._refuse_body(limits)
+        if len(self._body) > limits.body_bytes:
+            self._reject_body(limits)
 
-    def _take_body(self) -> bytes:
-        self._budget.give(len(self._body))
+    def _release_body(self) -> bytes:
+        self._budget.release(len(self._body))
         body, self._body = bytes(self._body), bytearray()
         return body
 
     def _on_request(self) -> None:
         head = self._head
-        self._whole = True
-        body, is_old = self._take_body(), head.version == "1.0"
-        request = CallerRequest(head.method, head.target, head.headers, body, is_old)
-        self._ahead = 0
-        self._enter(Phase.ANSWERING)
+        self._is_request_complete = True
+        body, is_http_1_0 = self._release_body(), head.version == "1.0"
+        request = CallerRequest(
+            head.method, head.target, head.headers, body, is_http_1_0
+        )
+        self._pipelined_bytes = 0
+        self._set_phase(Phase.ANSWERING)
         self._reply = reply = Reply(self, self._interface.retry_after)
         try:
             self._call = self._interface.parse_call(request, reply)
@@ -213,73 +219,75 @@
         except RouterError as exc:
             reply.error(exc)
         except Exception:
-            # Without an answer the caller would wait for its own timeout.
-            reply.error(RouterError(ErrorKind.INTERNAL, "the router failed"))
+            # Without an answer the caller would wait until its own timeout.
+            reply.error(RouterError(ErrorKind.INTERNAL, "internal error of the router"))
             raise
 
-    def _refuse(self, exc: RouterError) -> None:
-        """Answer a request that was not read to its end, then close."""
-        self._take_body()
+    def _reject(self, exc: RouterError) -> None:
+        """Answer a request that is not completely read, then close."""
+        self._release_body()
         headers: list[Header] = []
         if exc.kind is ErrorKind.METHOD_NOT_ALLOWED:
             methods = self._interface.allowed_methods(self._path(self._head))
             headers.append(("Allow", ", ".join(sorted(methods))))
-        self._enter(Phase.ANSWERING)
+        self._set_phase(Phase.ANSWERING)
         Reply(self, self._interface.retry_after).error(exc, headers, close=True)
 
-    # Answering: methods of ``reply.AnswerSink``.
+    # Answers: the methods of ``reply.AnswerSink``.
 
     @property
     def blocked(self) -> bool:
-        """True when the caller reads too slowly for more."""
-        if self.queued > self._limits().high_water:
+        """Whether the stream should pause because the caller reads too slowly."""
+        if self.queued_bytes > self._limits().high_water_bytes:
             self._was_blocked = True
         return self._was_blocked
 
-    def send_whole(
+    def send_complete(
         self, status: int, headers: Iterable[Header], body: bytes, *, close: bool
     ) -> None:
-        """Send a whole answer."""
+        """Send a complete answer."""
         lines = [date_header(), *headers]
         is_head = self._head is not None and self._head.method == "HEAD"
-        has_body = status not in BODILESS and not is_head
-        if status not in BODILESS and (body or not is_head):
+        has_body = status not in BODILESS_STATUSES and not is_head
+        if status not in BODILESS_STATUSES and (body or not is_head):
             lines.append(("content-length", str(len(body))))
-        is_last = close or self._ends_with_answer
+        is_last = close or self._closes_after_answer
         if is_last:
-            lines.append(CLOSE)
+            lines.append(CONNECTION_CLOSE)
         self._link.send(response_head(status, lines) + (body if has_body else b""))
         self._on_answered(is_last)
 
     @property
-    def _ends_with_answer(self) -> bool:
+    def _closes_after_answer(self) -> bool:
         limits = self._limits()
-        is_last = limits.last_answer or limits.keep_alive_s <= 0
-        return is_last or not (self._whole and self._head.keep_alive)
+        is_last = limits.close_after_answer or limits.keep_alive_s <= 0
+        return is_last or not (self._is_request_complete and self._head.keep_alive)
 
     def send_head(self, status: int, headers: Iterable[Header]) -> None:
-        """Begin a streamed answer."""
+        """Start a streamed answer."""
         lines = [date_header(), *headers, ("transfer-encoding", "chunked")]
-        if self._limits().last_answer or not self._head.keep_alive:
-            lines.append(CLOSE)
+        if self._limits().close_after_answer or not self._head.keep_alive:
+            lines.append(CONNECTION_CLOSE)
         self._link.send(response_head(status, lines))
 
-    def send_piece(self, data: bytes) -> None:
-        """Send a piece of a streamed answer."""
-        # Streams are always chunked: HTTP/1.0 is refused.
+    def send_chunk(self, data: bytes) -> None:
+        """Send a chunk of a streamed answer."""
+        # Always chunked: HTTP/1.0 requests for streams are rejected.
         if data:
             self._link.send(chunk(data))
 
     def send_end(self, data: bytes) -> None:
-        """Send the last piece and end the streamed answer."""
+        """Send the last chunk and end the streamed answer."""
         last = chunk(data) if data else b""
         self._link.send(last + LAST_CHUNK)
-        self._on_answered(self._limits().last_answer or not self._head.keep_alive)
+        self._on_answered(
+            self._limits().close_after_answer or not self._head.keep_alive
+        )
 
-    def cut(self, data: bytes) -> None:
-        """Send ``data`` and close without ending the answer."""
+    def abort(self, data: bytes) -> None:
+        """Send ``data`` and close with the answer incomplete."""
         if data:
-            self.send_piece(data)
+            self.send_chunk(data)
         self._close()
 
     def _on_answered(self, is_last: bool) -> None:
@@ -288,68 +296,73 @@
         if is_last:
             self._close()
             return
-        self._enter(Phase.IDLE)
-        self._link.read_on(True)
-        unread, self._unread = self._unread, []
-        for data in unread:
+        self._set_phase(Phase.IDLE)
+        self._link.set_reading(True)
+        pipelined, self._pipelined = self._pipelined, []
+        for data in pipelined:
             self._requests.feed(data)
         self._advance()
 
     def _close(self) -> None:
         self._call = self._reply = None
-        self._enter(Phase.CLOSING)
-        self._link.read_on(True)
+        self._set_phase(Phase.CLOSING)
+        self._link.set_reading(True)
         self._link.finish()
 
     # Socket events.
 
-    def on_sent(self, queued: int) -> None:
-        """Note that the caller read; ``queued`` bytes are left to be sent."""
-        self.queued = queued
-        self.moved_at = monotonic()
-        if not self._was_blocked or queued > self._limits().low_water:
+    def on_sent(self, queued_bytes: int) -> None:
+        """Update the size of the send queue; resume a paused stream if it is short."""
+        self.queued_bytes = queued_bytes
+        self.send_progress_at = monotonic()
+        if not self._was_blocked or queued_bytes > self._limits().low_water_bytes:
             return
         self._was_blocked = False
         reply = self._reply
         if reply is not None and reply.on_drain is not None:
             reply.on_drain()
 
-    def on_lost(self) -> None:
-        """Note that the socket is closed."""
-        self._take_body()
+    def on_closed(self) -> None:
+        """Handle the close of the socket."""
+        self._release_body()
         call, reply = self._call, self._reply
         self._call = self._reply = None
-        self._enter(Phase.CLOSING)
+        self._set_phase(Phase.CLOSING)
         if reply is not None:
             reply.detach()
         if call is not None:
-            self._handler.on_gone(call)
+            self._handler.on_caller_disconnect(call)
 
-    def check_time(self, now: float) -> None:
-        """Close what takes too long."""
+    def check_timeouts(self, now: float) -> None:
+        """Enforce the timeouts."""
         limits = self._limits()
-        waited_s = now - self.phase_at
-        if self.queued and now - self.moved_at > limits.write_s:
+        waited_s = now - self.phase_started_at
+        if self.queued_bytes and now - self.send_progress_at > limits.write_s:
             self._link.drop()
-        elif self.phase is Phase.READING and waited_s > self._reading_s(limits):
-            message = f"request not received within {self._reading_s(limits):g} s"
-            self._refuse(RouterError(ErrorKind.REQUEST_TIMEOUT, message))
-        elif self._is_over(now, limits):
+        elif self.phase is Phase.READING and waited_s > self._request_timeout_s(limits):
+            message = (
+                f"request not received within {self._request_timeout_s(limits):g} s"
+            )
+            self._reject(RouterError(ErrorKind.REQUEST_TIMEOUT, message))
+        elif self._is_expired(now, limits):
             self._link.drop()
 
-    def _reading_s(self, limits: Limits) -> float:
-        is_body = self._head is not None and not self._whole
-        return limits.body_s if is_body else limits.request_s
+    def _request_timeout_s(self, limits: Limits) -> float:
+        is_body = self._head is not None and not self._is_request_complete
+        return limits.body_s if is_body else limits.header_s
 
-    def _is_over(self, now: float, limits: Limits) -> bool:
-        # An answer is given, for this side, when it is queued; the caller may still
-        # be reading it, and closing now would cut it.
-        if self.queued:
+    def _is_expired(self, now: float, limits: Limits) -> bool:
+        # The phase changes as soon as the answer is queued. The caller may still be
+        # reading it, and closing now would truncate it.
+        if self.queued_bytes:
             return False
         match self.phase:
             case Phase.IDLE:
-                return now - self.phase_at > limits.keep_alive_s
+                return now - self.phase_started_at > limits.keep_alive_s
             case Phase.CLOSING:
-                # The wait begins when the last byte left, not when it was queued.
-                return now - max(self.phase_at, self.moved_at) > limits.linger_s
+                # The linger time starts when the last byte is sent, not when queued.
+                return (
+                    now - max(self.phase_started_at, self.send_progress_at)
+                    > limits.linger_s
+                )
         return False
--- a/greengageflow/net/_caller_link.py
+++ b/greengageflow/net/_caller_link.py
@@ -1,4 +1,4 @@
-"""The socket below one caller's connection."""
+"""Socket of one caller's connection."""
 
 from socket import SHUT_WR, socket
 from time import monotonic
@@ -6,49 +6,51 @@
 from greengageflow.net._caller_conn import CallerConnection, Phase
 from greengageflow.net.caller_sockets import CallerSockets
 
-READ_SIZE = 65_536
-QUEUE_SLICE = 65_536
+MAX_READ_BYTES = 65_536
+QUEUE_SLICE_BYTES = 65_536
 
 
 class CallerLink:
-    """The socket below one ``CallerConnection``.
+    """Socket of one ``CallerConnection``.
 
     Args:
-        server: Watches the socket and sends what is queued.
-        sock: The socket.
+        server: Polls the socket and sends queued data.
+        sock: Accepted socket, non-blocking.
     """
 
     def __init__(self, server: CallerSockets, sock: socket) -> None:
         self.sock = sock
         self.conn: CallerConnection | None = None
         self.open = True
-        self.finishing = False
+        self.is_finishing = False
         self._server = server
 
     @property
     def idle(self) -> bool:
-        """Whether it is open and nothing is asked on it."""
+        """Whether the connection is open and has no request in progress."""
         return self.open and self.conn.phase is Phase.IDLE
 
     @property
-    def queued(self) -> int:
-        """Bytes that wait to be sent."""
+    def queued_bytes(self) -> int:
+        """Number of bytes queued for sending."""
         return sum(map(len, self._server._buffers.get(self.sock, ())))
 
     def send(self, data: bytes) -> None:
-        """Send at once what the socket takes, and queue the rest."""
+        """Send as much as the socket accepts now and queue the rest."""
         if not self.open:
             return
         rest = memoryview(data)
-        if not self.conn.queued:
+        if not self.conn.queued_bytes:
             rest = rest[self._send_now(rest) :]
         if not rest or not self.open:
             return
-        if not self.conn.queued:
-            self.conn.moved_at = monotonic()
-        for start in range(0, len(rest), QUEUE_SLICE):
-            self._server.write(self.sock, bytes(rest[start : start + QUEUE_SLICE]))
-        self.conn.queued += len(rest)
+        if not self.conn.queued_bytes:
+            self.conn.send_progress_at = monotonic()
+        for start in range(0, len(rest), QUEUE_SLICE_BYTES):
+            self._server.write(
+                self.sock, bytes(rest[start : start + QUEUE_SLICE_BYTES])
+            )
+        self.conn.queued_bytes += len(rest)
 
     def _send_now(self, data: memoryview) -> int:
         try:
@@ -60,16 +62,16 @@
             return 0
 
     def finish(self) -> None:
-        """Close once everything queued was sent."""
-        self.finishing = True
-        if not self.conn.queued:
-            self.shut()
+        """Close after all queued data is sent."""
+        self.is_finishing = True
+        if not self.conn.queued_bytes:
+            self.shut_down_sending()
 
-    def shut(self) -> None:
-        """Tell the caller that nothing more comes, then wait for its close.
+    def shut_down_sending(self) -> None:
+        """Shut down the sending side; the caller's close ends the connection.
 
-        Closing while bytes of the caller are unread would reset the connection, and
-        the caller's system may then throw away an answer that it has not read yet.
+        Closing while bytes from the caller are unread would reset the connection, and
+        the caller's kernel may then discard an answer that it has not read yet.
         """
         try:
             self.sock.shutdown(SHUT_WR)
@@ -77,26 +79,26 @@
             self.drop()
 
     def drop(self) -> None:
-        """Close at once."""
+        """Close immediately."""
         if self.open:
             self.open = False
             self._server._close(self.sock)
 
-    def read_on(self, wanted: bool) -> None:
-        """Read from the socket, or leave what arrives there."""
+    def set_reading(self, enabled: bool) -> None:
+        """Resume or pause reading from the socket."""
         if not self.open:
             return
         poller = self._server._poller
-        if wanted and not poller.isReading(self.sock):
+        if enabled and not poller.isReading(self.sock):
             poller.addReader(self._server, self.sock)
-        elif not wanted and poller.isReading(self.sock):
+        elif not enabled and poller.isReading(self.sock):
             poller.removeReader(self.sock)
 
 
-def received(sock: socket) -> bytes | None:
-    """Return what has arrived, empty at the end; None when nothing has."""
+def receive_available(sock: socket) -> bytes | None:
+    """Return received bytes, empty at end of stream, or None if there are none."""
     try:
-        return sock.recv(READ_SIZE)
+        return sock.recv(MAX_READ_BYTES)
     except (BlockingIOError, InterruptedError):
         return None
     except OSError:
--- a/greengageflow/net/callers.py
+++ b/greengageflow/net/callers.py
@@ -1,7 +1,8 @@
-"""The callers' side: HTTP on the sockets of a ``circuits`` server.
+"""HTTP server for callers, on the sockets of a ``circuits`` TCP server.
 
-``circuits`` accepts and writes; ``_caller_conn`` reads and frames, since the parser
-of ``circuits.web`` loses and mixes requests (see ``docs/design/http.md``).
+``circuits`` accepts connections and writes to them. ``_caller_conn`` parses requests
+and frames responses, because the parser of ``circuits.web`` loses requests and mixes
+them up (see ``docs/design/http.md``).
 """
 
 from collections.abc import Callable
@@ -18,25 +19,25 @@
 from greengageflow.core.routes import CallerLimits
 from greengageflow.errors import RouterError
 from greengageflow.net._caller_conn import CallerConnection, Phase
-from greengageflow.net._caller_link import READ_SIZE, CallerLink, received
+from greengageflow.net._caller_link import MAX_READ_BYTES, CallerLink, receive_available
 from greengageflow.net._caller_parts import (
+    AdmitAllGate,
     BodyBudget,
     CallInterface,
     Limits,
-    OpenGate,
     RequestGate,
 )
 from greengageflow.net._http_parse import is_single_request
 from greengageflow.net.caller_sockets import CallerSockets
 from greengageflow.net.calls import (
-    OWN_INTERFACE,
+    NATIVE_INTERFACE,
     CallerCall,
     ChatCall,
     HealthCall,
     ServiceCall,
     StatusCall,
 )
-from greengageflow.net.reply import Reply, busy_answer
+from greengageflow.net.reply import Reply, host_busy_response
 from greengageflow.net.timers import Timers
 
 __all__ = [
@@ -51,47 +52,49 @@
     "StatusCall",
 ]
 
-SWEEP_S = 0.2
-GIVE_WAY = 16
-"""Part of all connections, one in so many, that gives way at once."""
+TIMEOUT_CHECK_INTERVAL_S = 0.2
+IDLE_CLOSE_DIVISOR = 16
+"""Reciprocal of the share of connections closed at once to make room."""
 
-_INFO_SIZE = 104
-_INFO_WAITING = 24
-"""Where Linux's ``tcp_info`` of a listening socket has its queue's length."""
+_TCP_INFO_BYTES = 104
+_TCP_INFO_QUEUE_OFFSET = 24
+"""Offset of the accept queue's length in Linux's ``tcp_info`` of a listener."""
 
 
 class RequestHandler(Protocol):
-    """What callers' requests are handed to."""
+    """Handles the requests of callers."""
 
     def on_call(self, call: ChatCall | ServiceCall | StatusCall) -> None:
-        """Take a call and answer it through ``call.reply``, now or later."""
+        """Handle a call and answer it through ``call.reply``, now or later."""
 
-    def on_gone(self, call: ChatCall | ServiceCall | StatusCall) -> None:
-        """Note that the caller of an unanswered call is gone."""
+    def on_caller_disconnect(self, call: ChatCall | ServiceCall | StatusCall) -> None:
+        """Handle the disconnect of a caller whose call is unanswered."""
 
-    def unready(self) -> RouterError | None:
-        """Return why the balancer should send nothing here, or None."""
+    def readiness_error(self) -> RouterError | None:
+        """Return why the load balancer should send no requests, or None."""
 
 
 class CallerServer(BaseComponent):
-    """Takes callers' requests and hands them over as typed calls.
+    """Accepts callers' connections and passes their requests on as typed calls.
 
     Args:
-        ip: IP number to listen on.
+        ip: IP address to listen on.
         port: TCP port, or 0 for a free one.
-        handler: Takes the calls.
+        handler: Handles the calls.
         timers: Timer service.
-        limits: Bounds of each connection.
-        max_connections: Most connections at once; more are closed at once.
-        body_budget: Most bytes of request bodies under way on all connections.
-        interface: How callers speak.
-        gate: Says which requests are answered unread that the host is busy.
-        on_full: Takes how many connections are open when there is no room for one more,
-            and how many idle ones give way.
-        channel: Tells the events of several servers in one process apart.
+        limits: Limits of each connection.
+        max_connections: Maximum number of open connections. At the limit idle ones are
+            closed; if there are none, the new one is.
+        body_budget: Maximum bytes of partly received request bodies on all
+            connections together.
+        interface: Parses callers' requests into calls.
+        gate: Decides which requests are rejected unread because the host is busy.
+        on_full: Called at the connection limit with the number of open connections
+            and the number of idle ones that are closed to make room.
+        channel: ``circuits`` channel; separates several servers in one process.
 
     Raises:
-        OSError: The address cannot be listened on.
+        OSError: Listening on the address failed.
     """
 
     channel = "callers"
@@ -106,7 +109,7 @@
         limits: Limits | None = None,
         max_connections: int = 4096,
         body_budget: int = 67_108_864,
-        interface: CallInterface = OWN_INTERFACE,
+        interface: CallInterface = NATIVE_INTERFACE,
         gate: RequestGate | None = None,
         on_full: Callable[[int, int], None] = lambda _open, _idle: None,
         channel: str = "callers",
@@ -117,109 +120,110 @@
             ip,
             port,
             self.channel,
-            on_accepted=self._take_accepted,
+            on_accepted=self._read_on_accept,
             on_bytes=self._on_bytes,
         ).register(self)
         self._handler = handler
         self._interface = interface
         self._budget = BodyBudget(body_budget)
         self._max_connections = max_connections
-        self.taken = 0
+        self.accepted_connections = 0
         self.abandoned = 0
-        self._gate = gate or OpenGate()
+        self._gate = gate or AdmitAllGate()
         self._on_full = on_full
         self._links: dict[socket, CallerLink] = {}
         self._address = (self.sockets.host, self.sockets.port)
         self._timers = timers
-        timers.every(SWEEP_S, self._on_sweep)
+        timers.every(TIMEOUT_CHECK_INTERVAL_S, self._check_timeouts)
 
     @property
     def address(self) -> tuple[str, int]:
-        """IP number and TCP port that it listens on."""
+        """IP address and TCP port that the server listens on."""
         return self._address
 
     @property
     def connections(self) -> int:
-        """Open connections."""
+        """Number of open connections."""
         return len(self._links)
 
     @property
-    def unaccepted(self) -> float:
-        """Connections that wait to be accepted, or NaN where that is not told."""
+    def accept_queue_length(self) -> float:
+        """Connections in the accept queue, or NaN if the system does not report it."""
         sock = self.sockets._sock
         try:
-            info = sock.getsockopt(IPPROTO_TCP, TCP_INFO, _INFO_SIZE)
+            info = sock.getsockopt(IPPROTO_TCP, TCP_INFO, _TCP_INFO_BYTES)
         except (OSError, AttributeError):
             return nan
-        return unpack_from("I", info, _INFO_WAITING)[0]
+        return unpack_from("I", info, _TCP_INFO_QUEUE_OFFSET)[0]
 
     @property
-    def answering(self) -> int:
-        """Calls that are not answered yet."""
+    def unfinished_answers(self) -> int:
+        """Number of connections whose answer is not complete or not fully sent."""
         return sum(
-            link.conn.phase is Phase.ANSWERING or link.conn.queued > 0
+            link.conn.phase is Phase.ANSWERING or link.conn.queued_bytes > 0
             for link in self._links.values()
         )
 
     def set_body_limit(self, body_limit: int) -> None:
-        """Change the largest body of requests that begin from now on."""
-        self.limits = replace(self.limits, body=body_limit)
+        """Change the maximum body size for requests that begin from now on."""
+        self.limits = replace(self.limits, body_bytes=body_limit)
 
-    def set_bounds(self, bounds: CallerLimits) -> None:
-        """Change what callers may send, for requests that begin from now on."""
+    def set_request_limits(self, limits: CallerLimits) -> None:
+        """Change the request limits for requests that begin from now on."""
         self.limits = replace(
             self.limits,
-            body=bounds.body_bytes,
-            headers=bounds.header_bytes,
-            request_s=bounds.header_s,
-            keep_alive_s=bounds.idle_s,
+            body_bytes=limits.body_bytes,
+            header_bytes=limits.header_bytes,
+            header_s=limits.header_s,
+            keep_alive_s=limits.idle_s,
         )
 
-    def end_with_answers(self) -> None:
-        """Let each answer from now on end its connection, and say so."""
-        self.limits = replace(self.limits, last_answer=True)
+    def close_after_answers(self) -> None:
+        """Close each connection after its next answer, with ``Connection: close``."""
+        self.limits = replace(self.limits, close_after_answer=True)
 
     def stop_listening(self) -> None:
-        """Take no new connections; open ones go on."""
+        """Accept no new connections; open ones continue."""
         server = self.sockets
         if server._sock is not None:
-            # Closing would reset those that wait; accepted, they get an answer.
-            server.accept_waiting()
+            # Closing the listener resets connections still in its accept queue;
+            # once accepted, they get an answer.
+            server.accept_queued()
             server._close(server._sock)
 
     def drain(self) -> None:
-        """Take no new connections and end open ones, each after its answer.
+        """Accept no new connections and close each open one after its answer.
 
-        Callers that keep connections open would otherwise send their next request
-        just when the process ends, and see it cut.
+        Otherwise a caller with a persistent connection may send its next request
+        just as the process exits, and lose it.
         """
         self.stop_listening()
         self.limits = replace(self.limits, keep_alive_s=0.0)
 
-    # Handler of the connections: all calls but those answered here.
+    # Handler of the connections: answers health checks, passes on other calls.
 
     def on_call(self, call: CallerCall) -> None:
-        """Answer a health check, or hand the call over."""
+        """Answer a health check; pass any other call to the handler."""
         if not isinstance(call, HealthCall):
             self._handler.on_call(call)
             return
-        error = self._handler.unready()
+        error = self._handler.readiness_error()
         if error is None:
             call.reply.json(200, {"status": "ok"})
         else:
             call.reply.error(error)
 
-    def on_gone(self, call: CallerCall) -> None:
-        """Pass on that a caller is gone."""
+    def on_caller_disconnect(self, call: CallerCall) -> None:
+        """Tell the handler that a caller has disconnected."""
         if not isinstance(call, HealthCall):
-            self._handler.on_gone(call)
+            self._handler.on_caller_disconnect(call)
 
     # Sockets.
 
-    def _admit(self, sock: socket) -> CallerLink | None:
+    def _add_link(self, sock: socket) -> CallerLink | None:
         link = CallerLink(self.sockets, sock)
-        self.taken += 1
-        if self._has_no_room and not self._make_room():
+        self.accepted_connections += 1
+        if self._is_at_connection_limit and not self._close_idle_links():
             link.drop()
             return None
         link.conn = CallerConnection(
@@ -229,71 +233,77 @@
         return link
 
     @property
-    def _has_no_room(self) -> bool:
+    def _is_at_connection_limit(self) -> bool:
         if len(self._links) < self._max_connections:
             return False
-        # Closed ones are among them until their event comes.
+        # Closed connections stay listed until their disconnect event.
         return sum(link.open for link in self._links.values()) >= self._max_connections
 
-    def _make_room(self) -> bool:
-        """Close connections on which nothing is asked; return whether there were any.
+    def _close_idle_links(self) -> bool:
+        """Close the longest idle connections; return whether there were any.
 
-        A caller whose next request crosses that close may send it again, while one that
-        finds no room, or no file left for its endpoint, gets nothing.
+        A caller whose next request crosses the close can safely send it again. A
+        caller that cannot connect, or whose endpoint connection fails for lack of
+        file descriptors, gets no answer.
         """
         idle = [link for link in self._links.values() if link.idle]
-        idle.sort(key=lambda link: link.conn.phase_at)
-        some = idle[: 1 + self._max_connections // GIVE_WAY]
-        self._on_full(len(self._links), len(some))
-        for link in some:
+        idle.sort(key=lambda link: link.conn.phase_started_at)
+        closing = idle[: 1 + self._max_connections // IDLE_CLOSE_DIVISOR]
+        self._on_full(len(self._links), len(closing))
+        for link in closing:
             link.drop()
-        return bool(some)
+        return bool(closing)
 
     @property
     def full(self) -> bool:
-        """Whether there is no room for one more connection, and none gives way."""
-        return self._has_no_room and not any(link.idle for link in self._links.values())
+        """Whether the connection limit is reached and no connection is idle."""
+        return self._is_at_connection_limit and not any(
+            link.idle for link in self._links.values()
+        )
 
     @handler("connect")
     def _on_connect(self, sock: socket, *_peer: object) -> None:
         if sock not in self._links and sock in self.sockets._clients:
-            self._admit(sock)
+            self._add_link(sock)
 
     def _on_bytes(self, sock: socket) -> None:
         link = self._links.get(sock)
         if link is None and sock in self.sockets._clients:
-            link = self._admit(sock)
+            link = self._add_link(sock)
         if link is not None:
             self._read(link)
 
-    def _take_accepted(self, sock: socket) -> bool:
-        """Read a new connection of a late host at once; return whether it was taken.
+    def _read_on_accept(self, sock: socket) -> bool:
+        """Read a new connection at once if the host is overloaded.
+
+        Polling a connection until its end costs several times as much as rejecting
+        its request. A connection whose request is incomplete is polled nevertheless:
+        closing it while bytes are in transit would reset it.
 
-        To watch a connection, and to wait for its end, costs several times what it
-        takes to turn its request away. One whose request has not arrived whole is
-        watched, since closing it with bytes on their way would reset it.
+        Returns:
+            True if the connection needs no further setup.
         """
-        if not self._gate.is_closing or self._has_no_room:
+        if not self._gate.may_shed or self._is_at_connection_limit:
             return False
-        data = received(sock)
+        data = receive_available(sock)
         if data is None:
             return False
         if not data:
-            self.taken += 1
+            self.accepted_connections += 1
             self.abandoned += 1
             sock.close()
             return True
-        is_turned_away = self._gate.turns_away(data)
-        if is_turned_away and is_single_request(data):
-            self.taken += 1
+        is_shed = self._gate.should_shed(data)
+        if is_shed and is_single_request(data):
+            self.accepted_connections += 1
             with suppress(OSError):
-                sock.send(busy_answer(self._interface.retry_after, int(time())))
+                sock.send(host_busy_response(self._interface.retry_after, int(time())))
             sock.close()
             return True
         self.sockets._on_accept_done(sock)
-        link = self._admit(sock)
-        if link is not None and is_turned_away:
-            link.conn.turn_away()
+        link = self._add_link(sock)
+        if link is not None and is_shed:
+            link.conn.reject_unread()
         elif link is not None:
             link.conn.receive(data)
         return True
@@ -301,17 +311,19 @@
     def _read(self, link: CallerLink) -> None:
         if not link.open:
             return
-        data = received(link.sock)
+        data = receive_available(link.sock)
         if data is None:
             return
-        # A late host finds a request and its caller's close together. To decide
-        # anything for it would only keep those waiting who are still there.
-        more = received(link.sock) if 0 < len(data) < READ_SIZE else None
-        if data and more != b"":
-            if link.conn.phase is Phase.IDLE and self._gate.turns_away(data):
-                link.conn.turn_away()
+        # On an overloaded host a request may arrive together with its caller's
+        # close. Handling it would only delay callers that are still connected.
+        more_data = (
+            receive_available(link.sock) if 0 < len(data) < MAX_READ_BYTES else None
+        )
+        if data and more_data != b"":
+            if link.conn.phase is Phase.IDLE and self._gate.should_shed(data):
+                link.conn.reject_unread()
                 return
-            link.conn.receive(data + more if more else data)
+            link.conn.receive(data + more_data if more_data else data)
             return
         if data and link.conn.phase is Phase.IDLE:
             self.abandoned += 1
@@ -322,14 +334,14 @@
         link = self._links.get(sock)
         if link is None or not link.open:
             return
-        link.conn.on_sent(link.queued)
-        if link.finishing and not link.conn.queued:
-            link.shut()
+        link.conn.on_sent(link.queued_bytes)
+        if link.is_finishing and not link.conn.queued_bytes:
+            link.shut_down_sending()
 
     @handler("disconnect")
     def _on_disconnect(self, sock: socket) -> None:
-        # The server keeps an empty buffer and a place in its closing queue for
-        # sockets that broke while writing; over days they would pile up.
+        # ``circuits`` keeps an empty buffer and a closing queue entry for sockets that
+        # failed while writing. Without this they would leak.
         server = self.sockets
         server._buffers.pop(sock, None)
         if sock in server._closeq:
@@ -337,12 +349,12 @@
         link = self._links.pop(sock, None)
         if link is not None:
             link.open = False
-            link.conn.on_lost()
+            link.conn.on_closed()
 
-    def _on_sweep(self) -> None:
+    def _check_timeouts(self) -> None:
         now = monotonic()
-        if self.sockets.accept_again():
+        if self.sockets.resume_accepting():
             self._on_full(len(self._links), 0)
         for link in list(self._links.values()):
             if link.open:
-                link.conn.check_time(now)
+                link.conn.check_timeouts(now)
--- a/greengageflow/net/calls.py
+++ b/greengageflow/net/calls.py
@@ -1,4 +1,4 @@
-"""Typed calls of callers, made from HTTP requests."""
+"""Typed calls, parsed from callers' HTTP requests."""
 
 import re
 from collections.abc import Iterator
@@ -19,8 +19,8 @@
 SERVICE_PREFIX = "/services/"
 SERVICE_METHODS = frozenset({"GET", "HEAD", "POST", "PUT", "PATCH", "DELETE"})
 READ_METHODS = frozenset({"GET", "HEAD"})
-KEY_LIMIT = 255
-COST_LIMIT = 1e9
+MAX_KEY_CHARS = 255
+MAX_HEADER_NUMBER = 1e9
 
 _TRACEPARENT = re.compile(r"[0-9a-f]{2}-[0-9a-f]{32}-[0-9a-f]{16}-[0-9a-f]{2}")
 _ESCAPE = re.compile(r"%(?![0-9A-Fa-f]{2})")
@@ -28,14 +28,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerRequest:
-    """One whole HTTP request of a caller.
+    """A complete HTTP request of a caller.
 
     Args:
         method: HTTP method.
-        target: Path and query as sent.
-        headers: Names in lower case and values, in the order received.
-        body: Whole body.
-        http_1_0: True for a caller that speaks HTTP/1.0.
+        target: Path and query as received.
+        headers: Lower-case names and values, in the order received.
+        body: Complete body.
+        http_1_0: True for an HTTP/1.0 request.
     """
 
     method: str
@@ -68,15 +68,15 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class _Call:
-    """What a caller says with any call that goes to an endpoint.
+    """Fields common to all calls that go to an endpoint.
 
     Args:
         account_key: Bearer key, or empty.
         cost_hint: Expected cost in tokens, or None.
-        idempotency_key: Key of a protected action, or empty.
+        idempotency_key: Idempotency key of a protected action, or empty.
         traceparent: W3C trace context, or empty.
-        deadline_s: Seconds that the caller waits, or None.
-        reply: Takes the answer.
+        deadline_s: Seconds until the caller gives up, or None.
+        reply: Sends the answer.
     """
 
     account_key: str
@@ -93,8 +93,8 @@
 
     Args:
         model: Name of the model.
-        stream: True when the answer is streamed.
-        body: JSON object, checked, as it goes to the engine.
+        stream: True if the answer is streamed.
+        body: Validated JSON object that is sent to the engine.
     """
 
     model: str
@@ -104,16 +104,16 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ServiceCall(_Call):
-    """A call to a plain service.
+    """A call to a service.
 
     Args:
         service: Name of the service.
-        path: Path below the service, without a leading slash and with one
-            spelling for each resource.
+        path: Canonical path below the service, without a leading slash; see
+            ``canonical_path``.
         query: Query without the question mark.
         method: HTTP method.
-        headers: Names in lower case and values.
-        body: Whole body.
+        headers: Lower-case names and values.
+        body: Complete body.
     """
 
     service: str
@@ -125,18 +125,18 @@
 
     @property
     def target(self) -> str:
-        """Path and query to ask a replica of the service for."""
+        """Path and query for a replica of the service."""
         return f"/{self.path}" + (f"?{self.query}" if self.query else "")
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StatusCall:
-    """An operator asks for the router's status.
+    """An operator's request for the router's status.
 
     Args:
         account_key: Bearer key, or empty.
-        request: Id of a request to tell of, or empty.
-        reply: Takes the answer.
+        request: Id of a request to report on, or empty.
+        reply: Sends the answer.
     """
 
     account_key: str
@@ -146,10 +146,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class HealthCall:
-    """The balancer asks whether to send requests here.
+    """A load balancer's health check.
 
     Args:
-        reply: Takes the answer.
+        reply: Sends the answer.
     """
 
     reply: "Reply" = field(compare=False, repr=False)
@@ -158,12 +158,14 @@
 CallerCall = ChatCall | ServiceCall | StatusCall | HealthCall
 
 
-def _bearer(value: str) -> str:
+def _parse_bearer_key(value: str) -> str:
     scheme, _, key = value.strip().partition(" ")
     return key.strip() if scheme.lower() == "bearer" else ""
 
 
-def _positive(request: CallerRequest, name: str, limit: float) -> float | None:
+def _parse_positive_number(
+    request: CallerRequest, name: str, limit: float
+) -> float | None:
     text = request.header(name)
     if not text:
         return None
@@ -176,32 +178,34 @@
     return value
 
 
-def _idempotency_key(request: CallerRequest) -> str:
+def _parse_idempotency_key(request: CallerRequest) -> str:
     key = request.header("idempotency-key")
-    if len(key) > KEY_LIMIT or not all("!" <= char <= "~" for char in key):
-        message = f"idempotency-key: at most {KEY_LIMIT} visible ASCII characters"
+    if len(key) > MAX_KEY_CHARS or not all("!" <= char <= "~" for char in key):
+        message = f"idempotency-key: at most {MAX_KEY_CHARS} visible ASCII characters"
         raise RouterError(ErrorKind.BAD_REQUEST, message)
     return key
 
 
-def _traceparent(request: CallerRequest) -> str:
+def _parse_traceparent(request: CallerRequest) -> str:
     value = request.header("traceparent")
     return value if _TRACEPARENT.fullmatch(value) else ""
 
 
-def _common(request: CallerRequest) -> dict[str, Any]:
+def _parse_common_fields(request: CallerRequest) -> dict[str, Any]:
     return {
-        "account_key": _bearer(request.header("authorization")),
-        "cost_hint": _positive(request, "x-cost-hint", COST_LIMIT),
-        "idempotency_key": _idempotency_key(request),
-        "traceparent": _traceparent(request),
-        "deadline_s": _positive(request, "x-deadline-s", COST_LIMIT),
+        "account_key": _parse_bearer_key(request.header("authorization")),
+        "cost_hint": _parse_positive_number(request, "x-cost-hint", MAX_HEADER_NUMBER),
+        "idempotency_key": _parse_idempotency_key(request),
+        "traceparent": _parse_traceparent(request),
+        "deadline_s": _parse_positive_number(
+            request, "x-deadline-s", MAX_HEADER_NUMBER
+        ),
     }
 
 
-def _segments(path: str) -> Iterator[str]:
+def _canonical_segments(path: str) -> Iterator[str]:
     if _ESCAPE.search(path):
-        raise RouterError(ErrorKind.BAD_REQUEST, "path: broken percent escape")
+        raise RouterError(ErrorKind.BAD_REQUEST, "path: invalid percent escape")
     for part in path.split("/"):
         try:
             text = unquote(part, errors="strict")
@@ -213,39 +217,39 @@
 
 
 def canonical_path(path: str) -> str:
-    """Return the one spelling of ``path`` (no leading slash).
+    """Return the canonical form of ``path`` (no leading slash).
 
-    A service may read ``a/./b``, ``%61/b`` and ``a//b`` all as ``a/b``. A route that
-    is marked as not repeatable could be entered by such a spelling without the
-    protection, so escapes are undone and the rest is refused.
+    A service may read ``a/./b``, ``%61/b`` and ``a//b`` all as ``a/b``. Such variants
+    could bypass the protection of a route that is marked as not repeatable. Therefore
+    needless escapes are decoded and the other variants rejected.
 
     Raises:
-        RouterError: The path has an ambiguous or broken segment.
+        RouterError: The path has an ambiguous or invalid segment.
     """
-    parts = list(_segments(path))
+    parts = list(_canonical_segments(path))
     if "" in parts[:-1]:
         raise RouterError(ErrorKind.BAD_REQUEST, "path: empty segment")
     return "/".join(parts)
 
 
-def _chat_call(request: CallerRequest, reply: "Reply") -> ChatCall:
-    common = _common(request)
+def _parse_chat_call(request: CallerRequest, reply: "Reply") -> ChatCall:
+    common_fields = _parse_common_fields(request)
     chat = parse_chat(request.body)
     if chat.stream and request.http_1_0:
-        message = "stream: needs HTTP/1.1, or a cut answer would look whole"
+        message = "stream: requires HTTP/1.1; over 1.0 a cut answer looks complete"
         raise RouterError(ErrorKind.BAD_REQUEST, message)
-    if common["cost_hint"] is None and chat.max_tokens is not None:
-        common["cost_hint"] = float(min(chat.max_tokens, COST_LIMIT))
+    if common_fields["cost_hint"] is None and chat.max_tokens is not None:
+        common_fields["cost_hint"] = float(min(chat.max_tokens, MAX_HEADER_NUMBER))
     return ChatCall(
         model=chat.model,
         stream=chat.stream,
         body=chat.document,
         reply=reply,
-        **common,
+        **common_fields,
     )
 
 
-def _service_call(request: CallerRequest, reply: "Reply") -> ServiceCall:
+def _parse_service_call(request: CallerRequest, reply: "Reply") -> ServiceCall:
     service, _, path = request.path.removeprefix(SERVICE_PREFIX).partition("/")
     return ServiceCall(
         service=canonical_path(service),
@@ -255,15 +259,15 @@
         headers=request.headers,
         body=request.body,
         reply=reply,
-        **_common(request),
+        **_parse_common_fields(request),
     )
 
 
-class OwnInterface:
-    """The product's own interface; see ``CallInterface``."""
+class NativeInterface:
+    """The native API of this project; see ``CallInterface``."""
 
     def allowed_methods(self, path: str) -> frozenset[str]:
-        """Return the methods that ``path`` takes; none for an unknown path."""
+        """Return the methods allowed for ``path``; empty for an unknown path."""
         if path == CHAT_PATH:
             return frozenset({"POST"})
         if path in (HEALTH_PATH, STATUS_PATH):
@@ -273,10 +277,10 @@
         return frozenset()
 
     def check_target(self, method: str, path: str) -> None:
-        """Refuse a path or method that cannot be answered.
+        """Reject an unsupported path or method.
 
         Raises:
-            RouterError: Unknown path, or a method that the path does not take.
+            RouterError: The path is unknown, or the method not allowed for it.
         """
         methods = self.allowed_methods(path)
         if not methods:
@@ -286,7 +290,7 @@
             raise RouterError(ErrorKind.METHOD_NOT_ALLOWED, message)
 
     def parse_call(self, request: CallerRequest, reply: "Reply") -> CallerCall:
-        """Return the typed call in a request that passed ``check_target``.
+        """Parse a request that passed ``check_target`` into a typed call.
 
         Raises:
             RouterError: The request is not valid; the message names the field.
@@ -295,16 +299,16 @@
             case "/healthz":
                 return HealthCall(reply=reply)
             case "/status":
-                key = _bearer(request.header("authorization"))
-                asked = parse_qs(request.query).get("request", [""])[0]
-                return StatusCall(account_key=key, request=asked, reply=reply)
+                key = _parse_bearer_key(request.header("authorization"))
+                request_id = parse_qs(request.query).get("request", [""])[0]
+                return StatusCall(account_key=key, request=request_id, reply=reply)
             case "/v1/chat/completions":
-                return _chat_call(request, reply)
-        return _service_call(request, reply)
+                return _parse_chat_call(request, reply)
+        return _parse_service_call(request, reply)
 
     def retry_after(self, seconds: float) -> str:
-        """Return a time to come back in whole seconds."""
+        """Return the ``Retry-After`` value for a delay, in whole seconds."""
         return str(max(1, ceil(seconds)))
 
 
-OWN_INTERFACE = OwnInterface()
+NATIVE_INTERFACE = NativeInterface()
--- a/tests/caller_server.py
+++ b/tests/caller_server.py
@@ -1,4 +1,4 @@
-"""A caller server on a loop in a thread, and requests for it as bytes."""
+"""A ``CallerServer`` on an event loop in a thread, and raw requests for it."""
 
 import json
 from contextlib import closing
@@ -8,16 +8,16 @@
 from greengageflow.errors import ErrorKind, RouterError
 from greengageflow.net.callers import CallerServer, Limits, ServiceCall
 
-LIMITS = Limits(body=1000, headers=2000, request_s=30, linger_s=0.5)
+LIMITS = Limits(body_bytes=1000, header_bytes=2000, header_s=30, linger_s=0.5)
 CHAT = {"model": "m", "messages": [{"role": "user", "content": "hi"}]}
 
 
 class Handler:
-    """Keeps the calls; answers service calls with what it got."""
+    """Records calls; answers service calls with an echo of the request."""
 
     def __init__(self):
         self.calls = []
-        self.gone = []
+        self.disconnected = []
         self.error = None
 
     def on_call(self, call):
@@ -31,10 +31,10 @@
                 text = f"{call.method} {call.target} ".encode() + call.body
                 call.reply.raw(200, (("X-Name", "\xe9"),), text)
 
-    def on_gone(self, call):
-        self.gone.append(call)
+    def on_caller_disconnect(self, call):
+        self.disconnected.append(call)
 
-    def unready(self):
+    def readiness_error(self):
         return self.error
 
 
@@ -50,8 +50,8 @@
     def caller(self):
         return Caller(self.callers.address)
 
-    def ask(self, data):
-        """Send ``data``, return everything up to the close of the connection."""
+    def request(self, data):
+        """Send ``data`` and return everything received until the connection closes."""
         with closing(self.caller().sock) as sock:
             sock.sendall(data)
             answer = b""
@@ -79,11 +79,11 @@
     return post("/v1/chat/completions", CHAT | fields, *headers)
 
 
-def last(*headers):
+def closing_headers(*headers):
     return ("Connection: close", *headers)
 
 
-def error_of(answer):
+def error_body(answer):
     return json.loads(answer.partition(b"\r\n\r\n")[2])["error"]
 
 
@@ -92,6 +92,6 @@
     caller.send(chat(stream=True))
     call = wait_for(lambda: server.handler.calls)[0]
     server.loop.call(call.reply.start_stream)
-    server.loop.call(lambda: call.reply.piece(b"data: 1\n\n"))
+    server.loop.call(lambda: call.reply.send_chunk(b"data: 1\n\n"))
     assert b"text/event-stream" in caller.until(b"data: 1\n\n\r\n")
     return caller, call.reply
--- a/tests/test_caller_limits.py
+++ b/tests/test_caller_limits.py
@@ -3,13 +3,13 @@
 from time import sleep
 
 import pytest
-from caller_server import GET, POST, Server, chat, last, post, start_stream
+from caller_server import GET, POST, Server, chat, closing_headers, post, start_stream
 from circuits import Event, handler
 from circuits.core.pollers import _read
 from http_fakes import wait_for
 
 from greengageflow.net._http_parse import is_single_request
-from greengageflow.net.callers import SWEEP_S, Limits
+from greengageflow.net.callers import TIMEOUT_CHECK_INTERVAL_S, Limits
 from greengageflow.platform.interfaces import CallerInterface
 from greengageflow.platform.names import CREDENTIAL
 
@@ -20,10 +20,10 @@
         yield server
 
 
-TIMED = {
-    "slow headers": (Limits(request_s=0.1, linger_s=0.1), GET, b"HTTP/1.1 408 "),
+TIMEOUTS = {
+    "slow headers": (Limits(header_s=0.1, linger_s=0.1), GET, b"HTTP/1.1 408 "),
     "slow body": (
-        Limits(request_s=0.1, linger_s=0.1),
+        Limits(header_s=0.1, linger_s=0.1),
         POST + b"Content-Length: 9\r\n\r\nabc",
         b"HTTP/1.1 408 ",
     ),
@@ -31,36 +31,35 @@
 }
 
 
-@pytest.mark.parametrize("name", TIMED)
-def test_a_slow_caller_is_let_go(name):
-    limits, data, start = TIMED[name]
+@pytest.mark.parametrize("name", TIMEOUTS)
+def test_slow_callers_are_disconnected(name):
+    limits, data, start = TIMEOUTS[name]
     with closing(Server(limits)) as server:
-        answer = server.ask(data)
+        answer = server.request(data)
         assert answer.startswith(start)
         assert bool(answer) == bool(start)
 
 
-def test_a_caller_that_never_reads_is_let_go():
-    """The endpoint is freed although the caller keeps its connection open.
+def test_a_caller_that_never_reads_is_disconnected():
+    """A caller that requests a stream and never reads does not occupy an endpoint.
 
-    The caller asks for a stream and never reads; after the write limit its
-    connection is closed and the handler hears that it is gone.
+    After ``write_s`` the connection is closed and the handler is notified.
     """
     with closing(Server(Limits(write_s=0.1))) as server:
         caller = server.caller()
         caller.send(chat(stream=True))
         call = wait_for(lambda: server.handler.calls)[0]
         server.loop.call(call.reply.start_stream)
-        server.loop.call(lambda: call.reply.piece(b"x" * 20_000_000))
-        wait_for(lambda: server.handler.gone)
+        server.loop.call(lambda: call.reply.send_chunk(b"x" * 20_000_000))
+        wait_for(lambda: server.handler.disconnected)
 
 
 def test_draining_ends_each_connection_after_its_answer():
-    """A planned stop cuts nobody.
+    """Draining truncates no answer.
 
-    One caller waits for its answer, one streams and one is idle when the router
-    starts to drain. The first two get their answers to the end; then all three
-    connections end and no new one is taken.
+    One caller waits for its answer, one receives a stream and one is idle when the
+    drain starts. The first two get their complete answers, all three connections are
+    closed, and no new connection is accepted.
     """
     with closing(Server()) as server:
         idle, waiting = server.caller(), server.caller()
@@ -73,53 +72,57 @@
         answer = waiting.rest()
         assert answer.endswith(b'"whole"')
         assert b"\r\nconnection: close\r\n" in answer
-        server.loop.call(lambda: reply.piece(b"x" * 9_000_000))
+        server.loop.call(lambda: reply.send_chunk(b"x" * 9_000_000))
         server.loop.call(reply.end_stream)
-        sleep(3 * SWEEP_S)
+        sleep(3 * TIMEOUT_CHECK_INTERVAL_S)
         assert stream.rest().endswith(b"0\r\n\r\n")
         with pytest.raises(ConnectionRefusedError):
             server.caller()
 
 
-def test_a_connection_that_arrives_when_draining_begins_is_no_fault():
-    """A caller connects in the very round in which the router begins to drain. circuits
-    accepts one round after it has seen the connection; with the listening socket gone
-    by then, accepting failed and was logged as a fault of the program."""
+def test_a_connection_that_arrives_as_the_drain_starts_is_closed_cleanly():
+    """A caller connects in the same event loop round in which the drain starts.
+
+    circuits accepts one round after it has seen the connection. The listening socket
+    was already closed then, so that accepting failed with a logged exception.
+    """
     with closing(Server()) as server:
-        app, web = server.loop.app, server.callers.sockets
+        app, tcp_server = server.loop.app, server.callers.sockets
         drain = handler("drain_now")(lambda _manager: server.callers.drain())
 
-        def arrive_and_drain():
+        def connect_and_drain():
             app.addHandler(drain)
-            app.fire(_read(web._sock), web.channel)
+            app.fire(_read(tcp_server._sock), tcp_server.channel)
             app.fire(Event.create("drain_now"), "*")
 
-        late = server.caller()
-        server.loop.call(arrive_and_drain)
-        assert late.rest() == b""
+        late_caller = server.caller()
+        server.loop.call(connect_and_drain)
+        assert late_caller.rest() == b""
         with pytest.raises(ConnectionRefusedError):
             server.caller()
 
 
-def test_bodies_under_way_are_bounded_together(server):
-    """Many callers with large bodies cannot fill the router's memory.
+def test_the_total_size_of_unfinished_bodies_is_limited(server):
+    """Many callers with large bodies cannot exhaust the router's memory.
 
-    A body that finds no room among those under way is refused with a time to come
-    back; once the others are done or gone there is room again.
+    A body beyond the shared budget is rejected with 429. The budget is released when
+    other bodies are complete or their callers disconnect.
     """
     server.callers._budget._limit = 1500
     first = server.caller()
     first.send(POST + b"Content-Length: 1000\r\n\r\n" + b"x" * 900)
     wait_for(lambda: server.callers._budget.used == 900)
     body = b"y" * 800
-    answer = server.ask(post("/services/a/b", body))
+    answer = server.request(post("/services/a/b", body))
     assert answer.startswith(b"HTTP/1.1 429 ")
     first.sock.close()
     wait_for(lambda: server.callers._budget.used == 0)
-    assert server.ask(post("/services/a/b", body, *last())).endswith(body)
+    assert server.request(post("/services/a/b", body, *closing_headers())).endswith(
+        body
+    )
 
 
-def test_too_many_connections_are_closed_and_places_come_back():
+def test_connections_beyond_the_limit_are_closed_until_others_end():
     with closing(Server()) as server:
         server.callers._max_connections = 1
         first = server.caller()
@@ -137,38 +140,40 @@
         fourth = server.caller()
         fourth.send(post("/services/a/b"))
         fourth.until(b"POST /b ")
-        assert third.rest() == b"", "on which nothing was asked any more"
+        assert third.rest() == b"", "idle connection is closed to make room"
 
 
-class NoPosts:
-    """A gate that turns away what is posted."""
+class RejectPosts:
+    """A gate that rejects POST requests."""
 
-    def __init__(self, is_closing):
-        self.is_closing = is_closing
+    def __init__(self, may_shed):
+        self.may_shed = may_shed
 
-    def turns_away(self, data):
+    def should_shed(self, data):
         return data.startswith(b"POST")
 
 
 @pytest.mark.parametrize("size", [0, 10, 500_000])
-@pytest.mark.parametrize("is_closing", [False, True])
-def test_a_request_that_is_turned_away_gets_a_whole_answer(is_closing, size):
-    """A late host answers before it has read a long body. Closing at once would reset
-    the connection, and the caller might never see the answer."""
+@pytest.mark.parametrize("may_shed", [False, True])
+def test_a_shed_request_gets_a_complete_answer(may_shed, size):
+    """An overloaded host answers before it has read a long body.
+
+    Closing at once would reset the connection and could lose the answer.
+    """
     with closing(Server()) as server:
-        server.callers._gate = NoPosts(is_closing)
-        answer = server.ask(post("/services/a/b", b"x" * size))
+        server.callers._gate = RejectPosts(may_shed)
+        answer = server.request(post("/services/a/b", b"x" * size))
         head, _, body = answer.partition(b"\r\n\r\n")
         assert head.startswith(b"HTTP/1.1 503 ")
         assert b"\r\nRetry-After: " in head and b"\r\nConnection: close" in head
         assert json.loads(body)["error"]["ran"] == "no"
         assert not server.handler.calls
         get = b"GET /services/a/b HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
-        assert server.ask(get).startswith(b"HTTP/1.1 200 ")
+        assert server.request(get).startswith(b"HTTP/1.1 200 ")
 
 
 @pytest.mark.parametrize(
-    ("data", "is_whole"),
+    ("data", "is_single"),
     [
         (b"GET / HTTP/1.1\r\nHost: x\r\n\r\n", True),
         (b"POST / HTTP/1.1\r\nContent-Length: 2\r\n\r\nab", True),
@@ -180,9 +185,9 @@
         (b"", False),
     ],
 )
-def test_only_what_is_plainly_whole_is_answered_without_being_watched(data, is_whole):
-    """Closing with bytes on their way would reset the connection."""
-    assert is_single_request(data) is is_whole
+def test_only_a_single_complete_request_is_answered_without_polling(data, is_single):
+    """Closing while bytes are in transit would reset the connection."""
+    assert is_single_request(data) is is_single
 
 
 def test_the_key_of_a_request_is_found_without_parsing_it():
