--- a/greengageflow/daemon/_config_watch.py
+++ b/greengageflow/daemon/_config_watch.py
@@ -1,4 +1,4 @@
-"""What a follower reads from, and what it notes of the records."""
+"""Log interface, snapshot schedule and event logging of the config follower."""
 
 from collections.abc import Callable, Sequence
 from typing import Any, Protocol
@@ -28,13 +28,13 @@
 
 
 class SnapshotClock:
-    """Knows when the state must be appended again.
+    """Decides when a snapshot of the state must be appended to the log.
 
-    Copies do no harm, so a failed append is simply tried again when it is due.
+    Duplicate snapshots are harmless, so a failed append is retried at the next check.
 
     Args:
-        interval_s: Time after which a snapshot is old, in seconds.
-        start: Unix time from which the first one is due.
+        interval_s: Maximum age of the newest snapshot, in seconds.
+        start: Unix time from which the first interval is measured.
     """
 
     def __init__(self, interval_s: float, start: float) -> None:
@@ -44,20 +44,20 @@
         self._offset = -1
 
     def note(self, record: LogRecord, outcome: Outcome) -> None:
-        """Take note of a snapshot that is right."""
+        """Record the time and offset of a valid snapshot."""
         match outcome:
             case Adopted() | Skipped(reason=Reason.SNAPSHOT_KNOWN):
                 self._time = record.time
                 self._offset = record.offset
 
     def due(self, now: float) -> bool:
-        """Tell whether the newest snapshot is old or no longer in the log."""
+        """Return whether the newest snapshot is too old or trimmed from the log."""
         forgotten = self.first_offset > max(self._offset, 0)
         return forgotten or now - self._time >= self._interval_s
 
 
 def log_outcome(offset: int, author: str, outcome: Outcome) -> None:
-    """Log the event that tells what became of a record."""
+    """Log the event for the outcome of a record."""
     match outcome:
         case Accepted(revision):
             log(Event.CONFIG_ACCEPTED, revision=revision, author=author, offset=offset)
--- a/greengageflow/daemon/config_follower.py
+++ b/greengageflow/daemon/config_follower.py
@@ -1,4 +1,4 @@
-"""Keeps one router's configuration up to date from the log and from its peers."""
+"""Keeps a router's configuration up to date from the log and from peers."""
 
 from collections.abc import Callable, Sequence
 from random import Random
@@ -34,27 +34,28 @@
 class ConfigFollower:
     """Follows the configuration stream.
 
-    Readers poll the log without pause; the others learn of a new revision by
-    ``on_peer_revision`` and ask that peer for it, and poll the log now and then in
-    case no peer tells them. What is in force never goes back.
+    Routers with the reader role long-poll the log continuously. The others learn of
+    a new revision through ``on_peer_revision`` and fetch it from that peer; they
+    also poll the log infrequently in case gossip is lost. The revision in force
+    never decreases.
 
     Args:
         host: Host of this router.
-        log_client: The platform's log.
+        log_client: Client of the platform's log.
         timers: Timer service.
-        on_config: Called with each configuration that comes into force.
+        on_config: Called with each configuration that takes effect.
         send: Sends a message to a host.
-        peers: Returns hosts that may be asked.
-        roles: Returns what this router does for the others.
-        fold: Fold to start from.
-        wait_s: Long poll of readers, in seconds.
-        poll_s: Longest time between two polls of the others, in seconds.
-        snapshot_interval_s: Time after which the state is appended again, in
-            seconds; well below half of the log's retention.
-        rng: Source of jitter.
+        peers: Returns the hosts that a state can be requested from.
+        roles: Returns the configuration roles of this router.
+        fold: Initial state; empty by default.
+        wait_s: Long-poll timeout of readers, in seconds.
+        poll_s: Maximum time between polls of the other routers, in seconds.
+        snapshot_interval_s: Time between snapshots appended to the log, in seconds;
+            must be well below half of the log's retention period.
+        rng: Random source for jitter.
         now: Monotonic clock, in seconds.
-        wall: Unix clock, in seconds; compared with the log's times only to tell
-            when a snapshot is due.
+        wall: Unix clock, in seconds; only compared with the timestamps of log
+            records to tell when a snapshot is due.
     """
 
     def __init__(
@@ -111,7 +112,7 @@
 
     @property
     def revision(self) -> int:
-        """Revision in force, as told to peers."""
+        """Revision in force, as announced to peers."""
         return self.fold.config.revision
 
     @property
@@ -135,7 +136,7 @@
         return "shorter" if self._shorter else "up"
 
     def start(self) -> None:
-        """Ask peers and begin to read."""
+        """Request the state from a peer and start reading the log."""
         self._live = True
         self._exchange.request_from_random_peer()
         self._read()
@@ -144,17 +145,17 @@
         )
 
     def stop(self) -> None:
-        """Read and append no more."""
+        """Stop reading and appending."""
         self._live = False
         if self._snapshot_timer is not None:
             self._snapshot_timer.cancel()
 
     def on_peer_revision(self, host: str, revision: int) -> None:
-        """Take note of the revision that a peer has in force."""
+        """Handle the revision that a peer has in force."""
         self._exchange.on_peer_revision(host, revision)
 
     def received(self, host: str, message: ConfigRequest | ConfigState) -> None:
-        """Take a message of a peer."""
+        """Handle a message from a peer."""
         self._exchange.on_message(host, message)
 
     def _give(self) -> None:
@@ -209,7 +210,7 @@
         self._later(_PAUSE_S)
 
     def _skip_to(self, first_offset: int) -> None:
-        """Pass over lost records, unless a peer has brought their outcome."""
+        """Skip trimmed records unless a peer's state already covers them."""
         offset = self.fold.next_offset
         if first_offset > offset:
             log(Event.CONFIG_LAPSED, offset=offset, first_offset=first_offset)
@@ -218,7 +219,8 @@
 
     def _on_records(self, result: Records) -> None:
         self._snapshots.first_offset = result.first_offset
-        # Compared with what was asked: a peer may have brought a later state since.
+        # Compare with the requested offset: the fold may have advanced during the read
+        # with a later state from a peer.
         if result.next_offset < self._asked_from:
             self._on_shorter(result.next_offset)
             return
@@ -227,18 +229,19 @@
             self._skip_to(result.records[0].offset)
         for record in result.records:
             if record.offset > self.fold.next_offset or self.fold.halted:
-                # The fold went back to the records after a snapshot, or cannot go on.
+                # The fold returned to the offset after a snapshot, or has halted.
                 break
             self._apply(record)
         if not self.fold.complete:
             self._exchange.request_from_random_peer()
-        # Before the rest of the router hears of it: a fault there must not end this.
+        # Schedule the next read first, so that an exception in another component does
+        # not stop the reads.
         self._schedule(result)
         self._give()
 
     def _on_shorter(self, next_offset: int) -> None:
-        # Another log, or one that was emptied: its records speak of revisions that
-        # never were, so the configuration in force stays.
+        # The log was replaced or emptied. Its records refer to a different revision
+        # history, so keep the configuration in force.
         if not self._shorter:
             log(Event.LOG_SHORTER, next_offset=next_offset, known=self._asked_from)
         self._shorter = True
--- a/greengageflow/daemon/control.py
+++ b/greengageflow/daemon/control.py
@@ -1,4 +1,4 @@
-"""Drives the core: delivers messages to its parts and carries out their effects."""
+"""Dispatches messages to the core components and executes the effects they return."""
 
 from collections import deque
 from collections.abc import Callable, Iterable
@@ -62,11 +62,11 @@
 OWNER_TICK_S = 0.05
 ACTION_TICK_S = 0.1
 SETTLE_S = 2.0
-"""Time in which a change of members reaches all routers."""
+"""Time for a membership change to propagate to all routers."""
 
 
 class RequestSide(Protocol):
-    """What the core decides about requests."""
+    """Handles the core's decisions about requests."""
 
     def on_start(self, start: Start) -> None:
         """Send a request to its endpoint."""
@@ -75,26 +75,27 @@
         """Refuse a request."""
 
     def on_may_run(self, request: str) -> None:
-        """Go on with a protected action."""
+        """Proceed with a protected action whose intent was accepted."""
 
     def on_replay(self, replay: Replay) -> None:
-        """Answer with the recorded answer."""
+        """Answer a repeated action with the recorded response."""
 
 
 class Control:
-    """One router's part in the fleet.
+    """Runs the core components of one router and connects them to I/O.
 
     Args:
-        own: This life of this router.
-        link: Messages to other routers.
+        own: Host and boot time of this router process.
+        link: Transport for messages to other routers.
         timers: Timer service.
-        log_client: The platform's log.
-        membership: Which routers live.
-        roster: Hosts that bear slots.
-        on_config_message: Takes ``ConfigRequest`` and ``ConfigState``.
-        on_newer_revision: Takes a host and the revision it has in force.
-        on_order_notice: Takes ``OrderNotice``.
-        on_crash_report: Takes ``CrashReport``.
+        log_client: Client of the platform's log.
+        membership: Membership protocol state.
+        roster: Router hosts among which slots are divided.
+        on_config_message: Called with the sending host and a ``ConfigRequest`` or
+            ``ConfigState``.
+        on_newer_revision: Called with a host and the revision it has in force.
+        on_order_notice: Called with each ``OrderNotice``.
+        on_crash_report: Called with each ``CrashReport``.
         sharing: See ``RouterSettings``.
     """
 
@@ -149,27 +150,27 @@
         self._policy_share_s: float | None = None
 
     def start(self) -> None:
-        """Begin to take part."""
+        """Start the periodic timers."""
         self._timers.every(self.membership.tick_s, self._on_membership_tick)
         self._timers.every(OWNER_TICK_S, self._on_owner_tick)
         self._timers.every(ACTION_TICK_S, self._on_action_tick)
         self._on_membership_tick()
 
     def on_config(self, cfg: FleetConfig) -> None:
-        """Take over a configuration."""
+        """Apply a configuration."""
         now = monotonic()
         self.membership.revision = cfg.revision
         self.ledger.on_config(cfg)
         self.leaving.on_config(cfg)
         self.run(self.entry.on_config(now, cfg))
-        # Before it grants: an endpoint that comes back under its old generation is
-        # new to the owner, whose mark went with the old one.
+        # An endpoint that is removed and added again with its old generation has no
+        # leaving mark in the owner. The generations restore it before grants are sent.
         self.run(self.owner.on_config(now, cfg, self.leaving.left_generations))
         self._policy_share_s = cfg.policy.share_interval_s
         self._pace_shares()
 
     def _pace_shares(self) -> None:
-        """Report as often as the policy and the size of the fleet allow."""
+        """Set the share report interval from the policy and the fleet size."""
         if self._policy_share_s is None:
             return
         interval_s = share_interval_s(self._policy_share_s, len(self.view.live))
@@ -184,9 +185,9 @@
     # Messages and effects.
 
     def receive(self, sender: PeerId, message: Any) -> None:
-        """Take a message of a router, this one included."""
+        """Dispatch a message from any router, including this one."""
         now = monotonic()
-        # What lies in the socket after a pause may come before the next tick.
+        # Messages buffered during a process pause may be read before the next tick.
         self.membership.detect_pause(now)
         self._follow_pause(now)
         match message:
@@ -218,9 +219,9 @@
                 self.actions.on_stored(message)
 
     def run(self, effects: Iterable[Effect]) -> None:
-        """Carry out effects, then deliver what this router sent to itself."""
-        # Taken as a whole first: an effect may call the same part of the core
-        # again, which must not happen in the middle of its own change.
+        """Execute effects, then deliver the messages this router sent to itself."""
+        # Collect all effects first: executing one may call the same core component
+        # again, which must not happen while its generator is still updating state.
         for effect in tuple(effects):
             self._carry_out(effect)
         if self._delivering:
@@ -269,15 +270,15 @@
         return take
 
     def send(self, host: str, message: Any) -> None:
-        """Send a message to a host, this one included."""
+        """Send a message to a host, which may be this one."""
         self.run((Send(host, message),))
 
     def send_crashes(self, records: tuple[CrashRecord, ...], most: int | None) -> None:
-        """Send other routers which requests crashed endpoints.
+        """Send crash records to other routers.
 
         Args:
-            records: What is known.
-            most: Routers that get it, drawn at random; None for all.
+            records: Records of requests that crashed endpoints.
+            most: Maximum number of receivers, chosen at random; None for all.
         """
         hosts = sorted(self.view.live.keys() - {self.own.host})
         if most is not None:
@@ -285,7 +286,7 @@
         self.run([Send(host, CrashReport(records)) for host in hosts])
 
     def note_leaving(self, endpoint: str) -> bool:
-        """Take a sign that an endpoint leaves; return whether it is news."""
+        """Mark an endpoint as leaving; return whether it was not marked before."""
         if self.leaving.is_leaving(endpoint):
             return False
         self.run(self.leaving.record(endpoint))
@@ -303,7 +304,7 @@
         host, _, boot = holder.rpartition(":")
         return self.view.is_live(PeerId(host, int(boot)))
 
-    # Time.
+    # Periodic work.
 
     def _on_membership_tick(self) -> None:
         self.run(self.membership.on_tick(monotonic()))
@@ -317,7 +318,7 @@
         self._follow_pause(monotonic())
 
     def _follow_pause(self, now: float) -> None:
-        """Tell the parts when a pause makes the view doubtful, and when it is not."""
+        """Notify components when a pause puts the view in doubt or it is confirmed."""
         confirmed = self.membership.confirmed
         if confirmed == self._confirmed:
             return
@@ -331,7 +332,7 @@
             self.entry.on_pause()
 
     def refresh_view(self) -> None:
-        """Tell the parts when members or the roster have changed."""
+        """Notify components if the members or the roster have changed."""
         members = self.membership.members
         self.roster.on_members(members.keys())
         roster = frozenset(self.roster.hosts)
--- a/greengageflow/daemon/observer.py
+++ b/greengageflow/daemon/observer.py
@@ -1,4 +1,4 @@
-"""Turns changes of one router's state into log events, and its state into gauges."""
+"""Logs state changes of a router and exports its state as metrics."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Traffic:
-    """Totals since the start, of which the difference is sent."""
+    """Cumulative counters since start; metrics report the differences."""
 
     bytes_in: int = 0
     bytes_out: int = 0
@@ -31,15 +31,15 @@
 
 
 class Observer:
-    """Watches one router.
+    """Observes one router for events and metrics.
 
     Args:
-        control: The core.
-        link: Messages to other routers.
-        log_client: The platform's log.
-        metrics: Where gauges and counters go.
-        host_list: Returns the reader of the platform's list, if there is one.
-        quarantined: Returns the requests that are held back for crashes.
+        control: Control of the core components.
+        link: Transport for messages to other routers.
+        log_client: Client of the platform's log.
+        metrics: Receiver of gauges and counters.
+        host_list: Returns the reader of the platform's host list, or None if unused.
+        quarantined: Returns the number of quarantined requests.
     """
 
     def __init__(
@@ -65,14 +65,14 @@
         self._sent = _Traffic()
 
     def start(self, timers: Timers) -> None:
-        """Begin to watch."""
+        """Start the periodic timers."""
         timers.every(WATCH_S, lambda: self.watch(timers.now))
         timers.every(GAUGES_S, lambda: self.send(timers.now))
 
     # Events.
 
     def watch(self, now: float) -> None:
-        """Log what changed since the last call."""
+        """Log an event for each change since the last call."""
         self._watch_members()
         self._watch_endpoints(now)
         self._watch_host_list(now)
@@ -122,7 +122,7 @@
             return
         if reader.failures and self._list_down_since is None:
             self._list_down_since = now
-            log(Event.HOST_LIST_OUTAGE, error=f"{reader.failures} failed readings")
+            log(Event.HOST_LIST_OUTAGE, error=f"{reader.failures} failed reads")
         elif not reader.failures and self._list_down_since is not None:
             log(Event.HOST_LIST_BACK, seconds=now - self._list_down_since)
             self._list_down_since = None
@@ -130,7 +130,7 @@
     # Gauges and counters.
 
     def send(self, now: float) -> None:
-        """Send gauges, and counters of what came since the last call."""
+        """Send gauges, and counter increments since the last call."""
         control, metrics = self._control, self._metrics
         usage = list(control.owner.usage(now))
         metrics.gauge(Metric.WAITING, control.entry.waiting)
@@ -149,7 +149,7 @@
 
     @property
     def service_gap(self) -> float:
-        """Largest gap of weighted service between backlogged accounts, in tokens."""
+        """Largest difference in weighted service of backlogged accounts, in tokens."""
         ledger = self._control.ledger
         levels = [
             ledger.level(account)
--- a/greengageflow/daemon/order_follower.py
+++ b/greengageflow/daemon/order_follower.py
@@ -1,8 +1,8 @@
-"""Follows the stream of orders, and sends those of endpoints that this router owns.
+"""Reads the order stream and sends the orders of endpoints that this router owns.
 
-Only the configuration readers poll the stream. They tell the owner of an endpoint
-with an open order to read on, and tell it again while the order stays open, so that
-a lost notice or a new owner costs a few seconds and nothing else.
+Only routers with the configuration reader role poll the stream. They notify the owner
+of each endpoint with an open order, and repeat the notice while the order is open, so
+a lost notice or a change of owner delays the order by a few seconds at most.
 """
 
 import json
@@ -37,20 +37,20 @@
 
 
 class OrderFollower:
-    """One router's part in the orders to engines.
+    """Processes the orders to the engines that one router owns.
 
     Args:
-        own: This life of this router.
-        log_client: The platform's log.
+        own: Host and boot time of this router process.
+        log_client: Client of the platform's log.
         pool: Outbound connections.
         timers: Timer service.
-        view: Returns the members that this router sees.
-        endpoints: Returns the endpoint of a name, or None.
+        view: Returns this router's view of the fleet.
+        endpoints: Returns the endpoint with a name, or None.
         reader: Returns whether this router polls the stream.
         send: Sends a message to a host.
-        wait_s: Long poll of readers, in seconds.
-        window_s: Seconds from claiming an order to its first byte.
-        timeout_s: Wait for an engine's answer, in seconds.
+        wait_s: Long-poll timeout of readers, in seconds.
+        window_s: Maximum time from claiming an order to sending it, in seconds.
+        timeout_s: Maximum wait for an engine's response, in seconds.
     """
 
     def __init__(
@@ -95,20 +95,20 @@
 
     @property
     def busy(self) -> bool:
-        """Whether an order is on its way or a record waits for the log."""
+        """Whether an order is in flight or a record is not yet appended."""
         return self._owner.busy
 
     @property
     def status(self) -> list[dict[str, Any]]:
-        """JSON list for ``/status``; whole on readers and on owners."""
+        """JSON list for ``/status``; complete only on readers and owners."""
         return [_status_row(state) for state in self._owner.fold.states]
 
     def start(self) -> None:
-        """Begin to take part."""
+        """Start the periodic timer."""
         self._timers.every(TICK_S, self._on_tick)
 
     def received(self, message: OrderNotice) -> None:
-        """Take a reader's word that there is something to read."""
+        """Handle a reader's notice that the stream has new records."""
         self._read_to = max(self._read_to, message.next_offset)
         self._on_tick()
 
@@ -139,7 +139,7 @@
                 case SendOrder():
                     self._send_order(effect)
 
-    # The log.
+    # Log.
 
     def _read(self, now: float) -> None:
         behind = self._next_offset < self._read_to
@@ -171,7 +171,7 @@
     def _on_records(self, result: Records) -> None:
         self._shorter = False
         if not result.records:
-            # Where the log has no more than that, a notice spoke of another one.
+            # The log ends here, so a later offset in a notice referred to another log.
             self._read_to = min(self._read_to, self._next_offset)
             self._read_at = self._timers.now + TICK_S
             return
@@ -184,8 +184,9 @@
         self._notice_at = 0.0
 
     def _on_shorter(self, end: int) -> None:
-        # Its fencing numbers would be lower than those that engines know, and its
-        # orders may have run: nothing is sent until it has grown past that.
+        # Fencing numbers from a shorter log would be lower than those the engines have
+        # seen, and its orders may already have run. Send nothing until the log has
+        # grown past the offset read so far.
         if not self._shorter:
             log(Event.LOG_SHORTER, next_offset=end, known=self._next_offset)
         self._shorter = True
@@ -198,7 +199,7 @@
         for host in sorted(owners - {None, self._own.host}):
             self._send(host, OrderNotice(self._next_offset))
 
-    # The engine.
+    # Engine requests.
 
     def _send_order(self, send: SendOrder) -> None:
         order = send.order
@@ -215,7 +216,7 @@
             self._on_tick()
 
         if endpoint is None:
-            end("not_sent", "the endpoint is gone")
+            end("not_sent", "the endpoint is not configured")
             return
         req = HttpRequest(
             "POST",
--- a/greengageflow/daemon/router.py
+++ b/greengageflow/daemon/router.py
@@ -1,4 +1,4 @@
-"""``greengage-router``: the daemon of one host."""
+"""``greengage-router``: the router daemon that runs on each host."""
 
 import json
 import sys
@@ -49,10 +49,10 @@
 
 
 class Router(Program):
-    """All parts of one router process.
+    """Creates and connects the components of one router process.
 
     Args:
-        settings: Checked settings.
+        settings: Validated settings.
     """
 
     channel = "router"
@@ -196,7 +196,7 @@
             timeout_s=timing.order_timeout_s,
         )
 
-    # Wiring.
+    # Callbacks between components.
 
     def _owns(self, endpoint: str) -> bool:
         return self._control.view.owner_of(endpoint) == self._own.host
@@ -212,7 +212,7 @@
         self._control.refresh_view()
 
     def _take_signs(self, entries: tuple[HostEntry, ...]) -> None:
-        """Take the signs of the list that are of the present generation."""
+        """Process leaving reports of the host list for current endpoint generations."""
         for entry in filter(self._is_configured, entries):
             left = self._control.leaving.left_generation(entry.host)
             endpoint = self._follower.config.endpoints[entry.host]
@@ -248,7 +248,7 @@
         self._watch.on_config(cfg)
         self._control.on_config(cfg)
 
-    # Life.
+    # Start and stop.
 
     @handler("started", channel="*")
     def _on_started(self, *_args: object) -> None:
@@ -276,8 +276,8 @@
         print(json.dumps({"ready": True, "host": ip, "port": port}), flush=True)
 
     def _check_superseded(self) -> None:
-        # Others ignore this process once a later life of its host is known. It
-        # would queue requests for ever; stopping lets its callers go elsewhere.
+        # Peers ignore this process once they see a newer boot of its host, so its
+        # requests would stay queued forever. Stopping lets callers retry elsewhere.
         if self._control.membership.newer_boot is not None:
             self._begin_stop()
 
@@ -324,11 +324,11 @@
 
 
 def run(settings: str) -> None:
-    """Run one router until it is told to stop (SIGTERM).
+    """Run one router until it receives SIGTERM.
 
     Args:
-        settings: Path of the JSON settings; ``greengage-ctl settings example``
-            prints a working file.
+        settings: Path of the JSON settings file; ``greengage-ctl settings example``
+            prints a working one.
 
     Example:
         greengage-router --settings=r1.json
--- a/greengageflow/daemon/status.py
+++ b/greengageflow/daemon/status.py
@@ -1,4 +1,4 @@
-"""What ``GET /status`` tells operators."""
+"""Response of ``GET /status``."""
 
 from collections.abc import Callable, Iterator
 from time import monotonic
@@ -11,15 +11,15 @@
 
 
 class StatusSource:
-    """Gathers the state of one router.
+    """Collects the status of one router.
 
     Args:
-        control: The core.
-        follower: The configuration.
-        link: Messages to other routers.
-        log_client: The platform's log.
+        control: Control of the core components.
+        follower: Follower of the configuration stream.
+        link: Transport for messages to other routers.
+        log_client: Client of the platform's log.
         state: Returns ``running`` or ``stopping``.
-        orders: Returns the orders to engines that this router knows of.
+        orders: Returns status rows of the orders that this router has read.
     """
 
     def __init__(
@@ -40,7 +40,7 @@
         self._orders = orders
 
     def status(self) -> dict[str, Any]:
-        """Return the JSON object."""
+        """Return the status as a JSON object."""
         control = self._control
         return {
             "host": control.own.host,
