--- a/tests/test_action_faults.py
+++ b/tests/test_action_faults.py
@@ -1,4 +1,4 @@
-"""Protected actions at most once, with real processes and a platform that fails."""
+"""At-most-once execution of protected actions, with real processes and faults."""
 
 from concurrent.futures import ThreadPoolExecutor
 from contextlib import contextmanager
@@ -52,7 +52,7 @@
 
 
 def logged(lab, kind, key):
-    """Records of a kind that the log holds for a key of account acme."""
+    """Return the log's records of one kind for a key of account acme."""
     found = []
     for stream in STREAMS:
         answer = lab.log.call("GET", f"/streams/{stream}/records?from=0&limit=1000")
@@ -67,10 +67,10 @@
 
 
 def test_one_key_through_three_routers_at_once_runs_once(lab):
-    """A caretaker's phone repeats a dispatch while the first one is still running.
+    """A client repeats an action while the first attempt is still running.
 
-    Three routers ask for the same key at the same moment. All of them append an
-    intent; the first in the log sends, the others wait and give its answer.
+    Three routers get the same key at the same time. Each appends an intent; the router
+    whose intent is first in the log sends, the others wait and return its response.
     """
     for service in lab.services.values():
         service.fault(answer_delay_s=0.3)
@@ -90,10 +90,10 @@
 
 
 def test_log_down_refuses_and_the_key_stays_free(lab):
-    """The caller is told "not run" at once and succeeds when the log is back.
+    """The caller gets "not run" at once and succeeds when the log is back.
 
-    The intent cannot be appended, so nothing may be sent; nor may it be sent later,
-    when the append that was tried again at last goes through.
+    Without an appended intent the action must not be sent, not even later when a
+    retried append succeeds.
     """
     lab.log.fault(down=True)
     answer = dispatch(lab, "r1", "k-down")
@@ -111,10 +111,10 @@
 @pytest.mark.parametrize("only", ["append", "read"])
 @pytest.mark.parametrize("skip", [0, 1])
 def test_log_answers_lost_after_their_effect_double_nothing(lab, only, skip):
-    """The caller gets one answer for one effect though the log's answers are lost.
+    """The action runs once even though responses of the log are lost.
 
-    The record is in the log, but the router does not know. It appends again under
-    the same nonce, and the fold ignores the copy.
+    The router does not know that the record was appended and appends it again with
+    the same nonce; the fold ignores the second copy.
     """
     key = f"k-lost-{only}-{skip}"
     lab.log.fault(only=only, lose_answers=2, skip=skip)
@@ -133,10 +133,10 @@
 
 
 def test_an_answer_lost_after_the_effect_is_unknown_and_never_repeated(lab):
-    """The caller is told "unknown", never "not run", now and on every retry.
+    """The caller gets "unknown", never "not run", on the first try and every retry.
 
-    The service took the effect and the connection broke before its answer. A
-    router that tried again, or freed the key, would run the action twice.
+    The service executed the action and the connection broke before its response. A
+    router that retried it, or released the key, could run the action twice.
     """
     for service in lab.services.values():
         service.fault(lose_answers=1)
@@ -149,7 +149,7 @@
 
 
 def test_an_unreachable_endpoint_frees_the_key():
-    """No byte of the action left, so the caller hears "not run" and may try again."""
+    """No byte was sent, so the caller gets "not run" and may retry."""
     with Lab(PLAN) as lab:
         for service in lab.services.values():
             service.kill()
@@ -160,10 +160,10 @@
 
 
 def test_router_killed_between_intent_and_send_leaves_unknown():
-    """The caller's connection breaks; a retry elsewhere learns "unknown".
+    """The caller's connection breaks; a retry through another router gets "unknown".
 
-    The intent is in the log and its router is gone. Nobody else can tell whether it
-    had sent the action, so that "not run" or a second send would both be wrong.
+    The intent is in the log and its router is dead. No other router can tell whether
+    the action was sent, so neither "not run" nor a second attempt is safe.
     """
     with proxied_lab() as (lab, _):
         lab.log.fault(only="append", answer_delay_s=2.0)
@@ -179,10 +179,10 @@
 
 
 def test_router_frozen_past_the_deadline_sends_nothing_when_it_wakes():
-    """The caller gave up long ago; the action must not happen behind its back.
+    """An action must not be sent after its deadline.
 
-    The router is frozen after its intent is in the log, past every timeout, then
-    woken. It still holds the first intent, but its deadline has passed.
+    The router is frozen after its intent is appended and resumes after all timeouts.
+    It still holds the first intent, but the deadline has passed.
     """
     with proxied_lab() as (lab, _):
         lab.log.fault(only="append", answer_delay_s=2.0)
--- a/tests/test_config_follower.py
+++ b/tests/test_config_follower.py
@@ -88,7 +88,7 @@
 
 
 class Fleet:
-    """Followers over one log, with pings that carry revisions at random."""
+    """Config followers on one fake log; random pings gossip their revisions."""
 
     def __init__(self, size, zones=2, **options):
         self.clock = Clock()
@@ -163,9 +163,9 @@
 
 
 def test_a_record_is_in_force_everywhere_while_few_routers_poll():
-    """An operator publishes to a fleet of 40 routers. All have it in 12 s, though only
-    two of each zone poll without pause: the others hear of it and ask a peer. Were all
-    to poll, the shared log would bear a long poll of each.
+    """Of 40 routers only two per zone poll continuously; the others learn of a new
+    revision by gossip and fetch it from a peer. All have it in 12 s. If all of them
+    polled, the shared log would have to serve a long poll per router.
     """
     fleet = Fleet(40, poll_s=1000.0).start()
     fleet.clock.run(20)
@@ -173,13 +173,13 @@
     assert fleet.clock.run(IN_FORCE_S, lambda: fleet.all_at(1))
     before = fleet.log.reads
     fleet.clock.run(100)
-    # Four readers at 1.1 s a poll, and at most one poll of each of the others.
+    # Four readers with a poll every 1.1 s, and at most one poll by each other router.
     assert fleet.log.reads - before < 4 * 100 / 1.1 + 40
 
 
 def test_without_gossip_the_fallback_poll_is_in_time():
-    """Messages between routers are lost for long, the log works. Each router still
-    gets a record in 12 s, by its own poll.
+    """Messages between routers are lost while the log works. Each router still gets a
+    record within 12 s by its own fallback poll.
     """
     fleet = Fleet(12).start()
     fleet.cut = set(fleet.members)
@@ -189,9 +189,9 @@
 
 
 def test_a_router_without_memory_starts_from_its_peers_while_the_log_is_down():
-    """The log is in an outage when a router is replaced. It gets the configuration of
-    a peer and serves; when the log is back it goes on from there and hears of later
-    records. Waiting for the log instead would leave callers with nothing.
+    """A router is replaced during a log outage. It restores the configuration from a
+    peer, and reads later records once the log is back. If it waited for the log, it
+    could not serve callers during the outage.
     """
     fleet = Fleet(3).start()
     fleet.publish("a")
@@ -208,9 +208,9 @@
 
 
 def test_snapshots_outlive_the_records_of_a_forgetful_log():
-    """The log forgets the only configuration record. A router that starts with no peer
-    to ask takes the snapshot that another appended in time. Without it the router
-    would have nothing to serve by.
+    """The log trims the only configuration record. A router that starts without
+    reachable peers restores the snapshot that another router appended before that.
+    Without the snapshot it would have no configuration.
     """
     fleet = Fleet(3).start()
     fleet.publish("a")
@@ -227,10 +227,10 @@
 
 @pytest.mark.parametrize("lost_race", [False, True])
 def test_a_router_that_lost_records_is_made_whole_by_a_peer(lost_race):
-    """One router is cut off from the log and its peers, and the log forgets a record
-    in the meantime. When it comes back it must not judge what follows by its old
-    state; it waits, and the state of a peer brings it level with the others, also
-    when the lost record had changed nothing and revisions are equal.
+    """A router is disconnected from the log and its peers while the log trims a record.
+    After it reconnects it must not apply later records to its outdated state. It waits
+    for the state of a peer, even if the trimmed record was rejected and the revisions
+    are equal.
     """
     fleet = Fleet(3).start()
     fleet.publish("a")
@@ -245,7 +245,7 @@
         fleet.publish("b")
     fleet.clock.run(30)
     fleet.log.first = 2
-    # A copy, so that the snapshot which the others write now does not help.
+    # A copy, so that r2 does not get the snapshot that the others append now.
     cut_off.values, cut_off.first, cut_off.down = list(fleet.log.values), 2, False
     fleet.clock.run(30)
     assert (r2.revision, r2.status["complete"]) == (1, False)
@@ -255,9 +255,9 @@
 
 
 def test_a_log_that_was_emptied_takes_nothing_back():
-    """The log is replaced by an empty one and an operator publishes there. Routers
-    keep what was accepted and say that the log is shorter: its first record would
-    otherwise put another configuration in force on those that start anew only.
+    """The log is replaced by an empty one and an operator publishes to it. Routers keep
+    the accepted configuration and report that the log is shorter. If they applied the
+    first record, only freshly started routers would have that configuration in force.
     """
     fleet = Fleet(2).start()
     for revision, name in enumerate("abc", 1):
@@ -272,9 +272,9 @@
 
 
 def test_an_old_release_neither_guesses_nor_floods_its_peers():
-    """A router of an old release meets an allowed schema that it cannot read. It stays
-    at its revision, says so, and does not fetch from each ping a state that it cannot
-    read.
+    """A router of an older release reads a record with an allowed schema that it does
+    not support. It stays at its revision, reports that it halted, and does not request
+    the unsupported state from a peer after each ping.
     """
     fleet = Fleet(3)
     fleet.followers["r2"] = fleet.follower(
@@ -290,7 +290,7 @@
     assert [one.revision for one in fleet.followers.values()] == [2, 2, 1]
     assert "schema 2" in fleet.followers["r2"].status["halted"]
     assert fleet.requests() == before
-    # Two readers at 1.1 s a poll; the third one stays away from the log.
+    # Two readers with a poll every 1.1 s; the halted router does not read the log.
     assert fleet.log.reads - reads <= 2 * 60 / 1.1 + 10
 
 
@@ -315,8 +315,8 @@
 
 
 def test_a_fault_in_the_router_does_not_end_the_reading():
-    """The router fails on one configuration, say by a fault in some part. The next
-    configuration still comes into force, since the follower reads on.
+    """``on_config`` raises for one configuration, for example through a bug in another
+    component. The follower continues to read, so the next configuration takes effect.
     """
     fleet = Fleet(1).start()
     take = fleet.followers["r0"]._on_config
@@ -336,10 +336,10 @@
 
 
 def test_roles_follow_from_the_real_view():
-    """A published configuration took 8 s to come into force instead of a second.
+    """A published configuration took 8 s to take effect instead of 1 s.
 
-    The view gave plain hosts where the roles took them out of pairs; "r1" fell
-    apart into "r" and "1", no router was a reader, and only the slow polls were left.
+    The view returned host names where the roles unpacked pairs: "r1" became "r" and
+    "1", no router was a reader, and only the slow fallback polls were left.
     """
     live = {f"r{n}": LiveMember(1, f"z{n % 2}") for n in range(6)}
     own = [PeerId(host, 1) for host in live]
--- a/tests/test_config_race.py
+++ b/tests/test_config_race.py
@@ -1,4 +1,4 @@
-"""Real routers, log and operators' commands."""
+"""Concurrent configuration changes with real routers, log and operator commands."""
 
 import json
 import subprocess
@@ -61,10 +61,10 @@
 
 
 def test_operators_race_with_old_and_new_schema(lab, tmp_path):
-    """Two operators publish at the same moment over the same revision, one with
-    schema 1 and one with schema 2, several times. Each time one is told accepted and
-    the other lost, and all routers hold the one revision that won: they judged the
-    same log in the same order, without asking each other.
+    """Two operators publish concurrently on the same revision, one with schema 1 and
+    one with schema 2, several times. Each time one is accepted and the other is
+    rejected as lost, and all routers have the accepted revision: they evaluate the
+    same log in the same order without coordination.
     """
     for _ in range(3):
         before = lab.status("r1")["config"]["revision"]
@@ -83,15 +83,15 @@
     for state in states:
         for decision in state["history"]:
             judged[decision["offset"]].add(json.dumps(decision))
-    # A router that took a revision from a peer did not judge the record itself.
+    # A router that fetched a revision from a peer did not evaluate the record itself.
     assert sorted(judged) == list(range(len(judged)))
     assert all(len(verdicts) == 1 for verdicts in judged.values())
 
 
 def test_a_router_without_memory_joins_while_the_log_is_down(lab):
-    """The log is down and a router is replaced by one that knows nothing. Its peers
-    give it the configuration in force; its status says that the log is down. When the
-    log is back, a drain comes into force on it as on the others.
+    """A router is restarted without state during a log outage. It gets the
+    configuration in force from its peers and reports in its status that the log is
+    down. Once the log is back, a drain takes effect on it as on the others.
     """
     revision = lab.revision
     lab.log.fault(down=True)
@@ -102,7 +102,7 @@
             lab.status("r3")["config"]["revision"] == revision
             and lab.status("r3")["config"]["log"] == "down"
         ),
-        "r3 serves by the state of a peer",
+        "r3 has the state of a peer",
     )
     lab.log.fault()
     code, text = end(begin(lab, "drain", "e1", routers(lab)))
@@ -111,9 +111,10 @@
 
 
 def test_a_frozen_router_wakes_after_the_log_forgot_what_it_missed(lab):
-    """A router is frozen while records come into force and leave the log. When it
-    wakes it holds an old state and a hole; it must not go back or judge on by the old
-    state, and gets the one in force from a peer or a snapshot.
+    """A router is frozen while records take effect and are trimmed from the log. After
+    it resumes, its state is outdated and the next records are missing. It must not
+    apply later records to that state, and restores the state in force from a peer or a
+    snapshot.
     """
     missed = len(lab.log.call("GET", STREAM).json["records"])
     lab.routers["r2"].pause()
@@ -122,7 +123,7 @@
         lab.publish(lab.config(accounts=accounts))
         wait_for(
             lambda: lab.status("r1")["config"]["revision"] == lab.revision,
-            "r1 goes on",
+            "r1 has the new revision",
         )
     assert lab.log.call("GET", f"{STREAM}?from={missed}").status == 410
     lab.routers["r2"].go_on()
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -32,10 +32,10 @@
 
 
 def test_the_fleets_totals_reach_the_ledger():
-    """Every router shares by its own counters alone, and no account is even.
+    """Every router shared by its own counters only, so fleet-wide shares were uneven.
 
-    Totals that came from a collector were handed to the ledger without the time;
-    each message ended in a fault, and owners never heard of the fleet's service.
+    Totals from a collector were passed to the ledger without the time; each message
+    raised an exception, and owners never received the fleet's service totals.
     """
     node = control()
     row = AccountService("acme", 500.0)
@@ -44,7 +44,7 @@
 
 
 def test_reports_are_paced_by_the_size_of_the_fleet():
-    """Counters of a large fleet fill its links when told as often as in a small one."""
+    """Share reports as frequent as in a small fleet would fill a large one's links."""
     node = control(360)
     timers = node._timers
     cfg = FleetConfig(revision=1)
--- a/tests/test_double_faults.py
+++ b/tests/test_double_faults.py
@@ -1,4 +1,4 @@
-"""Two faults at once, with real processes behind a proxy."""
+"""Two concurrent faults, with real processes behind a fault proxy."""
 
 from concurrent.futures import ThreadPoolExecutor
 
@@ -63,10 +63,10 @@
 
 
 def test_a_partition_while_the_log_is_down():
-    """Chats go on on both sides; protected actions are refused as not run.
+    """Chats continue on both sides; protected actions are refused as not run.
 
-    Both sides may take the same key. Without the log neither may send it, and when
-    it is back while the sides still do not see each other, it alone decides.
+    Both sides may get the same key. Without the log neither may send the action. When
+    the log is back before the partition heals, the log order decides which side sends.
     """
     both = chats("acme", outstanding=20), actions("acme", rate_per_s=5)
     with proxied_lab(PLAN) as (lab, proxy), BackgroundLoad(lab, *both) as load:
@@ -87,7 +87,7 @@
                 answers = list(threads.map(lambda h: dispatch(lab, h, "k-both"), both))
             return all(answer.status == 200 for answer in answers) and answers
 
-        answers = wait_for(sent, "both sides have the one answer")
+        answers = wait_for(sent, "both sides return the same response")
         assert answers[0].data == answers[1].data
         proxy.rules()
         wait_views(lab, set(lab.routers))
@@ -100,10 +100,10 @@
 
 
 def test_a_router_killed_during_a_partition():
-    """Only its own callers notice; no side takes its slots on top of its own.
+    """Only the killed router's callers are affected; no side exceeds the slots.
 
-    The dead router's requests and a cut-off router's look the same from the other
-    side, so that its slots stay unused there until it can be known.
+    From the other side, a dead router cannot be told from a partitioned one, so its
+    slots stay unused there until the partition heals.
     """
     chat = chats("acme", outstanding=30)
     with proxied_lab(PLAN) as (lab, proxy), BackgroundLoad(lab, chat) as load:
@@ -125,10 +125,10 @@
 
 
 def test_a_frozen_writer_of_a_key_while_others_ask():
-    """The router that writes a key's records freezes; another asks meanwhile.
+    """The writer of a key's records freezes while another router requests the key.
 
-    A new writer takes over and lets one attempt run. The old one wakes with what it
-    was told before; its late record must not let the action run again.
+    A new writer takes over and accepts one attempt. The old writer resumes with its
+    earlier requests; its late records must not let the action run again.
     """
     keys = [f"k-writer-{n}" for n in range(12)]
     with proxied_lab(PLAN) as (lab, _):
@@ -157,17 +157,17 @@
 
 
 def both_served(lab):
-    """Tell whether each account has a third of the last 90 starts or more."""
+    """Return whether each account has at least a third of the last 90 starts."""
     last = sorted(executions(lab), key=lambda one: one["started"])[-90:]
     left = sum(one["request_id"].split("-")[0] in LEFT for one in last)
     return 30 <= left <= 60
 
 
 def test_a_region_apart_for_a_while_starves_nobody_after_it_is_back():
-    """An account that only one side served is not locked out by the rejoined sums.
+    """An account that only one side served is not starved after the totals merge.
 
-    Both sides serve for a while without the other's counts. What they learn of each
-    other afterwards is debt, which is bounded: soon both have their share again.
+    During the partition both sides serve without the other's counters. The difference
+    found afterwards becomes a bounded debt, so both accounts soon get their share.
     """
     both = (
         chats("acme", outstanding=24, routers=(0, 1)),
@@ -181,7 +181,7 @@
         wait_for(lambda: len(executions(lab)) > apart + 150, "both sides serve")
         proxy.rules()
         wait_views(lab, set(lab.routers))
-        wait_for(lambda: both_served(lab), "both accounts get their share")
+        wait_for(lambda: both_served(lab), "both accounts are served")
         wait_started(lab, 100)
         results = load.stop()
         assert_truthful(lab, results)
--- a/tests/test_fleet_totals.py
+++ b/tests/test_fleet_totals.py
@@ -1,4 +1,4 @@
-"""The fleet's totals in real router processes."""
+"""Fleet-wide service totals with real router processes."""
 
 from greengageflow.lab.lab import Lab, LabPlan
 from tests.fleet_support import ENGINE, BackgroundLoad, chats, executions
@@ -8,10 +8,10 @@
 
 
 def test_every_router_knows_what_the_fleet_served():
-    """An account that enters by one router must not seem unserved to the others.
+    """An account that is served through one router must not look unserved to others.
 
-    An owner that never hears totals knows only the service that its own callers
-    got. It takes an account that enters elsewhere for new, and gives it every slot.
+    An owner without fleet totals knows only the service of its own callers. It would
+    treat an account that enters through another router as new and grant it all slots.
     """
     with Lab(PLAN) as lab:
         load = BackgroundLoad(
--- a/tests/test_leaving_faults.py
+++ b/tests/test_leaving_faults.py
@@ -1,4 +1,4 @@
-"""Endpoints that leave, with real processes: three signs, each alone suffices."""
+"""Leaving endpoints, with real processes; each of three sources is sufficient."""
 
 from dataclasses import replace
 from time import time
@@ -28,7 +28,7 @@
 
 
 def publish(lab, **fields):
-    """Publish the configuration with other fields of engine e1."""
+    """Publish the configuration with changed fields of engine e1."""
     config = lab.config()
     config["pools"][0]["endpoints"][0].update(fields)
     lab.wait_in_force(lab.publish(config))
@@ -59,7 +59,7 @@
 
 def wait_known(lab, hosts=None):
     for host in hosts or lab.routers:
-        wait_for(lambda host=host: knows(lab, host), f"{host} knows the sign")
+        wait_for(lambda host=host: knows(lab, host), f"{host} has marked e1 as leaving")
 
 
 def wait_more(lab, name, more=10):
@@ -73,10 +73,11 @@
 
 @pytest.mark.parametrize("sign", [by_config, by_host_list, by_engine])
 def test_one_sign_stops_new_work_for_the_generation(sign):
-    """Callers notice nothing when an endpoint leaves: no answer of theirs is cut.
+    """No response is cut off when an endpoint leaves.
 
-    The sign comes under load and is taken back later. Running requests end whole,
-    none starts afterwards, not even then, until its generation is raised.
+    The endpoint is reported as leaving under load, and the report is withdrawn later.
+    Running requests complete and no new ones start, even after the withdrawal, until
+    the endpoint's generation is raised.
     """
     with (
         Lab(PLAN) as lab,
@@ -104,10 +105,10 @@
 
 
 def test_a_list_that_lags_does_not_mark_the_next_generation():
-    """An operator replaces an endpoint; callers must get its whole capacity.
+    """An operator replaces an endpoint; its full capacity must be usable.
 
-    The host list still calls the old one leaving when the new generation is already
-    in force. Taken for a sign of the new one, it would hold for good.
+    The host list still reports the old generation as leaving when the new one is in
+    force. If that marked the new generation, the mark would be permanent.
     """
     with (
         Lab(PLAN) as lab,
@@ -123,10 +124,10 @@
 
 
 def test_a_load_report_that_lags_does_not_mark_the_next_generation():
-    """The same of the endpoint's own report, which is late by seconds here.
+    """The same with the endpoint's own load report, which lags by 4 s here.
 
-    It says so while the endpoint is replaced, and the owner asks once a second. When
-    the new one is leaving too, the report comes to say that, and counts.
+    The report still says leaving while the endpoint is replaced, and the owner queries
+    it every second. A later report that the new generation is leaving is accepted.
     """
     plan = replace(PLAN, engine_options={**ENGINE, "load_lag_s": 4.0})
     with (
@@ -147,11 +148,11 @@
 
 
 def test_a_sign_that_one_router_reads_holds_for_later_owners():
-    """In a large fleet each router reads the host list once in a minute or more.
+    """In a large fleet each router reads the host list only once a minute or less.
 
-    Only one reads it in time here, and it does not own the endpoint. It tells the
-    others; the owner is killed, and a router that starts with empty memory after
-    the sign was taken back takes the endpoint over. Nothing starts there all along.
+    Here only one router reads the report, and it does not own the endpoint. It notifies
+    the others; the owner is killed, and restarts without state and becomes owner again
+    after the report is withdrawn. No request starts on the endpoint in the meantime.
     """
     with Lab(PLAN) as lab:
         first = owner_of(lab, "e1")
--- a/tests/test_order_faults.py
+++ b/tests/test_order_faults.py
@@ -1,4 +1,4 @@
-"""Orders to engines, with real processes that freeze, die and lose answers."""
+"""Orders to engines with real processes: freezes, crashes and lost responses."""
 
 from contextlib import contextmanager
 from itertools import count
@@ -73,7 +73,7 @@
 
 
 def received(lab, id_=None):
-    """Ids, fencing numbers and statuses of the orders that the engine got."""
+    """IDs, fencing numbers and statuses of the orders that the engine received."""
     rows = lab.engines["e1"].call("GET", "/orders").json["orders"]
     found = ((r["order"]["id"], r["order"]["fencing"], r["status"]) for r in rows)
     return [item for item in found if id_ in (None, item[0])]
@@ -95,7 +95,7 @@
 
 @contextmanager
 def held_at_claim(lab, proxy, id_maker):
-    """Yield the owner, frozen when its claim is in the log and not read back."""
+    """Yield the owner, frozen after its claim is appended but not yet read back."""
     host = owner(lab)
     late = {"do": "delay", "route": "log", "source": lab.settings[host]["ip"]}
     proxy.rules({**late, "way": "down", "delay_s": 1.0})
@@ -148,13 +148,13 @@
     ids=["claim", "done", "read"],
 )
 def test_log_answers_lost_after_their_effect_double_nothing(fleet, fault):
-    """The operator sees one load though the log's answers are lost.
+    """An order runs once even though responses of the log are lost.
 
-    The record is in the log, but the owner does not know, and appends it again
-    under the same nonce; the fold counts the first copy.
+    The owner does not know that the record was appended and appends it again with the
+    same nonce; the fold ignores the second copy.
     """
     _, lab, _ = fleet
-    # The long polls that are open, two a router, lose some of these answers.
+    # Some of the lost responses are those of open long polls, two per router.
     lab.log.fault(**fault, lose_answers=8)
     id_ = order(lab)
     wait_result(lab, owner(lab), id_, "done")
@@ -168,10 +168,10 @@
 
 
 def test_an_answer_lost_after_the_effect(fleet):
-    """The engine took the order and its answer was lost.
+    """The engine executed the order and its response was lost.
 
-    One that checks numbers gets it again under a higher one. One that does not is
-    never sent it again, and the operator is told that the outcome is not known.
+    An engine that checks fencing gets it again with a higher number. For one that does
+    not, the order is never sent again and its result is reported as unknown.
     """
     kind, lab, _ = fleet
     lab.engines["e1"].fault(lose_answers=1, contains="fencing")
@@ -190,12 +190,12 @@
 
 
 def test_an_unreachable_engine_gets_the_order_once_it_is_back():
-    """No byte left, so that the claim is given back and the order waits."""
+    """No byte was sent, so the claim is released and the order waits."""
     with Lab(PLAIN) as lab:
         wait_for(lambda: owner(lab), "an owner of e1")
         lab.engines["e1"].kill()
         id_ = order(lab)
-        wait_for(lambda: logged(lab, "done", id_), "a claim given back")
+        wait_for(lambda: logged(lab, "done", id_), "the claim is released")
         assert logged(lab, "done", id_)[0]["result"] == "not_sent"
         port = lab.endpoint_addresses["e1"][1]
         with standin("engine", name="e1", port=port) as engine:
@@ -204,11 +204,11 @@
 
 
 def test_frozen_owner_sends_nothing_late_to_an_engine_that_checks_no_numbers():
-    """The operator's second order stands; the first does not come after it.
+    """A delayed first order must not overwrite the effect of the second.
 
-    The owner is frozen when its claim is in the log. Another owner gives the first
-    order up as unknown and sends the second. Then the first owner wakes, past its
-    window: the engine ignores numbers and would go back to the old version.
+    The owner freezes after its claim is appended. Another owner ends the first order
+    as unknown and sends the second. The first owner resumes after its send window:
+    the engine does not check fencing and would return to the old version.
     """
     with (
         started(PLAIN) as (lab, proxy),
@@ -219,15 +219,15 @@
         wait_result(lab, new, second, "done")
         assert result(lab, new, first) == "unknown"
         lab.routers[host].go_on()
-        wait_for(lambda: len(logged(lab, "done", first)) > 1, "the old owner's word")
+        wait_for(lambda: len(logged(lab, "done", first)) > 1, "the old owner's result")
         assert [item[0] for item in received(lab)] == [second]
 
 
 def test_frozen_owner_is_overtaken_at_an_engine_that_checks_numbers():
-    """The order runs without the frozen owner, and waking it turns nothing back.
+    """A new owner sends the order, and the resumed old owner reverts nothing.
 
-    Another owner claims over the first claim at once, since a lower number that
-    comes later is refused.
+    The new owner takes over the claim at once, because the engine refuses a later
+    request with a lower fencing number.
     """
     with (
         started(FENCED) as (lab, proxy),
@@ -238,7 +238,7 @@
         wait_result(lab, new, second, "done")
         assert result(lab, new, first) == "done"
         lab.routers[host].go_on()
-        wait_for(lambda: owner(lab) == host, "the old owner again")
+        wait_for(lambda: owner(lab) == host, "the old owner owns e1 again")
         third = order(lab, "3")
         wait_result(lab, host, third, "done")
         taken = [item[0] for item in received(lab) if item[2] == 200]
@@ -246,35 +246,36 @@
 
 
 def test_an_order_held_back_on_its_way_is_refused_by_its_old_number():
-    """The engine has the second order when the first one's first copy arrives.
+    """The first order is delivered late, after the engine executed the second.
 
-    The owner's bytes hang between it and the engine while it freezes. Another
-    owner claims over it and sends both orders. Then the old bytes come through.
+    The owner freezes while its request is delayed on the way to the engine. Another
+    owner takes over the claim and sends both orders. Then the old request arrives.
     """
     with started(FENCED) as (lab, proxy):
         host = owner(lab)
         rule = {"do": "freeze", "route": "e1", "source": lab.settings[host]["ip"]}
         proxy.rules({**rule, "way": "up"})
         first = order(lab, "1")
-        wait_for(lambda: claimed(lab, host, first), "a claim known to its holder")
-        for _ in range(5):  # The loop goes round, and the order leaves.
+        wait_for(lambda: claimed(lab, host, first), "the owner has read its claim")
+        for _ in range(5):  # Event loop iterations in which the order is sent.
             lab.status(host)
         lab.routers[host].pause()
         second = order(lab, "2")
         new = other_owner(lab, host)
         wait_result(lab, new, second, "done")
         proxy.rules()
-        wait_for(lambda: len(received(lab, first)) == 2, "the old bytes")
+        wait_for(lambda: len(received(lab, first)) == 2, "the delayed request")
         assert [item[2] for item in received(lab)] == [200, 200, 409]
         lab.routers[host].go_on()
 
 
 @pytest.mark.parametrize("kind", PLANS)
 def test_owner_killed_between_claim_and_send(kind):
-    """The order waits for nobody who is dead.
+    """A dead owner does not block its order or the next one.
 
-    One that checks numbers gets it from the next owner. To the other it may have
-    been sent or not, for all that anyone knows; the next order goes on.
+    An engine that checks fencing gets the order from the next owner. For one that does
+    not, nobody knows whether it was sent, so it ends as unknown and the next order
+    runs.
     """
     with (
         started(PLANS[kind]) as (lab, proxy),
@@ -291,10 +292,10 @@
 
 
 def test_owners_that_do_not_poll_are_told_to_read():
-    """Orders reach every engine though only two of five routers poll the stream.
+    """Orders reach every engine although only two of five routers poll the stream.
 
-    The owner of some engine is no reader, and one such owner dies before the order
-    comes; the readers tell whoever owns the engine now.
+    The owner of an engine is not a reader, and one such owner is killed before an
+    order is appended; the readers notify the engine's current owner.
     """
     plan = LabPlan(routers=5, zones=("z1",), engines=6, services=0, timing=TIMING)
     with Lab(plan) as lab:
@@ -316,10 +317,9 @@
 
 
 def test_a_load_of_every_engine_is_spaced_over_the_fleet():
-    """An operator loads a version on eight engines; four load at a time.
+    """An operator loads a version on eight engines; at most four load concurrently.
 
-    Otherwise all would fetch weights at once, and the weight store would refuse
-    them.
+    If all fetched weights at once, the weight store would reject the requests.
     """
     plan = LabPlan(engines=8, services=0, timing=TIMING)
     with Lab(plan) as lab:
--- a/tests/test_stop_faults.py
+++ b/tests/test_stop_faults.py
@@ -1,4 +1,4 @@
-"""Planned stops of routers under load, with real processes."""
+"""Graceful router shutdown under load, with real processes."""
 
 from concurrent.futures import ThreadPoolExecutor
 from http.client import HTTPConnection
@@ -82,15 +82,15 @@
         mine = (one for one in long if one["request_id"].startswith(f"{host}-"))
         return any(one["state"] == "running" and one["pieces"] for one in mine)
 
-    wait_for(runs, f"long answer through {host} runs")
+    wait_for(runs, f"long response through {host} runs")
 
 
 def stop_under_load(lab, proxy, host):
-    """Stop one router with a long answer, an action and an idle caller in it."""
+    """Stop a router that has a long response, an action and an idle connection."""
     router = lab.routers[host]
     others = set(lab.routers) - {host}
     key = f"k-stop-{host}"
-    # The long answer is held until the checks are done, however long those take.
+    # Hold the long response until the checks below are done.
     held = {"do": "freeze", "source": lab.settings[host]["ip"], "way": "down"}
     held = [{**held, "route": name} for name in lab.engines]
     idle = idle_connection(lab, host)
@@ -103,13 +103,19 @@
         acted = threads.submit(action, lab, host, key)
         wait_for(lambda: any(e["key"] == key for e in effects(lab)), "action sent")
         router.terminate()
-        # It can be asked during its grace alone: then it takes no new connections.
-        wait_for(lambda: lets_go(lab, host), "unhealthy, and owner of nothing")
+        # It only accepts new connections, such as status requests, during its grace
+        # period.
+        wait_for(lambda: lets_go(lab, host), "unhealthy and without endpoints")
         for other in others:
-            wait_for(lambda o=other: sees_stopping(lab, o, host), f"{other} sees it")
-        wait_for(lambda: owned(lab, others) == set(lab.endpoint_addresses), "owners")
+            wait_for(
+                lambda o=other: sees_stopping(lab, o, host),
+                f"{other} sees {host} stopping",
+            )
+        wait_for(
+            lambda: owned(lab, others) == set(lab.endpoint_addresses), "new owners"
+        )
         assert idle.sock.recv(1) == b"", "closed cleanly"
-        assert router.popen.poll() is None, "its long answer still runs"
+        assert router.popen.poll() is None, "the long response is still running"
         assert not long.done()
         proxy.rules()
         assert acted.result().status == 200
@@ -125,11 +131,11 @@
 
 
 def test_rolling_replacement_cuts_and_refuses_nothing_that_began():
-    """Callers notice a fleet's replacement only by refusals that say "not run".
+    """During a rolling restart callers see no errors but refusals marked "not run".
 
-    Each router in turn is told to stop under load, with a streamed answer that
-    outlasts the stop, an action whose answer is on its way and an idle connection.
-    What began ends whole, the action is in the log, and the others go on.
+    Each router in turn is stopped under load, with a streamed response longer than its
+    grace period, an action in flight and an idle connection. Started requests complete,
+    the action's outcome is logged, and the other routers continue to serve.
     """
     actions = ServiceLoad(
         account="acme",
@@ -141,13 +147,13 @@
     )
     both = chats("acme", outstanding=20), actions
     with proxied_lab(PLAN) as (lab, proxy), BackgroundLoad(lab, *both) as load:
-        wait_for(lambda: len(executions(lab)) > 30, "load runs")
+        wait_for(lambda: len(executions(lab)) > 30, "requests run")
         for host in list(lab.routers):
             stop_under_load(lab, proxy, host)
             lab.restart_router(host)
             for one in lab.routers:
                 wait_for(
-                    lambda one=one: members(lab, one) == set(lab.routers), "one view"
+                    lambda one=one: members(lab, one) == set(lab.routers), "same view"
                 )
             lab.wait_in_force()
         wait_started(lab, 100)
