--- a/greengageflow/daemon/_config_watch.py
+++ b/greengageflow/daemon/_config_watch.py
@@ -27,33 +27,33 @@
         """Call ``on_done`` with ``Appended`` or ``LogFailure``."""
 
 
-class SnapshotClock:
+class SnapshotSchedule:
     """Decides when a snapshot of the state must be appended to the log.
 
     Duplicate snapshots are harmless, so a failed append is retried at the next check.
 
     Args:
         interval_s: Maximum age of the newest snapshot, in seconds.
-        start: Unix time from which the first interval is measured.
+        start_time: Unix time from which the first interval is measured.
     """
 
-    def __init__(self, interval_s: float, start: float) -> None:
+    def __init__(self, interval_s: float, start_time: float) -> None:
         self.first_offset = 0
         self._interval_s = interval_s
-        self._time = start
-        self._offset = -1
+        self._snapshot_time = start_time
+        self._snapshot_offset = -1
 
-    def note(self, record: LogRecord, outcome: Outcome) -> None:
+    def on_outcome(self, record: LogRecord, outcome: Outcome) -> None:
         """Record the time and offset of a valid snapshot."""
         match outcome:
             case Adopted() | Skipped(reason=Reason.SNAPSHOT_KNOWN):
-                self._time = record.time
-                self._offset = record.offset
+                self._snapshot_time = record.time
+                self._snapshot_offset = record.offset
 
-    def due(self, now: float) -> bool:
+    def is_due(self, now: float) -> bool:
         """Return whether the newest snapshot is too old or trimmed from the log."""
-        forgotten = self.first_offset > max(self._offset, 0)
-        return forgotten or now - self._time >= self._interval_s
+        trimmed = self.first_offset > max(self._snapshot_offset, 0)
+        return trimmed or now - self._snapshot_time >= self._interval_s
 
 
 def log_outcome(offset: int, author: str, outcome: Outcome) -> None:
--- a/greengageflow/daemon/config_follower.py
+++ b/greengageflow/daemon/config_follower.py
@@ -18,17 +18,17 @@
 from greengageflow.core.messages import ConfigRequest, ConfigState
 from greengageflow.daemon._config_watch import (
     ConfigLog,
-    SnapshotClock,
+    SnapshotSchedule,
     log_outcome,
 )
 from greengageflow.events import Event, log
 from greengageflow.net.config_exchange import ConfigExchange
 from greengageflow.net.timers import Subscription, Timers
 
-_PAUSE_S = 0.1
+_READ_INTERVAL_S = 0.1
 _SNAPSHOT_CHECK_S = 5.0
-_FIRST_BACKOFF_S = 0.2
-_LONGEST_BACKOFF_S = 5.0
+_BASE_BACKOFF_S = 0.2
+_MAX_BACKOFF_S = 5.0
 
 
 class ConfigFollower:
@@ -86,23 +86,23 @@
         self._poll_s = poll_s
         self._rng = rng or Random()
         self._now = now
-        self._wall = wall
-        self._snapshots = SnapshotClock(snapshot_interval_s, wall())
-        self._live = False
-        self._given = 0
+        self._wall_clock = wall
+        self._snapshot_schedule = SnapshotSchedule(snapshot_interval_s, wall())
+        self._running = False
+        self._notified_revision = 0
         self._failures = 0
-        self._outage_start = 0.0
+        self._outage_started_at = 0.0
         self._exchange = ConfigExchange(
             host,
             self.fold,
             send=send,
             peers=peers,
-            on_restored=self._give,
+            on_restored=self._notify_config,
             rng=self._rng,
             now=now,
         )
-        self._asked_from = 0
-        self._shorter = False
+        self._requested_offset = 0
+        self._log_is_shorter = False
         self._snapshot_timer: Subscription | None = None
 
     @property
@@ -133,11 +133,11 @@
     def _log_state(self) -> str:
         if self._failures:
             return "down"
-        return "shorter" if self._shorter else "up"
+        return "shorter" if self._log_is_shorter else "up"
 
     def start(self) -> None:
         """Request the state from a peer and start reading the log."""
-        self._live = True
+        self._running = True
         self._exchange.request_from_random_peer()
         self._read()
         self._snapshot_timer = self._timers.every(
@@ -146,7 +146,7 @@
 
     def stop(self) -> None:
         """Stop reading and appending."""
-        self._live = False
+        self._running = False
         if self._snapshot_timer is not None:
             self._snapshot_timer.cancel()
 
@@ -154,62 +154,62 @@
         """Handle the revision that a peer has in force."""
         self._exchange.on_peer_revision(host, revision)
 
-    def received(self, host: str, message: ConfigRequest | ConfigState) -> None:
+    def on_message(self, host: str, message: ConfigRequest | ConfigState) -> None:
         """Handle a message from a peer."""
         self._exchange.on_message(host, message)
 
-    def _give(self) -> None:
-        if self.revision > self._given:
-            self._given = self.revision
+    def _notify_config(self) -> None:
+        if self.revision > self._notified_revision:
+            self._notified_revision = self.revision
             self._on_config(self.config)
 
     def _read(self) -> None:
-        if not self._live:
+        if not self._running:
             return
         if self.fold.halted:
-            self._later(self._poll_s)
+            self._schedule_read(self._poll_s)
             return
         wait_s = self._wait_s if self._roles().reader else 0.0
-        self._asked_from = self.fold.next_offset
-        self._log.read(CONFIG_STREAM, self._asked_from, wait_s, self._on_read)
+        self._requested_offset = self.fold.next_offset
+        self._log.read(CONFIG_STREAM, self._requested_offset, wait_s, self._on_read)
 
-    def _later(self, delay_s: float) -> None:
+    def _schedule_read(self, delay_s: float) -> None:
         self._timers.after(delay_s, self._read)
 
     def _on_read(self, result: Records | OffsetTrimmed | LogFailure) -> None:
-        if not self._live:
+        if not self._running:
             return
         match result:
             case LogFailure():
                 self._on_failure(result)
             case OffsetTrimmed():
-                self._on_answer()
-                self._on_lapsed(result)
+                self._on_log_available()
+                self._on_offset_trimmed(result)
             case Records():
-                self._on_answer()
+                self._on_log_available()
                 self._on_records(result)
 
     def _on_failure(self, failure: LogFailure) -> None:
         if not self._failures:
-            self._outage_start = self._now()
+            self._outage_started_at = self._now()
             log(Event.LOG_OUTAGE, stream=CONFIG_STREAM, error=failure.message)
         self._failures += 1
-        longest = min(_FIRST_BACKOFF_S * 2**self._failures, _LONGEST_BACKOFF_S)
-        delay = longest * self._rng.uniform(0.5, 1.0)
-        self._later(max(delay, failure.retry_after_s or 0.0))
+        max_delay_s = min(_BASE_BACKOFF_S * 2**self._failures, _MAX_BACKOFF_S)
+        delay_s = max_delay_s * self._rng.uniform(0.5, 1.0)
+        self._schedule_read(max(delay_s, failure.retry_after_s or 0.0))
 
-    def _on_answer(self) -> None:
+    def _on_log_available(self) -> None:
         if self._failures:
-            seconds = self._now() - self._outage_start
+            seconds = self._now() - self._outage_started_at
             log(Event.LOG_BACK, stream=CONFIG_STREAM, seconds=seconds)
         self._failures = 0
 
-    def _on_lapsed(self, lapsed: OffsetTrimmed) -> None:
-        self._snapshots.first_offset = lapsed.first_offset
-        self._skip_to(lapsed.first_offset)
-        self._later(_PAUSE_S)
+    def _on_offset_trimmed(self, trimmed: OffsetTrimmed) -> None:
+        self._snapshot_schedule.first_offset = trimmed.first_offset
+        self._skip_trimmed(trimmed.first_offset)
+        self._schedule_read(_READ_INTERVAL_S)
 
-    def _skip_to(self, first_offset: int) -> None:
+    def _skip_trimmed(self, first_offset: int) -> None:
         """Skip trimmed records unless a peer's state already covers them."""
         offset = self.fold.next_offset
         if first_offset > offset:
@@ -218,46 +218,48 @@
             self._exchange.request_from_random_peer()
 
     def _on_records(self, result: Records) -> None:
-        self._snapshots.first_offset = result.first_offset
+        self._snapshot_schedule.first_offset = result.first_offset
         # Compare with the requested offset: the fold may have advanced during the read
         # with a later state from a peer.
-        if result.next_offset < self._asked_from:
-            self._on_shorter(result.next_offset)
+        if result.next_offset < self._requested_offset:
+            self._on_shorter_log(result.next_offset)
             return
-        self._shorter = False
+        self._log_is_shorter = False
         if result.records:
-            self._skip_to(result.records[0].offset)
+            self._skip_trimmed(result.records[0].offset)
         for record in result.records:
             if record.offset > self.fold.next_offset or self.fold.halted:
                 # The fold returned to the offset after a snapshot, or has halted.
                 break
-            self._apply(record)
+            self._apply_record(record)
         if not self.fold.complete:
             self._exchange.request_from_random_peer()
         # Schedule the next read first, so that an exception in another component does
         # not stop the reads.
-        self._schedule(result)
-        self._give()
+        self._schedule_next_read(result)
+        self._notify_config()
 
-    def _on_shorter(self, next_offset: int) -> None:
+    def _on_shorter_log(self, next_offset: int) -> None:
         # The log was replaced or emptied. Its records refer to a different revision
         # history, so keep the configuration in force.
-        if not self._shorter:
-            log(Event.LOG_SHORTER, next_offset=next_offset, known=self._asked_from)
-        self._shorter = True
-        self._later(self._poll_s)
+        if not self._log_is_shorter:
+            log(
+                Event.LOG_SHORTER, next_offset=next_offset, known=self._requested_offset
+            )
+        self._log_is_shorter = True
+        self._schedule_read(self._poll_s)
 
-    def _schedule(self, result: Records) -> None:
+    def _schedule_next_read(self, result: Records) -> None:
         if self.fold.next_offset < result.next_offset:
-            self._later(0.0 if result.records else _PAUSE_S)
+            self._schedule_read(0.0 if result.records else _READ_INTERVAL_S)
         elif self._roles().reader:
-            self._later(_PAUSE_S)
+            self._schedule_read(_READ_INTERVAL_S)
         else:
-            self._later(self._poll_s * self._rng.uniform(0.7, 1.0))
+            self._schedule_read(self._poll_s * self._rng.uniform(0.7, 1.0))
 
-    def _apply(self, record: LogRecord) -> None:
+    def _apply_record(self, record: LogRecord) -> None:
         outcome = self.fold.apply(record.offset, record.record)
-        self._snapshots.note(record, outcome)
+        self._snapshot_schedule.on_outcome(record, outcome)
         author = ""
         if isinstance(record.record, dict):
             author = str(record.record.get("author", ""))[:128]
@@ -265,8 +267,14 @@
 
     def _check_snapshot(self) -> None:
         fold = self.fold
-        able = self._live and self.revision and fold.complete and not fold.halted
-        if able and self._snapshots.due(self._wall()) and self._roles().writer:
+        can_snapshot = (
+            self._running and self.revision and fold.complete and not fold.halted
+        )
+        if (
+            can_snapshot
+            and self._snapshot_schedule.is_due(self._wall_clock())
+            and self._roles().writer
+        ):
             records = [fold.snapshot(self._host)]
             self._log.append(CONFIG_STREAM, records, self._on_append)
 
--- a/greengageflow/daemon/control.py
+++ b/greengageflow/daemon/control.py
@@ -61,11 +61,11 @@
 
 OWNER_TICK_S = 0.05
 ACTION_TICK_S = 0.1
-SETTLE_S = 2.0
+MEMBERSHIP_SETTLE_S = 2.0
 """Time for a membership change to propagate to all routers."""
 
 
-class RequestSide(Protocol):
+class RequestHandler(Protocol):
     """Handles the core's decisions about requests."""
 
     def on_start(self, start: Start) -> None:
@@ -118,13 +118,13 @@
         self.ledger = ServiceLedger(own, local_only=sharing == "local")
         self.leaving = LeavingEndpoints(own)
         self.entry = EntryQueue(own, self.ledger, is_leaving=self.leaving.is_leaving)
-        self.owner = EndpointOwner(own, self.ledger, settle_s=SETTLE_S)
+        self.owner = EndpointOwner(own, self.ledger, settle_s=MEMBERSHIP_SETTLE_S)
         self.collector = Collector(own, self.ledger)
         self.writer = ActionWriter()
         self.actions = ActionEntry(own, self._writer_of, self._is_holder_live)
         self.membership = membership
         self.roster = roster
-        self.requests: RequestSide | None = None
+        self.requests: RequestHandler | None = None
         self.view = FleetView(
             own,
             {own.host: LiveMember(own.boot)},
@@ -139,15 +139,15 @@
         self._on_order_notice = on_order_notice
         self._on_crash_report = on_crash_report
         self._random = Random(own.host)
-        self._local: deque[Any] = deque()
-        self._delivering = False
-        self._confirmed = True
-        self._view_seen: tuple[int, frozenset[str]] | None = None
+        self._loopback_messages: deque[Any] = deque()
+        self._delivering_loopback = False
+        self._view_confirmed = True
+        self._last_view_key: tuple[int, frozenset[str]] | None = None
         self._entry_timer: Subscription | None = None
-        self._entry_due = float("inf")
+        self._next_entry_tick_at = float("inf")
         self._share_timer: Subscription | None = None
         self._share_interval_s = 0.0
-        self._policy_share_s: float | None = None
+        self._policy_share_interval_s: float | None = None
 
     def start(self) -> None:
         """Start the periodic timers."""
@@ -166,14 +166,16 @@
         # An endpoint that is removed and added again with its old generation has no
         # leaving mark in the owner. The generations restore it before grants are sent.
         self.run(self.owner.on_config(now, cfg, self.leaving.left_generations))
-        self._policy_share_s = cfg.policy.share_interval_s
-        self._pace_shares()
+        self._policy_share_interval_s = cfg.policy.share_interval_s
+        self._update_share_interval()
 
-    def _pace_shares(self) -> None:
+    def _update_share_interval(self) -> None:
         """Set the share report interval from the policy and the fleet size."""
-        if self._policy_share_s is None:
+        if self._policy_share_interval_s is None:
             return
-        interval_s = share_interval_s(self._policy_share_s, len(self.view.live))
+        interval_s = share_interval_s(
+            self._policy_share_interval_s, len(self.view.live)
+        )
         if interval_s == self._share_interval_s:
             return
         self._share_interval_s = interval_s
@@ -189,7 +191,7 @@
         now = monotonic()
         # Messages buffered during a process pause may be read before the next tick.
         self.membership.detect_pause(now)
-        self._follow_pause(now)
+        self._update_view_confirmation(now)
         match message:
             case Demand() | GrantTaken() | GrantReturned():
                 self.run(self.owner.receive(now, sender, message))
@@ -204,7 +206,7 @@
                 self.ledger.on_totals(now, sender, message)
             case Ping() | Ack() | PingRequest() | ViewRequest() | View():
                 self.run(self.membership.receive(now, sender, message))
-                self._after_membership()
+                self._after_membership_update()
             case ConfigRequest() | ConfigState():
                 self._on_config_message(sender.host, message)
             case OrderNotice():
@@ -223,21 +225,21 @@
         # Collect all effects first: executing one may call the same core component
         # again, which must not happen while its generator is still updating state.
         for effect in tuple(effects):
-            self._carry_out(effect)
-        if self._delivering:
+            self._execute(effect)
+        if self._delivering_loopback:
             return
-        self._delivering = True
+        self._delivering_loopback = True
         try:
-            while self._local:
-                self.receive(self.own, self._local.popleft())
+            while self._loopback_messages:
+                self.receive(self.own, self._loopback_messages.popleft())
         finally:
-            self._delivering = False
-        self._plan_entry_tick()
+            self._delivering_loopback = False
+        self._schedule_entry_tick()
 
-    def _carry_out(self, effect: Effect) -> None:
+    def _execute(self, effect: Effect) -> None:
         match effect:
             case Send(to, message) if to == self.own.host:
-                self._local.append(message)
+                self._loopback_messages.append(message)
             case Send(to, message):
                 self._link.send(to, message)
             case Start():
@@ -249,43 +251,45 @@
             case Replay():
                 self.requests.on_replay(effect)
             case AppendRecords(stream, records):
-                self._log.append(stream, records, self._append_taker(stream))
+                self._log.append(stream, records, self._append_callback(stream))
             case ReadRecords(stream, from_offset):
-                self._log.read(stream, from_offset, 0.0, self._read_taker(stream))
+                self._log.read(stream, from_offset, 0.0, self._read_callback(stream))
             case Connect(host, ip, port):
                 self._link.set_address(host, ip, port)
             case Disconnect(host):
                 self._link.disconnect(host)
 
-    def _append_taker(self, stream: str) -> Callable[[AppendResult], None]:
-        def take(result: AppendResult) -> None:
+    def _append_callback(self, stream: str) -> Callable[[AppendResult], None]:
+        def on_result(result: AppendResult) -> None:
             self.run(self.writer.on_append(monotonic(), stream, result))
 
-        return take
+        return on_result
 
-    def _read_taker(self, stream: str) -> Callable[[ReadResult], None]:
-        def take(result: ReadResult) -> None:
+    def _read_callback(self, stream: str) -> Callable[[ReadResult], None]:
+        def on_result(result: ReadResult) -> None:
             self.run(self.writer.on_read(monotonic(), stream, result))
 
-        return take
+        return on_result
 
     def send(self, host: str, message: Any) -> None:
         """Send a message to a host, which may be this one."""
         self.run((Send(host, message),))
 
-    def send_crashes(self, records: tuple[CrashRecord, ...], most: int | None) -> None:
+    def send_crashes(
+        self, records: tuple[CrashRecord, ...], max_receivers: int | None
+    ) -> None:
         """Send crash records to other routers.
 
         Args:
             records: Records of requests that crashed endpoints.
-            most: Maximum number of receivers, chosen at random; None for all.
+            max_receivers: Maximum number of receivers, chosen at random; None for all.
         """
         hosts = sorted(self.view.live.keys() - {self.own.host})
-        if most is not None:
-            hosts = self._random.sample(hosts, min(most, len(hosts)))
+        if max_receivers is not None:
+            hosts = self._random.sample(hosts, min(max_receivers, len(hosts)))
         self.run([Send(host, CrashReport(records)) for host in hosts])
 
-    def note_leaving(self, endpoint: str) -> bool:
+    def mark_endpoint_leaving(self, endpoint: str) -> bool:
         """Mark an endpoint as leaving; return whether it was not marked before."""
         if self.leaving.is_leaving(endpoint):
             return False
@@ -308,21 +312,21 @@
 
     def _on_membership_tick(self) -> None:
         self.run(self.membership.on_tick(monotonic()))
-        self._after_membership()
+        self._after_membership_update()
 
-    def _after_membership(self) -> None:
-        newer = self.membership.newer_revision_host()
-        if newer is not None:
-            self._on_newer_revision(newer, self.membership.revision + 1)
+    def _after_membership_update(self) -> None:
+        newer_host = self.membership.newer_revision_host()
+        if newer_host is not None:
+            self._on_newer_revision(newer_host, self.membership.revision + 1)
         self.refresh_view()
-        self._follow_pause(monotonic())
+        self._update_view_confirmation(monotonic())
 
-    def _follow_pause(self, now: float) -> None:
+    def _update_view_confirmation(self, now: float) -> None:
         """Notify components when a pause puts the view in doubt or it is confirmed."""
         confirmed = self.membership.confirmed
-        if confirmed == self._confirmed:
+        if confirmed == self._view_confirmed:
             return
-        self._confirmed = confirmed
+        self._view_confirmed = confirmed
         if confirmed:
             maybe_replaced = self.membership.long_pause
             self.run(self.owner.on_view_confirmed(now, maybe_replaced=maybe_replaced))
@@ -336,10 +340,10 @@
         members = self.membership.members
         self.roster.on_members(members.keys())
         roster = frozenset(self.roster.hosts)
-        seen = self.membership.view_version, roster
-        if seen == self._view_seen:
+        view_key = self.membership.view_version, roster
+        if view_key == self._last_view_key:
             return
-        self._view_seen = seen
+        self._last_view_key = view_key
         live = {
             host: LiveMember(member.peer.boot, member.zone, member.stopping)
             for host, member in members.items()
@@ -349,7 +353,7 @@
         now = monotonic()
         self.view = view = self.view.updated(live, roster)
         self.run(self.leaving.on_view(view))
-        self._pace_shares()
+        self._update_share_interval()
         self.collector.on_view(now, view)
         self.run(self.entry.on_view(now, view))
         self.run(self.owner.on_view(now, view))
@@ -366,17 +370,17 @@
         self.run(self.ledger.report(self.view))
         self.run(self.collector.report(monotonic()))
 
-    def _plan_entry_tick(self) -> None:
+    def _schedule_entry_tick(self) -> None:
         now = monotonic()
         due = self.entry.next_tick(now)
-        if due >= self._entry_due:
+        if due >= self._next_entry_tick_at:
             return
         if self._entry_timer is not None:
             self._entry_timer.cancel()
-        self._entry_due = due
+        self._next_entry_tick_at = due
         self._entry_timer = self._timers.after(due - now, self._on_entry_tick)
 
     def _on_entry_tick(self) -> None:
-        self._entry_due = float("inf")
+        self._next_entry_tick_at = float("inf")
         self._entry_timer = None
         self.run(self.entry.on_tick(monotonic()))
--- a/greengageflow/daemon/order_follower.py
+++ b/greengageflow/daemon/order_follower.py
@@ -28,12 +28,12 @@
 from greengageflow.net.log_client import JSON_HEADERS, LogClient
 from greengageflow.net.timers import Timers
 
-TICK_S = 0.1
-NOTICE_S = 2.0
-ANSWER_TIMEOUT_S = 60.0
-_READ_BACKOFF_S = 0.5
-_MARGIN = 1.2
-_TEXT_KEPT = 200
+TICK_INTERVAL_S = 0.1
+NOTICE_INTERVAL_S = 2.0
+RESPONSE_TIMEOUT_S = 60.0
+_MIN_READ_BACKOFF_S = 0.5
+_TAKEOVER_TIMEOUT_FACTOR = 1.2
+_MAX_TEXT_LENGTH = 200
 
 
 class OrderFollower:
@@ -45,8 +45,8 @@
         pool: Outbound connections.
         timers: Timer service.
         view: Returns this router's view of the fleet.
-        endpoints: Returns the endpoint with a name, or None.
-        reader: Returns whether this router polls the stream.
+        find_endpoint: Returns the endpoint with a name, or None.
+        is_reader: Returns whether this router polls the stream.
         send: Sends a message to a host.
         wait_s: Long-poll timeout of readers, in seconds.
         window_s: Maximum time from claiming an order to sending it, in seconds.
@@ -61,21 +61,21 @@
         timers: Timers,
         *,
         view: Callable[[], FleetView],
-        endpoints: Callable[[str], Endpoint | None],
-        reader: Callable[[], bool],
+        find_endpoint: Callable[[str], Endpoint | None],
+        is_reader: Callable[[], bool],
         send: Callable[[str, Any], None],
         wait_s: float = 5.0,
         window_s: float = SEND_WINDOW_S,
-        timeout_s: float = ANSWER_TIMEOUT_S,
+        timeout_s: float = RESPONSE_TIMEOUT_S,
     ) -> None:
         self._own = own
         self._log = log_client
         self._pool = pool
         self._timers = timers
         self._view = view
-        self._endpoints = endpoints
-        self._reader = reader
-        self._send = send
+        self._find_endpoint = find_endpoint
+        self._is_reader = is_reader
+        self._send_message = send
         self._wait_s = wait_s
         self._timeout_s = timeout_s
         self._owner = OrderOwner(
@@ -84,14 +84,14 @@
             checks_fencing=self._checks_fencing,
             is_holder_live=self._is_holder_live,
             send_window_s=window_s,
-            takeover_timeout_s=_MARGIN * (window_s + timeout_s),
+            takeover_timeout_s=_TAKEOVER_TIMEOUT_FACTOR * (window_s + timeout_s),
         )
         self._next_offset = 0
-        self._read_to = 0
+        self._log_end_offset = 0
         self._reading = False
-        self._read_at = 0.0
-        self._notice_at = 0.0
-        self._shorter = False
+        self._next_read_at = 0.0
+        self._next_notice_at = 0.0
+        self._log_is_shorter = False
 
     @property
     def busy(self) -> bool:
@@ -105,18 +105,18 @@
 
     def start(self) -> None:
         """Start the periodic timer."""
-        self._timers.every(TICK_S, self._on_tick)
+        self._timers.every(TICK_INTERVAL_S, self._on_tick)
 
-    def received(self, message: OrderNotice) -> None:
+    def on_notice(self, message: OrderNotice) -> None:
         """Handle a reader's notice that the stream has new records."""
-        self._read_to = max(self._read_to, message.next_offset)
+        self._log_end_offset = max(self._log_end_offset, message.next_offset)
         self._on_tick()
 
     def _owns(self, endpoint: str) -> bool:
         return self._view().owner_of(endpoint) == self._own.host
 
     def _checks_fencing(self, endpoint: str) -> bool | None:
-        found = self._endpoints(endpoint)
+        found = self._find_endpoint(endpoint)
         return None if found is None else found.checks_fencing
 
     def _is_holder_live(self, holder: str) -> bool:
@@ -125,13 +125,13 @@
 
     def _on_tick(self) -> None:
         now = self._timers.now
-        self._carry_out(self._owner.on_tick(now))
-        if self._reader() and now >= self._notice_at:
-            self._notice_at = now + NOTICE_S
+        self._execute(self._owner.on_tick(now))
+        if self._is_reader() and now >= self._next_notice_at:
+            self._next_notice_at = now + NOTICE_INTERVAL_S
             self._notify()
         self._read(now)
 
-    def _carry_out(self, effects: Iterable[AppendRecords | SendOrder]) -> None:
+    def _execute(self, effects: Iterable[AppendRecords | SendOrder]) -> None:
         for effect in tuple(effects):
             match effect:
                 case AppendRecords(stream, records):
@@ -142,8 +142,12 @@
     # Log.
 
     def _read(self, now: float) -> None:
-        behind = self._next_offset < self._read_to
-        if self._reading or now < self._read_at or not (behind or self._reader()):
+        behind = self._next_offset < self._log_end_offset
+        if (
+            self._reading
+            or now < self._next_read_at
+            or not (behind or self._is_reader())
+        ):
             return
         self._reading = True
         wait_s = 0.0 if behind else self._wait_s
@@ -151,72 +155,76 @@
 
     def _on_append(self, result: AppendResult) -> None:
         if isinstance(result, Appended):
-            self._read_to = max(self._read_to, result.first_offset + result.count)
+            self._log_end_offset = max(
+                self._log_end_offset, result.first_offset + result.count
+            )
         self._owner.on_append(self._timers.now, result)
         self._on_tick()
 
     def _on_read(self, result: ReadResult) -> None:
         self._reading = False
         match result:
-            case Records(next_offset=end) if end < self._next_offset:
-                self._on_shorter(end)
+            case Records(next_offset=log_end) if log_end < self._next_offset:
+                self._on_shorter_log(log_end)
             case Records():
                 self._on_records(result)
             case OffsetTrimmed(first_offset):
                 self._next_offset = max(self._next_offset, first_offset)
-            case LogFailure(retry_after_s=wait):
-                self._read_at = self._timers.now + max(_READ_BACKOFF_S, wait or 0.0)
+            case LogFailure(retry_after_s=retry_after_s):
+                self._next_read_at = self._timers.now + max(
+                    _MIN_READ_BACKOFF_S, retry_after_s or 0.0
+                )
         self._on_tick()
 
     def _on_records(self, result: Records) -> None:
-        self._shorter = False
+        self._log_is_shorter = False
         if not result.records:
             # The log ends here, so a later offset in a notice referred to another log.
-            self._read_to = min(self._read_to, self._next_offset)
-            self._read_at = self._timers.now + TICK_S
+            self._log_end_offset = min(self._log_end_offset, self._next_offset)
+            self._next_read_at = self._timers.now + TICK_INTERVAL_S
             return
         ended = self._owner.on_records(self._timers.now, result.records)
         self._next_offset = result.records[-1].offset + 1
-        self._read_to = max(self._read_to, result.next_offset)
+        self._log_end_offset = max(self._log_end_offset, result.next_offset)
         for state in ended:
             if self._owns(state.order.endpoint):
-                _log_end(state)
-        self._notice_at = 0.0
+                _log_result(state)
+        self._next_notice_at = 0.0
 
-    def _on_shorter(self, end: int) -> None:
+    def _on_shorter_log(self, log_end: int) -> None:
         # Fencing numbers from a shorter log would be lower than those the engines have
         # seen, and its orders may already have run. Send nothing until the log has
         # grown past the offset read so far.
-        if not self._shorter:
-            log(Event.LOG_SHORTER, next_offset=end, known=self._next_offset)
-        self._shorter = True
-        self._read_to = self._next_offset
-        self._read_at = self._timers.now + self._wait_s
+        if not self._log_is_shorter:
+            log(Event.LOG_SHORTER, next_offset=log_end, known=self._next_offset)
+        self._log_is_shorter = True
+        self._log_end_offset = self._next_offset
+        self._next_read_at = self._timers.now + self._wait_s
 
     def _notify(self) -> None:
         endpoints = {state.order.endpoint for state in self._owner.fold.open}
         owners = {self._view().owner_of(endpoint) for endpoint in endpoints}
         for host in sorted(owners - {None, self._own.host}):
-            self._send(host, OrderNotice(self._next_offset))
+            self._send_message(host, OrderNotice(self._next_offset))
 
     # Engine requests.
 
     def _send_order(self, send: SendOrder) -> None:
         order = send.order
-        endpoint = self._endpoints(order.endpoint)
+        endpoint = self._find_endpoint(order.endpoint)
 
-        def end(result: str, text: str) -> None:
+        def finish(result: str, text: str) -> None:
             now = self._timers.now
             self._owner.on_send_result(
-                now, order.id, send.nonce, result, text[:_TEXT_KEPT]
+                now, order.id, send.nonce, result, text[:_MAX_TEXT_LENGTH]
             )
 
-        def done(answer: Response | Failure) -> None:
-            end(*_result(answer))
+        def on_response(response: Response | Failure) -> None:
+            finish(*_send_result(response))
             self._on_tick()
 
         if endpoint is None:
-            end("not_sent", "the endpoint is not configured")
+            finish("not_sent", "the endpoint is not configured")
             return
         req = HttpRequest(
             "POST",
@@ -224,35 +232,35 @@
             endpoint.port,
             "/orders",
             JSON_HEADERS,
-            _body(send),
+            _request_body(send),
             idle_timeout_s=self._timeout_s,
             retry_stale=False,
             not_after=send.not_after,
         )
-        self._pool.fetch(req, done)
+        self._pool.fetch(req, on_response)
 
 
-def _body(send: SendOrder) -> bytes:
+def _request_body(send: SendOrder) -> bytes:
     order = send.order
     names = ("model", "adapter", "version", "role")
-    given = {name: value for name in names if (value := getattr(order, name))}
-    fields = {"order": order.op, "id": order.id, "fencing": send.fencing, **given}
+    options = {name: value for name in names if (value := getattr(order, name))}
+    fields = {"order": order.op, "id": order.id, "fencing": send.fencing, **options}
     return json.dumps(fields).encode()
 
 
-def _result(answer: Response | Failure) -> tuple[str, str]:
-    match answer:
+def _send_result(response: Response | Failure) -> tuple[str, str]:
+    match response:
         case Failure(sent=False, message=message):
             return "not_sent", message
         case Failure(message=message):
             return "unknown", message
         case Response(status=status) if 200 <= status < 300:
             return "done", ""
-    text = answer.body[:_TEXT_KEPT].decode(errors="replace")
-    return "refused", f"{answer.status} {text}"
+    text = response.body[:_MAX_TEXT_LENGTH].decode(errors="replace")
+    return "refused", f"{response.status} {text}"
 
 
-def _log_end(state: OrderState) -> None:
+def _log_result(state: OrderState) -> None:
     order = state.order
     fields = {"order": order.id, "endpoint": order.endpoint, "text": state.text}
     if state.result == "unknown":
--- a/greengageflow/daemon/router.py
+++ b/greengageflow/daemon/router.py
@@ -42,9 +42,9 @@
 from greengageflow.settings import RouterSettings, load_settings
 from greengageflow.tracing import Tracing
 
-DISPATCH_TICK_S = 0.25
-STOP_TICK_S = 0.1
-SUPERSEDED_TICK_S = 1.0
+DISPATCH_INTERVAL_S = 0.25
+STOP_CHECK_INTERVAL_S = 0.1
+SUPERSEDED_CHECK_INTERVAL_S = 1.0
 GAUGE_TICK_S = 5.0
 
 
@@ -62,30 +62,32 @@
         self._settings = settings
         own = PeerId(settings.host, int(time() * 1000))
         self._own = own
-        files = FileBudget(getrlimit(RLIMIT_NOFILE)[0])
+        file_budget = FileBudget(getrlimit(RLIMIT_NOFILE)[0])
         self._pool = HttpPool(
-            self._timers, source_ip=settings.ip, max_idle_of_all=files.idle
+            self._timers, source_ip=settings.ip, max_idle_of_all=file_budget.idle
         ).register(self)
         self._log_client = LogClient(self._pool, settings.log.ip, settings.log.port)
         self._metrics = Metrics(settings.statsd, settings.host)
-        self._link = PeerLink(
+        self._peer_link = PeerLink(
             own, settings.peer_ip, settings.peer_port, self._on_peer_message
         ).register(self)
         self._quarantine = Quarantine(
             crashes=settings.quarantine.crashes, hold_s=settings.quarantine.hold_s
         )
         self._control = self._make_control()
-        self._follower = self._make_follower()
-        self._orders = self._make_orders()
+        self._config_follower = self._make_config_follower()
+        self._order_follower = self._make_order_follower()
         self._status = StatusSource(
             self._control,
-            self._follower,
-            self._link,
+            self._config_follower,
+            self._peer_link,
             self._log_client,
-            state=lambda: "stopping" if self._requests.stopping else "running",
-            orders=lambda: self._orders.status,
+            state=lambda: (
+                "stopping" if self._request_dispatcher.stopping else "running"
+            ),
+            orders=lambda: self._order_follower.status,
         )
-        self._requests = Dispatcher(
+        self._request_dispatcher = Dispatcher(
             self._control,
             EndpointRuns(
                 self._pool,
@@ -98,24 +100,24 @@
             quarantine=self._quarantine,
             on_leaving=self._on_leaving,
         )
-        self._control.requests = self._requests
-        self._crashes = self._requests.crashes = CrashWatch(
+        self._control.requests = self._request_dispatcher
+        self._crash_watch = self._request_dispatcher.crashes = CrashWatch(
             self._quarantine,
             self._timers,
             ConnectCheck(self._timers, source_ip=settings.ip).register(self),
             self._control,
             RouterQuarantineNotes(self._metrics),
-            self._requests.on_quarantined,
+            self._request_dispatcher.on_quarantined,
         )
-        self._callers = CallerServer(
+        self._caller_server = CallerServer(
             settings.ip,
             settings.caller_port,
-            self._requests,
+            self._request_dispatcher,
             self._timers,
             limits=Limits(),
-            max_connections=files.callers,
+            max_connections=file_budget.callers,
         ).register(self)
-        self._watch = EndpointWatch(
+        self._endpoint_watch = EndpointWatch(
             self._pool,
             self._timers,
             self._control.owner,
@@ -124,16 +126,18 @@
             self._on_leaving,
         )
         self._host_list: HostList | None = None
-        self._listed = LeavingReportFilter()
+        self._leaving_filter = LeavingReportFilter()
         self._observer = Observer(
             self._control,
-            self._link,
+            self._peer_link,
             self._log_client,
             self._metrics,
             host_list=lambda: self._host_list,
-            quarantined=lambda: len(self._quarantine.quarantined(self._timers.now)),
+            quarantined_count=lambda: len(
+                self._quarantine.quarantined(self._timers.now)
+            ),
         )
-        self._stop_began = 0.0
+        self._drain_started_at = 0.0
 
     def _make_control(self) -> Control:
         settings = self._settings
@@ -155,7 +159,7 @@
         )
         return Control(
             self._own,
-            self._link,
+            self._peer_link,
             self._timers,
             self._log_client,
             membership,
@@ -163,11 +167,11 @@
             on_config_message=self._on_config_message,
             on_newer_revision=self._on_newer_revision,
             on_order_notice=self._on_order_notice,
-            on_crash_report=lambda report: self._crashes.receive(report.records),
+            on_crash_report=lambda report: self._crash_watch.receive(report.records),
             sharing=settings.sharing,
         )
 
-    def _make_follower(self) -> ConfigFollower:
+    def _make_config_follower(self) -> ConfigFollower:
         return ConfigFollower(
             self._own.host,
             self._log_client,
@@ -181,7 +185,7 @@
             snapshot_interval_s=self._settings.timing.snapshot_interval_s,
         )
 
-    def _make_orders(self) -> OrderFollower:
+    def _make_order_follower(self) -> OrderFollower:
         timing = self._settings.timing
         return OrderFollower(
             self._own,
@@ -189,8 +193,8 @@
             self._pool,
             self._timers,
             view=lambda: self._control.view,
-            endpoints=lambda name: self._follower.config.endpoints.get(name),
-            reader=lambda: config_roles(self._control.view).reader,
+            find_endpoint=lambda name: self._config_follower.config.endpoints.get(name),
+            is_reader=lambda: config_roles(self._control.view).reader,
             send=self._control.send,
             window_s=timing.order_window_s,
             timeout_s=timing.order_timeout_s,
@@ -208,44 +212,44 @@
         seeds = {seed.host: seed for seed in self._settings.seeds}
         seeds.update((e.host, Seed(e.host, e.ip, e.port)) for e in routers)
         self._control.membership.set_seeds(seeds.values())
-        self._take_signs(entries)
+        self._on_host_list_leaving(entries)
         self._control.refresh_view()
 
-    def _take_signs(self, entries: tuple[HostEntry, ...]) -> None:
+    def _on_host_list_leaving(self, entries: tuple[HostEntry, ...]) -> None:
         """Process leaving reports of the host list for current endpoint generations."""
         for entry in filter(self._is_configured, entries):
-            left = self._control.leaving.left_generation(entry.host)
-            endpoint = self._follower.config.endpoints[entry.host]
+            newest_left = self._control.leaving.left_generation(entry.host)
+            endpoint = self._config_follower.config.endpoints[entry.host]
             leaving = entry.state is HostState.LEAVING
-            if self._listed.accept(endpoint, left, leaving=leaving):
+            if self._leaving_filter.accept(endpoint, newest_left, leaving=leaving):
                 self._on_leaving(entry.host, "host list")
 
     def _is_configured(self, entry: HostEntry) -> bool:
-        endpoint = self._follower.config.endpoints.get(entry.host)
+        endpoint = self._config_follower.config.endpoints.get(entry.host)
         if endpoint is None or entry.kind is not HostKind.ENDPOINT:
             return False
         return (endpoint.host, endpoint.port) == (entry.ip, entry.port)
 
     def _on_leaving(self, endpoint: str, source: str) -> None:
-        if self._control.note_leaving(endpoint):
+        if self._control.mark_endpoint_leaving(endpoint):
             log(LogEvent.ENDPOINT_LEAVING, endpoint=endpoint, source=source)
 
     def _on_peer_message(self, sender: PeerId, message: object) -> None:
         self._control.receive(sender, message)
 
     def _on_config_message(self, host: str, message: object) -> None:
-        self._follower.received(host, message)
+        self._config_follower.on_message(host, message)
 
     def _on_order_notice(self, notice: OrderNotice) -> None:
-        self._orders.received(notice)
+        self._order_follower.on_notice(notice)
 
     def _on_newer_revision(self, host: str, revision: int) -> None:
-        self._follower.on_peer_revision(host, revision)
+        self._config_follower.on_peer_revision(host, revision)
 
     def _on_config(self, cfg: FleetConfig) -> None:
-        self._requests.on_config(cfg)
-        self._callers.set_body_limit(cfg.policy.body_limit)
-        self._watch.on_config(cfg)
+        self._request_dispatcher.on_config(cfg)
+        self._caller_server.set_body_limit(cfg.policy.body_limit)
+        self._endpoint_watch.on_config(cfg)
         self._control.on_config(cfg)
 
     # Start and stop.
@@ -255,10 +259,10 @@
         settings = self._settings
         log(LogEvent.STARTED, host=settings.host, zone=settings.zone)
         self._control.start()
-        self._follower.start()
-        self._orders.start()
-        self._watch.start()
-        self._crashes.start()
+        self._config_follower.start()
+        self._order_follower.start()
+        self._endpoint_watch.start()
+        self._crash_watch.start()
         if settings.host_list is not None:
             self._host_list = HostList(
                 self._pool,
@@ -269,10 +273,10 @@
                 interval_s=settings.timing.host_list_interval_s,
             )
             self._host_list.start()
-        self._timers.every(DISPATCH_TICK_S, self._requests.on_tick)
+        self._timers.every(DISPATCH_INTERVAL_S, self._request_dispatcher.on_tick)
         self._observer.start(self._timers)
-        self._timers.every(SUPERSEDED_TICK_S, self._check_superseded)
-        ip, port = self._callers.address
+        self._timers.every(SUPERSEDED_CHECK_INTERVAL_S, self._check_superseded)
+        ip, port = self._caller_server.address
         print(json.dumps({"ready": True, "host": ip, "port": port}), flush=True)
 
     def _check_superseded(self) -> None:
@@ -282,34 +286,36 @@
             self._begin_stop()
 
     def _begin_stop(self) -> None:
-        if self._requests.stopping:
+        if self._request_dispatcher.stopping:
             return
-        log(LogEvent.STOPPING, running=self._requests.flights)
-        self._requests.stopping = True
+        log(LogEvent.STOPPING, running=self._request_dispatcher.flights)
+        self._request_dispatcher.stopping = True
         self._control.membership.set_stopping()
         self._control.refresh_view()
-        self._timers.after(self._settings.timing.stop_grace_s, self._refuse_new)
+        self._timers.after(
+            self._settings.timing.stop_grace_s, self._refuse_new_requests
+        )
 
-    def _refuse_new(self) -> None:
-        self._requests.refusing = True
-        self._callers.drain()
-        self._stop_began = self._timers.now
-        self._timers.every(STOP_TICK_S, self._stop_when_done)
+    def _refuse_new_requests(self) -> None:
+        self._request_dispatcher.refusing = True
+        self._caller_server.drain()
+        self._drain_started_at = self._timers.now
+        self._timers.every(STOP_CHECK_INTERVAL_S, self._stop_when_done)
 
     def _stop_when_done(self) -> None:
-        waited = self._timers.now - self._stop_began
-        left = self._requests.flights
+        waited = self._timers.now - self._drain_started_at
+        in_flight = self._request_dispatcher.flights
         busy = (
-            left
-            or self._callers.answering
+            in_flight
+            or self._caller_server.answering
             or self._control.actions.unreported
-            or self._orders.busy
+            or self._order_follower.busy
         )
         if busy and waited < self._settings.timing.stop_timeout_s:
             return
         self._control.run(self._control.membership.leave(self._timers.now))
-        log(LogEvent.STOPPED, cut=left)
-        self._timers.after(STOP_TICK_S, self.stop)
+        log(LogEvent.STOPPED, cut=in_flight)
+        self._timers.after(STOP_CHECK_INTERVAL_S, self.stop)
 
 
 def _span_writer(trace_file: str | None) -> Callable[[str], None] | None:
--- a/greengageflow/daemon/status.py
+++ b/greengageflow/daemon/status.py
@@ -15,7 +15,7 @@
 
     Args:
         control: Control of the core components.
-        follower: Follower of the configuration stream.
+        config_follower: Follower of the configuration stream.
         link: Transport for messages to other routers.
         log_client: Client of the platform's log.
         state: Returns ``running`` or ``stopping``.
@@ -25,7 +25,7 @@
     def __init__(
         self,
         control: Control,
-        follower: ConfigFollower,
+        config_follower: ConfigFollower,
         link: PeerLink,
         log_client: LogClient,
         *,
@@ -33,7 +33,7 @@
         orders: Callable[[], list[dict[str, Any]]] = list,
     ) -> None:
         self._control = control
-        self._follower = follower
+        self._config_follower = config_follower
         self._link = link
         self._log = log_client
         self._state = state
@@ -47,22 +47,24 @@
             "boot": control.own.boot,
             "zone": control.view.zone,
             "state": self._state(),
-            "config": self._follower.status,
-            "history": [_decision(item) for item in self._follower.fold.history],
+            "config": self._config_follower.status,
+            "history": [
+                _decision_row(item) for item in self._config_follower.fold.history
+            ],
             "members": dict(self._members()),
             "roster": sorted(control.view.roster),
             "endpoints": {
-                one.endpoint: {
-                    "slots": one.allowed,
-                    "used": one.used,
-                    "resting": one.resting,
-                    "leaving": one.leaving,
+                usage.endpoint: {
+                    "slots": usage.allowed,
+                    "used": usage.used,
+                    "resting": usage.resting,
+                    "leaving": usage.leaving,
                 }
-                for one in control.owner.usage(monotonic())
+                for usage in control.owner.usage(monotonic())
             },
             "leaving": [
                 name
-                for name in self._follower.config.endpoints
+                for name in self._config_follower.config.endpoints
                 if control.leaving.is_leaving(name)
             ],
             "waiting": control.entry.waiting,
@@ -74,7 +76,7 @@
                 "outbox": control.writer.outbox_size,
             },
             "orders": self._orders(),
-            "control": self._traffic(),
+            "control": self._control_counters(),
         }
 
     def _members(self) -> Iterator[tuple[str, Any]]:
@@ -95,7 +97,7 @@
                 },
             )
 
-    def _traffic(self) -> dict[str, Any]:
+    def _control_counters(self) -> dict[str, Any]:
         counters = self._link.counters
         return {
             "bytes_in": counters.bytes_in,
@@ -109,7 +111,7 @@
         }
 
 
-def _decision(item: Any) -> dict[str, Any]:
+def _decision_row(item: Any) -> dict[str, Any]:
     return {
         "offset": item.offset,
         "author": item.author,
--- a/tests/test_config_follower.py
+++ b/tests/test_config_follower.py
@@ -141,7 +141,9 @@
     def send(self, sender, to, message):
         self.sent.append((sender, to, message))
         if not self.cut & {sender, to}:
-            self.clock.after(0.01, lambda: self.followers[to].received(sender, message))
+            self.clock.after(
+                0.01, lambda: self.followers[to].on_message(sender, message)
+            )
 
     def gossip(self):
         for host, follower in self.followers.items():
@@ -310,7 +312,7 @@
     assert fleet.clock.run(IN_FORCE_S, lambda: fleet.all_at(1))
     whole = pack_document(fleet.followers["r1"].fold.snapshot("r1"))
     for data in (b"", b"junk", whole[:-9], pack_document([]), pack_document("x")):
-        fleet.followers["r0"].received("r1", ConfigState(9, 9, data))
+        fleet.followers["r0"].on_message("r1", ConfigState(9, 9, data))
     assert fleet.followers["r0"].revision == 1
 
 
