--- a/tests/test_action_faults.py
+++ b/tests/test_action_faults.py
@@ -36,9 +36,12 @@
 
 
 def dispatch(lab, host, key, body=None, **headers):
-    named = {"Authorization": f"Bearer {key_of('acme')}", "Idempotency-Key": key}
+    request_headers = {
+        "Authorization": f"Bearer {key_of('acme')}",
+        "Idempotency-Key": key,
+    }
     return lab.routers[host].call(
-        "POST", PATH, body or {"villa": 7}, headers={**named, **headers}
+        "POST", PATH, body or {"villa": 7}, headers={**request_headers, **headers}
     )
 
 
@@ -51,22 +54,22 @@
     ]
 
 
-def logged(lab, kind, key):
+def logged_records(lab, kind, key):
     """Return the log's records of one kind for a key of account acme."""
-    found = []
+    records = []
     for stream in STREAMS:
-        answer = lab.log.call("GET", f"/streams/{stream}/records?from=0&limit=1000")
-        if answer.status == 200:
-            rows = (row["record"] for row in answer.json["records"])
-            found += [r for r in rows if r["t"] == kind and r["k"] == f"acme\n{key}"]
-    return found
+        response = lab.log.call("GET", f"/streams/{stream}/records?from=0&limit=1000")
+        if response.status == 200:
+            rows = (row["record"] for row in response.json["records"])
+            records += [r for r in rows if r["t"] == kind and r["k"] == f"acme\n{key}"]
+    return records
 
 
-def error(answer):
-    return answer.json["error"]
+def error(response):
+    return response.json["error"]
 
 
-def test_one_key_through_three_routers_at_once_runs_once(lab):
+def test_concurrent_requests_with_one_key_run_once(lab):
     """A client repeats an action while the first attempt is still running.
 
     Three routers get the same key at the same time. Each appends an intent; the router
@@ -75,32 +78,34 @@
     for service in lab.services.values():
         service.fault(answer_delay_s=0.3)
     with ThreadPoolExecutor(3) as threads:
-        answers = list(threads.map(lambda h: dispatch(lab, h, "k-three"), lab.routers))
-    assert [answer.status for answer in answers] == [200, 200, 200]
-    assert len({answer.data for answer in answers}) == 1
+        responses = list(
+            threads.map(lambda h: dispatch(lab, h, "k-three"), lab.routers)
+        )
+    assert [response.status for response in responses] == [200, 200, 200]
+    assert len({response.data for response in responses}) == 1
     assert len(effects(lab, "k-three")) == 1
 
 
-def test_the_same_key_with_another_body_is_a_conflict(lab):
+def test_same_key_with_different_body_is_a_conflict(lab):
     assert dispatch(lab, "r1", "k-conflict").status == 200
-    answer = dispatch(lab, "r2", "k-conflict", {"villa": 8})
-    assert answer.status == 409
-    assert error(answer)["ran"] == "no"
+    response = dispatch(lab, "r2", "k-conflict", {"villa": 8})
+    assert response.status == 409
+    assert error(response)["ran"] == "no"
     assert len(effects(lab, "k-conflict")) == 1
 
 
-def test_log_down_refuses_and_the_key_stays_free(lab):
+def test_log_outage_refuses_action_and_leaves_key_free(lab):
     """The caller gets "not run" at once and succeeds when the log is back.
 
     Without an appended intent the action must not be sent, not even later when a
     retried append succeeds.
     """
     lab.log.fault(down=True)
-    answer = dispatch(lab, "r1", "k-down")
-    assert answer.status == 503
-    assert error(answer)["kind"] == "log_unavailable"
-    assert error(answer)["ran"] == "no"
-    assert int(answer.headers["retry-after"]) >= 1
+    response = dispatch(lab, "r1", "k-down")
+    assert response.status == 503
+    assert error(response)["kind"] == "log_unavailable"
+    assert error(response)["ran"] == "no"
+    assert int(response.headers["retry-after"]) >= 1
     lab.log.fault()
     wait_for(lambda: lab.status("r1")["actions"]["unreported"] == 0, "release stored")
     assert effects(lab, "k-down") == []
@@ -110,7 +115,7 @@
 
 @pytest.mark.parametrize("only", ["append", "read"])
 @pytest.mark.parametrize("skip", [0, 1])
-def test_log_answers_lost_after_their_effect_double_nothing(lab, only, skip):
+def test_lost_log_responses_do_not_repeat_an_action(lab, only, skip):
     """The action runs once even though responses of the log are lost.
 
     The router does not know that the record was appended and appends it again with
@@ -118,21 +123,21 @@
     """
     key = f"k-lost-{only}-{skip}"
     lab.log.fault(only=only, lose_answers=2, skip=skip)
-    answer = dispatch(lab, "r1", key)
-    assert answer.status == 200
-    assert dispatch(lab, "r3", key).data == answer.data
+    response = dispatch(lab, "r1", key)
+    assert response.status == 200
+    assert dispatch(lab, "r3", key).data == response.data
     assert len(effects(lab, key)) == 1
 
 
-def test_slow_log_delays_but_doubles_nothing(lab):
+def test_slow_log_does_not_repeat_an_action(lab):
     lab.log.fault(answer_delay_s=0.4)
-    answer = dispatch(lab, "r1", "k-slow")
-    assert answer.status == 200
-    assert dispatch(lab, "r2", "k-slow").data == answer.data
+    response = dispatch(lab, "r1", "k-slow")
+    assert response.status == 200
+    assert dispatch(lab, "r2", "k-slow").data == response.data
     assert len(effects(lab, "k-slow")) == 1
 
 
-def test_an_answer_lost_after_the_effect_is_unknown_and_never_repeated(lab):
+def test_response_lost_after_execution_is_unknown_and_never_retried(lab):
     """The caller gets "unknown", never "not run", on the first try and every retry.
 
     The service executed the action and the connection broke before its response. A
@@ -140,26 +145,28 @@
     """
     for service in lab.services.values():
         service.fault(lose_answers=1)
-    answer = dispatch(lab, "r1", "k-unknown")
-    assert error(answer)["ran"] == "unknown"
-    wait_for(lambda: logged(lab, "outcome", "k-unknown"), "outcome in the log")
+    response = dispatch(lab, "r1", "k-unknown")
+    assert error(response)["ran"] == "unknown"
+    wait_for(lambda: logged_records(lab, "outcome", "k-unknown"), "outcome in the log")
     for host in lab.routers:
         assert error(dispatch(lab, host, "k-unknown"))["ran"] == "unknown"
     assert len(effects(lab, "k-unknown")) == 1
 
 
-def test_an_unreachable_endpoint_frees_the_key():
+def test_unreachable_endpoint_releases_the_key():
     """No byte was sent, so the caller gets "not run" and may retry."""
     with Lab(PLAN) as lab:
         for service in lab.services.values():
             service.kill()
-        answer = dispatch(lab, "r1", "k-refused")
-        assert error(answer)["ran"] == "no"
-        wait_for(lambda: logged(lab, "release", "k-refused"), "release in the log")
+        response = dispatch(lab, "r1", "k-refused")
+        assert error(response)["ran"] == "no"
+        wait_for(
+            lambda: logged_records(lab, "release", "k-refused"), "release in the log"
+        )
         assert error(dispatch(lab, "r2", "k-refused"))["ran"] == "no"
 
 
-def test_router_killed_between_intent_and_send_leaves_unknown():
+def test_router_killed_between_intent_and_send_leaves_outcome_unknown():
     """The caller's connection breaks; a retry through another router gets "unknown".
 
     The intent is in the log and its router is dead. No other router can tell whether
@@ -168,17 +175,19 @@
     with proxied_lab() as (lab, _):
         lab.log.fault(only="append", answer_delay_s=2.0)
         with ThreadPoolExecutor(1) as threads:
-            first = threads.submit(dispatch, lab, "r1", "k-killed")
-            wait_for(lambda: logged(lab, "intent", "k-killed"), "intent in the log")
+            first_attempt = threads.submit(dispatch, lab, "r1", "k-killed")
+            wait_for(
+                lambda: logged_records(lab, "intent", "k-killed"), "intent in the log"
+            )
             lab.routers["r1"].kill()
-            assert first.exception() is not None
+            assert first_attempt.exception() is not None
         lab.log.fault()
-        answer = dispatch(lab, "r2", "k-killed")
-        assert error(answer)["ran"] == "unknown"
+        response = dispatch(lab, "r2", "k-killed")
+        assert error(response)["ran"] == "unknown"
         assert len(effects(lab, "k-killed")) <= 1
 
 
-def test_router_frozen_past_the_deadline_sends_nothing_when_it_wakes():
+def test_router_frozen_past_deadline_sends_nothing_after_resume():
     """An action must not be sent after its deadline.
 
     The router is frozen after its intent is appended and resumes after all timeouts.
@@ -187,17 +196,21 @@
     with proxied_lab() as (lab, _):
         lab.log.fault(only="append", answer_delay_s=2.0)
         with ThreadPoolExecutor(1) as threads:
-            first = threads.submit(
+            first_attempt = threads.submit(
                 dispatch, lab, "r1", "k-frozen", **{"X-Deadline-S": "3"}
             )
-            wait_for(lambda: logged(lab, "intent", "k-frozen"), "intent in the log")
+            wait_for(
+                lambda: logged_records(lab, "intent", "k-frozen"), "intent in the log"
+            )
             lab.routers["r1"].pause()
             lab.log.fault()
-            answer = dispatch(lab, "r2", "k-frozen", **{"X-Deadline-S": "8"})
-            assert error(answer)["ran"] == "unknown"
+            response = dispatch(lab, "r2", "k-frozen", **{"X-Deadline-S": "8"})
+            assert error(response)["ran"] == "unknown"
             lab.routers["r1"].go_on()
-            assert error(first.result())["ran"] == "no"
-        wait_for(lambda: logged(lab, "release", "k-frozen"), "release in the log")
+            assert error(first_attempt.result())["ran"] == "no"
+        wait_for(
+            lambda: logged_records(lab, "release", "k-frozen"), "release in the log"
+        )
         assert effects(lab, "k-frozen") == []
         assert dispatch(lab, "r3", "k-frozen").status == 200
         assert len(effects(lab, "k-frozen")) == 1
--- a/tests/test_config_race.py
+++ b/tests/test_config_race.py
@@ -12,12 +12,12 @@
 from tests.support import wait_for
 
 STREAM = "/streams/config/records"
-KEPT = 8
+KEPT_RECORDS = 8
 
 
 @pytest.fixture
 def lab():
-    options = {"keep_records": KEPT}
+    options = {"keep_records": KEPT_RECORDS}
     plan = LabPlan(routers=3, engines=1, services=1, log_options=options)
     with Lab(plan) as lab:
         yield lab
@@ -28,7 +28,7 @@
     return "--routers=" + ",".join(f"{ip}:{port}" for ip, port in addresses)
 
 
-def begin(lab, *args):
+def start_ctl(lab, *args):
     """Start ``greengage-ctl`` without waiting for it."""
     command = [sys.executable, "-m", "greengageflow.ops.ctl", *map(str, args)]
     ip, port = lab.log.address
@@ -41,7 +41,7 @@
     )
 
 
-def end(process):
+def wait_ctl(process):
     out, _ = process.communicate(timeout=60)
     return process.returncode, out
 
@@ -54,13 +54,15 @@
 
 def in_force(lab, revision):
     def check():
-        found = [lab.status(host)["config"] for host in lab.routers]
-        return found if all(one["revision"] == revision for one in found) else None
+        states = [lab.status(host)["config"] for host in lab.routers]
+        return (
+            states if all(state["revision"] == revision for state in states) else None
+        )
 
     return wait_for(check, f"revision {revision} everywhere")
 
 
-def test_operators_race_with_old_and_new_schema(lab, tmp_path):
+def test_concurrent_publishes_with_old_and_new_schema(lab, tmp_path):
     """Two operators publish concurrently on the same revision, one with schema 1 and
     one with schema 2, several times. Each time one is accepted and the other is
     rejected as lost, and all routers have the accepted revision: they evaluate the
@@ -70,8 +72,10 @@
         before = lab.status("r1")["config"]["revision"]
         old = write(tmp_path / "old.json", 1, before, {"accounts": [{"name": "old"}]})
         new = write(tmp_path / "new.json", 2, before, lab.config())
-        racers = [begin(lab, "publish", file, routers(lab)) for file in (old, new)]
-        results = [end(racer) for racer in racers]
+        publishers = [
+            start_ctl(lab, "publish", file, routers(lab)) for file in (old, new)
+        ]
+        results = [wait_ctl(publisher) for publisher in publishers]
         assert sorted(code for code, _ in results) == [0, 1], results
         winner, loser = sorted(results)
         assert "in force on 3 of 3" in winner[1]
@@ -79,16 +83,16 @@
         in_force(lab, before + 1)
     states = [lab.status(host) for host in lab.routers]
     assert len({state["config"]["revision"] for state in states}) == 1
-    judged = defaultdict(set)
+    decisions = defaultdict(set)
     for state in states:
         for decision in state["history"]:
-            judged[decision["offset"]].add(json.dumps(decision))
+            decisions[decision["offset"]].add(json.dumps(decision))
     # A router that fetched a revision from a peer did not evaluate the record itself.
-    assert sorted(judged) == list(range(len(judged)))
-    assert all(len(verdicts) == 1 for verdicts in judged.values())
+    assert sorted(decisions) == list(range(len(decisions)))
+    assert all(len(evaluations) == 1 for evaluations in decisions.values())
 
 
-def test_a_router_without_memory_joins_while_the_log_is_down(lab):
+def test_router_without_state_joins_during_log_outage(lab):
     """A router is restarted without state during a log outage. It gets the
     configuration in force from its peers and reports in its status that the log is
     down. Once the log is back, a drain takes effect on it as on the others.
@@ -105,27 +109,27 @@
         "r3 has the state of a peer",
     )
     lab.log.fault()
-    code, text = end(begin(lab, "drain", "e1", routers(lab)))
+    code, text = wait_ctl(start_ctl(lab, "drain", "e1", routers(lab)))
     assert (code, "in force on 3 of 3" in text) == (0, True), text
     in_force(lab, revision + 1)
 
 
-def test_a_frozen_router_wakes_after_the_log_forgot_what_it_missed(lab):
+def test_frozen_router_resumes_after_missed_records_are_trimmed(lab):
     """A router is frozen while records take effect and are trimmed from the log. After
     it resumes, its state is outdated and the next records are missing. It must not
     apply later records to that state, and restores the state in force from a peer or a
     snapshot.
     """
-    missed = len(lab.log.call("GET", STREAM).json["records"])
+    next_offset = len(lab.log.call("GET", STREAM).json["records"])
     lab.routers["r2"].pause()
-    for weight in range(2, KEPT + 5):
+    for weight in range(2, KEPT_RECORDS + 5):
         accounts = [{"name": "acme", "share": {"weight": weight}}]
         lab.publish(lab.config(accounts=accounts))
         wait_for(
             lambda: lab.status("r1")["config"]["revision"] == lab.revision,
             "r1 has the new revision",
         )
-    assert lab.log.call("GET", f"{STREAM}?from={missed}").status == 410
+    assert lab.log.call("GET", f"{STREAM}?from={next_offset}").status == 410
     lab.routers["r2"].go_on()
     in_force(lab, lab.revision)
     assert lab.status("r2")["config"]["complete"]
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -31,26 +31,26 @@
     )
 
 
-def test_the_fleets_totals_reach_the_ledger():
+def test_fleet_totals_reach_the_ledger():
     """Every router shared by its own counters only, so fleet-wide shares were uneven.
 
     Totals from a collector were passed to the ledger without the time; each message
     raised an exception, and owners never received the fleet's service totals.
     """
-    node = control()
+    router = control()
     row = AccountService("acme", 500.0)
-    node.receive(PeerId("r1", 1), FleetTotals((row,), 1))
-    assert node.ledger.totals == {"acme": row}
+    router.receive(PeerId("r1", 1), FleetTotals((row,), 1))
+    assert router.ledger.totals == {"acme": row}
 
 
-def test_reports_are_paced_by_the_size_of_the_fleet():
+def test_share_report_interval_grows_with_fleet_size():
     """Share reports as frequent as in a small fleet would fill a large one's links."""
-    node = control(360)
-    timers = node._timers
+    router = control(360)
+    timers = router._timers
     cfg = FleetConfig(revision=1)
-    node.on_config(cfg)
-    node.refresh_view()
-    node.on_config(replace(cfg, revision=2))
-    paces = [call.args[0] for call in timers.every.call_args_list]
-    assert paces == [0.5, 2.0]
+    router.on_config(cfg)
+    router.refresh_view()
+    router.on_config(replace(cfg, revision=2))
+    intervals = [call.args[0] for call in timers.every.call_args_list]
+    assert intervals == [0.5, 2.0]
     assert timers.every.return_value.cancel.call_count == 1
--- a/tests/test_double_faults.py
+++ b/tests/test_double_faults.py
@@ -28,8 +28,8 @@
     engine_options=ENGINE,
     timing={"probe_interval_s": 0.2, "suspect_s": 0.8},
 )
-LEFT = {"r1", "r2"}
-RIGHT = {"r3", "r4", "r5"}
+LEFT_SIDE = {"r1", "r2"}
+RIGHT_SIDE = {"r3", "r4", "r5"}
 ACTION = "/services/rounds/dispatch/visit"
 
 
@@ -45,11 +45,14 @@
 
 
 def dispatch(lab, host, key):
-    named = {"Authorization": f"Bearer {key_of('bolt')}", "Idempotency-Key": key}
-    return lab.routers[host].call("POST", ACTION, {"villa": 7}, headers=named)
+    request_headers = {
+        "Authorization": f"Bearer {key_of('bolt')}",
+        "Idempotency-Key": key,
+    }
+    return lab.routers[host].call("POST", ACTION, {"villa": 7}, headers=request_headers)
 
 
-def wait_views(lab, *sides):
+def wait_for_views(lab, *sides):
     for side in sides:
         for host in side:
             wait_for(
@@ -57,12 +60,12 @@
             )
 
 
-def doubled(lab):
-    keys = [one["key"] for one in effects(lab) if one["key"]]
+def repeated_keys(lab):
+    keys = [effect["key"] for effect in effects(lab) if effect["key"]]
     return {key for key in keys if keys.count(key) > 1}
 
 
-def test_a_partition_while_the_log_is_down():
+def test_partition_during_log_outage():
     """Chats continue on both sides; protected actions are refused as not run.
 
     Both sides may get the same key. Without the log neither may send the action. When
@@ -71,9 +74,9 @@
     both = chats("acme", outstanding=20), actions("acme", rate_per_s=5)
     with proxied_lab(PLAN) as (lab, proxy), BackgroundLoad(lab, *both) as load:
         wait_for(lambda: len(executions(lab)) > 30, "load runs")
-        proxy.rules(*split(lab, LEFT, RIGHT))
+        proxy.rules(*split(lab, LEFT_SIDE, RIGHT_SIDE))
         lab.log.fault(down=True)
-        wait_views(lab, LEFT, RIGHT)
+        wait_for_views(lab, LEFT_SIDE, RIGHT_SIDE)
         both = ("r1", "r3")
         with ThreadPoolExecutor(2) as threads:
             refused = list(threads.map(lambda h: dispatch(lab, h, "k-both"), both))
@@ -82,24 +85,24 @@
             assert answer.json["error"]["ran"] == "no"
         lab.log.fault()
 
-        def sent():
+        def both_succeed():
             with ThreadPoolExecutor(2) as threads:
                 answers = list(threads.map(lambda h: dispatch(lab, h, "k-both"), both))
             return all(answer.status == 200 for answer in answers) and answers
 
-        answers = wait_for(sent, "both sides return the same response")
+        answers = wait_for(both_succeed, "both sides return the same response")
         assert answers[0].data == answers[1].data
         proxy.rules()
-        wait_views(lab, set(lab.routers))
+        wait_for_views(lab, set(lab.routers))
         wait_started(lab, 100)
         results = load.stop()
         assert_truthful(lab, results)
-        assert all(one.complete for one in results if one.kind == "chat")
-        assert doubled(lab) == set()
+        assert all(result.complete for result in results if result.kind == "chat")
+        assert repeated_keys(lab) == set()
         assert max(most_at_once(executions(lab)).values()) <= SLOTS
 
 
-def test_a_router_killed_during_a_partition():
+def test_router_killed_during_partition():
     """Only the killed router's callers are affected; no side exceeds the slots.
 
     From the other side, a dead router cannot be told from a partitioned one, so its
@@ -108,23 +111,25 @@
     chat = chats("acme", outstanding=30)
     with proxied_lab(PLAN) as (lab, proxy), BackgroundLoad(lab, chat) as load:
         wait_for(lambda: len(executions(lab)) > 30, "load runs")
-        proxy.rules(*split(lab, LEFT, RIGHT))
-        wait_views(lab, LEFT, RIGHT)
-        victim = lab.routers["r3"].address
+        proxy.rules(*split(lab, LEFT_SIDE, RIGHT_SIDE))
+        wait_for_views(lab, LEFT_SIDE, RIGHT_SIDE)
+        killed_address = lab.routers["r3"].address
         lab.routers["r3"].kill()
-        wait_views(lab, LEFT, RIGHT - {"r3"})
+        wait_for_views(lab, LEFT_SIDE, RIGHT_SIDE - {"r3"})
         proxy.rules()
-        wait_views(lab, set(lab.routers) - {"r3"})
+        wait_for_views(lab, set(lab.routers) - {"r3"})
         lab.restart_router("r3")
-        wait_views(lab, set(lab.routers))
+        wait_for_views(lab, set(lab.routers))
         wait_started(lab, 100)
         results = load.stop()
         assert_truthful(lab, results)
-        assert all(one.complete for one in results if one.router != victim)
+        assert all(
+            result.complete for result in results if result.router != killed_address
+        )
         assert max(most_at_once(executions(lab)).values()) <= SLOTS
 
 
-def test_a_frozen_writer_of_a_key_while_others_ask():
+def test_frozen_writer_does_not_repeat_actions():
     """The writer of a key's records freezes while another router requests the key.
 
     A new writer takes over and accepts one attempt. The old writer resumes with its
@@ -134,36 +139,38 @@
     with proxied_lab(PLAN) as (lab, _):
         with ThreadPoolExecutor(12) as threads:
             lab.log.fault(only="append", answer_delay_s=1.0)
-            first = [threads.submit(dispatch, lab, "r2", key) for key in keys]
+            futures = [threads.submit(dispatch, lab, "r2", key) for key in keys]
             wait_for(lambda: lab.status("r1")["actions"]["outbox"] > 0, "r1 writes")
             lab.routers["r1"].pause()
-            rest = set(lab.routers) - {"r1"}
-            wait_views(lab, rest)
+            remaining = set(lab.routers) - {"r1"}
+            wait_for_views(lab, remaining)
             lab.log.fault()
-            others = list(threads.map(lambda key: dispatch(lab, "r4", key), keys))
+            other_answers = list(
+                threads.map(lambda key: dispatch(lab, "r4", key), keys)
+            )
             lab.routers["r1"].go_on()
-            answers = [one.result() for one in first]
-        wait_views(lab, set(lab.routers))
-        assert doubled(lab) == set()
-        ran = {one["key"] for one in effects(lab)}
-        for key, one, other in zip(keys, answers, others, strict=True):
-            for answer in (one, other):
+            answers = [future.result() for future in futures]
+        wait_for_views(lab, set(lab.routers))
+        assert repeated_keys(lab) == set()
+        ran = {effect["key"] for effect in effects(lab)}
+        for key, first, other in zip(keys, answers, other_answers, strict=True):
+            for answer in (first, other):
                 assert answer.status == 200 or answer.json["error"]["ran"] != "yes"
                 if answer.status == 200:
                     assert key in ran
-        again = [dispatch(lab, "r5", key) for key in keys]
-        assert {a.status for a in again if a.status == 200} == {200}
-        assert doubled(lab) == set()
+        repeats = [dispatch(lab, "r5", key) for key in keys]
+        assert {a.status for a in repeats if a.status == 200} == {200}
+        assert repeated_keys(lab) == set()
 
 
-def both_served(lab):
+def both_accounts_served(lab):
     """Return whether each account has at least a third of the last 90 starts."""
-    last = sorted(executions(lab), key=lambda one: one["started"])[-90:]
-    left = sum(one["request_id"].split("-")[0] in LEFT for one in last)
+    last = sorted(executions(lab), key=lambda execution: execution["started"])[-90:]
+    left = sum(execution["request_id"].split("-")[0] in LEFT_SIDE for execution in last)
     return 30 <= left <= 60
 
 
-def test_a_region_apart_for_a_while_starves_nobody_after_it_is_back():
+def test_no_account_starves_after_partition_heals():
     """An account that only one side served is not starved after the totals merge.
 
     During the partition both sides serve without the other's counters. The difference
@@ -175,15 +182,15 @@
     )
     with proxied_lab(PLAN) as (lab, proxy), BackgroundLoad(lab, *both) as load:
         wait_for(lambda: len(executions(lab)) > 30, "load runs")
-        proxy.rules(*split(lab, LEFT, RIGHT))
-        wait_views(lab, LEFT, RIGHT)
-        apart = len(executions(lab))
-        wait_for(lambda: len(executions(lab)) > apart + 150, "both sides serve")
+        proxy.rules(*split(lab, LEFT_SIDE, RIGHT_SIDE))
+        wait_for_views(lab, LEFT_SIDE, RIGHT_SIDE)
+        count_before = len(executions(lab))
+        wait_for(lambda: len(executions(lab)) > count_before + 150, "both sides serve")
         proxy.rules()
-        wait_views(lab, set(lab.routers))
-        wait_for(lambda: both_served(lab), "both accounts are served")
+        wait_for_views(lab, set(lab.routers))
+        wait_for(lambda: both_accounts_served(lab), "both accounts are served")
         wait_started(lab, 100)
         results = load.stop()
         assert_truthful(lab, results)
-        assert all(one.complete for one in results)
+        assert all(result.complete for result in results)
         assert max(most_at_once(executions(lab)).values()) <= SLOTS
--- a/tests/test_fleet_totals.py
+++ b/tests/test_fleet_totals.py
@@ -7,7 +7,7 @@
 PLAN = LabPlan(routers=3, engines=2, services=1, engine_options=ENGINE)
 
 
-def test_every_router_knows_what_the_fleet_served():
+def test_every_router_receives_fleet_totals():
     """An account that is served through one router must not look unserved to others.
 
     An owner without fleet totals knows only the service of its own callers. It would
@@ -18,7 +18,7 @@
             lab, chats("acme", outstanding=4, routers=(0,)), duration_s=3
         )
         load.results()
-        served = sum(one["pieces"] for one in executions(lab))
+        served = sum(execution["pieces"] for execution in executions(lab))
         for host in lab.routers:
             wait_for(
                 lambda h=host: lab.status(h)["accounts"]["acme"]["served"] >= served,
--- a/tests/test_leaving_faults.py
+++ b/tests/test_leaving_faults.py
@@ -24,7 +24,7 @@
     engine_options=ENGINE,
     timing={"probe_interval_s": 0.2, "suspect_s": 0.8, "host_list_interval_s": 0.3},
 )
-RARE_S = 600.0
+LONG_INTERVAL_S = 600.0
 
 
 def publish(lab, **fields):
@@ -34,35 +34,38 @@
     lab.wait_in_force(lab.publish(config))
 
 
-def by_config(lab):
+def leave_by_config(lab):
     publish(lab, leaving=True)
     return lambda: publish(lab, leaving=False)
 
 
-def by_host_list(lab):
+def leave_by_host_list(lab):
     lab.set_host_list(lab.routers, leaving=("e1",))
     return lambda: lab.set_host_list(lab.routers)
 
 
-def by_engine(lab):
+def leave_by_load_report(lab):
     lab.engines["e1"].call("POST", "/leaving", {"leaving": True})
     return lambda: lab.engines["e1"].call("POST", "/leaving", {"leaving": False})
 
 
-def says_leaving(lab):
+def reports_leaving(lab):
     return lab.engines["e1"].call("GET", "/load").json["leaving"]
 
 
-def knows(lab, host):
+def is_marked_leaving(lab, host):
     return "e1" in lab.status(host)["leaving"]
 
 
-def wait_known(lab, hosts=None):
+def wait_for_leaving_mark(lab, hosts=None):
     for host in hosts or lab.routers:
-        wait_for(lambda host=host: knows(lab, host), f"{host} has marked e1 as leaving")
+        wait_for(
+            lambda host=host: is_marked_leaving(lab, host),
+            f"{host} has marked e1 as leaving",
+        )
 
 
-def wait_more(lab, name, more=10):
+def wait_for_requests(lab, name, more=10):
     wait_started(lab, more, name)
 
 
@@ -71,8 +74,10 @@
     return next(owners, None)
 
 
-@pytest.mark.parametrize("sign", [by_config, by_host_list, by_engine])
-def test_one_sign_stops_new_work_for_the_generation(sign):
+@pytest.mark.parametrize(
+    "report_leaving", [leave_by_config, leave_by_host_list, leave_by_load_report]
+)
+def test_one_leaving_report_stops_new_requests_for_the_generation(report_leaving):
     """No response is cut off when an endpoint leaves.
 
     The endpoint is reported as leaving under load, and the report is withdrawn later.
@@ -83,28 +88,28 @@
         Lab(PLAN) as lab,
         BackgroundLoad(lab, chats("acme", outstanding=30)) as load,
     ):
-        wait_more(lab, "e1")
-        take_back = sign(lab)
-        wait_known(lab)
-        known_at = time()
-        take_back()
-        wait_more(lab, "e2", 60)
+        wait_for_requests(lab, "e1")
+        withdraw = report_leaving(lab)
+        wait_for_leaving_mark(lab)
+        marked_at = time()
+        withdraw()
+        wait_for_requests(lab, "e2", 60)
         assert not [
-            one
-            for one in executions(lab)
-            if one["engine"] == "e1" and one["started"] > known_at
+            execution
+            for execution in executions(lab)
+            if execution["engine"] == "e1" and execution["started"] > marked_at
         ]
-        assert knows(lab, "r1")
+        assert is_marked_leaving(lab, "r1")
         lab.engines["e1"].call("POST", "/leaving", {"leaving": False})
         publish(lab, generation=2)
-        wait_more(lab, "e1")
+        wait_for_requests(lab, "e1")
         results = load.stop()
         assert_truthful(lab, results)
-        assert all(one.complete for one in results)
-        assert {one["state"] for one in executions(lab)} == {"done"}
+        assert all(result.complete for result in results)
+        assert {execution["state"] for execution in executions(lab)} == {"done"}
 
 
-def test_a_list_that_lags_does_not_mark_the_next_generation():
+def test_outdated_host_list_does_not_mark_the_next_generation():
     """An operator replaces an endpoint; its full capacity must be usable.
 
     The host list still reports the old generation as leaving when the new one is in
@@ -114,16 +119,16 @@
         Lab(PLAN) as lab,
         BackgroundLoad(lab, chats("acme", outstanding=20)) as load,
     ):
-        wait_more(lab, "e1")
-        by_host_list(lab)
-        wait_known(lab)
+        wait_for_requests(lab, "e1")
+        leave_by_host_list(lab)
+        wait_for_leaving_mark(lab)
         publish(lab, generation=2)
-        wait_more(lab, "e1", 40)
-        assert not knows(lab, "r1")
+        wait_for_requests(lab, "e1", 40)
+        assert not is_marked_leaving(lab, "r1")
         assert_truthful(lab, load.stop())
 
 
-def test_a_load_report_that_lags_does_not_mark_the_next_generation():
+def test_outdated_load_report_does_not_mark_the_next_generation():
     """The same with the endpoint's own load report, which lags by 4 s here.
 
     The report still says leaving while the endpoint is replaced, and the owner queries
@@ -134,20 +139,20 @@
         Lab(plan) as lab,
         BackgroundLoad(lab, chats("acme", outstanding=20)) as load,
     ):
-        wait_more(lab, "e1")
-        take_back = by_engine(lab)
-        wait_known(lab)
-        take_back()
+        wait_for_requests(lab, "e1")
+        withdraw = leave_by_load_report(lab)
+        wait_for_leaving_mark(lab)
+        withdraw()
         publish(lab, generation=2)
-        wait_for(lambda: not says_leaving(lab), "the report has caught up")
-        wait_more(lab, "e1", 40)
-        assert not knows(lab, "r1")
-        by_engine(lab)
-        wait_known(lab)
+        wait_for(lambda: not reports_leaving(lab), "the report has caught up")
+        wait_for_requests(lab, "e1", 40)
+        assert not is_marked_leaving(lab, "r1")
+        leave_by_load_report(lab)
+        wait_for_leaving_mark(lab)
         assert_truthful(lab, load.stop())
 
 
-def test_a_sign_that_one_router_reads_holds_for_later_owners():
+def test_leaving_report_read_by_one_router_holds_for_later_owners():
     """In a large fleet each router reads the host list only once a minute or less.
 
     Here only one router reads the report, and it does not own the endpoint. It notifies
@@ -155,32 +160,36 @@
     after the report is withdrawn. No request starts on the endpoint in the meantime.
     """
     with Lab(PLAN) as lab:
-        first = owner_of(lab, "e1")
-        reader = next(host for host in lab.routers if host != first)
+        first_owner = owner_of(lab, "e1")
+        reader = next(host for host in lab.routers if host != first_owner)
         for host, settings in lab.settings.items():
             if host != reader:
-                settings["timing"]["host_list_interval_s"] = RARE_S
+                settings["timing"]["host_list_interval_s"] = LONG_INTERVAL_S
                 lab.routers[host].stop()
                 lab.restart_router(host)
         lab.wait_in_force()
-        assert owner_of(lab, "e1") == first
+        assert owner_of(lab, "e1") == first_owner
         entry = (list(lab.routers).index(reader),)
         chat = chats("acme", outstanding=20, routers=entry)
         with BackgroundLoad(lab, chat) as load:
-            wait_more(lab, "e1")
-            by_host_list(lab)
-            wait_known(lab)
-            known_at = time()
+            wait_for_requests(lab, "e1")
+            leave_by_host_list(lab)
+            wait_for_leaving_mark(lab)
+            marked_at = time()
             lab.set_host_list(lab.routers)
-            lab.routers[first].kill()
-            wait_for(lambda: first not in lab.status(reader)["members"], "owner dead")
-            lab.restart_router(first)
-            wait_known(lab, [first])
-            wait_for(lambda: "e1" in lab.status(first)["endpoints"], "owner again")
-            wait_more(lab, "e2", 80)
+            lab.routers[first_owner].kill()
+            wait_for(
+                lambda: first_owner not in lab.status(reader)["members"], "owner dead"
+            )
+            lab.restart_router(first_owner)
+            wait_for_leaving_mark(lab, [first_owner])
+            wait_for(
+                lambda: "e1" in lab.status(first_owner)["endpoints"], "owner again"
+            )
+            wait_for_requests(lab, "e2", 80)
             assert not [
-                one
-                for one in executions(lab)
-                if one["engine"] == "e1" and one["started"] > known_at
+                execution
+                for execution in executions(lab)
+                if execution["engine"] == "e1" and execution["started"] > marked_at
             ]
             assert_truthful(lab, load.stop())
--- a/tests/test_order_faults.py
+++ b/tests/test_order_faults.py
@@ -19,7 +19,7 @@
 )
 PLANS = {"plain": PLAIN, "fenced": FENCED}
 STREAM = "/streams/orders/records"
-NUMBERS = count(1)
+ORDER_NUMBERS = count(1)
 
 
 @contextmanager
@@ -52,7 +52,12 @@
 
 
 def record(version, endpoint="e1"):
-    load = {"t": "order", "id": f"o{next(NUMBERS)}", "endpoint": endpoint, "op": "load"}
+    load = {
+        "t": "order",
+        "id": f"o{next(ORDER_NUMBERS)}",
+        "endpoint": endpoint,
+        "op": "load",
+    }
     return {**load, "model": "scribe", "version": version, "author": "test"}
 
 
@@ -61,18 +66,18 @@
 
 
 def order(lab, version="1", endpoint="e1"):
-    made = record(version, endpoint)
-    append(lab, made)
-    return made["id"]
+    new_record = record(version, endpoint)
+    append(lab, new_record)
+    return new_record["id"]
 
 
-def logged(lab, kind, id_):
+def logged_records(lab, kind, id_):
     rows = lab.log.call("GET", f"{STREAM}?from=0&limit=1000").json["records"]
     records = (row["record"] for row in rows)
     return [r for r in records if r["t"] == kind and r["id"] == id_]
 
 
-def received(lab, id_=None):
+def received_orders(lab, id_=None):
     """IDs, fencing numbers and statuses of the orders that the engine received."""
     rows = lab.engines["e1"].call("GET", "/orders").json["orders"]
     found = ((r["order"]["id"], r["order"]["fencing"], r["status"]) for r in rows)
@@ -89,24 +94,24 @@
     return any(row["id"] == id_ and row["fencing"] >= 0 for row in rows)
 
 
-def wait_result(lab, host, id_, *wanted):
+def wait_for_result(lab, host, id_, *wanted):
     wait_for(lambda: result(lab, host, id_) in wanted, f"{wanted} of {id_}")
 
 
 @contextmanager
-def held_at_claim(lab, proxy, id_maker):
+def frozen_after_claim(lab, proxy, place_order):
     """Yield the owner, frozen after its claim is appended but not yet read back."""
     host = owner(lab)
-    late = {"do": "delay", "route": "log", "source": lab.settings[host]["ip"]}
-    proxy.rules({**late, "way": "down", "delay_s": 1.0})
-    id_ = id_maker()
-    wait_for(lambda: logged(lab, "claim", id_), f"claim of {id_}")
+    delay_rule = {"do": "delay", "route": "log", "source": lab.settings[host]["ip"]}
+    proxy.rules({**delay_rule, "way": "down", "delay_s": 1.0})
+    id_ = place_order()
+    wait_for(lambda: logged_records(lab, "claim", id_), f"claim of {id_}")
     lab.routers[host].pause()
     proxy.rules()
     yield host, id_
 
 
-def other_owner(lab, host):
+def wait_for_other_owner(lab, host):
     """Wait until another router owns the endpoint, and return it."""
     others = [other for other in lab.routers if other != host]
 
@@ -120,22 +125,22 @@
     return found()
 
 
-def test_orders_in_a_row_arrive_in_order(fleet):
+def test_consecutive_orders_are_delivered_in_order(fleet):
     _, lab, _ = fleet
     records = [record(str(number)) for number in range(6)]
-    ids = [made["id"] for made in records]
+    ids = [new_record["id"] for new_record in records]
     append(lab, *records)
-    wait_result(lab, owner(lab), ids[-1], "done")
-    got = [item for item in received(lab) if item[0] in ids]
-    assert [item[0] for item in got] == ids
-    assert [item[1] for item in got] == sorted(item[1] for item in got)
+    wait_for_result(lab, owner(lab), ids[-1], "done")
+    requests = [item for item in received_orders(lab) if item[0] in ids]
+    assert [item[0] for item in requests] == ids
+    assert [item[1] for item in requests] == sorted(item[1] for item in requests)
 
 
-def test_an_order_to_an_unknown_endpoint_is_refused(fleet):
+def test_order_to_unknown_endpoint_is_refused(fleet):
     _, lab, _ = fleet
     id_ = order(lab, endpoint="nowhere")
-    wait_for(lambda: logged(lab, "done", id_), "a result")
-    assert logged(lab, "done", id_)[0]["result"] == "refused"
+    wait_for(lambda: logged_records(lab, "done", id_), "a result")
+    assert logged_records(lab, "done", id_)[0]["result"] == "refused"
 
 
 @pytest.mark.parametrize(
@@ -147,7 +152,7 @@
     ],
     ids=["claim", "done", "read"],
 )
-def test_log_answers_lost_after_their_effect_double_nothing(fleet, fault):
+def test_lost_log_responses_do_not_repeat_an_order(fleet, fault):
     """An order runs once even though responses of the log are lost.
 
     The owner does not know that the record was appended and appends it again with the
@@ -157,17 +162,17 @@
     # Some of the lost responses are those of open long polls, two per router.
     lab.log.fault(**fault, lose_answers=8)
     id_ = order(lab)
-    wait_result(lab, owner(lab), id_, "done")
+    wait_for_result(lab, owner(lab), id_, "done")
     lab.log.fault()
     last = order(lab)
-    wait_result(lab, owner(lab), last, "done")
-    assert [item[2] for item in received(lab, id_)] == [200]
+    wait_for_result(lab, owner(lab), last, "done")
+    assert [item[2] for item in received_orders(lab, id_)] == [200]
     if fault["only"] == "append":
         kind = fault["contains"].strip('"')
-        assert len(logged(lab, kind, id_)) > 1
+        assert len(logged_records(lab, kind, id_)) > 1
 
 
-def test_an_answer_lost_after_the_effect(fleet):
+def test_engine_response_lost_after_execution(fleet):
     """The engine executed the order and its response was lost.
 
     An engine that checks fencing gets it again with a higher number. For one that does
@@ -177,33 +182,33 @@
     lab.engines["e1"].fault(lose_answers=1, contains="fencing")
     id_ = order(lab)
     if kind == "fenced":
-        wait_result(lab, owner(lab), id_, "done")
-        first, second = received(lab, id_)
+        wait_for_result(lab, owner(lab), id_, "done")
+        first, second = received_orders(lab, id_)
         assert first[1] < second[1]
     else:
-        wait_for(lambda: logged(lab, "done", id_), "a result")
-        assert logged(lab, "done", id_)[0]["result"] == "unknown"
+        wait_for(lambda: logged_records(lab, "done", id_), "a result")
+        assert logged_records(lab, "done", id_)[0]["result"] == "unknown"
         last = order(lab)
-        wait_result(lab, owner(lab), last, "done")
-        assert len(received(lab, id_)) == 1
+        wait_for_result(lab, owner(lab), last, "done")
+        assert len(received_orders(lab, id_)) == 1
         assert "GG506" in lab.routers[owner(lab)].stderr
 
 
-def test_an_unreachable_engine_gets_the_order_once_it_is_back():
+def test_unreachable_engine_gets_order_after_recovery():
     """No byte was sent, so the claim is released and the order waits."""
     with Lab(PLAIN) as lab:
         wait_for(lambda: owner(lab), "an owner of e1")
         lab.engines["e1"].kill()
         id_ = order(lab)
-        wait_for(lambda: logged(lab, "done", id_), "the claim is released")
-        assert logged(lab, "done", id_)[0]["result"] == "not_sent"
+        wait_for(lambda: logged_records(lab, "done", id_), "the claim is released")
+        assert logged_records(lab, "done", id_)[0]["result"] == "not_sent"
         port = lab.endpoint_addresses["e1"][1]
         with standin("engine", name="e1", port=port) as engine:
-            wait_result(lab, owner(lab), id_, "done")
+            wait_for_result(lab, owner(lab), id_, "done")
             assert len(engine.call("GET", "/orders").json["orders"]) == 1
 
 
-def test_frozen_owner_sends_nothing_late_to_an_engine_that_checks_no_numbers():
+def test_resumed_owner_sends_nothing_late_to_engine_without_fencing():
     """A delayed first order must not overwrite the effect of the second.
 
     The owner freezes after its claim is appended. Another owner ends the first order
@@ -212,18 +217,21 @@
     """
     with (
         started(PLAIN) as (lab, proxy),
-        held_at_claim(lab, proxy, lambda: order(lab, "1")) as (host, first),
+        frozen_after_claim(lab, proxy, lambda: order(lab, "1")) as (host, first),
     ):
         second = order(lab, "2")
-        new = other_owner(lab, host)
-        wait_result(lab, new, second, "done")
-        assert result(lab, new, first) == "unknown"
+        new_owner = wait_for_other_owner(lab, host)
+        wait_for_result(lab, new_owner, second, "done")
+        assert result(lab, new_owner, first) == "unknown"
         lab.routers[host].go_on()
-        wait_for(lambda: len(logged(lab, "done", first)) > 1, "the old owner's result")
-        assert [item[0] for item in received(lab)] == [second]
+        wait_for(
+            lambda: len(logged_records(lab, "done", first)) > 1,
+            "the old owner's result",
+        )
+        assert [item[0] for item in received_orders(lab)] == [second]
 
 
-def test_frozen_owner_is_overtaken_at_an_engine_that_checks_numbers():
+def test_new_owner_takes_over_from_frozen_owner_at_engine_with_fencing():
     """A new owner sends the order, and the resumed old owner reverts nothing.
 
     The new owner takes over the claim at once, because the engine refuses a later
@@ -231,21 +239,21 @@
     """
     with (
         started(FENCED) as (lab, proxy),
-        held_at_claim(lab, proxy, lambda: order(lab, "1")) as (host, first),
+        frozen_after_claim(lab, proxy, lambda: order(lab, "1")) as (host, first),
     ):
         second = order(lab, "2")
-        new = other_owner(lab, host)
-        wait_result(lab, new, second, "done")
-        assert result(lab, new, first) == "done"
+        new_owner = wait_for_other_owner(lab, host)
+        wait_for_result(lab, new_owner, second, "done")
+        assert result(lab, new_owner, first) == "done"
         lab.routers[host].go_on()
         wait_for(lambda: owner(lab) == host, "the old owner owns e1 again")
         third = order(lab, "3")
-        wait_result(lab, host, third, "done")
-        taken = [item[0] for item in received(lab) if item[2] == 200]
-        assert taken == [first, second, third]
+        wait_for_result(lab, host, third, "done")
+        accepted = [item[0] for item in received_orders(lab) if item[2] == 200]
+        assert accepted == [first, second, third]
 
 
-def test_an_order_held_back_on_its_way_is_refused_by_its_old_number():
+def test_delayed_order_with_old_fencing_number_is_refused():
     """The first order is delivered late, after the engine executed the second.
 
     The owner freezes while its request is delayed on the way to the engine. Another
@@ -261,11 +269,11 @@
             lab.status(host)
         lab.routers[host].pause()
         second = order(lab, "2")
-        new = other_owner(lab, host)
-        wait_result(lab, new, second, "done")
+        new_owner = wait_for_other_owner(lab, host)
+        wait_for_result(lab, new_owner, second, "done")
         proxy.rules()
-        wait_for(lambda: len(received(lab, first)) == 2, "the delayed request")
-        assert [item[2] for item in received(lab)] == [200, 200, 409]
+        wait_for(lambda: len(received_orders(lab, first)) == 2, "the delayed request")
+        assert [item[2] for item in received_orders(lab)] == [200, 200, 409]
         lab.routers[host].go_on()
 
 
@@ -279,19 +287,19 @@
     """
     with (
         started(PLANS[kind]) as (lab, proxy),
-        held_at_claim(lab, proxy, lambda: order(lab, "1")) as (host, first),
+        frozen_after_claim(lab, proxy, lambda: order(lab, "1")) as (host, first),
     ):
         lab.routers.pop(host).kill()
         second = order(lab, "2")
-        new = other_owner(lab, host)
-        wait_result(lab, new, second, "done")
+        new_owner = wait_for_other_owner(lab, host)
+        wait_for_result(lab, new_owner, second, "done")
         expected = {"plain": "unknown", "fenced": "done"}[kind]
-        assert result(lab, new, first) == expected
-        got = [item[0] for item in received(lab)]
-        assert got == ([second] if kind == "plain" else [first, second])
+        assert result(lab, new_owner, first) == expected
+        requests = [item[0] for item in received_orders(lab)]
+        assert requests == ([second] if kind == "plain" else [first, second])
 
 
-def test_owners_that_do_not_poll_are_told_to_read():
+def test_owners_that_do_not_poll_are_notified():
     """Orders reach every engine although only two of five routers poll the stream.
 
     The owner of an engine is not a reader, and one such owner is killed before an
@@ -300,23 +308,25 @@
     plan = LabPlan(routers=5, zones=("z1",), engines=6, services=0, timing=TIMING)
     with Lab(plan) as lab:
         wait_for(lambda: owner(lab), "an owner of e1")
-        silent = {
+        non_readers = {
             host: list(lab.status(host)["endpoints"])
             for host in lab.routers
             if not lab.status(host)["config"]["reader"]
         }
-        assert len(silent) == 3
-        host, endpoints = max(silent.items(), key=lambda item: len(item[1]))
+        assert len(non_readers) == 3
+        host, endpoints = max(non_readers.items(), key=lambda item: len(item[1]))
         assert endpoints
         first = order(lab, endpoint=endpoints[0])
-        wait_result(lab, host, first, "done")
+        wait_for_result(lab, host, first, "done")
         lab.routers.pop(host).kill()
         last = order(lab, endpoint=endpoints[0])
-        wait_for(lambda: logged(lab, "done", last), "a result by the next owner")
-        assert logged(lab, "done", last)[0]["result"] == "done"
+        wait_for(
+            lambda: logged_records(lab, "done", last), "a result by the next owner"
+        )
+        assert logged_records(lab, "done", last)[0]["result"] == "done"
 
 
-def test_a_load_of_every_engine_is_spaced_over_the_fleet():
+def test_load_orders_run_with_bounded_concurrency():
     """An operator loads a version on eight engines; at most four load concurrently.
 
     If all fetched weights at once, the weight store would reject the requests.
@@ -328,8 +338,11 @@
             engine.fault(answer_delay_s=0.5, contains="fencing")
         records = [record("2", name) for name in lab.engines]
         append(lab, *records)
-        for made in records:
-            wait_for(lambda id_=made["id"]: logged(lab, "done", id_), "a result")
+        for new_record in records:
+            wait_for(
+                lambda id_=new_record["id"]: logged_records(lab, "done", id_),
+                "a result",
+            )
         rows = lab.log.call("GET", f"{STREAM}?from=0&limit=1000").json["records"]
         ended = {r["record"]["nonce"] for r in rows if r["record"]["t"] == "done"}
         running, most = set(), 0
--- a/tests/test_stop_faults.py
+++ b/tests/test_stop_faults.py
@@ -37,7 +37,7 @@
     return {"Authorization": f"Bearer {key_of(account)}", **more}
 
 
-def long_chat(lab, host):
+def send_long_chat(lab, host):
     message = {"role": "user", "content": f"long answer through {host}"}
     body = {"model": "scribe", "stream": True, "messages": [message]}
     body["x_tokens"] = LONG_TOKENS
@@ -45,12 +45,12 @@
 
 
 def action(lab, host, key):
-    named = headers("bolt", **{"Idempotency-Key": key})
-    return lab.routers[host].call("POST", ACTION, {"villa": 7}, headers=named)
+    action_headers = headers("bolt", **{"Idempotency-Key": key})
+    return lab.routers[host].call("POST", ACTION, {"villa": 7}, headers=action_headers)
 
 
-def text_of(answer):
-    *events, last = sse_events(answer.data)
+def response_text(response):
+    *events, last = sse_events(response.data)
     assert last == "[DONE]"
     parts = (event["choices"][0]["delta"] for event in events)
     return "".join(part.get("content") or "" for part in parts)
@@ -63,26 +63,37 @@
     return conn
 
 
-def sees_stopping(lab, other, host):
+def reports_stopping(lab, other, host):
     return lab.status(other)["members"][host]["state"] == "stopping"
 
 
-def lets_go(lab, host):
+def has_released_endpoints(lab, host):
     unhealthy = lab.routers[host].call("GET", "/healthz").status == 503
     return unhealthy and lab.status(host)["endpoints"] == {}
 
 
-def owned(lab, hosts):
+def owned_endpoints(lab, hosts):
     return {name for host in hosts for name in lab.status(host)["endpoints"]}
 
 
-def wait_long_runs(lab, host):
-    def runs():
-        long = (one for one in executions(lab) if one["tokens"] == LONG_TOKENS)
-        mine = (one for one in long if one["request_id"].startswith(f"{host}-"))
-        return any(one["state"] == "running" and one["pieces"] for one in mine)
+def wait_for_long_response(lab, host):
+    def is_running():
+        long_runs = (
+            execution
+            for execution in executions(lab)
+            if execution["tokens"] == LONG_TOKENS
+        )
+        own_runs = (
+            execution
+            for execution in long_runs
+            if execution["request_id"].startswith(f"{host}-")
+        )
+        return any(
+            execution["state"] == "running" and execution["pieces"]
+            for execution in own_runs
+        )
 
-    wait_for(runs, f"long response through {host} runs")
+    wait_for(is_running, f"long response through {host} runs")
 
 
 def stop_under_load(lab, proxy, host):
@@ -91,46 +102,53 @@
     others = set(lab.routers) - {host}
     key = f"k-stop-{host}"
     # Hold the long response until the checks below are done.
-    held = {"do": "freeze", "source": lab.settings[host]["ip"], "way": "down"}
-    held = [{**held, "route": name} for name in lab.engines]
+    freeze_rule = {"do": "freeze", "source": lab.settings[host]["ip"], "way": "down"}
+    freeze_rules = [{**freeze_rule, "route": name} for name in lab.engines]
     idle = idle_connection(lab, host)
     with ThreadPoolExecutor(2) as threads:
         for service in lab.services.values():
             service.fault(answer_delay_s=2.0, contains="villa")
-        long = threads.submit(long_chat, lab, host)
-        wait_long_runs(lab, host)
-        proxy.rules(*held)
-        acted = threads.submit(action, lab, host, key)
+        long_response = threads.submit(send_long_chat, lab, host)
+        wait_for_long_response(lab, host)
+        proxy.rules(*freeze_rules)
+        action_result = threads.submit(action, lab, host, key)
         wait_for(lambda: any(e["key"] == key for e in effects(lab)), "action sent")
         router.terminate()
         # It only accepts new connections, such as status requests, during its grace
         # period.
-        wait_for(lambda: lets_go(lab, host), "unhealthy and without endpoints")
+        wait_for(
+            lambda: has_released_endpoints(lab, host), "unhealthy and without endpoints"
+        )
         for other in others:
             wait_for(
-                lambda o=other: sees_stopping(lab, o, host),
+                lambda o=other: reports_stopping(lab, o, host),
                 f"{other} sees {host} stopping",
             )
         wait_for(
-            lambda: owned(lab, others) == set(lab.endpoint_addresses), "new owners"
+            lambda: owned_endpoints(lab, others) == set(lab.endpoint_addresses),
+            "new owners",
         )
         assert idle.sock.recv(1) == b"", "closed cleanly"
         assert router.popen.poll() is None, "the long response is still running"
-        assert not long.done()
+        assert not long_response.done()
         proxy.rules()
-        assert acted.result().status == 200
-        answer = long.result()
+        assert action_result.result().status == 200
+        response = long_response.result()
     assert router.popen.wait(30) == 0, router.stderr
     for service in lab.services.values():
         service.fault()
-    done = {one["text"] for one in executions(lab) if one["state"] == "done"}
-    assert text_of(answer) in done
-    again = action(lab, next(iter(others)), key)
-    assert again.headers.get("idempotent-replayed") == "true"
-    assert again.data == acted.result().data
-
-
-def test_rolling_replacement_cuts_and_refuses_nothing_that_began():
+    done = {
+        execution["text"]
+        for execution in executions(lab)
+        if execution["state"] == "done"
+    }
+    assert response_text(response) in done
+    repeated = action(lab, next(iter(others)), key)
+    assert repeated.headers.get("idempotent-replayed") == "true"
+    assert repeated.data == action_result.result().data
+
+
+def test_rolling_restart_completes_all_started_requests():
     """During a rolling restart callers see no errors but refusals marked "not run".
 
     Each router in turn is stopped under load, with a streamed response longer than its
@@ -151,20 +169,25 @@
         for host in list(lab.routers):
             stop_under_load(lab, proxy, host)
             lab.restart_router(host)
-            for one in lab.routers:
+            for other in lab.routers:
                 wait_for(
-                    lambda one=one: members(lab, one) == set(lab.routers), "same view"
+                    lambda other=other: members(lab, other) == set(lab.routers),
+                    "same view",
                 )
             lab.wait_in_force()
         wait_started(lab, 100)
         results = load.stop()
         done = executions(lab)
         assert_truthful(lab, results)
-        assert not [one for one in results if one.text and not one.complete]
-        refused = [one for one in results if one.status and not one.complete]
-        assert {one.ran for one in refused} <= {"no"}
-        assert {one["state"] for one in done} == {"done"}
-        whole = {one.request_id for one in results if one.complete}
-        background = (one for one in done if one["tokens"] != LONG_TOKENS)
-        assert {one["request_id"] for one in background} <= whole
+        assert not [result for result in results if result.text and not result.complete]
+        refused = [
+            result for result in results if result.status and not result.complete
+        ]
+        assert {result.ran for result in refused} <= {"no"}
+        assert {execution["state"] for execution in done} == {"done"}
+        completed = {result.request_id for result in results if result.complete}
+        background = (
+            execution for execution in done if execution["tokens"] != LONG_TOKENS
+        )
+        assert {execution["request_id"] for execution in background} <= completed
         assert max(most_at_once(done).values()) <= SLOTS
