--- a/greengageflow/daemon/_config_watch.py
+++ b/greengageflow/daemon/_config_watch.py
@@ -1,4 +1,4 @@
-"""What a follower reads from, and what it notes of the records."""
+"""Log interface, snapshot schedule and event logging of the config follower."""
 
 from collections.abc import Callable, Sequence
 from typing import Any, Protocol
@@ -27,37 +27,37 @@
         """Call ``on_done`` with ``Appended`` or ``LogFailure``."""
 
 
-class SnapshotClock:
-    """Knows when the state must be appended again.
+class SnapshotSchedule:
+    """Decides when a snapshot of the state must be appended to the log.
 
-    Copies do no harm, so a failed append is simply tried again when it is due.
+    Duplicate snapshots are harmless, so a failed append is retried at the next check.
 
     Args:
-        interval_s: Time after which a snapshot is old, in seconds.
-        start: Unix time from which the first one is due.
+        interval_s: Maximum age of the newest snapshot, in seconds.
+        start_time: Unix time from which the first interval is measured.
     """
 
-    def __init__(self, interval_s: float, start: float) -> None:
+    def __init__(self, interval_s: float, start_time: float) -> None:
         self.first_offset = 0
         self._interval_s = interval_s
-        self._time = start
-        self._offset = -1
+        self._snapshot_time = start_time
+        self._snapshot_offset = -1
 
-    def note(self, record: LogRecord, outcome: Outcome) -> None:
-        """Take note of a snapshot that is right."""
+    def on_outcome(self, record: LogRecord, outcome: Outcome) -> None:
+        """Record the time and offset of a valid snapshot."""
         match outcome:
             case Adopted() | Skipped(reason=Reason.SNAPSHOT_KNOWN):
-                self._time = record.time
-                self._offset = record.offset
+                self._snapshot_time = record.time
+                self._snapshot_offset = record.offset
 
-    def due(self, now: float) -> bool:
-        """Tell whether the newest snapshot is old or no longer in the log."""
-        forgotten = self.first_offset > max(self._offset, 0)
-        return forgotten or now - self._time >= self._interval_s
+    def is_due(self, now: float) -> bool:
+        """Return whether the newest snapshot is too old or trimmed from the log."""
+        trimmed = self.first_offset > max(self._snapshot_offset, 0)
+        return trimmed or now - self._snapshot_time >= self._interval_s
 
 
 def log_outcome(offset: int, author: str, outcome: Outcome) -> None:
-    """Log the event that tells what became of a record."""
+    """Log the event for the outcome of a record."""
     match outcome:
         case Accepted(revision):
             log(Event.CONFIG_ACCEPTED, revision=revision, author=author, offset=offset)
--- a/greengageflow/daemon/status.py
+++ b/greengageflow/daemon/status.py
@@ -1,4 +1,4 @@
-"""What ``GET /status`` tells operators."""
+"""Response of ``GET /status``."""
 
 from collections.abc import Callable, Iterator
 from time import monotonic
@@ -11,21 +11,21 @@
 
 
 class StatusSource:
-    """Gathers the state of one router.
+    """Collects the status of one router.
 
     Args:
-        control: The core.
-        follower: The configuration.
-        link: Messages to other routers.
-        log_client: The platform's log.
+        control: Control of the core components.
+        config_follower: Follower of the configuration stream.
+        link: Transport for messages to other routers.
+        log_client: Client of the platform's log.
         state: Returns ``running`` or ``stopping``.
-        orders: Returns the orders to engines that this router knows of.
+        orders: Returns status rows of the orders that this router has read.
     """
 
     def __init__(
         self,
         control: Control,
-        follower: ConfigFollower,
+        config_follower: ConfigFollower,
         link: PeerLink,
         log_client: LogClient,
         *,
@@ -33,36 +33,38 @@
         orders: Callable[[], list[dict[str, Any]]] = list,
     ) -> None:
         self._control = control
-        self._follower = follower
+        self._config_follower = config_follower
         self._link = link
         self._log = log_client
         self._state = state
         self._orders = orders
 
     def status(self) -> dict[str, Any]:
-        """Return the JSON object."""
+        """Return the status as a JSON object."""
         control = self._control
         return {
             "host": control.own.host,
             "boot": control.own.boot,
             "zone": control.view.zone,
             "state": self._state(),
-            "config": self._follower.status,
-            "history": [_decision(item) for item in self._follower.fold.history],
+            "config": self._config_follower.status,
+            "history": [
+                _decision_row(item) for item in self._config_follower.fold.history
+            ],
             "members": dict(self._members()),
             "roster": sorted(control.view.roster),
             "endpoints": {
-                one.endpoint: {
-                    "slots": one.allowed,
-                    "used": one.used,
-                    "resting": one.resting,
-                    "leaving": one.leaving,
+                usage.endpoint: {
+                    "slots": usage.allowed,
+                    "used": usage.used,
+                    "resting": usage.resting,
+                    "leaving": usage.leaving,
                 }
-                for one in control.owner.usage(monotonic())
+                for usage in control.owner.usage(monotonic())
             },
             "leaving": [
                 name
-                for name in self._follower.config.endpoints
+                for name in self._config_follower.config.endpoints
                 if control.leaving.is_leaving(name)
             ],
             "waiting": control.entry.waiting,
@@ -74,7 +76,7 @@
                 "outbox": control.writer.outbox_size,
             },
             "orders": self._orders(),
-            "control": self._traffic(),
+            "control": self._control_counters(),
         }
 
     def _members(self) -> Iterator[tuple[str, Any]]:
@@ -95,7 +97,7 @@
                 },
             )
 
-    def _traffic(self) -> dict[str, Any]:
+    def _control_counters(self) -> dict[str, Any]:
         counters = self._link.counters
         return {
             "bytes_in": counters.bytes_in,
@@ -109,7 +111,7 @@
         }
 
 
-def _decision(item: Any) -> dict[str, Any]:
+def _decision_row(item: Any) -> dict[str, Any]:
     return {
         "offset": item.offset,
         "author": item.author,
--- a/tests/test_fleet_totals.py
+++ b/tests/test_fleet_totals.py
@@ -1,4 +1,4 @@
-"""The fleet's totals in real router processes."""
+"""Fleet-wide service totals with real router processes."""
 
 from greengageflow.lab.lab import Lab, LabPlan
 from tests.fleet_support import ENGINE, BackgroundLoad, chats, executions
@@ -7,18 +7,18 @@
 PLAN = LabPlan(routers=3, engines=2, services=1, engine_options=ENGINE)
 
 
-def test_every_router_knows_what_the_fleet_served():
-    """An account that enters by one router must not seem unserved to the others.
+def test_every_router_receives_fleet_totals():
+    """An account that is served through one router must not look unserved to others.
 
-    An owner that never hears totals knows only the service that its own callers
-    got. It takes an account that enters elsewhere for new, and gives it every slot.
+    An owner without fleet totals knows only the service of its own callers. It would
+    treat an account that enters through another router as new and grant it all slots.
     """
     with Lab(PLAN) as lab:
         load = BackgroundLoad(
             lab, chats("acme", outstanding=4, routers=(0,)), duration_s=3
         )
         load.results()
-        served = sum(one["pieces"] for one in executions(lab))
+        served = sum(execution["pieces"] for execution in executions(lab))
         for host in lab.routers:
             wait_for(
                 lambda h=host: lab.status(h)["accounts"]["acme"]["served"] >= served,
