--- a/greengageflow/errors.py
+++ b/greengageflow/errors.py
@@ -1,11 +1,11 @@
-"""The closed list of error kinds and the one table from kind to answer."""
+"""Error kinds and the HTTP response that each of them maps to."""
 
 from dataclasses import dataclass
 from enum import StrEnum
 
 
 class Ran(StrEnum):
-    """Whether the endpoint ran the request; ``NO`` is a promise."""
+    """Whether the endpoint ran the request; ``NO`` is a guarantee."""
 
     NO = "no"
     YES = "yes"
@@ -13,7 +13,7 @@
 
 
 class ErrorKind(StrEnum):
-    """Every way in which a request can fail."""
+    """Reasons for which a request can fail."""
 
     BAD_REQUEST = "bad_request"
     UNAUTHORIZED = "unauthorized"
@@ -42,13 +42,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """What a caller is told for one error kind.
+    """HTTP response to the caller for one error kind.
 
     Args:
         status: HTTP status code.
-        ran: Whether the request ran, unless the raiser knows better.
-        retry_after_s: When to come back, in seconds; None when trying again
-            cannot help.
+        ran: Default for whether the request ran; the raiser may override it.
+        retry_after_s: Delay before a retry, in seconds; None when a retry
+            cannot succeed.
     """
 
     status: int
@@ -84,13 +84,13 @@
 
 
 class RouterError(Exception):
-    """A request failed in one of the known ways.
+    """A request failed for one of the reasons in ``ErrorKind``.
 
     Args:
-        kind: The error kind, which selects the answer.
-        message: What happened, for the caller to read.
-        ran: Overrides the table's word on whether the request ran.
-        retry_after_s: Overrides the table's retry time, in seconds.
+        kind: The error kind, which selects the HTTP response.
+        message: Description of the failure, sent to the caller.
+        ran: Overrides the default for whether the request ran.
+        retry_after_s: Overrides the default retry delay, in seconds.
     """
 
     def __init__(
@@ -112,12 +112,12 @@
 
     @property
     def status(self) -> int:
-        """HTTP status code of the answer."""
+        """HTTP status code of the response."""
         return ANSWERS[self.kind].status
 
     @property
     def body(self) -> dict[str, object]:
-        """JSON object sent to the caller."""
+        """JSON body of the response."""
         return {
             "error": {
                 "kind": self.kind.value,
--- a/greengageflow/events.py
+++ b/greengageflow/events.py
@@ -1,4 +1,4 @@
-"""Numbered log events, one closed table; ``docs/EVENTS.md`` is the catalogue."""
+"""Numbered log events; ``docs/EVENTS.md`` documents each of them."""
 
 import sys
 from collections import defaultdict
@@ -14,12 +14,12 @@
 
 @dataclass(frozen=True, slots=True)
 class EventType:
-    """What is fixed of one event.
+    """Static definition of an event.
 
     Args:
-        number: Its number, never used again.
-        level: Level that it is logged at.
-        template: Text with the names of its fields in braces.
+        number: Unique event number; numbers are never reused.
+        level: Log level.
+        template: Format string whose placeholders are the event's fields.
     """
 
     number: str
@@ -28,17 +28,17 @@
 
 
 class Event(Enum):
-    """Every event that is logged.
+    """All log events, grouped by the first digit of their number.
 
-    GG1 is the process, GG2 the configuration, GG3 the platform, GG4 members, GG5
-    endpoints, GG6 requests.
+    GG1: process, GG2: configuration, GG3: platform services, GG4: membership,
+    GG5: endpoints, GG6: requests.
     """
 
     STARTED = EventType("GG101", "INFO", "router {host} started in zone {zone}")
     SETTINGS_REJECTED = EventType("GG102", "ERROR", "settings refused: {fault}")
     STOPPING = EventType("GG103", "INFO", "stopping, {running} requests in flight")
     STOPPED = EventType("GG104", "INFO", "stopped, {cut} requests cut")
-    INTERNAL = EventType("GG105", "ERROR", "fault in the program: {error}")
+    INTERNAL = EventType("GG105", "ERROR", "internal error: {error}")
 
     CONFIG_ACCEPTED = EventType(
         "GG201", "INFO", "revision {revision} of {author} in force, offset {offset}"
@@ -47,12 +47,12 @@
         "GG202", "WARNING", "record {offset} of {author} refused, {reason}: {text}"
     )
     CONFIG_LAPSED = EventType(
-        "GG203", "WARNING", "records {offset} to {first_offset} are lost in the log"
+        "GG203", "WARNING", "log trimmed unread records {offset} to {first_offset}"
     )
     CONFIG_ADOPTED = EventType(
         "GG204", "INFO", "revision {revision} taken from {source}"
     )
-    CONFIG_HALTED = EventType("GG205", "ERROR", "configuration stays: {text}")
+    CONFIG_HALTED = EventType("GG205", "ERROR", "configuration updates halted: {text}")
     SNAPSHOT_WRITTEN = EventType(
         "GG206", "INFO", "snapshot of revision {revision} appended at {offset}"
     )
@@ -60,7 +60,7 @@
         "GG207", "ERROR", "snapshot {offset} of {author} is wrong: {text}"
     )
     LOG_SHORTER = EventType(
-        "GG208", "ERROR", "log ends at {next_offset}, {known} was read before"
+        "GG208", "ERROR", "log ends at {next_offset}, already read up to {known}"
     )
 
     LOG_OUTAGE = EventType("GG301", "WARNING", "log {stream} unavailable: {error}")
@@ -74,24 +74,26 @@
     MEMBER_STOPPING = EventType("GG404", "INFO", "member {host} is stopping")
 
     ENDPOINT_LEAVING = EventType(
-        "GG501", "INFO", "endpoint {endpoint} is leaving, said by {source}"
+        "GG501", "INFO", "endpoint {endpoint} is leaving, reported by {source}"
     )
     ENDPOINT_RESTED = EventType(
-        "GG502", "WARNING", "endpoint {endpoint} rests {seconds:.1f} s: {error}"
+        "GG502", "WARNING", "endpoint {endpoint} paused for {seconds:.1f} s: {error}"
     )
     ENDPOINT_BACK = EventType("GG503", "INFO", "endpoint {endpoint} is back")
     SLOTS_CHANGED = EventType(
-        "GG504", "INFO", "endpoint {endpoint} uses {slots} slots, before {before}"
+        "GG504", "INFO", "endpoint {endpoint} uses {slots} slots, previously {before}"
     )
     ORDER_ENDED = EventType(
         "GG505", "INFO", "order {order} to {endpoint}: {result} {text}"
     )
     ORDER_UNKNOWN = EventType(
-        "GG506", "ERROR", "order {order} to {endpoint} may have run or not: {text}"
+        "GG506", "ERROR", "order {order} to {endpoint}: outcome unknown: {text}"
     )
 
     ENDPOINT_CRASHED = EventType(
-        "GG507", "ERROR", "endpoint {endpoint} crashed under {requests}: {digests}"
+        "GG507",
+        "ERROR",
+        "endpoint {endpoint} crashed with {requests} requests in flight: {digests}",
     )
 
     ENDPOINT_BACKOFF = EventType(
@@ -117,25 +119,27 @@
     )
 
     QUARANTINED = EventType(
-        "GG606", "ERROR", "request {digest} held back {seconds:.0f} s, by {source}"
+        "GG606", "ERROR", "request {digest} quarantined {seconds:.0f} s, by {source}"
+    )
+    QUARANTINE_CLEARED = EventType(
+        "GG607", "INFO", "request {digest} released from quarantine"
     )
-    QUARANTINE_CLEARED = EventType("GG607", "INFO", "request {digest} is cleared")
 
     @property
     def number(self) -> str:
-        """Its number."""
+        """Unique event number."""
         return self.value.number
 
 
 class EventLog:
-    """Writes events, with a limit for each kind of event.
+    """Writes events to the log, rate-limited per event type.
 
-    Without a limit an account that floods a full queue would have the router write
-    a line for each refusal, and the loop would do little else.
+    Without the limit, an account that floods a full queue would make the router
+    write one line per refusal, and logging would dominate the event loop.
 
     Args:
-        limit: Most events of one kind in one window; 0 for no limit.
-        window_s: Length of a window, in seconds.
+        limit: Maximum number of events of one type per window; 0 disables it.
+        window_s: Length of the rate-limit window, in seconds.
     """
 
     def __init__(self, *, limit: int = 50, window_s: float = 10.0) -> None:
@@ -145,7 +149,7 @@
         self._counts: defaultdict[Event, int] = defaultdict(int)
 
     def log(self, event: Event, **fields: Any) -> None:
-        """Write one event; a field that is not given shows as ``?``."""
+        """Write an event, unless its type exceeded the limit of this window."""
         self._turn_window(monotonic())
         self._counts[event] += 1
         if not self._limit or self._counts[event] <= self._limit:
@@ -165,7 +169,7 @@
     def _write(self, event: Event, fields: dict[str, Any]) -> None:
         text = _fill(event.value.template, fields)
         bound = logger.bind(event=event.number, **fields)
-        # Passed as an argument, so that braces in a field are not taken for more.
+        # Passed as an argument so that loguru does not format braces in field values.
         bound.log(event.value.level, "{} {}", event.number, text)
 
 
@@ -173,7 +177,7 @@
     try:
         return template.format(**fields)
     except (KeyError, ValueError):
-        # An event must not end the request that it tells of.
+        # A formatting error must not fail the request that is being logged.
         return f"{template} {fields}"
 
 
@@ -181,11 +185,11 @@
 
 
 def log(event: Event, **fields: Any) -> None:
-    """Write one event to the log of this process."""
+    """Write an event to the log of this process."""
     _events.log(event, **fields)
 
 
 def setup_logging(level: str = "INFO", sink: TextIO | None = None) -> None:
-    """Send events of at least ``level`` to ``sink``, the standard error by default."""
+    """Log events of at least ``level`` to ``sink``, standard error by default."""
     logger.remove()
     logger.add(sink or sys.stderr, level=level, format=_FORMAT, diagnose=False)
--- a/greengageflow/metrics.py
+++ b/greengageflow/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics by statsd, one closed table; ``docs/METRICS.md`` describes them."""
+"""Statsd metrics; ``docs/METRICS.md`` documents each of them."""
 
 import re
 from dataclasses import dataclass
@@ -13,7 +13,7 @@
 
 
 class MetricKind(StrEnum):
-    """How statsd adds up a metric."""
+    """Statsd metric types."""
 
     COUNTER = "counter"
     GAUGE = "gauge"
@@ -22,12 +22,12 @@
 
 @dataclass(frozen=True, slots=True)
 class MetricType:
-    """What is fixed of one metric.
+    """Static definition of a metric.
 
     Args:
-        name: Its name below the prefix.
-        kind: How statsd adds it up.
-        part: What its last component tells apart, or empty.
+        name: Name, without the prefix.
+        kind: Statsd metric type.
+        part: Dimension given by the last name component, or empty.
     """
 
     name: str
@@ -36,7 +36,7 @@
 
 
 class Metric(Enum):
-    """Every metric that is sent."""
+    """All metrics sent to statsd."""
 
     REQUESTS = MetricType("requests", MetricKind.COUNTER, "pool")
     REFUSED = MetricType("refused", MetricKind.COUNTER, "error kind")
@@ -69,12 +69,12 @@
 
 
 class Metrics:
-    """Sends metrics over UDP; without an address it does nothing.
+    """Sends metrics to statsd over UDP; does nothing without an address.
 
     Args:
-        address: Where statsd listens, or None.
-        host: Host of this router; part of each name.
-        prefix: First component of each name.
+        address: Address of the statsd server, or None.
+        host: Host of this router, a component of every metric name.
+        prefix: First component of every metric name.
     """
 
     def __init__(
@@ -90,8 +90,8 @@
             prefix=".".join(parts),
             ipv6=ip_address(address.ip).version == 6,
         )
-        # A full send buffer would hold up the one loop; the client drops the
-        # metric on any error of the socket, and a would-block error is one.
+        # A full send buffer would block the event loop. The client drops a metric
+        # on any socket error, including EWOULDBLOCK.
         self._client._sock.setblocking(False)
 
     def count(self, metric: Metric, count: float = 1, part: str = "") -> None:
@@ -105,12 +105,12 @@
             self._client.gauge(_name(metric, part), value)
 
     def timing(self, metric: Metric, seconds: float, part: str = "") -> None:
-        """Record a time in seconds; it is sent in milliseconds."""
+        """Record a duration in seconds, sent in milliseconds."""
         if self._client:
             self._client.timing(_name(metric, part), seconds * 1000)
 
     def close(self) -> None:
-        """Close the socket and send no more."""
+        """Close the socket; later metrics are discarded."""
         if self._client:
             self._client.close()
             self._client = None
--- a/greengageflow/settings.py
+++ b/greengageflow/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one router, read from a JSON file and checked at the start."""
+"""Settings of one router, read and validated from a JSON file at startup."""
 
 import json
 from collections.abc import Iterator
@@ -44,22 +44,23 @@
     """Intervals and timeouts, in seconds.
 
     Args:
-        probe_interval_s: Between two probes of members.
-        probe_timeout_s: Wait for the answer to a probe.
-        suspect_s: From suspicion of a member to taking it for dead.
-        host_list_interval_s: Between two reads of the host list.
-        log_wait_s: Long-poll of the log.
-        log_timeout_s: Wait for an answer of the log, beyond a long-poll.
-        config_poll_s: Fallback poll of routers that learn from their peers.
-        snapshot_interval_s: Between two snapshots of the configuration in the log;
-            well below half of its retention.
-        connect_timeout_s: Wait for a connection to an endpoint.
+        probe_interval_s: Interval between membership probes.
+        probe_timeout_s: Timeout for the reply to a probe.
+        suspect_s: Time for which a member is suspect before it is declared dead.
+        host_list_interval_s: Interval between reads of the host list.
+        log_wait_s: Duration of a long poll of the log.
+        log_timeout_s: Timeout for a response of the log, added to a long poll.
+        config_poll_s: Fallback poll interval of routers updated by their peers.
+        snapshot_interval_s: Interval between configuration snapshots in the log;
+            must be well below half of the log's retention.
+        connect_timeout_s: Timeout for connecting to an endpoint.
         keep_alive_s: Idle time after which a connection is closed.
-        stop_grace_s: Time for the balancer to see the router unhealthy, before a
-            planned stop refuses new requests.
-        stop_timeout_s: Longest time that a planned stop waits for requests.
-        order_window_s: From claiming an order to its first byte to the engine.
-        order_timeout_s: Wait for an engine's answer to an order.
+        stop_grace_s: Time for the load balancer to see the router as unhealthy
+            before a planned shutdown refuses new requests.
+        stop_timeout_s: Maximum time that a planned shutdown waits for requests.
+        order_window_s: Maximum time from claiming an order to sending its first
+            byte to the engine.
+        order_timeout_s: Timeout for an engine's response to an order.
     """
 
     probe_interval_s: float = 0.5
@@ -85,24 +86,25 @@
     Args:
         host: Host name, unique in the fleet.
         zone: Availability zone of the host.
-        ip: IP number of the callers' side.
-        caller_port: TCP port for callers.
-        peer_port: TCP port for other routers.
-        log: The platform's log service.
-        peer_ip: IP number of the peer side; ``ip`` when None is given.
-        host_list: The platform's host list, or None.
-        weight_store: The platform's weight store, or None.
-        seeds: Routers to join the fleet through.
-        peer_advertise: Address that other routers use for the peer side, or
-            None when it is where the router listens.
-        statsd: Where metrics go, or None.
-        trace_file: File that spans go to, ``-`` for the standard output, or None.
-        log_level: Least level of events that are logged.
-        sharing: How slots are shared, ``owned`` but for comparisons: ``split``
-            gives each router its part of the slots of every endpoint, ``local``
-            does so and leaves out the fleet's totals. The same on every router.
+        ip: IP address that callers connect to.
+        caller_port: TCP port that callers connect to.
+        peer_port: TCP port that other routers connect to.
+        log: Address of the platform's log service.
+        peer_ip: IP address that other routers connect to; ``ip`` when empty.
+        host_list: Address of the platform's host list, or None.
+        weight_store: Address of the platform's weight store, or None.
+        seeds: Routers contacted to join the fleet.
+        peer_advertise: Address advertised to other routers, or None when it is
+            the address that the router listens on.
+        statsd: Address of the statsd server, or None.
+        trace_file: File for trace spans, ``-`` for standard output, or None.
+        log_level: Minimum level of logged events.
+        sharing: How slots are shared; must be the same on every router.
+            ``owned`` is the production mode, the others exist for comparisons:
+            ``split`` gives each router a share of the slots of every endpoint;
+            ``local`` does the same and ignores the fleet-wide totals.
         timing: Intervals and timeouts.
-        quarantine: When requests that crash endpoints are held back.
+        quarantine: Quarantine of requests that crash endpoints.
     """
 
     host: str
@@ -124,18 +126,18 @@
     quarantine: QuarantineSettings = QuarantineSettings()
 
     def __post_init__(self) -> None:
-        """Fill in what follows from other settings."""
+        """Set the defaults that depend on other settings."""
         if not self.peer_ip:
             object.__setattr__(self, "peer_ip", self.ip)
 
     @property
     def peer_address(self) -> Address:
-        """Address that other routers use for the peer side."""
+        """Address that other routers connect to."""
         return self.peer_advertise or Address(self.peer_ip, self.peer_port)
 
 
 def _host() -> Check:
-    # Ids of grants are joined by colons, so a host name may not hold one.
+    # Grant ids are joined with colons, so a host name must not contain one.
     return matching(
         "[A-Za-z0-9][A-Za-z0-9._-]{0,127}",
         "a host name of 1 to 128 letters, digits and ._-",
@@ -167,7 +169,7 @@
     if cfg.peer_advertise is None and ip_address(cfg.peer_ip).is_unspecified:
         yield Fault(
             "peer_advertise",
-            f"an address, since others cannot reach peer_ip {cfg.peer_ip}",
+            f"an address, since other routers cannot reach peer_ip {cfg.peer_ip}",
         )
 
 
@@ -205,26 +207,26 @@
 
 
 def parse_settings(document: Any, title: str = "settings") -> RouterSettings:
-    """Return the settings in a JSON value.
+    """Validate a JSON value and return its settings.
 
     Raises:
-        ExceptionGroup: Holds one ``Fault`` for everything wrong.
+        ExceptionGroup: Contains one ``Fault`` per validation error.
     """
     return run(_CHECK, document, title)
 
 
 def load_settings(path: str) -> RouterSettings:
-    """Return the settings in a JSON file.
+    """Read a JSON file and return its settings.
 
     Raises:
-        ExceptionGroup: Holds one ``Fault`` for everything wrong, or the
+        ExceptionGroup: Contains one ``Fault`` per validation error, or the
             ``OSError`` of a file that cannot be read.
     """
     return parse_settings(read_document(path), path)
 
 
 def example_settings() -> str:
-    """Return a working settings file, as JSON text."""
+    """Return an example settings file as JSON text."""
     document = {
         "host": "r1",
         "zone": "marousi",
--- a/greengageflow/settings_file.py
+++ b/greengageflow/settings_file.py
@@ -1,4 +1,4 @@
-"""What the settings of both programs have in common."""
+"""Settings shared by the router and the gateway."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Address:
-    """Where something listens, by IP number."""
+    """IP address and port of a listener."""
 
     ip: str
     port: int
@@ -30,11 +30,11 @@
 
 @dataclass(frozen=True, slots=True)
 class QuarantineSettings:
-    """When requests that crash endpoints are held back.
+    """Quarantine of requests that crash endpoints.
 
     Args:
-        crashes: Endpoints that must have crashed under a request.
-        hold_s: Time from the last crash for which it is held back, in seconds.
+        crashes: Number of endpoint crashes after which a request is quarantined.
+        hold_s: Duration of the quarantine from the last crash, in seconds.
     """
 
     crashes: int = QUARANTINE_CRASHES
@@ -42,7 +42,7 @@
 
 
 def quarantine_settings() -> Check:
-    """Return the check of ``QuarantineSettings``."""
+    """Return the validator for ``QuarantineSettings``."""
     defaults = QuarantineSettings()
     return record(
         QuarantineSettings,
@@ -55,7 +55,7 @@
     """Return the JSON value in a settings file.
 
     Raises:
-        ExceptionGroup: Holds the ``Fault`` of what is no JSON, or the ``OSError``
+        ExceptionGroup: Contains the ``Fault`` for invalid JSON, or the ``OSError``
             of a file that cannot be read.
     """
     try:
--- a/greengageflow/tracing.py
+++ b/greengageflow/tracing.py
@@ -1,4 +1,4 @@
-"""OpenTelemetry spans, one for each hop of a request, as JSON lines."""
+"""OpenTelemetry tracing: one span per hop of a request, exported as JSON lines."""
 
 import json
 from collections.abc import Callable, Mapping, Sequence
@@ -19,11 +19,11 @@
 
 
 class LineExporter(SpanExporter):
-    """Writes each ended span as one JSON line.
+    """Exports each finished span as one JSON line.
 
     Args:
         host: Name of this host.
-        write: Takes one line, without its end.
+        write: Writes one line, given without its newline.
     """
 
     def __init__(self, host: str, write: Callable[[str], None]) -> None:
@@ -31,7 +31,7 @@
         self._write = write
 
     def export(self, spans: Sequence[ReadableSpan]) -> SpanExportResult:
-        """Write ``spans``."""
+        """Export ``spans``."""
         for span in spans:
             self._write(json.dumps(_row(self._host, span)))
         return SpanExportResult.SUCCESS
@@ -51,14 +51,14 @@
 
 
 class Tracing:
-    """Starts spans and carries them in W3C ``traceparent`` headers.
+    """Starts spans and propagates them in W3C ``traceparent`` headers.
 
-    Without a sink no span is recorded, but trace ids of callers still pass
-    through to endpoints.
+    Without ``write`` no span is recorded, but callers' trace ids are still
+    propagated to endpoints.
 
     Args:
         host: Name of this host.
-        write: Takes each ended span as a JSON line; None records nothing.
+        write: Receives each finished span as a JSON line; None disables recording.
     """
 
     def __init__(self, host: str, write: Callable[[str], None] | None = None) -> None:
@@ -76,10 +76,10 @@
         traceparent: str = "",
         attributes: Mapping[str, Any] | None = None,
     ) -> Span | None:
-        """Start a span below ``parent``, or below a caller's ``traceparent``.
+        """Start a child span of ``parent`` or of the caller's ``traceparent``.
 
         Returns:
-            The span, to be ended by ``finish``; None when nothing is recorded.
+            The span, to be ended with ``finish``; None when recording is disabled.
         """
         if self._tracer is None:
             return None
@@ -88,7 +88,7 @@
 
     @staticmethod
     def finish(span: Span | None, **attributes: Any) -> None:
-        """End ``span`` with a few more attributes."""
+        """Add attributes to ``span`` and end it."""
         if span is None:
             return
         span.set_attributes(attributes)
@@ -96,7 +96,7 @@
 
     @staticmethod
     def traceparent(span: Span | None, received: str = "") -> str:
-        """Return the header value for the next hop; empty for none."""
+        """Return the ``traceparent`` value for the next hop, empty if there is none."""
         if span is None:
             return received
         carrier: dict[str, str] = {}
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -3,7 +3,7 @@
 import pytest
 from hypothesis import settings
 
-# Seeded and without deadlines, so that CI gives the same verdict every time.
+# Derandomized and without deadlines, so that CI results are reproducible.
 settings.register_profile("ci", derandomize=True, deadline=None, max_examples=100)
 settings.load_profile("ci")
 
@@ -12,7 +12,7 @@
 
 
 def known_red():
-    """Return the ids of tests that fail for a fault that is known and open."""
+    """Return the ids of tests that fail because of a known open issue."""
     if not KNOWN_RED.exists():
         return []
     lines = KNOWN_RED.read_text().splitlines()
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -55,9 +55,9 @@
 
 
 def test_a_flood_of_one_event_is_cut_short_and_counted():
-    """One account floods its full queue. The operator sees some lines of it, then in
-    the next window how many were left out; other events are still seen. Without the
-    limit the loop would write a line for each refusal and serve nobody.
+    """One account floods its full queue. Only the first events of a window are logged,
+    and the next window reports how many were suppressed; other events still appear.
+    Without the limit, writing a line per refusal would starve the event loop.
     """
     sink = io.StringIO()
     setup_logging("INFO", sink)
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,6 +1,6 @@
-"""Which package may import which, and where the platform's words may stand.
+"""Import rules between packages, and where platform protocol names may appear.
 
-The table of docs/design/core.md is the rule; this test reads it from there.
+The allowed imports are read from the table in docs/design/core.md.
 """
 
 import ast
@@ -31,7 +31,7 @@
 
 
 def home(parts: tuple[str, ...]) -> str:
-    """Return the package, or the module at the top, of a dotted path."""
+    """Return the package or top-level module of a split dotted path."""
     return parts[1] if len(parts) > 1 else ""
 
 
@@ -78,7 +78,7 @@
 
 
 def test_the_lab_takes_nothing_but_names_from_the_platform_package():
-    """Fakes that used the product's own translation would share its mistakes."""
+    """Stand-ins that used the product's own protocol code would share its bugs."""
     sources = [path.read_text() for path in SOURCES if package(path) == "lab"]
     pattern = re.compile(r"greengageflow[. ](?:import )?platform[.\w]*")
     found = {name for text in sources for name in pattern.findall(text)}
@@ -102,8 +102,8 @@
 
 @pytest.mark.parametrize("path", SOURCES, ids=lambda p: str(p.relative_to(PRODUCT)))
 def test_an_installed_package_needs_no_tests(path):
-    """`make demo` ended in ModuleNotFoundError: the bench imported the soak, which
-    drove a lab under tests/, and an installed command does not see that folder."""
+    """`make demo` failed with ModuleNotFoundError: the bench imported a lab under
+    tests/ through the soak, and an installed command cannot import that folder."""
     names = set()
     for node in ast.walk(ast.parse(path.read_text())):
         match node:
@@ -112,6 +112,6 @@
             case ast.ImportFrom(module=str(module)):
                 names.add(module)
             case ast.Constant(value=str(text)):
-                # A module that is started as a process.
+                # The name of a module that is started as a process.
                 names.add(text)
     assert not [name for name in names if re.fullmatch(r"tests(\.\w+)*", name)]
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -1,4 +1,4 @@
-"""The way of one request, told by spans."""
+"""Tracing of one request through real routers."""
 
 import json
 import os
@@ -15,7 +15,7 @@
 
 
 class TracedLab(Lab):
-    """A lab whose routers write their spans to files."""
+    """A lab whose routers export their spans to files."""
 
     def __init__(self, plan, directory):
         super().__init__(plan)
@@ -33,7 +33,7 @@
 
 
 def test_the_way_of_a_request_hangs_below_its_callers_trace(tmp_path):
-    """An operator follows one caller's request by the caller's own trace id."""
+    """The spans of a request are children in the caller's trace, found by its id."""
     with TracedLab(LabPlan(engines=1), tmp_path) as lab:
         body = {"model": "scribe", "x_tokens": 5, "stream": True}
         body["messages"] = [{"role": "user", "content": "hello"}]
