--- a/greengageflow/ops/__init__.py
+++ b/greengageflow/ops/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' command."""
+"""Command-line tools for operators."""
--- a/greengageflow/ops/_ctl_config.py
+++ b/greengageflow/ops/_ctl_config.py
@@ -1,4 +1,4 @@
-"""What the operators' command does to the configuration."""
+"""Configuration commands of ``greengage-ctl``."""
 
 import os
 from collections.abc import Iterable, Mapping
@@ -39,18 +39,18 @@
 
 
 class BadInputError(Exception):
-    """The command line is not as it should be."""
+    """A command-line argument is missing or invalid."""
 
 
 def addresses_of(routers: str | None, *, needed: bool = True) -> list[Address]:
-    """Return the addresses in ``IP:PORT,IP:PORT`` or in the environment.
+    """Parse router addresses from ``IP:PORT,IP:PORT`` or from the environment.
 
     Raises:
-        BadInputError: They are broken, or needed and not there.
+        BadInputError: An address is invalid, or addresses are required but missing.
     """
     text = routers or os.environ.get(ROUTERS_VARIABLE, "")
     if not text and needed:
-        raise BadInputError(f"--routers=IP:PORT,... or {ROUTERS_VARIABLE} is needed")
+        raise BadInputError(f"--routers=IP:PORT,... or {ROUTERS_VARIABLE} is required")
     return [_address(part) for part in text.split(",") if part.strip()]
 
 
@@ -62,14 +62,14 @@
 
 
 def log_of(log: str | None, stream: str) -> BlockingLog:
-    """Return a stream of the log at ``IP:PORT`` or named by the environment.
+    """Return a client of a log stream, addressed by ``log`` or the environment.
 
     Raises:
-        BadInputError: The address is broken or not there.
+        BadInputError: The address is invalid or missing.
     """
     text = log or os.environ.get(LOG_VARIABLE, "")
     if not text:
-        raise BadInputError(f"--log=IP:PORT or {LOG_VARIABLE} is needed")
+        raise BadInputError(f"--log=IP:PORT or {LOG_VARIABLE} is required")
     return BlockingLog(_address(text), stream)
 
 
@@ -92,7 +92,7 @@
 
 
 def diff(file: str, log: str | None) -> Report:
-    """Show what publishing a file would change."""
+    """Compare a configuration file with the configuration in force."""
     document = read_config_file(file)
     old = _current(log).fold.config
     lines = list(differences(old, _merged(old, document)))
@@ -100,14 +100,14 @@
 
 
 def show(log: str | None) -> Report:
-    """Return the configuration in force as a file that can be published."""
+    """Return the configuration in force in the format that ``publish`` reads."""
     fold = _current(log).fold
     document = _file_of(fold, fold.config)
     return Report("", document)
 
 
 def publish(file: str, log: str | None, routers: str | None, within_s: float) -> Report:
-    """Publish a file and wait until it is in force."""
+    """Publish a configuration file and wait until it is in force."""
     if type(within_s) not in (int, float):
         raise BadInputError(f"--within_s: expected seconds, found {within_s!r}")
     document = read_config_file(file)
@@ -122,7 +122,7 @@
 def _check_allowed(state: State, schema: int) -> None:
     if schema > state.highest:
         raise PublishError(
-            f"schema {schema} is not allowed yet, {state.highest} is the highest; see"
+            f"schema {schema} is not allowed yet, the highest is {state.highest}; see"
             f" `greengage-ctl allow-schema {schema}`"
         )
 
@@ -133,7 +133,7 @@
     if not isinstance(decision.outcome, Accepted):
         return Report(text, data, ok=False)
     if not asked:
-        return Report(f"{text}; no routers given, so not watched further", data)
+        return Report(f"{text}; no routers given, rollout not checked", data)
     spread = await_in_force(asked, decision.outcome.revision, within_s)
     data["in_force"] = len(spread.done)
     data["asked"] = len(asked)
@@ -142,10 +142,10 @@
 
 
 def drain(endpoint: str, leaving: bool, log: str | None, routers: str | None) -> Report:
-    """Set or clear ``leaving`` of an endpoint.
+    """Set or clear the ``leaving`` flag of an endpoint.
 
-    Routers keep an endpoint out for the rest of its generation, so taking it back
-    raises the generation.
+    Routers exclude a leaving endpoint for the rest of its generation, so clearing
+    the flag increments the generation.
     """
     asked = addresses_of(routers, needed=False)
     publisher = _current(log)
@@ -172,9 +172,9 @@
 
 
 def allow_schema(highest: int, log: str | None, routers: str | None) -> Report:
-    """Raise the highest schema, once all routers understand it."""
+    """Raise the highest allowed schema if all routers support it."""
     if type(highest) is not int or highest < 1:
-        raise BadInputError(f"expected the number of a schema, found {highest!r}")
+        raise BadInputError(f"expected a schema number, found {highest!r}")
     asked = addresses_of(routers)
     objections = list(_objections(asked, highest))
     if objections:
@@ -193,10 +193,10 @@
 
 
 def _objections(asked: Iterable[Address], highest: int) -> Iterable[str]:
-    """Yield why the fleet cannot change over yet.
+    """Yield the reasons why the schema cannot be raised yet.
 
-    A router that is not asked may run an old release and would stop following the
-    configuration, so the members that the asked ones see must all be among them.
+    A router running an old release would stop following the configuration. So all
+    members that the queried routers report must be among the queried routers.
     """
     members: set[str] = set()
     hosts: set[str] = set()
@@ -210,33 +210,33 @@
             yield f"{address}: {exc}"
             continue
         except (KeyError, TypeError):
-            yield f"{address}: its status does not name the schemas it understands"
+            yield f"{address}: its status does not list the schemas it supports"
             continue
         if highest not in schemas:
-            yield f"{address}: {status['host']} understands schemas {schemas} only"
+            yield f"{address}: {status['host']} supports only schemas {schemas}"
     for host in sorted(members - hosts):
-        yield f"{host}: a member of the fleet that was not asked; add it to --routers"
+        yield f"{host}: a member of the fleet that was not queried; add it to --routers"
 
 
 def restore(file: str, log: str | None, routers: str | None) -> Report:
-    """Start again from a file when nobody knows what is in force.
+    """Restore the configuration from a file when it is lost everywhere.
 
     Raises:
-        PublishError: Somebody does.
+        PublishError: The log or a router still has the configuration in force.
     """
     document = read_config_file(file)
     asked = addresses_of(routers)
     for address in asked:
         if router_status(address).get("config", {}).get("complete", True):
             raise PublishError(
-                f"{address} knows what is in force and will append a snapshot; use"
-                " `greengage-ctl publish` after that"
+                f"{address} knows the configuration in force and will append a"
+                " snapshot; use `greengage-ctl publish` after that"
             )
     publisher = _publisher(log)
     publisher.refresh()
     if publisher.fold.complete:
-        raise PublishError("the log tells what is in force; use `publish`")
-    # No revision can be larger than the number of records, so this is a later one.
+        raise PublishError("the log has the configuration in force; use `publish`")
+    # A revision never exceeds the number of records, so this one is newer than all.
     revision = publisher.end
     record = SnapshotRecord(
         revision,
@@ -256,7 +256,7 @@
 
 
 def history(log: str | None, last: int) -> Report:
-    """Show what became of the last records."""
+    """List the outcomes of the last configuration records."""
     if type(last) is not int or last < 1:
         raise BadInputError(f"--last: expected a number above 0, found {last!r}")
     publisher = _publisher(log)
--- a/greengageflow/ops/_ctl_files.py
+++ b/greengageflow/ops/_ctl_files.py
@@ -1,4 +1,4 @@
-"""Files that the operators' command reads."""
+"""Reading of the files given to ``greengage-ctl``."""
 
 import json
 import sys
@@ -15,10 +15,11 @@
 
 
 def read_text(path: str) -> str:
-    """Return the text of a file, ``-`` for the standard input.
+    """Return the text of a file, or of standard input for ``-``.
 
     Raises:
-        ExceptionGroup: Holds the ``OSError`` of a file that cannot be read.
+        ExceptionGroup: Contains the ``OSError`` or ``ValueError`` of a file that
+            cannot be read or decoded.
     """
     if path == "-":
         return sys.stdin.read()
@@ -48,10 +49,14 @@
 
 
 def read_config_file(path: str) -> dict[str, Any]:
-    """Return a checked ``{"schema", "config"}`` and perhaps ``"replaces"``.
+    """Read and validate a configuration file.
+
+    Returns:
+        A dict with the keys ``schema`` and ``config``, and ``replaces`` if given.
 
     Raises:
-        ExceptionGroup: Holds one fault for everything wrong.
+        ExceptionGroup: Contains one ``Fault`` per validation error, or the error of
+            a file that cannot be read.
     """
     document = run(_CHECK, parse_json(read_text(path), path), path)
     parse_config(document["config"], document["schema"])
@@ -59,10 +64,10 @@
 
 
 def read_spans(path: str, identity: str) -> list[Mapping[str, Any]]:
-    """Return the spans of one trace, by its id or the id of its request.
+    """Return the spans of one trace, selected by trace id or request id.
 
     Raises:
-        ExceptionGroup: Holds the ``OSError`` of a file that cannot be read.
+        ExceptionGroup: Contains the error of a file that cannot be read.
     """
     spans = list(_spans(read_text(path)))
     traces = {span["trace"] for span in spans if _is_meant(span, identity)}
@@ -75,7 +80,7 @@
 
 
 def _spans(text: str) -> Iterator[Mapping[str, Any]]:
-    """Yield spans; other lines, such as one that is cut short, are passed over."""
+    """Yield spans, skipping other lines such as truncated ones."""
     for line in text.splitlines():
         try:
             span = json.loads(line)
--- a/greengageflow/ops/_ctl_fleet.py
+++ b/greengageflow/ops/_ctl_fleet.py
@@ -1,4 +1,4 @@
-"""What the operators' command asks of running routers and reads of their spans."""
+"""Commands of ``greengage-ctl`` that query routers, orders and trace spans."""
 
 from collections.abc import Mapping
 from dataclasses import asdict
@@ -21,7 +21,7 @@
 
 
 def status(routers: str | None) -> Report:
-    """Show every router; good when all answer with one revision."""
+    """Show the status of each router; ok if all report the same revision."""
     rows = {str(address): _ask(address) for address in addresses_of(routers)}
     revisions = {
         None if isinstance(row, str) else row.get("config", {}).get("revision")
@@ -32,7 +32,7 @@
 
 
 def explain(request: str, routers: str | None) -> Report:
-    """Show what routers know of one request."""
+    """Show the state of one request on each router."""
     rows = {str(address): _ask(address, request) for address in addresses_of(routers)}
     found = {
         address: row["request"]
@@ -47,7 +47,7 @@
     ]
     lines += [f"{address} did not answer: {why}" for address, why in silent.items()]
     if not found:
-        lines.append(f"no router that answered knows request {request}")
+        lines.append(f"request {request} is unknown to all routers that answered")
     data = {"found": found, "silent": silent}
     return Report("\n".join(lines), data, ok=bool(found))
 
@@ -63,12 +63,12 @@
 def order(order: Order, log: str | None) -> Report:
     """Append an order to the log."""
     offset = give(order, log_of(log, ORDER_STREAM).append)
-    text = f"order {order.id} for {order.endpoint} is in the log at {offset}"
+    text = f"order {order.id} for {order.endpoint} appended at offset {offset}"
     return Report(text, {"offset": offset, **asdict(order)})
 
 
 def orders(routers: str | None) -> Report:
-    """Show the orders that routers know of."""
+    """List the orders that routers report."""
     rows = [_ask(address) for address in addresses_of(routers)]
     known = merged(row for row in rows if not isinstance(row, str))
     lines = [
--- a/greengageflow/ops/_ctl_text.py
+++ b/greengageflow/ops/_ctl_text.py
@@ -1,4 +1,4 @@
-"""Text that the operators' command prints."""
+"""Formatting of the output of ``greengage-ctl``."""
 
 from collections.abc import Iterable, Iterator, Mapping, Sequence
 from dataclasses import asdict, dataclass, fields
@@ -14,12 +14,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """What a command has to say.
+    """Output of a command.
 
     Args:
-        text: For people.
-        data: JSON value, for machines.
-        ok: False for exit status 1.
+        text: Human-readable output.
+        data: JSON value printed with ``--json``.
+        ok: Whether the command succeeded; False gives exit status 1.
     """
 
     text: str
@@ -28,7 +28,7 @@
 
 
 def table(rows: Iterable[Sequence[object]]) -> str:
-    """Return rows as columns of text."""
+    """Format rows as aligned columns."""
     cells = [[str(cell) for cell in row] for row in rows]
     widths = [max(map(len, column)) for column in zip(*cells, strict=True)]
     lines = (
@@ -39,7 +39,7 @@
 
 
 def differences(old: FleetConfig, new: FleetConfig) -> Iterator[str]:
-    """Yield one line for each thing that differs."""
+    """Yield one line per account, pool or endpoint that differs, and the policy."""
     for kind, part in _PARTS:
         before, after = getattr(old, part), getattr(new, part)
         for name in sorted(before.keys() | after.keys()):
@@ -67,7 +67,7 @@
 
 
 def decision_row(decision: Decision, unix_time: float | None) -> dict[str, Any]:
-    """Return one decision as a JSON object."""
+    """Return a decision as a JSON object."""
     outcome = decision.outcome
     when = None
     if unix_time is not None:
@@ -85,12 +85,12 @@
 
 
 def decision_text(decision: Decision) -> str:
-    """Return what became of a record, in one line."""
+    """Describe the outcome of a record in one line."""
     match decision.outcome:
         case Accepted(revision):
             return f"accepted as revision {revision}"
         case Adopted(revision):
-            return f"snapshot, revision {revision} taken from it"
+            return f"snapshot, revision {revision} adopted"
         case outcome:
             verb = type(outcome).__name__.lower()
             return f"{verb}, {outcome.reason}: {outcome.text}"
@@ -99,7 +99,7 @@
 def history_text(
     rows: Iterable[Mapping[str, Any]], decisions: Iterable[Decision]
 ) -> str:
-    """Return a table of decisions."""
+    """Format decisions as a table."""
     lines = [("OFFSET", "TIME", "AUTHOR", "OUTCOME")]
     for row, decision in zip(rows, decisions, strict=True):
         line = row["offset"], row["time"], row["author"] or "-", decision_text(decision)
@@ -108,7 +108,7 @@
 
 
 def status_text(rows: Mapping[str, Any]) -> str:
-    """Return a table of routers; a text in place of a status is an error."""
+    """Format router statuses as a table; a ``str`` status is an error message."""
     lines = [("ROUTER", "HOST", "ZONE", "STATE", "REVISION", "LOG", "REMARK")]
     for address, status in rows.items():
         if isinstance(status, str):
@@ -116,7 +116,7 @@
             continue
         config = status.get("config", {})
         remark = config.get("halted") or (
-            "" if config.get("complete", True) else "misses records of the log"
+            "" if config.get("complete", True) else "records of the log are missing"
         )
         lines.append(
             (
@@ -133,7 +133,7 @@
 
 
 def spread_text(spread: Spread) -> str:
-    """Return on how many routers a revision is in force, and on which it is not."""
+    """Describe how many routers apply a revision and which ones do not."""
     asked = len(spread.done) + len(spread.waiting)
     lines = [f"in force on {len(spread.done)} of {asked} after {spread.seconds:.1f} s"]
     lines += [f"not on {address}: {why}" for address, why in spread.waiting.items()]
@@ -141,11 +141,11 @@
 
 
 def trace_text(spans: Sequence[Mapping[str, Any]]) -> str:
-    """Return spans as a tree, with start and length in milliseconds."""
+    """Format spans as a tree, with start and duration in milliseconds."""
     known = {span["span"] for span in spans}
     children: dict[Any, list[Mapping[str, Any]]] = {}
     for span in sorted(spans, key=lambda item: item["start_ns"]):
-        # A parent in the caller's own process is not in the file.
+        # The parent span of the caller is recorded elsewhere, not in this file.
         parent = span["parent"] if span["parent"] in known else None
         children.setdefault(parent, []).append(span)
     start = min(span["start_ns"] for span in spans)
--- a/greengageflow/ops/_platform_http.py
+++ b/greengageflow/ops/_platform_http.py
@@ -1,4 +1,4 @@
-"""Blocking HTTP calls of the operators' command: the log and the routers."""
+"""Blocking HTTP client of ``greengage-ctl`` for the log and the routers."""
 
 import json
 from collections.abc import Mapping, Sequence
@@ -18,12 +18,12 @@
 
 
 class CallError(Exception):
-    """A call brought no answer to work with.
+    """A call failed or returned an unusable response.
 
     Args:
-        message: What happened, with the address.
-        effect_unknown: True when it may have taken effect all the same.
-        retry_after_s: When the other side asked to come back, in seconds.
+        message: Description of the failure, including the address.
+        effect_unknown: True if the call may have taken effect despite the error.
+        retry_after_s: Retry delay requested by the server, in seconds.
     """
 
     def __init__(
@@ -45,10 +45,10 @@
 
 
 def parse_address(text: str) -> Address:
-    """Return the address in ``ip:port``.
+    """Parse an address of the form ``ip:port``.
 
     Raises:
-        ValueError: It is not an IP number and a port.
+        ValueError: The text is not an IP address and a port.
     """
     ip, _, port = text.strip().rpartition(":")
     ip = ip.strip("[]")
@@ -96,10 +96,10 @@
 
 
 class BlockingLog:
-    """One stream of the platform's log.
+    """Blocking client of one stream of the platform's log.
 
     Args:
-        address: Where the log listens.
+        address: Address of the log service.
         stream: Name of the stream.
     """
 
@@ -108,10 +108,10 @@
         self._stream = stream
 
     def read(self, from_offset: int) -> Records | OffsetTrimmed:
-        """Return some records from ``from_offset`` on.
+        """Return one page of records starting at ``from_offset``.
 
         Raises:
-            CallError: The log does not answer.
+            CallError: The log is unavailable or its response is invalid.
         """
         path = (
             f"/streams/{self._stream}/records?from={from_offset}&limit={_PAGE_LENGTH}"
@@ -124,7 +124,7 @@
                 return OffsetTrimmed(first, end)
             records = tuple(LogRecord(**item) for item in value["records"])
         except (KeyError, TypeError, ValueError) as exc:
-            raise CallError(f"the log's answer is broken: {exc!r}") from None
+            raise CallError(f"invalid response from the log: {exc!r}") from None
         return Records(records, first, end)
 
     def _get(self, path: str) -> _Answer:
@@ -132,23 +132,24 @@
             try:
                 return _call(self._address, "GET", path)
             except CallError as exc:
-                # A log that refuses or is down is told at once; a cut answer is not.
+                # Retries only truncated responses; a refusal or an outage is final.
                 if not exc.effect_unknown:
                     raise
         return _call(self._address, "GET", path)
 
     def append(self, records: Sequence[Any]) -> int:
-        """Append records; return the offset of the first one.
+        """Append records and return the offset of the first one.
 
         Raises:
-            CallError: The log does not answer; see its ``effect_unknown``.
+            CallError: The log is unavailable or its response is invalid;
+                ``effect_unknown`` tells whether the records may be in the log.
         """
         path = f"/streams/{self._stream}/records"
         answer = _call(self._address, "POST", path, {"records": list(records)})
         try:
             return int(answer.value["first_offset"])
         except (KeyError, TypeError, ValueError) as exc:
-            message = f"the log's answer is broken: {exc!r}"
+            message = f"invalid response from the log: {exc!r}"
             raise CallError(message, effect_unknown=True) from None
 
 
@@ -156,11 +157,11 @@
     """Return the status object of a router.
 
     Args:
-        address: The callers' side of the router.
-        request: Id of a request to tell about, or empty.
+        address: Address that callers connect to.
+        request: Id of a request to include, or empty.
 
     Raises:
-        CallError: The router does not answer.
+        CallError: The router is unreachable or its response is invalid.
     """
     query = f"?request={quote(request, safe='')}" if request else ""
     return _call(address, "GET", f"/status{query}").value
--- a/greengageflow/ops/ctl.py
+++ b/greengageflow/ops/ctl.py
@@ -1,4 +1,4 @@
-"""``greengage-ctl``: the operators' command."""
+"""``greengage-ctl``: the command-line tool for operators."""
 
 import json as json_module
 import os
@@ -28,11 +28,11 @@
 
 @dataclass(frozen=True, slots=True)
 class _Planned:
-    """A command that was parsed and not run yet.
+    """A parsed command that has not run yet.
 
-    Fire calls a command before it finds that arguments are left over, so that
-    ``publish FILE --typo`` would publish and then complain. What it calls only
-    returns this, and ``main`` runs it once the whole line was understood.
+    Fire calls a command before it rejects leftover arguments, so
+    ``publish FILE --typo`` would publish and then fail. Command methods therefore
+    only return this object, and ``main`` runs it after the whole line was parsed.
     """
 
     _run: Callable[[], Report]
@@ -40,10 +40,10 @@
 
 
 class SettingsCommands:
-    """Settings files of routers."""
+    """Work with router settings files."""
 
     def example(self) -> _Planned:
-        """Print a working settings file.
+        """Print an example settings file.
 
         Example:
             greengage-ctl settings example > r1.json
@@ -52,7 +52,7 @@
 
     @SetParseFn(str, "file")
     def check(self, file: str, *, json: bool = False) -> _Planned:
-        """Tell everything that is wrong in a settings file.
+        """Validate a settings file and list all errors.
 
         Example:
             greengage-ctl settings check r1.json
@@ -60,13 +60,13 @@
 
         def run() -> Report:
             host = load_settings(file).host
-            return Report(f"{file}: good, host {host}", {"host": host})
+            return Report(f"{file}: valid, host {host}", {"host": host})
 
         return _Planned(run, json)
 
 
 class OrderCommands:
-    """Orders to engines; their results come with ``list``."""
+    """Send orders to engines and list their results."""
 
     @SetParseFn(str, "endpoint", "model", "adapter", "version", "log")
     def load(
@@ -110,7 +110,7 @@
 
     @SetParseFn(str, "routers")
     def list(self, *, routers: str | None = None, json: bool = False) -> _Planned:
-        """Show the orders that routers know of, with their results.
+        """List the orders that routers report, with their results.
 
         Example:
             greengage-ctl order list --routers=10.0.0.1:8080,10.0.0.2:8080
@@ -119,11 +119,11 @@
 
 
 class Commands:
-    """Drives a fleet of greengageflow routers.
+    """Operates a fleet of greengageflow routers.
 
-    The log and the routers are given by --log=IP:PORT and --routers=IP:PORT,IP:PORT
-    or by GREENGAGE_LOG and GREENGAGE_ROUTERS. With --json the answer is a JSON value.
-    Exit status: 0 done; 1 refused, lost, or not in force everywhere; 2 bad input.
+    The log and the routers are set with --log=IP:PORT and --routers=IP:PORT,IP:PORT
+    or with GREENGAGE_LOG and GREENGAGE_ROUTERS. With --json the output is JSON.
+    Exit status: 0 success; 1 refused, lost, or not in force everywhere; 2 bad input.
 
     Example:
         greengage-ctl validate fleet.json
@@ -139,10 +139,10 @@
 
     @SetParseFn(str, "file")
     def validate(self, file: str, *, json: bool = False) -> _Planned:
-        """Tell everything that is wrong in a configuration file.
+        """Validate a configuration file and list all errors.
 
-        The file holds {"schema": 1 or 2, "config": {...}}; with "replaces" it is
-        published only over that very revision.
+        The file contains {"schema": 1 or 2, "config": {...}}. With "replaces", it is
+        accepted only if that revision is in force.
 
         Example:
             greengage-ctl validate fleet.json
@@ -150,7 +150,7 @@
 
         def run() -> Report:
             schema = read_config_file(file)["schema"]
-            return Report(f"{file}: good, schema {schema}", {"schema": schema})
+            return Report(f"{file}: valid, schema {schema}", {"schema": schema})
 
         return _Planned(run, json)
 
@@ -158,7 +158,7 @@
     def diff(
         self, file: str, *, log: str | None = None, json: bool = False
     ) -> _Planned:
-        """Show what publishing a file would change.
+        """Compare a configuration file with the configuration in force.
 
         Example:
             greengage-ctl diff fleet.json --log=10.0.0.9:9000
@@ -167,7 +167,7 @@
 
     @SetParseFn(str, "log")
     def show(self, *, log: str | None = None) -> _Planned:
-        """Print the configuration in force, as a file that can be published.
+        """Print the configuration in force in the format that publish reads.
 
         Example:
             greengage-ctl show --log=10.0.0.9:9000 > fleet.json
@@ -186,7 +186,7 @@
     ) -> _Planned:
         """Publish a configuration file and wait until it is in force.
 
-        Tells whether it was accepted or lost to another one, and which of the
+        Shows whether it was accepted or lost to a concurrent change, and which
         routers have it in force after at most within_s seconds.
 
         Example:
@@ -203,7 +203,7 @@
         routers: str | None = None,
         json: bool = False,
     ) -> _Planned:
-        """Let an endpoint finish what it runs and give it no new work.
+        """Stop sending new requests to an endpoint; running ones finish.
 
         Example:
             greengage-ctl drain scribe-3 --log=10.0.0.9:9000 --routers=10.0.0.1:8080
@@ -219,7 +219,7 @@
         routers: str | None = None,
         json: bool = False,
     ) -> _Planned:
-        """Give an endpoint work again, as a new generation of it.
+        """Send requests to a drained endpoint again, as a new generation.
 
         Example:
             greengage-ctl undrain scribe-3 --log=10.0.0.9:9000
@@ -235,7 +235,7 @@
         routers: str | None = None,
         json: bool = False,
     ) -> _Planned:
-        """Allow records of a higher schema, once all routers understand it.
+        """Allow records of a higher schema if all routers support it.
 
         Example:
             greengage-ctl allow-schema 2 --log=10.0.0.9:9000 --routers=10.0.0.1:8080
@@ -251,9 +251,9 @@
         routers: str | None = None,
         json: bool = False,
     ) -> _Planned:
-        """Start again from a file when nobody knows what is in force.
+        """Restore the configuration from a file when it is lost everywhere.
 
-        Refused while the log or one of the routers knows it.
+        Refused while the log or a router still has the configuration in force.
 
         Example:
             greengage-ctl restore fleet.json --log=10.0.0.9:9000 --routers=10.0.0.1:8080
@@ -264,7 +264,7 @@
     def history(
         self, *, log: str | None = None, last: int = 20, json: bool = False
     ) -> _Planned:
-        """Show what became of the last records, refused ones included.
+        """List the outcomes of the last records, including refused ones.
 
         Example:
             greengage-ctl history --last=50 --log=10.0.0.9:9000
@@ -273,7 +273,7 @@
 
     @SetParseFn(str, "routers")
     def status(self, *, routers: str | None = None, json: bool = False) -> _Planned:
-        """Show every router; status 1 unless all answer with one revision.
+        """Show each router; exit status 1 unless all report the same revision.
 
         Example:
             greengage-ctl status --routers=10.0.0.1:8080,10.0.0.2:8080
@@ -285,10 +285,10 @@
     def explain(
         self, request: str, *files: str, routers: str | None = None, json: bool = False
     ) -> _Planned:
-        """Tell the way of one request, by its id.
+        """Show the timeline of one request, by its id.
 
-        Files hold collected output of routers; - is the standard input. Without
-        files, the routers are asked what they know.
+        Files contain collected router logs; - is standard input. Without files, the
+        routers are queried for the state of the request.
 
         Example:
             greengage-ctl explain 7f3c r1.log r2.log
@@ -306,7 +306,7 @@
 
     @SetParseFn(str, "id", "file")
     def trace(self, id: str, *, file: str, json: bool = False) -> _Planned:
-        """Show the spans of one trace, or of one request, as a tree.
+        """Show the spans of a trace or a request as a tree.
 
         Example:
             greengage-ctl trace 4bf92f3577b34da6a3ce929d0e0e4736 --file=spans.jsonl
@@ -315,7 +315,7 @@
 
     @SetParseFn(str, "key")
     def hash_key(self, key: str) -> _Planned:
-        """Print the hash of a bearer key, for "key_hashes"; - reads the key.
+        """Print the hash of a bearer key for "key_hashes"; - reads standard input.
 
         Example:
             greengage-ctl hash-key - < key.txt
@@ -364,14 +364,14 @@
 
 
 def _with_dash(args: list[str]) -> list[str]:
-    # Fire takes "-" for the end of a command's arguments; here it is the standard
-    # input. No argument of a process can hold the separator given instead.
+    # Fire treats "-" as its argument separator, but here "-" is standard input. A NUL
+    # byte replaces it, which no process argument can contain.
     return [*args, *(() if "--" in args else ("--",)), "--separator=\0"]
 
 
 def main() -> None:
     """Run the program."""
-    # On a terminal, help would start a pager, which is a process of its own.
+    # On a terminal, fire would show help in a pager, a separate process.
     os.environ["PAGER"] = "-"
     args = _with_dash(sys.argv[1:])
     planned = fire.Fire(Commands(), args, name="greengage-ctl", serialize=_serialize)
--- a/greengageflow/ops/ctl_orders.py
+++ b/greengageflow/ops/ctl_orders.py
@@ -1,4 +1,4 @@
-"""``greengage-ctl order``: orders to engines, appended to the log."""
+"""Creation of engine orders and their submission to the log."""
 
 from collections.abc import Callable, Iterable, Mapping
 from getpass import getuser
@@ -10,11 +10,11 @@
 APPEND_TRIES = 5
 
 Append = Callable[[list[Any]], int]
-"""Appends records to the stream of orders and returns the first offset."""
+"""Appends records to the order stream and returns the first offset."""
 
 
 class OrderError(ValueError):
-    """An order that cannot be given."""
+    """The arguments of an order are missing or inconsistent."""
 
 
 def make_order(
@@ -35,42 +35,42 @@
         model: Model to load.
         adapter: Adapter to load.
         version: Version to load.
-        role: Role to take.
-        author: Who orders it; the user of this process when empty.
+        role: Role to switch to.
+        author: Author of the order; the user of this process if empty.
 
     Raises:
-        OrderError: Something is missing or does not belong together.
+        OrderError: Arguments are missing or inconsistent.
     """
     match op:
         case "load" if role:
-            raise OrderError("a load has no role")
+            raise OrderError("a load order takes no role")
         case "load" if not (model or adapter):
-            raise OrderError("a load needs a model or an adapter")
+            raise OrderError("a load order requires a model or an adapter")
         case "role" if not role:
-            raise OrderError("a change of role needs the role")
+            raise OrderError("a role order requires a role")
         case "role" if model or adapter or version:
-            raise OrderError("a change of role loads nothing")
+            raise OrderError("a role order takes no model, adapter or version")
         case "load" | "role":
             pass
         case _:
             raise OrderError(f"expected load or role, found {op!r}")
     if not endpoint:
-        raise OrderError("an order needs an endpoint")
+        raise OrderError("an order requires an endpoint")
     who = author or getuser()
     return Order(uuid4().hex, endpoint, op, model, adapter, version, role, who)
 
 
 def give(order: Order, append: Append, *, tries: int = APPEND_TRIES) -> int:
-    """Append an order and return its offset.
+    """Append an order to the log and return its offset.
 
-    An append whose answer is lost is repeated: the order keeps its id, and a copy
-    is not run again.
+    An append with unknown outcome is retried. This is safe because the order keeps
+    its id, and duplicates of an order are not executed.
 
     Args:
         order: The order.
-        append: Appends to the stream of orders; ``OSError`` or an exception with
-            a true ``effect_unknown`` says that the records may be in the log.
-        tries: Most appends.
+        append: Appends to the order stream. An ``OSError``, or an exception with a
+            true ``effect_unknown``, means that the records may be in the log.
+        tries: Maximum number of appends.
     """
     for _ in range(tries - 1):
         try:
@@ -83,14 +83,14 @@
 
 
 def merged(statuses: Iterable[Mapping[str, Any]], id_: str = "") -> list[dict]:
-    """Return the orders in the status of several routers, one row an order.
+    """Merge the orders reported by several routers into one row per order.
 
-    The routers differ in how far they have read; a result, and else the newest
-    claim, tells more.
+    Routers may have read the log up to different offsets. The row with a result
+    wins, otherwise the one with the newest claim.
 
     Args:
-        statuses: What ``/status`` of routers told.
-        id_: The only order to return, or empty.
+        statuses: Responses of the routers' ``/status``.
+        id_: Id of the only order to return; empty for all orders.
     """
     rows: dict[str, dict] = {}
     for status in statuses:
--- a/greengageflow/ops/ctl_publish.py
+++ b/greengageflow/ops/ctl_publish.py
@@ -1,4 +1,4 @@
-"""Publishing to the configuration stream and watching it come into force."""
+"""Publishes to the configuration stream and waits for routers to apply it."""
 
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass, field
@@ -19,7 +19,7 @@
 
 
 class PublishError(Exception):
-    """A record could not be published, or nobody knows whether it was."""
+    """A record was not published, or the outcome is unknown."""
 
 
 class Publisher:
@@ -27,8 +27,8 @@
 
     Args:
         log: The configuration stream.
-        author: Who publishes.
-        patience_s: How long an unavailable log is tried again, in seconds.
+        author: Author name written to the records.
+        patience_s: How long to retry while the log is unavailable, in seconds.
     """
 
     def __init__(
@@ -46,10 +46,10 @@
         self._patience_s = patience_s
 
     def refresh(self) -> None:
-        """Read and fold the stream to its end.
+        """Read the stream to its end and apply its records.
 
         Raises:
-            CallError: The log does not answer.
+            CallError: The log is unavailable.
         """
         while not self.fold.halted:
             page = self._log.read(self.fold.next_offset)
@@ -63,33 +63,33 @@
                 return
 
     def _apply(self, record: LogRecord) -> None:
-        # After a snapshot the fold goes back to the records that follow it.
+        # A snapshot moves ``next_offset`` back to the records that follow its state.
         if record.offset <= self.fold.next_offset and not self.fold.halted:
             self.times[record.offset] = record.time
             self.fold.apply(record.offset, record.record)
 
     def check_complete(self) -> None:
-        """Make sure that the configuration in force is known.
+        """Check that the configuration in force is known.
 
         Raises:
-            PublishError: It cannot be learned from the log.
+            PublishError: The log does not contain enough records to determine it.
         """
         if self.fold.halted:
             raise PublishError(f"this greengage-ctl is too old: {self.fold.halted}")
         if not self.fold.complete:
             raise PublishError(
-                "the log has forgotten what is in force and holds no snapshot yet;"
+                "the log was trimmed and has no snapshot of the configuration yet;"
                 " wait for a router to append one, or see `greengage-ctl restore`"
             )
 
     def publish(self, record: Mapping[str, Any]) -> Decision:
-        """Append a record and return what became of it.
+        """Append a record and return the decision on it.
 
-        An append whose answer is lost is repeated under the same nonce. That is
-        safe: only the first copy can replace the revision that it names.
+        An append with unknown outcome is retried with the same nonce. This is safe
+        because only the first copy can replace the revision given in ``replaces``.
 
         Raises:
-            PublishError: The log stayed unavailable.
+            PublishError: The log was unavailable until the timeout.
         """
         nonce = uuid4().hex
         record = {**record, "author": self._author, "nonce": nonce}
@@ -100,7 +100,7 @@
                 if tried and (decision := self._find(nonce)):
                     return decision
                 if tried and self.fold.config.revision > record["replaces"]:
-                    # A copy that is still on its way would be too late as well.
+                    # A copy that arrives later would be rejected as well.
                     return self._lost(record)
                 tried = True
                 self._read_past(self._log.append([record]), end)
@@ -110,10 +110,10 @@
                 sleep(exc.retry_after_s or _RETRY_S)
 
     def append(self, record: Mapping[str, Any]) -> None:
-        """Append a record of which copies do no harm.
+        """Append a record that is safe to duplicate.
 
         Raises:
-            PublishError: The log stayed unavailable.
+            PublishError: The log was unavailable until the timeout.
         """
         end = monotonic() + self._patience_s
         while True:
@@ -144,13 +144,13 @@
         return Decision(-1, self._author, record["nonce"], outcome)
 
     def change(self, make: Callable[[Fold], Mapping[str, Any]]) -> Decision:
-        """Publish a change of what is in force, again after each lost race.
+        """Publish a change to the configuration in force, retrying on conflicts.
 
         Args:
-            make: Returns the record for the state in the fold.
+            make: Builds the record from the current state of the fold.
 
         Raises:
-            PublishError: The log stayed unavailable.
+            PublishError: The log was unavailable until the timeout.
         """
         for _ in range(_RACES):
             self.refresh()
@@ -163,20 +163,20 @@
 
 def _gave_up(exc: CallError, nonce: str) -> str:
     return (
-        f"log unavailable ({exc}); the record may still get into it: look for nonce"
+        f"log unavailable ({exc}); the record may still be appended: look for nonce"
         f" {nonce} in `greengage-ctl history --json`"
     )
 
 
 @dataclass(slots=True)
 class Spread:
-    """How far a revision has come.
+    """Progress of a revision's rollout.
 
     Args:
         revision: The revision.
-        waiting: Routers that do not have it in force, and why.
-        done: Routers that have it in force.
-        seconds: Time that it took, or that was waited.
+        waiting: Routers that have not applied it, with the reason.
+        done: Routers that have applied it.
+        seconds: Elapsed time, in seconds.
     """
 
     revision: int
@@ -188,9 +188,9 @@
 def await_in_force(
     routers: Iterable[Address], revision: int, within_s: float
 ) -> Spread:
-    """Wait until routers have ``revision`` or a later one in force."""
+    """Wait until all routers have applied ``revision`` or a later one."""
     start = monotonic()
-    spread = Spread(revision, dict.fromkeys(routers, "not asked"))
+    spread = Spread(revision, dict.fromkeys(routers, "not queried"))
     while True:
         for address in list(spread.waiting):
             _ask(spread, address)
@@ -207,7 +207,7 @@
         spread.waiting[address] = str(exc)
         return
     except (KeyError, TypeError, ValueError):
-        spread.waiting[address] = "its status has no revision"
+        spread.waiting[address] = "its status has no configuration revision"
         return
     if found >= spread.revision:
         del spread.waiting[address]
--- a/greengageflow/ops/decision_lines.py
+++ b/greengageflow/ops/decision_lines.py
@@ -1,4 +1,4 @@
-"""Reads decision lines back from collected output of several hosts."""
+"""Parses decision log lines from the collected output of several hosts."""
 
 from collections import Counter
 from collections.abc import Iterable, Iterator, Mapping
@@ -21,13 +21,13 @@
     """One line of the decision log.
 
     Args:
-        event: What was decided.
+        event: Type of the decision.
         host: Host of the router.
-        boot: Tells one life of that router's process from the next.
-        number: Position among the lines of that life.
-        up: Steady clock of the host, in seconds.
-        unix_time: Time of day of the host, in seconds; it may step.
-        fields: Everything else that the line says.
+        boot: Id of the router process, new at every start.
+        number: Sequence number among the lines of that process.
+        up: Monotonic clock of the host, in seconds.
+        unix_time: Wall clock of the host, in seconds; it may jump.
+        fields: All other fields of the line.
     """
 
     event: DecisionEvent
@@ -45,15 +45,15 @@
 
     @property
     def life(self) -> tuple[str, str]:
-        """The life of a router's process that wrote it."""
+        """Host and boot id of the router process that wrote the line."""
         return self.host, self.boot
 
 
 def decision_lines(text: Iterable[str]) -> Iterator[DecisionLine]:
     """Yield the decision lines in collected text.
 
-    A collector may put words before the object, other programs' lines come between,
-    and a process that was killed leaves half a line that the next one continues.
+    Collectors may prefix the JSON object with text and interleave lines of other
+    programs. A killed process leaves a partial line that the next line continues.
     """
     for row in text:
         if _MARK in row:
@@ -90,11 +90,11 @@
 
 
 class Clocks:
-    """Times of lines, by the steady clock of each host.
+    """Computes line times from the monotonic clock of each host.
 
-    The time of day of a host may step, and lines before and after the step would
-    change places in the story. So a line's time is its steady time plus the offset
-    that most lines of the same life have. Clocks of two hosts may still differ.
+    The wall clock of a host may jump, which would reorder lines from before and
+    after the jump. So a line's time is its monotonic time plus the most frequent
+    offset among the lines of the same process. The clocks of two hosts may differ.
     """
 
     def __init__(self) -> None:
@@ -102,14 +102,14 @@
         self._exact: dict[tuple[tuple[str, str], int], float] = {}
 
     def learn(self, line: DecisionLine) -> None:
-        """Take a line's offset into account."""
+        """Count the offset between the wall and monotonic clocks of a line."""
         offset = line.unix_time - line.up
         bucket = round(offset * _BUCKETS_PER_S)
         self._offsets.setdefault(line.life, Counter())[bucket] += 1
         self._exact.setdefault((line.life, bucket), offset)
 
     def time(self, line: DecisionLine) -> float:
-        """Return when a line was written, in seconds since 1970."""
+        """Return the time of a line, in seconds since the Unix epoch."""
         offsets = self._offsets.get(line.life)
         if not offsets:
             return line.unix_time
--- a/greengageflow/ops/explain.py
+++ b/greengageflow/ops/explain.py
@@ -1,4 +1,4 @@
-"""Tells the way of one request from collected decision lines."""
+"""Reconstructs the timeline of a request from collected decision lines."""
 
 import sys
 from collections.abc import Callable, Iterable, Iterator, Sequence
@@ -43,15 +43,15 @@
 }
 
 Source = Callable[[], Iterable[str]]
-"""Gives the collected text from its start, line by line, each time it is called."""
+"""Returns an iterator over all lines of the collected text; called repeatedly."""
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """One line of a story.
+    """One entry of a timeline.
 
     Args:
-        time: When, in seconds since 1970.
+        time: Corrected time, in seconds since the Unix epoch.
         line: The decision line.
     """
 
@@ -61,10 +61,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Attempt:
-    """What one request id went through.
+    """All steps of one request id, which is one attempt of the caller.
 
     Args:
-        request: The id.
+        request: The request id.
         steps: Its steps in time order; at least one.
     """
 
@@ -73,19 +73,19 @@
 
     @property
     def start(self) -> float:
-        """When it was first heard of."""
+        """Time of the first step."""
         return self.steps[0].time
 
     @property
     def end(self) -> Step | None:
-        """How it ended, if that is known."""
+        """The final step, or None if it is unknown."""
         endings = (step for step in self.steps if step.line.event in _ENDINGS)
         return max(endings, key=lambda step: step.time, default=None)
 
     def precedes(self, later: "Attempt") -> bool:
-        """Return whether the caller may have sent ``later`` as this one again.
+        """Return whether ``later`` may be the caller's retry of this attempt.
 
-        A router that was killed leaves no ending; then the time alone speaks.
+        A killed router logs no final event; then only the time decides.
         """
         end = self.end
         if end is None:
@@ -97,14 +97,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Story:
-    """What is known of one request.
+    """Timeline of a request and its retries.
 
     Args:
-        attempts: The request and its other attempts, in time order; empty when no
-            line tells of it.
-        states: Changes of state that its lines refer to, in time order.
-        lines_read: Decision lines that were read.
-        lines_dropped: Lines that the routers say they left out.
+        attempts: The attempts of the request in time order; empty if no line
+            mentions the request.
+        states: State changes of the routers and endpoints involved, in time order.
+        lines_read: Number of decision lines read.
+        lines_dropped: Number of lines that routers reported as dropped.
     """
 
     attempts: tuple[Attempt, ...] = ()
@@ -114,10 +114,10 @@
 
 
 def read_files(paths: Sequence[str]) -> Source:
-    """Return a source of the lines of files, ``-`` for the standard input.
+    """Return a source of the lines of files; ``-`` is standard input.
 
     Raises:
-        ExceptionGroup: Holds the ``OSError`` of each file that cannot be opened.
+        ExceptionGroup: Contains the ``OSError`` of each file that cannot be opened.
     """
     faults = []
     for path in paths:
@@ -142,7 +142,7 @@
 
 
 def tell(request: str, source: Source) -> Story:
-    """Return the story of a request; reads the source twice."""
+    """Build the timeline of a request; reads the source twice."""
     survey = _Survey(request)
     for line in decision_lines(source()):
         survey.add(line)
@@ -164,7 +164,7 @@
 
 
 class _Survey:
-    """First reading: clocks, states and which ids share a digest."""
+    """First pass: collects clock offsets, states and the request ids per digest."""
 
     def __init__(self, request: str) -> None:
         self._request = request
@@ -201,7 +201,7 @@
 
 
 def _chain(request: str, attempts: Sequence[Attempt]) -> tuple[Attempt, ...]:
-    """Return the attempts that follow one another and hold the one asked for."""
+    """Return the consecutive retries that include ``request``."""
     chain: list[Attempt] = []
     found = False
     for attempt in attempts:
@@ -215,7 +215,7 @@
 
 
 def _states(chain: Sequence[Attempt], states: Iterable[Step]) -> Iterator[Step]:
-    """Yield the changes of state near the attempts and those that lasted till then."""
+    """Yield state changes near the attempts and earlier states still in effect."""
     if not chain:
         return
     lines = [step.line for attempt in chain for step in attempt.steps]
@@ -247,11 +247,11 @@
 
 
 def story_text(request: str, story: Story) -> str:
-    """Return a story for people, one line a step in time order."""
+    """Format a timeline for reading, one line per step in time order."""
     if not story.attempts:
         return (
-            f"no line tells of request {request}; {story.lines_read} decision lines"
-            f" read, {story.lines_dropped} left out by the routers"
+            f"no line mentions request {request}; {story.lines_read} decision lines"
+            f" read, {story.lines_dropped} dropped by the routers"
         )
     zero = next(a.start for a in story.attempts if a.request == request)
     stamp = datetime.fromtimestamp(zero, UTC).isoformat(timespec="milliseconds")
@@ -259,7 +259,7 @@
     for earlier, later in pairwise(story.attempts):
         gap = later.start - earlier.steps[-1].time
         head.append(
-            f"{earlier.request} was probably sent again as {later.request}"
+            f"{earlier.request} was probably retried as {later.request}"
             f" {max(0.0, gap):.3f} s later"
         )
     steps = [step for attempt in story.attempts for step in attempt.steps]
@@ -281,7 +281,7 @@
 
 
 def story_data(story: Story) -> dict[str, Any]:
-    """Return a story as a JSON value."""
+    """Return a timeline as a JSON value."""
     return {
         "attempts": [
             {"request": attempt.request, "steps": [_data(s) for s in attempt.steps]}
--- a/greengageflow/ops/story.py
+++ b/greengageflow/ops/story.py
@@ -1,4 +1,4 @@
-"""What each decision line says, in words."""
+"""Human-readable messages for decision log lines."""
 
 from collections import defaultdict
 
@@ -9,7 +9,7 @@
     Event.SENT: "sent to {endpoint}: {reading} of {prompt} prompt tokens to read,"
     " predicted wait {predicted_ms} ms, {queued} queued there, account {account} at"
     " level {level}, reports {report_age_ms} ms old, configuration {config}",
-    Event.REFUSED: "refused, {why} ({text}), come back after {retry_after_ms} ms:"
+    Event.REFUSED: "refused, {why} ({text}), retry after {retry_after_ms} ms:"
     " waited {waited_ms} ms, {queued} queued, account {account} at level {level},"
     " reports {report_age_ms} ms old, configuration {config}",
     Event.RETRIED: "retried from {before} to {endpoint}: {why}",
@@ -32,49 +32,52 @@
     " failures: {why}",
     Event.ENDPOINT_BACK: "endpoint {endpoint} is back after {after_ms} ms",
     Event.ENDPOINT_HELD: "endpoint {endpoint} is no longer listed and kept for"
-    " {for_ms} ms, lest its entry only lapsed",
-    Event.LIST_LOST: "list of endpoints lost, unheard for {unheard_ms} ms: {why}",
-    Event.LIST_REGAINED: "list of endpoints read again after {after_ms} ms",
+    " {for_ms} ms, in case its entry only expired",
+    Event.LIST_LOST: "endpoint list unavailable, last read {unheard_ms} ms ago: {why}",
+    Event.LIST_REGAINED: "endpoint list available again after {after_ms} ms",
     Event.ENDPOINT_CRASHED: "endpoint {endpoint} crashed with {requests} requests of"
     " this host in flight: {digests}",
     Event.CONFIG_IN_FORCE: "configuration {config} in force, from {source},"
     " {age_ms} ms old",
-    Event.KEYS_UNTRUSTED: "keys no longer trusted: store unheard for {unheard_ms} ms",
+    Event.KEYS_UNTRUSTED: "keys no longer trusted: store silent for {unheard_ms} ms",
     Event.KEYS_TRUSTED: "keys trusted again after {after_ms} ms",
-    Event.STORE_LOST: "store lost, unheard for {unheard_ms} ms: {why}",
-    Event.STORE_REGAINED: "store back after {after_ms} ms",
+    Event.STORE_LOST: "store unavailable, last read {unheard_ms} ms ago: {why}",
+    Event.STORE_REGAINED: "store available again after {after_ms} ms",
     Event.PLACER_SILENT: "placer {placer} does not answer, {asked} requests"
-    " decided here",
+    " placed by this host",
     Event.PLACER_HEARD: "placer {placer} answers again after {after_ms} ms",
     Event.PLACING: "places requests for {endpoints} endpoints, placers: {placers}",
-    Event.PARTS_LEARNED: "endpoint {endpoint} keeps {parts} prompt parts",
-    Event.PARTS_UNKNOWN: "endpoint {endpoint} does not say what it keeps: {why}",
-    Event.PEERS_LOST: "peers lost: {live} of {known} live",
-    Event.PEERS_REGAINED: "peers back after {after_ms} ms: {live} of {known} live",
+    Event.PARTS_LEARNED: "endpoint {endpoint} caches {parts} prompt parts",
+    Event.PARTS_UNKNOWN: "endpoint {endpoint} does not report its cached prompt"
+    " parts: {why}",
+    Event.PEERS_LOST: "peers unreachable: {live} of {known} alive",
+    Event.PEERS_REGAINED: "peers reachable after {after_ms} ms: {live} of {known}"
+    " alive",
     Event.STARTED: "router started, version {version}",
     Event.STOPPING: "router is stopping, {running} running, {waiting} waiting",
     Event.STOPPED: "router stopped after {total_ms} ms, {cut} requests cut",
-    Event.RELOADED: "settings read again, changed: {changed}",
-    Event.HOST_BEHIND: "the loop is {late_ms} ms late, {connections} connections,"
+    Event.RELOADED: "settings reloaded, changed: {changed}",
+    Event.HOST_BEHIND: "event loop lags by {late_ms} ms, {connections} connections,"
     " {running} running, {waiting} waiting",
-    Event.HOST_CAUGHT_UP: "the loop is on time again after {after_ms} ms,"
+    Event.HOST_CAUGHT_UP: "event loop no longer lags after {after_ms} ms,"
     " {connections} connections",
-    Event.TURNED_AWAY: "{requests} requests of {accounts} accounts turned away unread"
-    " in a second, rounds of {round_ms} ms",
-    Event.CONNECTIONS_FULL: "no room beside {connections} callers' connections,"
-    " {gave_way} idle ones gave way",
-    Event.LINES_DROPPED: "log lines left out: {sampled} sampled away, {budget} over"
-    " the budget, {buffer} with a full buffer, {sink} not written",
-    Event.STORE_ERA: "the store came back older, era {era} after {before}",
-    Event.ENDPOINT_BACKOFF: "endpoint {endpoint} asks for {for_ms} ms of backoff",
-    Event.OUT_OF_BUDGET: "{service} gets no more repeats: {repeats} of {requests}"
-    " requests, {hosts} hosts",
-    Event.QUARANTINED: "request {digest} is held back for {for_ms} ms, known from"
+    Event.TURNED_AWAY: "{requests} requests of {accounts} accounts rejected unread"
+    " in one second, loop rounds of {round_ms} ms",
+    Event.CONNECTIONS_FULL: "connection limit reached with {connections} callers'"
+    " connections, {gave_way} idle ones closed",
+    Event.LINES_DROPPED: "log lines dropped: {sampled} by sampling, {budget} over"
+    " the budget, {buffer} with a full buffer, {sink} by write errors",
+    Event.STORE_ERA: "the store was restored to an older state, era {era} after"
+    " {before}",
+    Event.ENDPOINT_BACKOFF: "endpoint {endpoint} requested {for_ms} ms of backoff",
+    Event.OUT_OF_BUDGET: "{service} exhausted its retry budget: {repeats} retries of"
+    " {requests} requests, {hosts} hosts",
+    Event.QUARANTINED: "request {digest} quarantined for {for_ms} ms, reported by"
     " {source}",
-    Event.QUARANTINE_CLEARED: "request {digest} was answered and is cleared of crashes",
+    Event.QUARANTINE_CLEARED: "request {digest} succeeded and leaves quarantine",
 }
 
 
 def sentence(line: DecisionLine) -> str:
-    """Return what a line says; a field that it lacks shows as ``?``."""
+    """Format a line as a message; missing fields are shown as ``?``."""
     return SENTENCES[line.event].format_map(defaultdict(lambda: "?", line.fields))
--- a/tests/test_ctl.py
+++ b/tests/test_ctl.py
@@ -24,7 +24,7 @@
 
 @contextmanager
 def router(**status):
-    """A router that answers ``/status`` and nothing else."""
+    """Serve ``status`` as the ``/status`` response of a router."""
 
     class Handler(BaseHTTPRequestHandler):
         def do_GET(self):
@@ -95,8 +95,8 @@
 
 
 def test_the_loser_of_a_race_is_told(log, run, file):
-    """Two operators publish over revision 0. The first is accepted; the second is told
-    that it lost and by what, with status 1, and the log's history names both.
+    """Two operators replace revision 0. The first is accepted; the second gets exit
+    status 1 and the revision it lost to. The history lists both records.
     """
     document = {"schema": 1, "replaces": 0, "config": CONFIG}
     assert run("publish", file(document))[0] == 0
@@ -110,9 +110,8 @@
 
 
 def test_a_lost_answer_of_the_log_is_found_in_the_log(log, run, file):
-    """The log takes the record, and its answer is lost. The operator is told that the
-    record was accepted, and it stands in the log once: it was found by its nonce, not
-    blindly appended again.
+    """The log appends the record, but its response is lost. The publisher finds the
+    record by its nonce instead of appending a duplicate, and reports it as accepted.
     """
     log.fault(lose_answers=1, only="append")
     code, text = run("publish", file({"schema": 1, "config": CONFIG}))
@@ -123,8 +122,8 @@
 
 
 def test_an_append_that_shows_up_late_counts_once(log):
-    """The log takes a record late, after it was appended again. Both copies are in the
-    log; the first is accepted and the second lost, and the operator hears of the first.
+    """The first append takes effect only when the retry arrives, so the log contains
+    two copies. The first is accepted, the second lost; the first one is reported.
     """
 
     class Late(BlockingLog):
@@ -148,7 +147,9 @@
 def test_an_outage_of_the_log_is_reported(log):
     log.fault(down=True)
     publisher = Publisher(BlockingLog(Address(*log.address)), patience_s=0.1)
-    with pytest.raises(PublishError, match="log unavailable .* 503.*may still get"):
+    with pytest.raises(
+        PublishError, match="log unavailable .* 503.*may still be appended"
+    ):
         publisher.publish({"schema": 1, "replaces": 0, "config": CONFIG})
 
 
@@ -174,9 +175,9 @@
 
 
 def test_a_schema_is_allowed_only_when_all_routers_understand_it(log, run, file):
-    """One router runs an old release, or is a member that nobody asked. Were schema 2
-    allowed, that router would stop at the first such record, and its callers would be
-    served by an old configuration. So nothing is published until all agree.
+    """One router runs an old release, or a member is missing in ``--routers``. With
+    schema 2 allowed, such a router would halt at the first record of that schema and
+    keep an outdated configuration. So nothing is published until all support it.
     """
     new = {"host": "r1", "config": {"schemas": [1, 2], "revision": 1}}
     old = {"host": "r2", "config": {"schemas": [1], "revision": 1}}
@@ -188,7 +189,7 @@
         router(**new) as alone,
     ):
         code, text = run("allow-schema", 2, f"--routers={first},{second}")
-        assert (code, "r2 understands schemas [1] only" in text) == (1, True)
+        assert (code, "r2 supports only schemas [1]" in text) == (1, True)
         code, text = run("allow-schema", 2, f"--routers={first}")
         assert (code, "r2: a member" in text) == (1, True)
         assert run("allow-schema", 2, f"--routers={alone},127.0.0.1:1")[0] == 1
@@ -198,9 +199,9 @@
 
 
 def test_a_fleet_that_lost_its_records_is_restored_from_a_file(run, file, monkeypatch):
-    """All routers and the log have lost what was in force. Publishing is refused, as
-    nobody could judge it; the operator restores a file instead. While one router still
-    knows, that is refused too, since it would turn its configuration back.
+    """All routers and the log lost the configuration in force. ``publish`` is refused,
+    since its record cannot be decided; ``restore`` works instead. While one router
+    still has the configuration, ``restore`` is refused, since it would revert it.
     """
     document = file({"schema": 1, "config": CONFIG})
     with standin("log", keep_records=1) as log:
@@ -214,7 +215,7 @@
             router(config={"revision": 3, "complete": False}) as empty,
         ):
             code, text = run("restore", document, f"--routers={empty},{whole}")
-            assert (code, "knows what is in force" in text) == (1, True)
+            assert (code, "knows the configuration in force" in text) == (1, True)
             assert run("restore", document, f"--routers={empty}")[0] == 0
         assert run("publish", document)[0] == 0
         last = log.call("GET", f"{STREAM}?from=4").json["records"][0]
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -11,7 +11,7 @@
 
 
 class Host:
-    """Writes decision lines of one router as its log does, at times of the test."""
+    """Writes the decision lines of one router at given times."""
 
     def __init__(self, name, boot="b1", step=0):
         self.name, self.boot, self.step, self.lines = name, boot, step, 0
@@ -51,9 +51,9 @@
 
 
 def test_a_failed_request_is_told_with_its_next_attempt_and_what_led_to_it(explain):
-    """An endpoint dies under a stream on r1; the caller gets 502 and asks again, under
-    a new id, at r2, which serves it. Lines of both hosts come mixed, with prefixes,
-    another program's words and half a line; r1's time of day has stepped meanwhile.
+    """An endpoint dies during a stream on r1; the caller gets 502 and retries with a
+    new id at r2, which succeeds. The lines of both hosts are interleaved, with
+    prefixes, foreign text and a partial line, and r1's wall clock jumps in between.
     """
     r1, r2 = Host("r1"), Host("r2")
     lost = r1(2, Event.STORE_LOST, why="timeout")
@@ -76,7 +76,7 @@
     ]
     code, lines = explain(rows, "007", "-")
     assert code == 0
-    assert "007 was probably sent again as a8 1.000 s later" in lines[1]
+    assert "007 was probably retried as a8 1.000 s later" in lines[1]
     numbers = ["GG731", "GG701", "GG714", "GG708", "GG701", "GG705"]
     assert [line.split("GG")[1][:3] for line in lines[2:]] == [n[2:] for n in numbers]
     assert "cut by e1 after 3 pieces: reset, ran: ?" in lines[5]
@@ -87,8 +87,8 @@
 
 
 def test_a_router_that_was_killed_leaves_no_ending_and_is_still_linked(explain):
-    """r1 is killed with the request under way; nothing says how it ended. The caller
-    asks again at r2. The story shows both, so that the missing ending is seen.
+    """r1 is killed with the request in flight and logs no final event. The caller
+    retries at r2. The timeline shows both attempts, the first without an end.
     """
     r1, r2 = Host("r1"), Host("r2")
     rows = [
@@ -116,4 +116,4 @@
     rows = [Host("r1")(1, Event.LINES_DROPPED, sampled=40, budget=2, buffer=0, sink=0)]
     code, lines = explain(rows, "007", "-")
     assert code == 1
-    assert "1 decision lines read, 42 left out" in lines[0]
+    assert "1 decision lines read, 42 dropped" in lines[0]
--- a/tests/test_gateway_explain.py
+++ b/tests/test_gateway_explain.py
@@ -1,4 +1,4 @@
-"""The way from a failed request's id to its cause, from real gateways' output."""
+"""``greengage-ctl explain`` on the logs of real gateways."""
 
 import sys
 from pathlib import Path
@@ -23,7 +23,7 @@
 
 
 def explained(lab, request, ending):
-    """Return what ``greengage-ctl explain`` tells, once the ending is written."""
+    """Return the output of ``greengage-ctl explain`` once ``ending`` is logged."""
 
     def written():
         lines = "".join(one.stderr for one in lab.routers.values()).splitlines()
@@ -45,7 +45,7 @@
 
 
 def refused_way():
-    """Have the one endpoint of a service be full; return the story of a refusal."""
+    """Fill the only endpoint of a service; return the timeline of a refusal."""
     options = {"slots": 1, "queue": 4}
     with PlatformLab(PlatformShape(routers=2, plain=1, plain_options=options)) as lab:
         lab.fault("app-0", hang=True, times=HELD)
@@ -61,7 +61,7 @@
 
 
 def cut_way():
-    """Kill an engine in the middle of a stream; return the story of the cut."""
+    """Kill an engine during a stream; return its name and the timeline."""
     with PlatformLab(PlatformShape(routers=2, plain=0, engines=2)) as lab:
         client = lab.client()
         name = client.send(TALE, key=KEY, headers=generation(2000, ("p1", 50)))
@@ -79,7 +79,7 @@
 
 
 def late_way():
-    """Have a slow endpoint serve a request; return the story of the late answer."""
+    """Send a request to a slow endpoint; return the timeline of the late response."""
     options = {"work_ms": SLOW_MS}
     with PlatformLab(PlatformShape(plain=1, plain_options=options)) as lab:
         answer = lab.ask(UNSAFE)
@@ -88,24 +88,24 @@
 
 
 def test_a_refusal_is_explained():
-    """The only endpoint of a service is held by others' requests. The story names why
-    the request was refused and links the attempt after it."""
+    """Other requests occupy the only endpoint of a service. The timeline shows why the
+    request was refused and links its retry."""
     first, second, story = refused_way()
-    assert f"{first} was probably sent again as {second}" in story
+    assert f"{first} was probably retried as {second}" in story
     assert f"{first} refused, queue_full" in story
-    assert "come back after" in story and "waited" in story
+    assert "retry after" in story and "waited" in story
 
 
 def test_a_cut_is_explained():
-    """An engine dies in the middle of a stream that may not go on elsewhere. The story
-    names the engine, what it had sent, and that it ran."""
+    """An engine dies during a stream that must not be resumed elsewhere. The timeline
+    names the engine, how much it had sent, and that the request ran."""
     replica, story = cut_way()
     assert f"cut by {replica} after" in story and "ran: yes" in story
 
 
 def test_a_late_answer_is_explained():
-    """An endpoint takes longer than the objective. The story has the wait before it,
-    its own time and the objective."""
+    """An endpoint exceeds the latency objective. The timeline shows the time waited,
+    the endpoint's own time and the objective."""
     story = late_way()
     assert "finished late with 200 from app-0" in story
     assert "objective 800" in story
