--- a/greengageflow/daemon/crash_recorders.py
+++ b/greengageflow/daemon/crash_recorders.py
@@ -68,7 +68,7 @@
         self, endpoint: EndpointStart, requests: frozenset[Fingerprint]
     ) -> None:
         """Record a crash and the requests that may have caused it."""
-        self._metrics.count(Metric.ENDPOINT_CRASHES, part=endpoint.id)
+        self._metrics.count(Metric.ENDPOINT_CRASHES, label=endpoint.id)
         digests = sorted(map(short_digest, requests))
         log(
             Event.ENDPOINT_CRASHED,
--- a/greengageflow/daemon/request_telemetry.py
+++ b/greengageflow/daemon/request_telemetry.py
@@ -19,7 +19,7 @@
 
     def on_admitted(self, ctx: RequestContext) -> None:
         """Record a request that was admitted."""
-        self._metrics.count(Metric.REQUESTS, part=ctx.pool.name)
+        self._metrics.count(Metric.REQUESTS, label=ctx.pool.name)
 
     def on_started(self, ctx: RequestContext, now: float) -> None:
         """Record that a request was granted a slot, and its time in the queue."""
@@ -29,7 +29,7 @@
     def on_retry(self, ctx: RequestContext) -> None:
         """Record that a request is queued again for a retry."""
         endpoint = ctx.endpoint.name if ctx.endpoint else ""
-        self._metrics.count(Metric.RETRIES, part=endpoint)
+        self._metrics.count(Metric.RETRIES, label=endpoint)
 
     def on_stream_end(self, ctx: RequestContext, run: EngineCall) -> None:
         """Record a stream's time to first piece, resumptions and dropped pieces."""
@@ -57,7 +57,7 @@
     def on_backoff(self, endpoint: str, seconds: float) -> None:
         """Record that an endpoint asked for a backoff."""
         log(Event.ENDPOINT_BACKOFF, endpoint=endpoint, seconds=seconds)
-        self._metrics.count(Metric.BACKOFFS, part=endpoint)
+        self._metrics.count(Metric.BACKOFFS, label=endpoint)
 
     def on_cut(self, ctx: RequestContext) -> None:
         """Record that an endpoint cut an answer off."""
@@ -68,27 +68,27 @@
             endpoint=endpoint,
             pieces=ctx.pieces,
         )
-        self._metrics.count(Metric.STREAMS_CUT, part=endpoint)
+        self._metrics.count(Metric.STREAMS_CUT, label=endpoint)
 
     def on_answered(self, ctx: RequestContext, served: float) -> None:
         """Record a complete answer that cost ``served`` tokens."""
-        self._metrics.count(Metric.ANSWERED, part=ctx.pool.name)
-        self._metrics.count(Metric.SERVED, served, part=ctx.account.name)
+        self._metrics.count(Metric.ANSWERED, label=ctx.pool.name)
+        self._metrics.count(Metric.SERVED, served, label=ctx.account.name)
 
     def on_replayed(self) -> None:
         """Record a repeated protected action that was answered from its record."""
-        self._metrics.count(Metric.ACTIONS, part="replayed")
+        self._metrics.count(Metric.ACTIONS, label="replayed")
 
     def on_outcome_unknown(self, ctx: RequestContext) -> None:
         """Record a protected action whose outcome is unknown."""
         if ctx.protected:
             account = ctx.account.name
             log(Event.ACTION_UNKNOWN, request=ctx.wire_id, account=account)
-            self._metrics.count(Metric.ACTIONS, part="unknown")
+            self._metrics.count(Metric.ACTIONS, label="unknown")
 
     def on_refused(self, exc: RouterError, ctx: RequestContext | None = None) -> None:
         """Record an error sent to a caller."""
-        self._metrics.count(Metric.REFUSED, part=exc.kind.value)
+        self._metrics.count(Metric.REFUSED, label=exc.kind.value)
         if ctx and exc.kind is ErrorKind.QUEUE_FULL:
             account = ctx.account
             log(Event.QUEUE_FULL, account=account.name, limit=account.queue_limit)
--- a/greengageflow/errors.py
+++ b/greengageflow/errors.py
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class ErrorResponse:
     """HTTP response to the caller for one error kind.
 
     Args:
@@ -56,30 +56,30 @@
     retry_after_s: float | None = None
 
 
-ANSWERS: dict[ErrorKind, Answer] = {
-    ErrorKind.BAD_REQUEST: Answer(400),
-    ErrorKind.UNAUTHORIZED: Answer(401),
-    ErrorKind.NOT_FOUND: Answer(404),
-    ErrorKind.UNKNOWN_TARGET: Answer(404),
-    ErrorKind.METHOD_NOT_ALLOWED: Answer(405),
-    ErrorKind.BODY_TOO_LARGE: Answer(413),
-    ErrorKind.HEADERS_TOO_LARGE: Answer(431),
-    ErrorKind.REQUEST_TIMEOUT: Answer(408, retry_after_s=1),
-    ErrorKind.KEY_REQUIRED: Answer(400),
-    ErrorKind.KEY_CONFLICT: Answer(409),
-    ErrorKind.ANSWER_NOT_KEPT: Answer(410, Ran.YES),
-    ErrorKind.QUEUE_FULL: Answer(429, retry_after_s=1),
-    ErrorKind.DEADLINE: Answer(503, retry_after_s=1),
-    ErrorKind.NO_ENDPOINT: Answer(503, retry_after_s=1),
-    ErrorKind.STOPPING: Answer(503, retry_after_s=1),
-    ErrorKind.HOST_BUSY: Answer(503, retry_after_s=1),
-    ErrorKind.QUARANTINED: Answer(503, retry_after_s=600),
-    ErrorKind.NOT_CONFIGURED: Answer(503, retry_after_s=1),
-    ErrorKind.LOG_UNAVAILABLE: Answer(503, retry_after_s=2),
-    ErrorKind.OUTCOME_UNKNOWN: Answer(504, Ran.UNKNOWN, retry_after_s=2),
-    ErrorKind.ENDPOINT_FAILED: Answer(502, Ran.UNKNOWN, retry_after_s=1),
-    ErrorKind.ENDPOINT_CUT: Answer(502, Ran.UNKNOWN, retry_after_s=1),
-    ErrorKind.INTERNAL: Answer(500, Ran.UNKNOWN, retry_after_s=1),
+ERROR_RESPONSES: dict[ErrorKind, ErrorResponse] = {
+    ErrorKind.BAD_REQUEST: ErrorResponse(400),
+    ErrorKind.UNAUTHORIZED: ErrorResponse(401),
+    ErrorKind.NOT_FOUND: ErrorResponse(404),
+    ErrorKind.UNKNOWN_TARGET: ErrorResponse(404),
+    ErrorKind.METHOD_NOT_ALLOWED: ErrorResponse(405),
+    ErrorKind.BODY_TOO_LARGE: ErrorResponse(413),
+    ErrorKind.HEADERS_TOO_LARGE: ErrorResponse(431),
+    ErrorKind.REQUEST_TIMEOUT: ErrorResponse(408, retry_after_s=1),
+    ErrorKind.KEY_REQUIRED: ErrorResponse(400),
+    ErrorKind.KEY_CONFLICT: ErrorResponse(409),
+    ErrorKind.ANSWER_NOT_KEPT: ErrorResponse(410, Ran.YES),
+    ErrorKind.QUEUE_FULL: ErrorResponse(429, retry_after_s=1),
+    ErrorKind.DEADLINE: ErrorResponse(503, retry_after_s=1),
+    ErrorKind.NO_ENDPOINT: ErrorResponse(503, retry_after_s=1),
+    ErrorKind.STOPPING: ErrorResponse(503, retry_after_s=1),
+    ErrorKind.HOST_BUSY: ErrorResponse(503, retry_after_s=1),
+    ErrorKind.QUARANTINED: ErrorResponse(503, retry_after_s=600),
+    ErrorKind.NOT_CONFIGURED: ErrorResponse(503, retry_after_s=1),
+    ErrorKind.LOG_UNAVAILABLE: ErrorResponse(503, retry_after_s=2),
+    ErrorKind.OUTCOME_UNKNOWN: ErrorResponse(504, Ran.UNKNOWN, retry_after_s=2),
+    ErrorKind.ENDPOINT_FAILED: ErrorResponse(502, Ran.UNKNOWN, retry_after_s=1),
+    ErrorKind.ENDPOINT_CUT: ErrorResponse(502, Ran.UNKNOWN, retry_after_s=1),
+    ErrorKind.INTERNAL: ErrorResponse(500, Ran.UNKNOWN, retry_after_s=1),
 }
 
 
@@ -102,18 +102,18 @@
         retry_after_s: float | None = None,
     ) -> None:
         super().__init__(message)
-        answer = ANSWERS[kind]
+        response = ERROR_RESPONSES[kind]
         self.kind = kind
         self.message = message
-        self.ran = answer.ran if ran is None else ran
+        self.ran = response.ran if ran is None else ran
         self.retry_after_s = (
-            answer.retry_after_s if retry_after_s is None else retry_after_s
+            response.retry_after_s if retry_after_s is None else retry_after_s
         )
 
     @property
     def status(self) -> int:
         """HTTP status code of the response."""
-        return ANSWERS[self.kind].status
+        return ERROR_RESPONSES[self.kind].status
 
     @property
     def body(self) -> dict[str, object]:
--- a/greengageflow/events.py
+++ b/greengageflow/events.py
@@ -150,12 +150,12 @@
 
     def log(self, event: Event, **fields: Any) -> None:
         """Write an event, unless its type exceeded the limit of this window."""
-        self._turn_window(monotonic())
+        self._roll_window(monotonic())
         self._counts[event] += 1
         if not self._limit or self._counts[event] <= self._limit:
             self._write(event, fields)
 
-    def _turn_window(self, now: float) -> None:
+    def _roll_window(self, now: float) -> None:
         if now < self._window_end:
             return
         self._window_end = now + self._window_s
@@ -163,8 +163,8 @@
         self._counts.clear()
         for event, count in counts.items():
             if self._limit and count > self._limit:
-                left_out = count - self._limit
-                logger.warning(f"{event.number} {left_out} more of these left out")
+                suppressed = count - self._limit
+                logger.warning(f"{event.number} {suppressed} more of these left out")
 
     def _write(self, event: Event, fields: dict[str, Any]) -> None:
         text = _fill(event.value.template, fields)
--- a/greengageflow/metrics.py
+++ b/greengageflow/metrics.py
@@ -27,12 +27,12 @@
     Args:
         name: Name, without the prefix.
         kind: Statsd metric type.
-        part: Dimension given by the last name component, or empty.
+        label: Dimension given by the last name component, or empty.
     """
 
     name: str
     kind: MetricKind
-    part: str = ""
+    label: str = ""
 
 
 class Metric(Enum):
@@ -94,20 +94,20 @@
         # on any socket error, including EWOULDBLOCK.
         self._client._sock.setblocking(False)
 
-    def count(self, metric: Metric, count: float = 1, part: str = "") -> None:
+    def count(self, metric: Metric, count: float = 1, label: str = "") -> None:
         """Add ``count`` to a counter."""
         if self._client:
-            self._client.incr(_name(metric, part), count)
+            self._client.incr(_name(metric, label), count)
 
-    def gauge(self, metric: Metric, value: float, part: str = "") -> None:
+    def gauge(self, metric: Metric, value: float, label: str = "") -> None:
         """Set a gauge."""
         if self._client:
-            self._client.gauge(_name(metric, part), value)
+            self._client.gauge(_name(metric, label), value)
 
-    def timing(self, metric: Metric, seconds: float, part: str = "") -> None:
+    def timing(self, metric: Metric, seconds: float, label: str = "") -> None:
         """Record a duration in seconds, sent in milliseconds."""
         if self._client:
-            self._client.timing(_name(metric, part), seconds * 1000)
+            self._client.timing(_name(metric, label), seconds * 1000)
 
     def close(self) -> None:
         """Close the socket; later metrics are discarded."""
@@ -120,6 +120,6 @@
     return _UNSAFE.sub("_", text)
 
 
-def _name(metric: Metric, part: str) -> str:
+def _name(metric: Metric, label: str) -> str:
     name = metric.value.name
-    return f"{name}.{_component(part)}" if part else name
+    return f"{name}.{_component(label)}" if label else name
--- a/greengageflow/settings.py
+++ b/greengageflow/settings.py
@@ -35,8 +35,8 @@
 )
 
 LOG_LEVELS = ("DEBUG", "INFO", "WARNING", "ERROR")
-SHARING = ("owned", "split", "local")
-_LONGEST_S = 86_400.0
+SHARING_MODES = ("owned", "split", "local")
+_MAX_DURATION_S = 86_400.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -153,19 +153,19 @@
 
 
 def _timing_field(default: float) -> Field:
-    return optional(number(0.01, _LONGEST_S), default)
+    return optional(number(0.01, _MAX_DURATION_S), default)
 
 
 def _timing() -> Check:
-    knobs = {
-        knob.name: _timing_field(knob.default)
-        for knob in fields(Timing)
-        if knob.default is not MISSING
+    field_checks = {
+        field.name: _timing_field(field.default)
+        for field in fields(Timing)
+        if field.default is not MISSING
     }
-    return record(Timing, **knobs)
+    return record(Timing, **field_checks)
 
 
-def _reachable(cfg: RouterSettings, path: str) -> Iterator[Fault]:
+def _check_reachable(cfg: RouterSettings, path: str) -> Iterator[Fault]:
     if cfg.peer_advertise is None and ip_address(cfg.peer_ip).is_unspecified:
         yield Fault(
             "peer_advertise",
@@ -196,11 +196,11 @@
         statsd=optional(_address()),
         trace_file=optional(string(4096)),
         log_level=optional(choice(LOG_LEVELS), "INFO"),
-        sharing=optional(choice(SHARING), "owned"),
+        sharing=optional(choice(SHARING_MODES), "owned"),
         timing=optional(_timing(), Timing()),
         quarantine=optional(quarantine_settings(), QuarantineSettings()),
     )
-    return refine(settings, _reachable)
+    return refine(settings, _check_reachable)
 
 
 _CHECK = _router_settings()
--- a/greengageflow/tracing.py
+++ b/greengageflow/tracing.py
@@ -18,7 +18,7 @@
 _PROPAGATOR = TraceContextTextMapPropagator()
 
 
-class LineExporter(SpanExporter):
+class JsonLinesExporter(SpanExporter):
     """Exports each finished span as one JSON line.
 
     Args:
@@ -33,11 +33,11 @@
     def export(self, spans: Sequence[ReadableSpan]) -> SpanExportResult:
         """Export ``spans``."""
         for span in spans:
-            self._write(json.dumps(_row(self._host, span)))
+            self._write(json.dumps(_span_document(self._host, span)))
         return SpanExportResult.SUCCESS
 
 
-def _row(host: str, span: ReadableSpan) -> dict[str, Any]:
+def _span_document(host: str, span: ReadableSpan) -> dict[str, Any]:
     return {
         "trace": f"{span.context.trace_id:032x}",
         "span": f"{span.context.span_id:016x}",
@@ -65,7 +65,9 @@
         self._tracer: Tracer | None = None
         if write is not None:
             provider = TracerProvider(resource=Resource.create({"host.name": host}))
-            provider.add_span_processor(SimpleSpanProcessor(LineExporter(host, write)))
+            provider.add_span_processor(
+                SimpleSpanProcessor(JsonLinesExporter(host, write))
+            )
             self._tracer = provider.get_tracer("greengageflow")
 
     def start(
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -37,8 +37,8 @@
 
 
 def test_the_page_lists_every_metric_as_it_is():
-    table = [(m.value.name, m.value.kind.value, m.value.part) for m in Metric]
-    page = [(m.value.name, m.value.kind.value, m.value.part) for m in PageMetric]
+    table = [(m.value.name, m.value.kind.value, m.value.label) for m in Metric]
+    page = [(m.value.name, m.value.kind.value, m.value.label) for m in PageMetric]
     assert list(rows("METRICS.md", 3)) == table + page
 
 
@@ -65,7 +65,7 @@
     for _ in range(10):
         events.log(Event.QUEUE_FULL, account="olive", limit=64)
     events.log(Event.MEMBER_DEAD, host="r2")
-    events._turn_window(float("inf"))
+    events._roll_window(float("inf"))
     text = sink.getvalue()
     assert text.count("queue of account olive") == 3
     assert "GG403" in text
@@ -77,7 +77,7 @@
         sock.bind(("127.0.0.1", 0))
         sock.settimeout(10)
         metrics = Metrics(Address("127.0.0.1", sock.getsockname()[1]), "r1.x")
-        metrics.count(Metric.REQUESTS, part="caju/llm:2")
+        metrics.count(Metric.REQUESTS, label="caju/llm:2")
         assert sock.recv(512) == b"greengage.r1_x.requests.caju_llm_2:1|c"
         metrics.timing(Metric.QUEUE_TIME, 0.25)
         assert sock.recv(512) == b"greengage.r1_x.queue_time:250.000000|ms"
