--- a/greengageflow/ops/_ctl_config.py
+++ b/greengageflow/ops/_ctl_config.py
@@ -22,7 +22,7 @@
     decision_text,
     differences,
     history_text,
-    spread_text,
+    rollout_text,
 )
 from greengageflow.ops._platform_http import (
     BlockingLog,
@@ -33,7 +33,7 @@
 from greengageflow.ops.ctl_publish import Publisher, PublishError, await_in_force
 from greengageflow.settings_file import Address
 
-IN_FORCE_WITHIN_S = 12.0
+IN_FORCE_TIMEOUT_S = 12.0
 LOG_VARIABLE = "GREENGAGE_LOG"
 ROUTERS_VARIABLE = "GREENGAGE_ROUTERS"
 
@@ -42,14 +42,14 @@
     """A command-line argument is missing or invalid."""
 
 
-def addresses_of(routers: str | None, *, needed: bool = True) -> list[Address]:
+def router_addresses(routers: str | None, *, required: bool = True) -> list[Address]:
     """Parse router addresses from ``IP:PORT,IP:PORT`` or from the environment.
 
     Raises:
         BadInputError: An address is invalid, or addresses are required but missing.
     """
     text = routers or os.environ.get(ROUTERS_VARIABLE, "")
-    if not text and needed:
+    if not text and required:
         raise BadInputError(f"--routers=IP:PORT,... or {ROUTERS_VARIABLE} is required")
     return [_address(part) for part in text.split(",") if part.strip()]
 
@@ -61,7 +61,7 @@
         raise BadInputError(str(exc)) from None
 
 
-def log_of(log: str | None, stream: str) -> BlockingLog:
+def log_client(log: str | None, stream: str) -> BlockingLog:
     """Return a client of a log stream, addressed by ``log`` or the environment.
 
     Raises:
@@ -75,34 +75,34 @@
 
 def _publisher(log: str | None) -> Publisher:
     author = os.environ.get("USER") or "greengage-ctl"
-    return Publisher(log_of(log, CONFIG_STREAM), author)
+    return Publisher(log_client(log, CONFIG_STREAM), author)
 
 
-def _current(log: str | None) -> Publisher:
+def _synced_publisher(log: str | None) -> Publisher:
     publisher = _publisher(log)
     publisher.refresh()
     publisher.check_complete()
     return publisher
 
 
-def _merged(present: FleetConfig, document: Mapping[str, Any]) -> FleetConfig:
+def _merge_document(current: FleetConfig, document: Mapping[str, Any]) -> FleetConfig:
     schema = SCHEMAS[document["schema"]]
-    form = parse_config(document["config"], schema.number)
-    return schema.merge(present, form)
+    parsed = parse_config(document["config"], schema.number)
+    return schema.merge(current, parsed)
 
 
 def diff(file: str, log: str | None) -> Report:
     """Compare a configuration file with the configuration in force."""
     document = read_config_file(file)
-    old = _current(log).fold.config
-    lines = list(differences(old, _merged(old, document)))
+    old = _synced_publisher(log).fold.config
+    lines = list(differences(old, _merge_document(old, document)))
     return Report("\n".join(lines) or "no difference", lines)
 
 
 def show(log: str | None) -> Report:
     """Return the configuration in force in the format that ``publish`` reads."""
-    fold = _current(log).fold
-    document = _file_of(fold, fold.config)
+    fold = _synced_publisher(log).fold
+    document = _config_document(fold, fold.config)
     return Report("", document)
 
 
@@ -111,12 +111,12 @@
     if type(within_s) not in (int, float):
         raise BadInputError(f"--within_s: expected seconds, found {within_s!r}")
     document = read_config_file(file)
-    asked = addresses_of(routers, needed=False)
-    publisher = _current(log)
+    addresses = router_addresses(routers, required=False)
+    publisher = _synced_publisher(log)
     _check_allowed(publisher.fold.state, document["schema"])
     revision = publisher.fold.config.revision
     decision = publisher.publish({"replaces": revision, **document})
-    return _published(decision, asked, within_s)
+    return _publish_report(decision, addresses, within_s)
 
 
 def _check_allowed(state: State, schema: int) -> None:
@@ -127,18 +127,20 @@
         )
 
 
-def _published(decision: Decision, asked: list[Address], within_s: float) -> Report:
+def _publish_report(
+    decision: Decision, addresses: list[Address], within_s: float
+) -> Report:
     text = decision_text(decision)
     data = decision_row(decision, None)
     if not isinstance(decision.outcome, Accepted):
         return Report(text, data, ok=False)
-    if not asked:
+    if not addresses:
         return Report(f"{text}; no routers given, rollout not checked", data)
-    spread = await_in_force(asked, decision.outcome.revision, within_s)
-    data["in_force"] = len(spread.done)
-    data["asked"] = len(asked)
-    data["waiting"] = {str(address): why for address, why in spread.waiting.items()}
-    return Report(f"{text}\n{spread_text(spread)}", data, ok=not spread.waiting)
+    rollout = await_in_force(addresses, decision.outcome.revision, within_s)
+    data["in_force"] = len(rollout.in_force)
+    data["asked"] = len(addresses)
+    data["waiting"] = {str(address): why for address, why in rollout.pending.items()}
+    return Report(f"{text}\n{rollout_text(rollout)}", data, ok=not rollout.pending)
 
 
 def drain(endpoint: str, leaving: bool, log: str | None, routers: str | None) -> Report:
@@ -147,26 +149,26 @@
     Routers exclude a leaving endpoint for the rest of its generation, so clearing
     the flag increments the generation.
     """
-    asked = addresses_of(routers, needed=False)
-    publisher = _current(log)
+    addresses = router_addresses(routers, required=False)
+    publisher = _synced_publisher(log)
 
-    def make(fold: Fold) -> dict[str, Any]:
+    def make_record(fold: Fold) -> dict[str, Any]:
         config = fold.config
         item = config.endpoints.get(endpoint)
         if item is None:
-            known = ", ".join(config.endpoints) or "none"
-            raise BadInputError(f"no endpoint {endpoint}; known: {known}")
+            names = ", ".join(config.endpoints) or "none"
+            raise BadInputError(f"no endpoint {endpoint}; known: {names}")
         generation = item.generation + (item.leaving and not leaving)
         item = replace(item, leaving=leaving, generation=generation)
         endpoints = {**config.endpoints, endpoint: item}
-        document = _file_of(fold, replace(config, endpoints=endpoints))
+        document = _config_document(fold, replace(config, endpoints=endpoints))
         return {**document, "replaces": config.revision}
 
-    decision = publisher.change(make)
-    return _published(decision, asked, IN_FORCE_WITHIN_S)
+    decision = publisher.change(make_record)
+    return _publish_report(decision, addresses, IN_FORCE_TIMEOUT_S)
 
 
-def _file_of(fold: Fold, config: FleetConfig) -> dict[str, Any]:
+def _config_document(fold: Fold, config: FleetConfig) -> dict[str, Any]:
     schema = max(number for number in SCHEMAS if number <= fold.state.highest)
     return {"schema": schema, "config": SCHEMAS[schema].dump(config)}
 
@@ -175,12 +177,12 @@
     """Raise the highest allowed schema if all routers support it."""
     if type(highest) is not int or highest < 1:
         raise BadInputError(f"expected a schema number, found {highest!r}")
-    asked = addresses_of(routers)
-    objections = list(_objections(asked, highest))
+    addresses = router_addresses(routers)
+    objections = list(_objections(addresses, highest))
     if objections:
         text = "\n".join(["nothing was published:", *objections])
         return Report(text, {"objections": objections}, ok=False)
-    publisher = _current(log)
+    publisher = _synced_publisher(log)
     decision = publisher.publish(
         {
             "schema": 1,
@@ -189,10 +191,10 @@
             "replaces": publisher.fold.config.revision,
         }
     )
-    return _published(decision, asked, IN_FORCE_WITHIN_S)
+    return _publish_report(decision, addresses, IN_FORCE_TIMEOUT_S)
 
 
-def _objections(asked: Iterable[Address], highest: int) -> Iterable[str]:
+def _objections(addresses: Iterable[Address], highest: int) -> Iterable[str]:
     """Yield the reasons why the schema cannot be raised yet.
 
     A router running an old release would stop following the configuration. So all
@@ -200,7 +202,7 @@
     """
     members: set[str] = set()
     hosts: set[str] = set()
-    for address in asked:
+    for address in addresses:
         try:
             status = router_status(address)
             schemas = status["config"]["schemas"]
@@ -225,8 +227,8 @@
         PublishError: The log or a router still has the configuration in force.
     """
     document = read_config_file(file)
-    asked = addresses_of(routers)
-    for address in asked:
+    addresses = router_addresses(routers)
+    for address in addresses:
         if router_status(address).get("config", {}).get("complete", True):
             raise PublishError(
                 f"{address} knows the configuration in force and will append a"
@@ -237,22 +239,26 @@
     if publisher.fold.complete:
         raise PublishError("the log has the configuration in force; use `publish`")
     # A revision never exceeds the number of records, so this one is newer than all.
-    revision = publisher.end
+    revision = publisher.end_offset
     record = SnapshotRecord(
         revision,
-        publisher.end - 1,
-        publisher.end - 1,
+        publisher.end_offset - 1,
+        publisher.end_offset - 1,
         document["schema"],
         document["schema"],
         None,
         "greengage-ctl",
     )
-    config = _merged(State().config, document)
+    config = _merge_document(State().config, document)
     publisher.append(snapshot_document(record, config))
-    spread = await_in_force(asked, revision, IN_FORCE_WITHIN_S)
-    data = {"revision": revision, "in_force": len(spread.done), "asked": len(asked)}
-    text = f"restored as revision {revision}\n{spread_text(spread)}"
-    return Report(text, data, ok=not spread.waiting)
+    rollout = await_in_force(addresses, revision, IN_FORCE_TIMEOUT_S)
+    data = {
+        "revision": revision,
+        "in_force": len(rollout.in_force),
+        "asked": len(addresses),
+    }
+    text = f"restored as revision {revision}\n{rollout_text(rollout)}"
+    return Report(text, data, ok=not rollout.pending)
 
 
 def history(log: str | None, last: int) -> Report:
--- a/greengageflow/ops/_ctl_files.py
+++ b/greengageflow/ops/_ctl_files.py
@@ -63,20 +63,20 @@
     return document
 
 
-def read_spans(path: str, identity: str) -> list[Mapping[str, Any]]:
+def read_spans(path: str, trace_or_request: str) -> list[Mapping[str, Any]]:
     """Return the spans of one trace, selected by trace id or request id.
 
     Raises:
         ExceptionGroup: Contains the error of a file that cannot be read.
     """
     spans = list(_spans(read_text(path)))
-    traces = {span["trace"] for span in spans if _is_meant(span, identity)}
+    traces = {span["trace"] for span in spans if _matches(span, trace_or_request)}
     return [span for span in spans if span["trace"] in traces]
 
 
-def _is_meant(span: Mapping[str, Any], identity: str) -> bool:
+def _matches(span: Mapping[str, Any], trace_or_request: str) -> bool:
     attributes = span.get("attributes") or {}
-    return identity in (span["trace"], attributes.get("request"))
+    return trace_or_request in (span["trace"], attributes.get("request"))
 
 
 def _spans(text: str) -> Iterator[Mapping[str, Any]]:
--- a/greengageflow/ops/_ctl_text.py
+++ b/greengageflow/ops/_ctl_text.py
@@ -7,9 +7,9 @@
 
 from greengageflow.core.catalog import FleetConfig
 from greengageflow.core.decisions import Accepted, Adopted, Decision
-from greengageflow.ops.ctl_publish import Spread
+from greengageflow.ops.ctl_publish import Rollout
 
-_PARTS = (("account", "accounts"), ("pool", "pools"), ("endpoint", "endpoints"))
+_SECTIONS = (("account", "accounts"), ("pool", "pools"), ("endpoint", "endpoints"))
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,7 +27,7 @@
     ok: bool = True
 
 
-def table(rows: Iterable[Sequence[object]]) -> str:
+def format_table(rows: Iterable[Sequence[object]]) -> str:
     """Format rows as aligned columns."""
     cells = [[str(cell) for cell in row] for row in rows]
     widths = [max(map(len, column)) for column in zip(*cells, strict=True)]
@@ -40,20 +40,20 @@
 
 def differences(old: FleetConfig, new: FleetConfig) -> Iterator[str]:
     """Yield one line per account, pool or endpoint that differs, and the policy."""
-    for kind, part in _PARTS:
-        before, after = getattr(old, part), getattr(new, part)
+    for kind, section in _SECTIONS:
+        before, after = getattr(old, section), getattr(new, section)
         for name in sorted(before.keys() | after.keys()):
             yield from _difference(f"{kind} {name}", before.get(name), after.get(name))
     yield from _difference("policy", old.policy, new.policy)
 
 
-def _difference(what: str, old: Any, new: Any) -> Iterator[str]:
+def _difference(label: str, old: Any, new: Any) -> Iterator[str]:
     if old is None:
-        yield f"+ {what}: {_values(new)}"
+        yield f"+ {label}: {_values(new)}"
     elif new is None:
-        yield f"- {what}"
+        yield f"- {label}"
     elif old != new:
-        yield f"~ {what}: {_changes(old, new)}"
+        yield f"~ {label}: {_changes(old, new)}"
 
 
 def _values(item: Any) -> str:
@@ -104,7 +104,7 @@
     for row, decision in zip(rows, decisions, strict=True):
         line = row["offset"], row["time"], row["author"] or "-", decision_text(decision)
         lines.append(line)
-    return table(lines)
+    return format_table(lines)
 
 
 def status_text(rows: Mapping[str, Any]) -> str:
@@ -129,24 +129,26 @@
                 remark,
             )
         )
-    return table(lines)
+    return format_table(lines)
 
 
-def spread_text(spread: Spread) -> str:
+def rollout_text(rollout: Rollout) -> str:
     """Describe how many routers apply a revision and which ones do not."""
-    asked = len(spread.done) + len(spread.waiting)
-    lines = [f"in force on {len(spread.done)} of {asked} after {spread.seconds:.1f} s"]
-    lines += [f"not on {address}: {why}" for address, why in spread.waiting.items()]
+    total = len(rollout.in_force) + len(rollout.pending)
+    lines = [
+        f"in force on {len(rollout.in_force)} of {total} after {rollout.seconds:.1f} s"
+    ]
+    lines += [f"not on {address}: {why}" for address, why in rollout.pending.items()]
     return "\n".join(lines)
 
 
 def trace_text(spans: Sequence[Mapping[str, Any]]) -> str:
     """Format spans as a tree, with start and duration in milliseconds."""
-    known = {span["span"] for span in spans}
+    span_ids = {span["span"] for span in spans}
     children: dict[Any, list[Mapping[str, Any]]] = {}
     for span in sorted(spans, key=lambda item: item["start_ns"]):
         # The parent span of the caller is recorded elsewhere, not in this file.
-        parent = span["parent"] if span["parent"] in known else None
+        parent = span["parent"] if span["parent"] in span_ids else None
         children.setdefault(parent, []).append(span)
     start = min(span["start_ns"] for span in spans)
     rows = [("START", "LENGTH", "HOST", "SPAN")]
@@ -154,9 +156,9 @@
     while stack:
         span, depth = stack.pop()
         rows.append(_span_row(span, depth, start))
-        below = reversed(children.get(span["span"], []))
-        stack += [(child, depth + 1) for child in below]
-    return table(rows)
+        nested = reversed(children.get(span["span"], []))
+        stack += [(child, depth + 1) for child in nested]
+    return format_table(rows)
 
 
 def _span_row(span: Mapping[str, Any], depth: int, start: int) -> tuple[str, ...]:
--- a/greengageflow/ops/_platform_http.py
+++ b/greengageflow/ops/_platform_http.py
@@ -13,8 +13,8 @@
 from greengageflow.settings_file import Address
 
 _TIMEOUT_S = 5.0
-_PAGE_LENGTH = 50
-_READ_TRIES = 3
+_PAGE_RECORDS = 50
+_MAX_READ_ATTEMPTS = 3
 
 
 class CallError(Exception):
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Answer:
+class _Response:
     status: int
     value: Any
 
@@ -62,7 +62,7 @@
     return Address(ip, number)
 
 
-def _call(address: Address, method: str, path: str, body: Any = None) -> _Answer:
+def _call(address: Address, method: str, path: str, body: Any = None) -> _Response:
     conn = HTTPConnection(address.ip, address.port, timeout=_TIMEOUT_S)
     sent = False
     try:
@@ -70,28 +70,28 @@
         sent = True
         data = None if body is None else json.dumps(body)
         conn.request(method, path, data, {"Content-Type": "application/json"})
-        answer = conn.getresponse()
-        return _read(answer, address)
+        response = conn.getresponse()
+        return _parse_response(response, address)
     except (OSError, HTTPException) as exc:
-        what = str(exc) or type(exc).__name__
-        raise CallError(f"{address}: {what}", effect_unknown=sent) from None
+        reason = str(exc) or type(exc).__name__
+        raise CallError(f"{address}: {reason}", effect_unknown=sent) from None
     finally:
         conn.close()
 
 
-def _read(answer: HTTPResponse, address: Address) -> _Answer:
-    data = answer.read()
+def _parse_response(response: HTTPResponse, address: Address) -> _Response:
+    data = response.read()
     try:
         value = json.loads(data)
     except (ValueError, RecursionError):
         value = None
-    if answer.status in (200, 410) and isinstance(value, Mapping):
-        return _Answer(answer.status, value)
-    after = answer.getheader("Retry-After", "")
+    if response.status in (200, 410) and isinstance(value, Mapping):
+        return _Response(response.status, value)
+    retry_after = response.getheader("Retry-After", "")
     raise CallError(
-        f"{address}: answered {answer.status}",
-        effect_unknown=answer.status == 200,
-        retry_after_s=float(after) if after.isdigit() else None,
+        f"{address}: answered {response.status}",
+        effect_unknown=response.status == 200,
+        retry_after_s=float(retry_after) if retry_after.isdigit() else None,
     )
 
 
@@ -114,21 +114,21 @@
             CallError: The log is unavailable or its response is invalid.
         """
         path = (
-            f"/streams/{self._stream}/records?from={from_offset}&limit={_PAGE_LENGTH}"
+            f"/streams/{self._stream}/records?from={from_offset}&limit={_PAGE_RECORDS}"
         )
-        answer = self._get(path)
-        value = answer.value
+        response = self._get(path)
+        value = response.value
         try:
             first, end = int(value["first_offset"]), int(value["next_offset"])
-            if answer.status == 410:
+            if response.status == 410:
                 return OffsetTrimmed(first, end)
             records = tuple(LogRecord(**item) for item in value["records"])
         except (KeyError, TypeError, ValueError) as exc:
             raise CallError(f"invalid response from the log: {exc!r}") from None
         return Records(records, first, end)
 
-    def _get(self, path: str) -> _Answer:
-        for _ in range(_READ_TRIES - 1):
+    def _get(self, path: str) -> _Response:
+        for _ in range(_MAX_READ_ATTEMPTS - 1):
             try:
                 return _call(self._address, "GET", path)
             except CallError as exc:
@@ -145,9 +145,9 @@
                 ``effect_unknown`` tells whether the records may be in the log.
         """
         path = f"/streams/{self._stream}/records"
-        answer = _call(self._address, "POST", path, {"records": list(records)})
+        response = _call(self._address, "POST", path, {"records": list(records)})
         try:
-            return int(answer.value["first_offset"])
+            return int(response.value["first_offset"])
         except (KeyError, TypeError, ValueError) as exc:
             message = f"invalid response from the log: {exc!r}"
             raise CallError(message, effect_unknown=True) from None
--- a/greengageflow/ops/ctl.py
+++ b/greengageflow/ops/ctl.py
@@ -13,7 +13,7 @@
 from fire.parser import DefaultParseValue
 
 from greengageflow.ops import _ctl_config, _ctl_fleet
-from greengageflow.ops._ctl_config import IN_FORCE_WITHIN_S, BadInputError
+from greengageflow.ops._ctl_config import IN_FORCE_TIMEOUT_S, BadInputError
 from greengageflow.ops._ctl_files import read_config_file, read_text
 from greengageflow.ops._ctl_text import Report
 from greengageflow.ops._platform_http import CallError
@@ -22,12 +22,12 @@
 from greengageflow.ops.explain import read_files, story_data, story_text, tell
 from greengageflow.settings import example_settings, load_settings
 
-FAILED = 1
-BAD_INPUT = 2
+EXIT_FAILED = 1
+EXIT_BAD_INPUT = 2
 
 
 @dataclass(frozen=True, slots=True)
-class _Planned:
+class _ParsedCommand:
     """A parsed command that has not run yet.
 
     Fire calls a command before it rejects leftover arguments, so
@@ -42,16 +42,16 @@
 class SettingsCommands:
     """Work with router settings files."""
 
-    def example(self) -> _Planned:
+    def example(self) -> _ParsedCommand:
         """Print an example settings file.
 
         Example:
             greengage-ctl settings example > r1.json
         """
-        return _Planned(lambda: Report(example_settings()))
+        return _ParsedCommand(lambda: Report(example_settings()))
 
     @SetParseFn(str, "file")
-    def check(self, file: str, *, json: bool = False) -> _Planned:
+    def check(self, file: str, *, json: bool = False) -> _ParsedCommand:
         """Validate a settings file and list all errors.
 
         Example:
@@ -62,7 +62,7 @@
             host = load_settings(file).host
             return Report(f"{file}: valid, host {host}", {"host": host})
 
-        return _Planned(run, json)
+        return _ParsedCommand(run, json)
 
 
 class OrderCommands:
@@ -78,7 +78,7 @@
         version: str = "",
         log: str | None = None,
         json: bool = False,
-    ) -> _Planned:
+    ) -> _ParsedCommand:
         """Order an engine to load a model, an adapter or a version.
 
         Example:
@@ -91,12 +91,12 @@
             )
             return _ctl_fleet.order(order, log)
 
-        return _Planned(run, json)
+        return _ParsedCommand(run, json)
 
     @SetParseFn(str, "endpoint", "role", "log")
     def role(
         self, endpoint: str, role: str, *, log: str | None = None, json: bool = False
-    ) -> _Planned:
+    ) -> _ParsedCommand:
         """Order an engine to change its role.
 
         Example:
@@ -106,16 +106,16 @@
         def run() -> Report:
             return _ctl_fleet.order(make_order(endpoint, "role", role=role), log)
 
-        return _Planned(run, json)
+        return _ParsedCommand(run, json)
 
     @SetParseFn(str, "routers")
-    def list(self, *, routers: str | None = None, json: bool = False) -> _Planned:
+    def list(self, *, routers: str | None = None, json: bool = False) -> _ParsedCommand:
         """List the orders that routers report, with their results.
 
         Example:
             greengage-ctl order list --routers=10.0.0.1:8080,10.0.0.2:8080
         """
-        return _Planned(lambda: _ctl_fleet.orders(routers), json)
+        return _ParsedCommand(lambda: _ctl_fleet.orders(routers), json)
 
 
 class Commands:
@@ -138,7 +138,7 @@
         self.order = OrderCommands()
 
     @SetParseFn(str, "file")
-    def validate(self, file: str, *, json: bool = False) -> _Planned:
+    def validate(self, file: str, *, json: bool = False) -> _ParsedCommand:
         """Validate a configuration file and list all errors.
 
         The file contains {"schema": 1 or 2, "config": {...}}. With "replaces", it is
@@ -152,27 +152,27 @@
             schema = read_config_file(file)["schema"]
             return Report(f"{file}: valid, schema {schema}", {"schema": schema})
 
-        return _Planned(run, json)
+        return _ParsedCommand(run, json)
 
     @SetParseFn(str, "file", "log")
     def diff(
         self, file: str, *, log: str | None = None, json: bool = False
-    ) -> _Planned:
+    ) -> _ParsedCommand:
         """Compare a configuration file with the configuration in force.
 
         Example:
             greengage-ctl diff fleet.json --log=10.0.0.9:9000
         """
-        return _Planned(lambda: _ctl_config.diff(file, log), json)
+        return _ParsedCommand(lambda: _ctl_config.diff(file, log), json)
 
     @SetParseFn(str, "log")
-    def show(self, *, log: str | None = None) -> _Planned:
+    def show(self, *, log: str | None = None) -> _ParsedCommand:
         """Print the configuration in force in the format that publish reads.
 
         Example:
             greengage-ctl show --log=10.0.0.9:9000 > fleet.json
         """
-        return _Planned(lambda: _ctl_config.show(log), True)
+        return _ParsedCommand(lambda: _ctl_config.show(log), True)
 
     @SetParseFn(str, "file", "log", "routers")
     def publish(
@@ -181,9 +181,9 @@
         *,
         log: str | None = None,
         routers: str | None = None,
-        within_s: float = IN_FORCE_WITHIN_S,
+        within_s: float = IN_FORCE_TIMEOUT_S,
         json: bool = False,
-    ) -> _Planned:
+    ) -> _ParsedCommand:
         """Publish a configuration file and wait until it is in force.
 
         Shows whether it was accepted or lost to a concurrent change, and which
@@ -192,7 +192,9 @@
         Example:
             greengage-ctl publish fleet.json --log=10.0.0.9:9000 --routers=10.0.0.1:8080
         """
-        return _Planned(lambda: _ctl_config.publish(file, log, routers, within_s), json)
+        return _ParsedCommand(
+            lambda: _ctl_config.publish(file, log, routers, within_s), json
+        )
 
     @SetParseFn(str, "endpoint", "log", "routers")
     def drain(
@@ -202,13 +204,15 @@
         log: str | None = None,
         routers: str | None = None,
         json: bool = False,
-    ) -> _Planned:
+    ) -> _ParsedCommand:
         """Stop sending new requests to an endpoint; running ones finish.
 
         Example:
             greengage-ctl drain scribe-3 --log=10.0.0.9:9000 --routers=10.0.0.1:8080
         """
-        return _Planned(lambda: _ctl_config.drain(endpoint, True, log, routers), json)
+        return _ParsedCommand(
+            lambda: _ctl_config.drain(endpoint, True, log, routers), json
+        )
 
     @SetParseFn(str, "endpoint", "log", "routers")
     def undrain(
@@ -218,13 +222,15 @@
         log: str | None = None,
         routers: str | None = None,
         json: bool = False,
-    ) -> _Planned:
+    ) -> _ParsedCommand:
         """Send requests to a drained endpoint again, as a new generation.
 
         Example:
             greengage-ctl undrain scribe-3 --log=10.0.0.9:9000
         """
-        return _Planned(lambda: _ctl_config.drain(endpoint, False, log, routers), json)
+        return _ParsedCommand(
+            lambda: _ctl_config.drain(endpoint, False, log, routers), json
+        )
 
     @SetParseFn(str, "log", "routers")
     def allow_schema(
@@ -234,13 +240,15 @@
         log: str | None = None,
         routers: str | None = None,
         json: bool = False,
-    ) -> _Planned:
+    ) -> _ParsedCommand:
         """Allow records of a higher schema if all routers support it.
 
         Example:
             greengage-ctl allow-schema 2 --log=10.0.0.9:9000 --routers=10.0.0.1:8080
         """
-        return _Planned(lambda: _ctl_config.allow_schema(highest, log, routers), json)
+        return _ParsedCommand(
+            lambda: _ctl_config.allow_schema(highest, log, routers), json
+        )
 
     @SetParseFn(str, "file", "log", "routers")
     def restore(
@@ -250,7 +258,7 @@
         log: str | None = None,
         routers: str | None = None,
         json: bool = False,
-    ) -> _Planned:
+    ) -> _ParsedCommand:
         """Restore the configuration from a file when it is lost everywhere.
 
         Refused while the log or a router still has the configuration in force.
@@ -258,33 +266,35 @@
         Example:
             greengage-ctl restore fleet.json --log=10.0.0.9:9000 --routers=10.0.0.1:8080
         """
-        return _Planned(lambda: _ctl_config.restore(file, log, routers), json)
+        return _ParsedCommand(lambda: _ctl_config.restore(file, log, routers), json)
 
     @SetParseFn(str, "log")
     def history(
         self, *, log: str | None = None, last: int = 20, json: bool = False
-    ) -> _Planned:
+    ) -> _ParsedCommand:
         """List the outcomes of the last records, including refused ones.
 
         Example:
             greengage-ctl history --last=50 --log=10.0.0.9:9000
         """
-        return _Planned(lambda: _ctl_config.history(log, last), json)
+        return _ParsedCommand(lambda: _ctl_config.history(log, last), json)
 
     @SetParseFn(str, "routers")
-    def status(self, *, routers: str | None = None, json: bool = False) -> _Planned:
+    def status(
+        self, *, routers: str | None = None, json: bool = False
+    ) -> _ParsedCommand:
         """Show each router; exit status 1 unless all report the same revision.
 
         Example:
             greengage-ctl status --routers=10.0.0.1:8080,10.0.0.2:8080
         """
-        return _Planned(lambda: _ctl_fleet.status(routers), json)
+        return _ParsedCommand(lambda: _ctl_fleet.status(routers), json)
 
     @SetParseFn(DefaultParseValue, "json")
     @SetParseFn(str)
     def explain(
         self, request: str, *files: str, routers: str | None = None, json: bool = False
-    ) -> _Planned:
+    ) -> _ParsedCommand:
         """Show the timeline of one request, by its id.
 
         Files contain collected router logs; - is standard input. Without files, the
@@ -302,19 +312,19 @@
             text = story_text(request, story)
             return Report(text, story_data(story), ok=bool(story.attempts))
 
-        return _Planned(run, json)
+        return _ParsedCommand(run, json)
 
     @SetParseFn(str, "id", "file")
-    def trace(self, id: str, *, file: str, json: bool = False) -> _Planned:
+    def trace(self, id: str, *, file: str, json: bool = False) -> _ParsedCommand:
         """Show the spans of a trace or a request as a tree.
 
         Example:
             greengage-ctl trace 4bf92f3577b34da6a3ce929d0e0e4736 --file=spans.jsonl
         """
-        return _Planned(lambda: _ctl_fleet.trace(id, file), json)
+        return _ParsedCommand(lambda: _ctl_fleet.trace(id, file), json)
 
     @SetParseFn(str, "key")
-    def hash_key(self, key: str) -> _Planned:
+    def hash_key(self, key: str) -> _ParsedCommand:
         """Print the hash of a bearer key for "key_hashes"; - reads standard input.
 
         Example:
@@ -322,17 +332,17 @@
         """
 
         def run() -> Report:
-            plain = read_text(key).strip() if key == "-" else key
-            return Report(sha256(plain.encode()).hexdigest())
+            key_text = read_text(key).strip() if key == "-" else key
+            return Report(sha256(key_text.encode()).hexdigest())
 
-        return _Planned(run)
+        return _ParsedCommand(run)
 
 
 def _serialize(component: Any) -> Any:
-    return None if isinstance(component, _Planned) else component
+    return None if isinstance(component, _ParsedCommand) else component
 
 
-def _faults(group: ExceptionGroup) -> Iterator[str]:
+def _error_lines(group: ExceptionGroup) -> Iterator[str]:
     for exc in group.exceptions:
         yield f"{group.message}: {exc}"
 
@@ -344,26 +354,26 @@
         print(report.text)
 
 
-def _run(planned: _Planned) -> int:
+def _run(command: _ParsedCommand) -> int:
     try:
-        report = planned._run()
+        report = command._run()
     except ExceptionGroup as group:
-        print("\n".join(_faults(group)), file=sys.stderr)
-        return BAD_INPUT
+        print("\n".join(_error_lines(group)), file=sys.stderr)
+        return EXIT_BAD_INPUT
     except (BadInputError, OrderError) as exc:
         print(exc, file=sys.stderr)
-        return BAD_INPUT
+        return EXIT_BAD_INPUT
     except (CallError, PublishError) as exc:
         print(exc, file=sys.stderr)
-        return FAILED
+        return EXIT_FAILED
     except KeyboardInterrupt:
         print("interrupted; see `greengage-ctl history`", file=sys.stderr)
-        return FAILED
-    _print(report, planned._json)
-    return 0 if report.ok else FAILED
+        return EXIT_FAILED
+    _print(report, command._json)
+    return 0 if report.ok else EXIT_FAILED
 
 
-def _with_dash(args: list[str]) -> list[str]:
+def _fire_args(args: list[str]) -> list[str]:
     # Fire treats "-" as its argument separator, but here "-" is standard input. A NUL
     # byte replaces it, which no process argument can contain.
     return [*args, *(() if "--" in args else ("--",)), "--separator=\0"]
@@ -373,10 +383,10 @@
     """Run the program."""
     # On a terminal, fire would show help in a pager, a separate process.
     os.environ["PAGER"] = "-"
-    args = _with_dash(sys.argv[1:])
-    planned = fire.Fire(Commands(), args, name="greengage-ctl", serialize=_serialize)
-    if isinstance(planned, _Planned):
-        sys.exit(_run(planned))
+    args = _fire_args(sys.argv[1:])
+    command = fire.Fire(Commands(), args, name="greengage-ctl", serialize=_serialize)
+    if isinstance(command, _ParsedCommand):
+        sys.exit(_run(command))
 
 
 if __name__ == "__main__":
--- a/greengageflow/ops/ctl_orders.py
+++ b/greengageflow/ops/ctl_orders.py
@@ -7,7 +7,7 @@
 
 from greengageflow.core.orders import Order, to_json
 
-APPEND_TRIES = 5
+MAX_APPEND_ATTEMPTS = 5
 
 Append = Callable[[list[Any]], int]
 """Appends records to the order stream and returns the first offset."""
@@ -56,11 +56,13 @@
             raise OrderError(f"expected load or role, found {op!r}")
     if not endpoint:
         raise OrderError("an order requires an endpoint")
-    who = author or getuser()
-    return Order(uuid4().hex, endpoint, op, model, adapter, version, role, who)
+    author_name = author or getuser()
+    return Order(uuid4().hex, endpoint, op, model, adapter, version, role, author_name)
 
 
-def give(order: Order, append: Append, *, tries: int = APPEND_TRIES) -> int:
+def append_order(
+    order: Order, append: Append, *, max_attempts: int = MAX_APPEND_ATTEMPTS
+) -> int:
     """Append an order to the log and return its offset.
 
     An append with unknown outcome is retried. This is safe because the order keeps
@@ -70,9 +72,9 @@
         order: The order.
         append: Appends to the order stream. An ``OSError``, or an exception with a
             true ``effect_unknown``, means that the records may be in the log.
-        tries: Maximum number of appends.
+        max_attempts: Maximum number of appends.
     """
-    for _ in range(tries - 1):
+    for _ in range(max_attempts - 1):
         try:
             return append([to_json(order)])
         except Exception as exc:
@@ -82,7 +84,9 @@
     return append([to_json(order)])
 
 
-def merged(statuses: Iterable[Mapping[str, Any]], id_: str = "") -> list[dict]:
+def merge_orders(
+    statuses: Iterable[Mapping[str, Any]], order_id: str = ""
+) -> list[dict]:
     """Merge the orders reported by several routers into one row per order.
 
     Routers may have read the log up to different offsets. The row with a result
@@ -90,19 +94,19 @@
 
     Args:
         statuses: Responses of the routers' ``/status``.
-        id_: Id of the only order to return; empty for all orders.
+        order_id: Id of the only order to return; empty for all orders.
     """
     rows: dict[str, dict] = {}
     for status in statuses:
         for row in status.get("orders", ()):
-            if id_ not in ("", row["id"]):
+            if order_id not in ("", row["id"]):
                 continue
-            known = rows.get(row["id"])
-            if known is None or _told(row) > _told(known):
+            current = rows.get(row["id"])
+            if current is None or _progress(row) > _progress(current):
                 rows[row["id"]] = dict(row)
     return sorted(rows.values(), key=lambda row: row["offset"])
 
 
-def _told(row: Mapping[str, Any]) -> tuple[bool, bool, int]:
+def _progress(row: Mapping[str, Any]) -> tuple[bool, bool, int]:
     result = row["result"]
     return bool(result), result != "unknown", row["fencing"]
--- a/greengageflow/ops/ctl_publish.py
+++ b/greengageflow/ops/ctl_publish.py
@@ -13,9 +13,9 @@
 from greengageflow.settings_file import Address
 
 _HISTORY_LENGTH = 100_000
-_RETRY_S = 0.5
-_POLL_S = 0.2
-_RACES = 5
+_RETRY_DELAY_S = 0.5
+_POLL_INTERVAL_S = 0.2
+_MAX_CHANGE_ATTEMPTS = 5
 
 
 class PublishError(Exception):
@@ -28,7 +28,7 @@
     Args:
         log: The configuration stream.
         author: Author name written to the records.
-        patience_s: How long to retry while the log is unavailable, in seconds.
+        retry_timeout_s: How long to retry while the log is unavailable, in seconds.
     """
 
     def __init__(
@@ -36,14 +36,14 @@
         log: BlockingLog,
         author: str = "greengage-ctl",
         *,
-        patience_s: float = 30.0,
+        retry_timeout_s: float = 30.0,
     ) -> None:
         self.fold = Fold(history_length=_HISTORY_LENGTH)
         self.times: dict[int, float] = {}
-        self.end = 0
+        self.end_offset = 0
         self._log = log
         self._author = author
-        self._patience_s = patience_s
+        self._retry_timeout_s = retry_timeout_s
 
     def refresh(self) -> None:
         """Read the stream to its end and apply its records.
@@ -53,7 +53,7 @@
         """
         while not self.fold.halted:
             page = self._log.read(self.fold.next_offset)
-            self.end = page.next_offset
+            self.end_offset = page.next_offset
             if isinstance(page, OffsetTrimmed):
                 self.fold.skip_to(page.first_offset)
                 continue
@@ -93,21 +93,21 @@
         """
         nonce = uuid4().hex
         record = {**record, "author": self._author, "nonce": nonce}
-        end = monotonic() + self._patience_s
-        tried = False
+        deadline = monotonic() + self._retry_timeout_s
+        attempted = False
         while True:
             try:
-                if tried and (decision := self._find(nonce)):
+                if attempted and (decision := self._find_decision(nonce)):
                     return decision
-                if tried and self.fold.config.revision > record["replaces"]:
+                if attempted and self.fold.config.revision > record["replaces"]:
                     # A copy that arrives later would be rejected as well.
-                    return self._lost(record)
-                tried = True
-                self._read_past(self._log.append([record]), end)
+                    return self._lost_decision(record)
+                attempted = True
+                self._read_through(self._log.append([record]), deadline)
             except CallError as exc:
-                if monotonic() >= end:
-                    raise PublishError(_gave_up(exc, nonce)) from None
-                sleep(exc.retry_after_s or _RETRY_S)
+                if monotonic() >= deadline:
+                    raise PublishError(_timeout_text(exc, nonce)) from None
+                sleep(exc.retry_after_s or _RETRY_DELAY_S)
 
     def append(self, record: Mapping[str, Any]) -> None:
         """Append a record that is safe to duplicate.
@@ -115,53 +115,53 @@
         Raises:
             PublishError: The log was unavailable until the timeout.
         """
-        end = monotonic() + self._patience_s
+        deadline = monotonic() + self._retry_timeout_s
         while True:
             try:
                 self._log.append([record])
                 return
             except CallError as exc:
-                if monotonic() >= end:
+                if monotonic() >= deadline:
                     raise PublishError(f"log unavailable ({exc})") from None
-                sleep(exc.retry_after_s or _RETRY_S)
+                sleep(exc.retry_after_s or _RETRY_DELAY_S)
 
-    def _read_past(self, offset: int, end: float) -> None:
+    def _read_through(self, offset: int, deadline: float) -> None:
         self.refresh()
-        while self.end <= offset and monotonic() < end:
-            sleep(_POLL_S)
+        while self.end_offset <= offset and monotonic() < deadline:
+            sleep(_POLL_INTERVAL_S)
             self.refresh()
 
-    def _find(self, nonce: str) -> Decision | None:
+    def _find_decision(self, nonce: str) -> Decision | None:
         self.refresh()
         self.check_complete()
         found = (item for item in self.fold.history if item.nonce == nonce)
         return next(found, None)
 
-    def _lost(self, record: Mapping[str, Any]) -> Decision:
+    def _lost_decision(self, record: Mapping[str, Any]) -> Decision:
         revision = self.fold.config.revision
         text = f"replaces revision {record['replaces']}, but {revision} is in force"
         outcome = Rejected(Reason.LOST, text)
         return Decision(-1, self._author, record["nonce"], outcome)
 
-    def change(self, make: Callable[[Fold], Mapping[str, Any]]) -> Decision:
+    def change(self, make_record: Callable[[Fold], Mapping[str, Any]]) -> Decision:
         """Publish a change to the configuration in force, retrying on conflicts.
 
         Args:
-            make: Builds the record from the current state of the fold.
+            make_record: Builds the record from the current state of the fold.
 
         Raises:
             PublishError: The log was unavailable until the timeout.
         """
-        for _ in range(_RACES):
+        for _ in range(_MAX_CHANGE_ATTEMPTS):
             self.refresh()
             self.check_complete()
-            decision = self.publish(make(self.fold))
+            decision = self.publish(make_record(self.fold))
             if getattr(decision.outcome, "reason", None) is not Reason.LOST:
                 break
         return decision
 
 
-def _gave_up(exc: CallError, nonce: str) -> str:
+def _timeout_text(exc: CallError, nonce: str) -> str:
     return (
         f"log unavailable ({exc}); the record may still be appended: look for nonce"
         f" {nonce} in `greengage-ctl history --json`"
@@ -169,48 +169,48 @@
 
 
 @dataclass(slots=True)
-class Spread:
+class Rollout:
     """Progress of a revision's rollout.
 
     Args:
         revision: The revision.
-        waiting: Routers that have not applied it, with the reason.
-        done: Routers that have applied it.
+        pending: Routers that have not applied it, with the reason.
+        in_force: Routers that have applied it.
         seconds: Elapsed time, in seconds.
     """
 
     revision: int
-    waiting: dict[Address, str]
-    done: list[Address] = field(default_factory=list)
+    pending: dict[Address, str]
+    in_force: list[Address] = field(default_factory=list)
     seconds: float = 0.0
 
 
 def await_in_force(
     routers: Iterable[Address], revision: int, within_s: float
-) -> Spread:
+) -> Rollout:
     """Wait until all routers have applied ``revision`` or a later one."""
     start = monotonic()
-    spread = Spread(revision, dict.fromkeys(routers, "not queried"))
+    rollout = Rollout(revision, dict.fromkeys(routers, "not queried"))
     while True:
-        for address in list(spread.waiting):
-            _ask(spread, address)
-        spread.seconds = monotonic() - start
-        if not spread.waiting or spread.seconds >= within_s:
-            return spread
-        sleep(_POLL_S)
+        for address in list(rollout.pending):
+            _poll_router(rollout, address)
+        rollout.seconds = monotonic() - start
+        if not rollout.pending or rollout.seconds >= within_s:
+            return rollout
+        sleep(_POLL_INTERVAL_S)
 
 
-def _ask(spread: Spread, address: Address) -> None:
+def _poll_router(rollout: Rollout, address: Address) -> None:
     try:
         found = int(router_status(address)["config"]["revision"])
     except CallError as exc:
-        spread.waiting[address] = str(exc)
+        rollout.pending[address] = str(exc)
         return
     except (KeyError, TypeError, ValueError):
-        spread.waiting[address] = "its status has no configuration revision"
+        rollout.pending[address] = "its status has no configuration revision"
         return
-    if found >= spread.revision:
-        del spread.waiting[address]
-        spread.done.append(address)
+    if found >= rollout.revision:
+        del rollout.pending[address]
+        rollout.in_force.append(address)
     else:
-        spread.waiting[address] = f"revision {found}"
+        rollout.pending[address] = f"revision {found}"
--- a/tests/test_ctl.py
+++ b/tests/test_ctl.py
@@ -146,7 +146,7 @@
 
 def test_an_outage_of_the_log_is_reported(log):
     log.fault(down=True)
-    publisher = Publisher(BlockingLog(Address(*log.address)), patience_s=0.1)
+    publisher = Publisher(BlockingLog(Address(*log.address)), retry_timeout_s=0.1)
     with pytest.raises(
         PublishError, match="log unavailable .* 503.*may still be appended"
     ):
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -18,7 +18,12 @@
     from_json,
     to_json,
 )
-from greengageflow.ops.ctl_orders import OrderError, give, make_order, merged
+from greengageflow.ops.ctl_orders import (
+    OrderError,
+    append_order,
+    make_order,
+    merge_orders,
+)
 
 LOAD = Order("o1", "e1", "load", model="scribe", version="2")
 
@@ -336,7 +341,7 @@
         return len(log) - 1
 
     order = make_order("e1", "load", model="scribe", version="2")
-    assert give(order, append) == 2
+    assert append_order(order, append) == 2
     assert {row["id"] for row in log} == {order.id}
     assert from_json(log[0]) == from_json(log[2])
 
@@ -359,4 +364,4 @@
     done = {**row, "result": "done"}
     unknown = {**row, "result": "unknown"}
     views = ({"orders": [status]} for status in (late, unknown, done, row))
-    assert merged(views) == [done]
+    assert merge_orders(views) == [done]
