--- a/greengageflow/ops/ctl.py
+++ b/greengageflow/ops/ctl.py
@@ -19,7 +19,12 @@
 from greengageflow.ops._platform_http import CallError
 from greengageflow.ops.ctl_orders import OrderError, make_order
 from greengageflow.ops.ctl_publish import PublishError
-from greengageflow.ops.explain import read_files, story_data, story_text, tell
+from greengageflow.ops.explain import (
+    build_timeline,
+    read_files,
+    timeline_data,
+    timeline_text,
+)
 from greengageflow.settings import example_settings, load_settings
 
 EXIT_FAILED = 1
@@ -308,9 +313,9 @@
         def run() -> Report:
             if not files:
                 return _ctl_fleet.explain(request, routers)
-            story = tell(request, read_files(files))
-            text = story_text(request, story)
-            return Report(text, story_data(story), ok=bool(story.attempts))
+            timeline = build_timeline(request, read_files(files))
+            text = timeline_text(request, timeline)
+            return Report(text, timeline_data(timeline), ok=bool(timeline.attempts))
 
         return _ParsedCommand(run, json)
 
--- a/greengageflow/ops/decision_lines.py
+++ b/greengageflow/ops/decision_lines.py
@@ -9,9 +9,9 @@
 
 from greengageflow.net.decision_events import DecisionEvent
 
-_MARK = '"GG7'
+_EVENT_MARKER = '"GG7'
 _BUCKETS_PER_S = 10
-_HEAD = ("time", "up", "line", "host", "boot", "event", "name")
+_HEADER_FIELDS = ("time", "up", "line", "host", "boot", "event", "name")
 _EVENTS = {event.number: event for event in DecisionEvent}
 _decoder = JSONDecoder()
 
@@ -25,7 +25,7 @@
         host: Host of the router.
         boot: Id of the router process, new at every start.
         number: Sequence number among the lines of that process.
-        up: Monotonic clock of the host, in seconds.
+        monotonic_s: Monotonic clock of the host, in seconds.
         unix_time: Wall clock of the host, in seconds; it may jump.
         fields: All other fields of the line.
     """
@@ -34,7 +34,7 @@
     host: str
     boot: str
     number: int
-    up: float
+    monotonic_s: float
     unix_time: float
     fields: Mapping[str, Any]
 
@@ -44,7 +44,7 @@
         return str(self.fields.get("request") or "")
 
     @property
-    def life(self) -> tuple[str, str]:
+    def incarnation(self) -> tuple[str, str]:
         """Host and boot id of the router process that wrote the line."""
         return self.host, self.boot
 
@@ -56,11 +56,11 @@
     programs. A killed process leaves a partial line that the next line continues.
     """
     for row in text:
-        if _MARK in row:
-            yield from _lines_in(row)
+        if _EVENT_MARKER in row:
+            yield from _parse_row(row)
 
 
-def _lines_in(row: str) -> Iterator[DecisionLine]:
+def _parse_row(row: str) -> Iterator[DecisionLine]:
     start = row.find("{")
     while start >= 0:
         try:
@@ -68,28 +68,30 @@
         except (ValueError, RecursionError):
             end = start + 1
         else:
-            if line := _line(value):
+            if line := _parse_line(value):
                 yield line
         start = row.find("{", end)
 
 
-def _line(value: Mapping[str, Any]) -> DecisionLine | None:
+def _parse_line(value: Mapping[str, Any]) -> DecisionLine | None:
     try:
-        _, up, number, host, boot, event, _ = (value[name] for name in _HEAD)
+        _, monotonic_s, number, host, boot, event, _ = (
+            value[name] for name in _HEADER_FIELDS
+        )
         return DecisionLine(
             event=_EVENTS[event],
             host=str(host),
             boot=str(boot),
             number=int(number),
-            up=float(up),
+            monotonic_s=float(monotonic_s),
             unix_time=datetime.fromisoformat(value["time"]).timestamp(),
-            fields={name: value[name] for name in value if name not in _HEAD},
+            fields={name: value[name] for name in value if name not in _HEADER_FIELDS},
         )
     except (KeyError, TypeError, ValueError):
         return None
 
 
-class Clocks:
+class ClockOffsets:
     """Computes line times from the monotonic clock of each host.
 
     The wall clock of a host may jump, which would reorder lines from before and
@@ -99,19 +101,19 @@
 
     def __init__(self) -> None:
         self._offsets: dict[tuple[str, str], Counter[int]] = {}
-        self._exact: dict[tuple[tuple[str, str], int], float] = {}
+        self._first_offsets: dict[tuple[tuple[str, str], int], float] = {}
 
-    def learn(self, line: DecisionLine) -> None:
+    def record_offset(self, line: DecisionLine) -> None:
         """Count the offset between the wall and monotonic clocks of a line."""
-        offset = line.unix_time - line.up
+        offset = line.unix_time - line.monotonic_s
         bucket = round(offset * _BUCKETS_PER_S)
-        self._offsets.setdefault(line.life, Counter())[bucket] += 1
-        self._exact.setdefault((line.life, bucket), offset)
+        self._offsets.setdefault(line.incarnation, Counter())[bucket] += 1
+        self._first_offsets.setdefault((line.incarnation, bucket), offset)
 
     def time(self, line: DecisionLine) -> float:
         """Return the time of a line, in seconds since the Unix epoch."""
-        offsets = self._offsets.get(line.life)
+        offsets = self._offsets.get(line.incarnation)
         if not offsets:
             return line.unix_time
         bucket, _ = offsets.most_common(1)[0]
-        return line.up + self._exact[line.life, bucket]
+        return line.monotonic_s + self._first_offsets[line.incarnation, bucket]
--- a/greengageflow/ops/story.py
+++ b/greengageflow/ops/decision_messages.py
@@ -5,7 +5,7 @@
 from greengageflow.net.decision_events import DecisionEvent as Event
 from greengageflow.ops.decision_lines import DecisionLine
 
-SENTENCES = {
+MESSAGE_TEMPLATES = {
     Event.SENT: "sent to {endpoint}: {reading} of {prompt} prompt tokens to read,"
     " predicted wait {predicted_ms} ms, {queued} queued there, account {account} at"
     " level {level}, reports {report_age_ms} ms old, configuration {config}",
@@ -78,6 +78,8 @@
 }
 
 
-def sentence(line: DecisionLine) -> str:
+def format_message(line: DecisionLine) -> str:
     """Format a line as a message; missing fields are shown as ``?``."""
-    return SENTENCES[line.event].format_map(defaultdict(lambda: "?", line.fields))
+    return MESSAGE_TEMPLATES[line.event].format_map(
+        defaultdict(lambda: "?", line.fields)
+    )
--- a/greengageflow/ops/explain.py
+++ b/greengageflow/ops/explain.py
@@ -11,15 +11,15 @@
 
 from greengageflow.net.decision_events import DecisionEvent as Event
 from greengageflow.net.decision_events import Level
-from greengageflow.ops.decision_lines import Clocks, DecisionLine, decision_lines
-from greengageflow.ops.story import sentence
-
-_BEFORE_S = 30.0
-_AFTER_S = 5.0
-_AGAIN_WITHIN_S = 30.0
-_SKEW_S = 1.0
-_GOOD_STATUS = range(200, 400)
-_ENDINGS = {
+from greengageflow.ops.decision_lines import ClockOffsets, DecisionLine, decision_lines
+from greengageflow.ops.decision_messages import format_message
+
+_STATE_LOOKBACK_S = 30.0
+_STATE_LOOKAHEAD_S = 5.0
+_RETRY_WINDOW_S = 30.0
+_MAX_CLOCK_SKEW_S = 1.0
+_SUCCESS_STATUS = range(200, 400)
+_FINAL_EVENTS = {
     Event.REFUSED,
     Event.FINISHED,
     Event.FINISHED_LATE,
@@ -27,7 +27,7 @@
     Event.CUT,
     Event.CALLER_LEFT,
 }
-_LASTING = {
+_PERSISTENT_STATES = {
     Event.ENDPOINT_LEAVING,
     Event.ENDPOINT_GONE,
     Event.ENDPOINT_SUSPECT,
@@ -42,7 +42,7 @@
     Event.HOST_BEHIND,
 }
 
-Source = Callable[[], Iterable[str]]
+LineSource = Callable[[], Iterable[str]]
 """Returns an iterator over all lines of the collected text; called repeatedly."""
 
 
@@ -79,24 +79,24 @@
     @property
     def end(self) -> Step | None:
         """The final step, or None if it is unknown."""
-        endings = (step for step in self.steps if step.line.event in _ENDINGS)
-        return max(endings, key=lambda step: step.time, default=None)
+        final_steps = (step for step in self.steps if step.line.event in _FINAL_EVENTS)
+        return max(final_steps, key=lambda step: step.time, default=None)
 
-    def precedes(self, later: "Attempt") -> bool:
+    def may_be_retried_as(self, later: "Attempt") -> bool:
         """Return whether ``later`` may be the caller's retry of this attempt.
 
         A killed router logs no final event; then only the time decides.
         """
         end = self.end
         if end is None:
-            return later.start - self.steps[-1].time <= _AGAIN_WITHIN_S
-        if end.line.fields.get("status") in _GOOD_STATUS:
+            return later.start - self.steps[-1].time <= _RETRY_WINDOW_S
+        if end.line.fields.get("status") in _SUCCESS_STATUS:
             return False
-        return -_SKEW_S <= later.start - end.time <= _AGAIN_WITHIN_S
+        return -_MAX_CLOCK_SKEW_S <= later.start - end.time <= _RETRY_WINDOW_S
 
 
 @dataclass(frozen=True, slots=True)
-class Story:
+class Timeline:
     """Timeline of a request and its retries.
 
     Args:
@@ -113,21 +113,21 @@
     lines_dropped: int = 0
 
 
-def read_files(paths: Sequence[str]) -> Source:
+def read_files(paths: Sequence[str]) -> LineSource:
     """Return a source of the lines of files; ``-`` is standard input.
 
     Raises:
         ExceptionGroup: Contains the ``OSError`` of each file that cannot be opened.
     """
-    faults = []
+    failures = []
     for path in paths:
         try:
             if path != "-":
                 Path(path).open().close()
         except OSError as exc:
-            faults.append(exc)
-    if faults:
-        raise ExceptionGroup("files", faults)
+            failures.append(exc)
+    if failures:
+        raise ExceptionGroup("files", failures)
     stdin = sys.stdin.read().splitlines() if "-" in paths else []
 
     def rows() -> Iterator[str]:
@@ -141,43 +141,45 @@
     return rows
 
 
-def tell(request: str, source: Source) -> Story:
+def build_timeline(request: str, source: LineSource) -> Timeline:
     """Build the timeline of a request; reads the source twice."""
-    survey = _Survey(request)
+    first_pass = _FirstPass(request)
     for line in decision_lines(source()):
-        survey.add(line)
-    linked = survey.linked()
-    marks = [dumps(id_) for id_ in linked]
-    rows = (row for row in source() if any(mark in row for mark in marks))
+        first_pass.add(line)
+    related_ids = first_pass.related_ids()
+    quoted_ids = [dumps(id_) for id_ in related_ids]
+    rows = (
+        row for row in source() if any(quoted_id in row for quoted_id in quoted_ids)
+    )
     steps: dict[str, list[Step]] = {}
     for line in decision_lines(rows):
-        if line.request in linked:
-            steps.setdefault(line.request, []).append(survey.step(line))
-    attempts = [Attempt(id_, _sorted(found)) for id_, found in steps.items()]
-    chain = _chain(request, sorted(attempts, key=lambda attempt: attempt.start))
-    return Story(
+        if line.request in related_ids:
+            steps.setdefault(line.request, []).append(first_pass.step(line))
+    attempts = [Attempt(id_, _in_time_order(found)) for id_, found in steps.items()]
+    chain = _retry_chain(request, sorted(attempts, key=lambda attempt: attempt.start))
+    return Timeline(
         attempts=chain,
-        states=tuple(_states(chain, map(survey.step, survey.states))),
-        lines_read=survey.lines,
-        lines_dropped=survey.dropped,
+        states=tuple(_relevant_states(chain, map(first_pass.step, first_pass.states))),
+        lines_read=first_pass.lines,
+        lines_dropped=first_pass.dropped,
     )
 
 
-class _Survey:
+class _FirstPass:
     """First pass: collects clock offsets, states and the request ids per digest."""
 
     def __init__(self, request: str) -> None:
         self._request = request
         self._ids: dict[str, set[str]] = {}
         self._digests: set[str] = set()
-        self._clocks = Clocks()
+        self._clock_offsets = ClockOffsets()
         self.states: list[DecisionLine] = []
         self.lines = 0
         self.dropped = 0
 
     def add(self, line: DecisionLine) -> None:
         self.lines += 1
-        self._clocks.learn(line)
+        self._clock_offsets.record_offset(line)
         if line.event.level is Level.STATE:
             self.states.append(line)
         if line.event is Event.LINES_DROPPED:
@@ -188,24 +190,24 @@
             if line.request == self._request:
                 self._digests.add(str(digest))
 
-    def linked(self) -> set[str]:
+    def related_ids(self) -> set[str]:
         same = (self._ids[digest] for digest in self._digests)
         return {self._request}.union(*same) - {""}
 
     def step(self, line: DecisionLine) -> Step:
-        return Step(self._clocks.time(line), line)
+        return Step(self._clock_offsets.time(line), line)
 
 
-def _sorted(steps: Iterable[Step]) -> tuple[Step, ...]:
+def _in_time_order(steps: Iterable[Step]) -> tuple[Step, ...]:
     return tuple(sorted(steps, key=lambda step: (step.time, step.line.number)))
 
 
-def _chain(request: str, attempts: Sequence[Attempt]) -> tuple[Attempt, ...]:
+def _retry_chain(request: str, attempts: Sequence[Attempt]) -> tuple[Attempt, ...]:
     """Return the consecutive retries that include ``request``."""
     chain: list[Attempt] = []
     found = False
     for attempt in attempts:
-        if chain and not chain[-1].precedes(attempt):
+        if chain and not chain[-1].may_be_retried_as(attempt):
             if found:
                 break
             chain = []
@@ -214,29 +216,36 @@
     return tuple(chain) if found else ()
 
 
-def _states(chain: Sequence[Attempt], states: Iterable[Step]) -> Iterator[Step]:
+def _relevant_states(
+    chain: Sequence[Attempt], states: Iterable[Step]
+) -> Iterator[Step]:
     """Yield state changes near the attempts and earlier states still in effect."""
     if not chain:
         return
     lines = [step.line for attempt in chain for step in attempt.steps]
     hosts = {line.host for line in lines}
     endpoints = {line.fields.get(name) for line in lines for name in _ENDPOINT_FIELDS}
-    start = chain[0].start - _BEFORE_S
-    end = max(step.time for attempt in chain for step in attempt.steps) + _AFTER_S
+    start = chain[0].start - _STATE_LOOKBACK_S
+    end = (
+        max(step.time for attempt in chain for step in attempt.steps)
+        + _STATE_LOOKAHEAD_S
+    )
     last: dict[tuple[str, ...], Step] = {}
-    inside: list[Step] = []
-    for step in _sorted(states):
+    nearby: list[Step] = []
+    for step in _in_time_order(states):
         line = step.line
         endpoint = line.fields.get("endpoint")
         if line.host not in hosts or (endpoint and endpoint not in endpoints):
             continue
         if step.time < start:
-            last[(*line.life, _subject(line.event), endpoint or "")] = step
+            last[(*line.incarnation, _subject(line.event), endpoint or "")] = step
         elif step.time <= end:
-            inside.append(step)
-    lasting = (step for step in last.values() if step.line.event in _LASTING)
-    yield from _sorted(lasting)
-    yield from inside
+            nearby.append(step)
+    persistent = (
+        step for step in last.values() if step.line.event in _PERSISTENT_STATES
+    )
+    yield from _in_time_order(persistent)
+    yield from nearby
 
 
 _ENDPOINT_FIELDS = ("endpoint", "before")
@@ -246,54 +255,57 @@
     return event.name.partition("_")[0]
 
 
-def story_text(request: str, story: Story) -> str:
+def timeline_text(request: str, timeline: Timeline) -> str:
     """Format a timeline for reading, one line per step in time order."""
-    if not story.attempts:
+    if not timeline.attempts:
         return (
-            f"no line mentions request {request}; {story.lines_read} decision lines"
-            f" read, {story.lines_dropped} dropped by the routers"
+            f"no line mentions request {request}; {timeline.lines_read} decision lines"
+            f" read, {timeline.lines_dropped} dropped by the routers"
         )
-    zero = next(a.start for a in story.attempts if a.request == request)
-    stamp = datetime.fromtimestamp(zero, UTC).isoformat(timespec="milliseconds")
+    origin = next(a.start for a in timeline.attempts if a.request == request)
+    stamp = datetime.fromtimestamp(origin, UTC).isoformat(timespec="milliseconds")
     head = [f"request {request}, seconds from {stamp}"]
-    for earlier, later in pairwise(story.attempts):
+    for earlier, later in pairwise(timeline.attempts):
         gap = later.start - earlier.steps[-1].time
         head.append(
             f"{earlier.request} was probably retried as {later.request}"
             f" {max(0.0, gap):.3f} s later"
         )
-    steps = [step for attempt in story.attempts for step in attempt.steps]
-    rows = _sorted([*steps, *story.states])
+    steps = [step for attempt in timeline.attempts for step in attempt.steps]
+    rows = _in_time_order([*steps, *timeline.states])
     width = max(len(step.line.host) for step in rows)
-    several = len(story.attempts) > 1
-    return "\n".join(head + [_row(step, zero, width, several) for step in rows])
+    show_ids = len(timeline.attempts) > 1
+    return "\n".join(head + [_row(step, origin, width, show_ids) for step in rows])
 
 
-def _row(step: Step, zero: float, width: int, several: bool) -> str:
+def _row(step: Step, origin: float, width: int, show_ids: bool) -> str:
     line = step.line
-    name = f"{line.request} " if several and line.request else ""
+    name = f"{line.request} " if show_ids and line.request else ""
     mark = "*" if line.event.level is Level.STATE else " "
-    text = f"{name}{sentence(line)}"
+    text = f"{name}{format_message(line)}"
     return (
-        f"{step.time - zero:+9.3f} {mark} {line.host:<{width}}"
+        f"{step.time - origin:+9.3f} {mark} {line.host:<{width}}"
         f" {line.event.number} {text}"
     )
 
 
-def story_data(story: Story) -> dict[str, Any]:
+def timeline_data(timeline: Timeline) -> dict[str, Any]:
     """Return a timeline as a JSON value."""
     return {
         "attempts": [
-            {"request": attempt.request, "steps": [_data(s) for s in attempt.steps]}
-            for attempt in story.attempts
+            {
+                "request": attempt.request,
+                "steps": [_step_data(s) for s in attempt.steps],
+            }
+            for attempt in timeline.attempts
         ],
-        "states": [_data(step) for step in story.states],
-        "lines_read": story.lines_read,
-        "lines_dropped": story.lines_dropped,
+        "states": [_step_data(step) for step in timeline.states],
+        "lines_read": timeline.lines_read,
+        "lines_dropped": timeline.lines_dropped,
     }
 
 
-def _data(step: Step) -> dict[str, Any]:
+def _step_data(step: Step) -> dict[str, Any]:
     line = step.line
     head = {"time": step.time, "host": line.host, "boot": line.boot}
     event = {"event": line.event.number, "name": line.event.name}
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -8,7 +8,7 @@
 settings.load_profile("ci")
 
 KNOWN_RED = Path(__file__).parents[1] / "KNOWN-RED.txt"
-MARK = "test: "
+TEST_PREFIX = "test: "
 
 
 def known_red():
@@ -16,13 +16,15 @@
     if not KNOWN_RED.exists():
         return []
     lines = KNOWN_RED.read_text().splitlines()
-    return [line.removeprefix(MARK) for line in lines if line.startswith(MARK)]
+    return [
+        line.removeprefix(TEST_PREFIX) for line in lines if line.startswith(TEST_PREFIX)
+    ]
 
 
 def pytest_collection_modifyitems(items):
-    red = set(known_red())
+    red_ids = set(known_red())
     for item in items:
-        if item.nodeid in red:
+        if item.nodeid in red_ids:
             item.add_marker(pytest.mark.xfail(reason="listed in KNOWN-RED.txt"))
 
 
--- a/tests/test_ctl.py
+++ b/tests/test_ctl.py
@@ -77,7 +77,7 @@
     return [item["record"] for item in log.call("GET", STREAM).json["records"]]
 
 
-def test_publish_tells_where_it_is_in_force(log, run, file):
+def test_publish_reports_routers_that_applied_the_revision(log, run, file):
     path = file({"schema": 1, "config": CONFIG})
     with (
         router(config={"revision": 1}) as new,
@@ -94,7 +94,7 @@
     assert "not on 127.0.0.1:1: " in text
 
 
-def test_the_loser_of_a_race_is_told(log, run, file):
+def test_lost_publish_race_is_reported(log, run, file):
     """Two operators replace revision 0. The first is accepted; the second gets exit
     status 1 and the revision it lost to. The history lists both records.
     """
@@ -109,7 +109,7 @@
     assert "rejected, lost" in text
 
 
-def test_a_lost_answer_of_the_log_is_found_in_the_log(log, run, file):
+def test_append_with_lost_response_is_found_by_its_nonce(log, run, file):
     """The log appends the record, but its response is lost. The publisher finds the
     record by its nonce instead of appending a duplicate, and reports it as accepted.
     """
@@ -121,23 +121,23 @@
     assert run("history")[0] == 0
 
 
-def test_an_append_that_shows_up_late_counts_once(log):
+def test_delayed_append_is_counted_once(log):
     """The first append takes effect only when the retry arrives, so the log contains
     two copies. The first is accepted, the second lost; the first one is reported.
     """
 
-    class Late(BlockingLog):
+    class DelayedLog(BlockingLog):
         appends = 0
 
         def append(self, values):
             self.appends += 1
             if self.appends == 1:
-                self.late = values
+                self.delayed = values
                 raise CallError("no answer", effect_unknown=True)
-            super().append(self.late)
+            super().append(self.delayed)
             return super().append(values)
 
-    publisher = Publisher(Late(Address(*log.address)))
+    publisher = Publisher(DelayedLog(Address(*log.address)))
     decision = publisher.publish({"schema": 1, "replaces": 0, "config": CONFIG})
     assert decision.outcome == Accepted(1)
     assert decision.offset == 0
@@ -222,7 +222,7 @@
         assert last["record"]["replaces"] == 3
 
 
-def test_bad_input_is_named_without_a_traceback(run, file, monkeypatch):
+def test_bad_input_is_reported_without_a_traceback(run, file, monkeypatch):
     monkeypatch.setenv("GREENGAGE_LOG", "127.0.0.1:1")
     good = file({"schema": 1, "config": {}}, "good.json")
     broken = file('{"schema": 1,', "broken.json")
@@ -253,7 +253,7 @@
         assert "Traceback" not in text
 
 
-def test_status_and_explain_read_what_routers_tell(run):
+def test_status_and_explain_report_router_statuses(run):
     same = {"revision": 4, "log": "up", "complete": True}
     first = {"host": "r1", "zone": "z1", "state": "running", "config": same}
     with (
@@ -292,7 +292,7 @@
         ]
 
 
-def test_settings_name_every_fault_at_once(run, file):
+def test_settings_check_reports_every_fault_at_once(run, file):
     good = json.loads(example_settings())
     assert parse_settings(good | {"statsd": None}).peer_ip == "127.0.0.1"
     bad = {
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -20,7 +20,7 @@
             yield tuple(cells[:columns])
 
 
-def test_the_catalogue_lists_every_event_as_it_is():
+def test_events_page_lists_every_event():
     table = [(event.number, event.value.level, event.name) for event in Event]
     decisions = [(e.number, e.level.name.lower(), e.name) for e in DecisionEvent]
     assert list(rows("EVENTS.md", 3)) == table + decisions
@@ -30,19 +30,19 @@
     assert all(re.fullmatch(r"GG7\d\d", number) for number, _, _ in decisions)
 
 
-def test_the_catalogue_lists_the_fields_of_every_decision():
+def test_events_page_lists_the_fields_of_every_decision():
     listed = {row[0]: row[3] for row in rows("EVENTS.md", 4)}
     for event in DecisionEvent:
         assert listed[event.number] == ", ".join(event.fields)
 
 
-def test_the_page_lists_every_metric_as_it_is():
+def test_metrics_page_lists_every_metric():
     table = [(m.value.name, m.value.kind.value, m.value.label) for m in Metric]
     page = [(m.value.name, m.value.kind.value, m.value.label) for m in PageMetric]
     assert list(rows("METRICS.md", 3)) == table + page
 
 
-def test_an_event_is_written_with_odd_and_missing_fields():
+def test_event_is_logged_with_invalid_and_missing_fields():
     sink = io.StringIO()
     setup_logging("INFO", sink)
     events = EventLog()
@@ -54,7 +54,7 @@
     assert len(text.splitlines()) == 3
 
 
-def test_a_flood_of_one_event_is_cut_short_and_counted():
+def test_repeated_event_is_rate_limited_and_counted():
     """One account floods its full queue. Only the first events of a window are logged,
     and the next window reports how many were suppressed; other events still appear.
     Without the limit, writing a line per refusal would starve the event loop.
@@ -72,7 +72,7 @@
     assert "GG601 7 more of these left out" in text
 
 
-def test_metrics_go_out_under_safe_names_and_nowhere_when_unset():
+def test_metrics_are_sent_under_safe_names_only_if_configured():
     with socket(AF_INET, SOCK_DGRAM) as sock:
         sock.bind(("127.0.0.1", 0))
         sock.settimeout(10)
--- a/tests/test_gateway_explain.py
+++ b/tests/test_gateway_explain.py
@@ -18,49 +18,49 @@
 )
 from tests.support import wait_for
 
-HELD = 3
+HANGING_REQUESTS = 3
 SLOW_MS = 1000
 
 
-def explained(lab, request, ending):
+def explain_output(lab, request, ending):
     """Return the output of ``greengage-ctl explain`` once ``ending`` is logged."""
 
-    def written():
-        lines = "".join(one.stderr for one in lab.routers.values()).splitlines()
+    def ending_logged():
+        lines = "".join(router.stderr for router in lab.routers.values()).splitlines()
         return any(request in line and ending in line for line in lines)
 
-    wait_for(written, f"{ending} of {request}")
+    wait_for(ending_logged, f"{ending} of {request}")
     with TemporaryDirectory() as folder:
         paths = [Path(folder, f"{name}.log") for name in lab.routers]
         for path, process in zip(paths, lab.routers.values(), strict=True):
             path.write_text(f"words of another program\n{process.stderr}")
         command = [sys.executable, "-m", "greengageflow.ops.ctl", "explain", request]
-        named = run([*command, *paths], cwd=ROOT, capture_output=True, text=True)
+        from_files = run([*command, *paths], cwd=ROOT, capture_output=True, text=True)
         text = "".join(path.read_text() for path in paths)
         command.append("-")
-        piped = run(command, input=text, cwd=ROOT, capture_output=True, text=True)
-    assert (named.returncode, piped.returncode) == (0, 0)
-    assert named.stdout == piped.stdout
-    return named.stdout
+        from_stdin = run(command, input=text, cwd=ROOT, capture_output=True, text=True)
+    assert (from_files.returncode, from_stdin.returncode) == (0, 0)
+    assert from_files.stdout == from_stdin.stdout
+    return from_files.stdout
 
 
-def refused_way():
+def refusal_timeline():
     """Fill the only endpoint of a service; return the timeline of a refusal."""
     options = {"slots": 1, "queue": 4}
     with PlatformLab(PlatformShape(routers=2, plain=1, plain_options=options)) as lab:
-        lab.fault("app-0", hang=True, times=HELD)
-        clients = [lab.client() for _ in range(HELD)]
+        lab.fault("app-0", hang=True, times=HANGING_REQUESTS)
+        clients = [lab.client() for _ in range(HANGING_REQUESTS)]
         for client in clients:
             client.send(SAFE, key=KEY)
-        wait_for(lambda: len(lab.runs()) == HELD, "the endpoint is full")
+        wait_for(lambda: len(lab.runs()) == HANGING_REQUESTS, "the endpoint is full")
         first = lab.ask(SAFE, body=b"again")
         second = lab.ask(SAFE, body=b"again", deadline_ms=5000)
         assert (first.status, second.status) == (429, 429)
-        explained(lab, second.id, "REFUSED")
-        return first.id, second.id, explained(lab, first.id, "REFUSED")
+        explain_output(lab, second.id, "REFUSED")
+        return first.id, second.id, explain_output(lab, first.id, "REFUSED")
 
 
-def cut_way():
+def cut_timeline():
     """Kill an engine during a stream; return its name and the timeline."""
     with PlatformLab(PlatformShape(routers=2, plain=0, engines=2)) as lab:
         client = lab.client()
@@ -75,37 +75,37 @@
         except Torn:
             torn = True
         assert torn
-        return replica, explained(lab, name, "CUT")
+        return replica, explain_output(lab, name, "CUT")
 
 
-def late_way():
+def late_response_timeline():
     """Send a request to a slow endpoint; return the timeline of the late response."""
     options = {"work_ms": SLOW_MS}
     with PlatformLab(PlatformShape(plain=1, plain_options=options)) as lab:
         answer = lab.ask(UNSAFE)
         assert answer.status == 200
-        return explained(lab, answer.id, "FINISHED_LATE")
+        return explain_output(lab, answer.id, "FINISHED_LATE")
 
 
 def test_a_refusal_is_explained():
     """Other requests occupy the only endpoint of a service. The timeline shows why the
     request was refused and links its retry."""
-    first, second, story = refused_way()
-    assert f"{first} was probably retried as {second}" in story
-    assert f"{first} refused, queue_full" in story
-    assert "retry after" in story and "waited" in story
+    first, second, timeline = refusal_timeline()
+    assert f"{first} was probably retried as {second}" in timeline
+    assert f"{first} refused, queue_full" in timeline
+    assert "retry after" in timeline and "waited" in timeline
 
 
 def test_a_cut_is_explained():
     """An engine dies during a stream that must not be resumed elsewhere. The timeline
     names the engine, how much it had sent, and that the request ran."""
-    replica, story = cut_way()
-    assert f"cut by {replica} after" in story and "ran: yes" in story
+    replica, timeline = cut_timeline()
+    assert f"cut by {replica} after" in timeline and "ran: yes" in timeline
 
 
 def test_a_late_answer_is_explained():
     """An endpoint exceeds the latency objective. The timeline shows the time waited,
     the endpoint's own time and the objective."""
-    story = late_way()
-    assert "finished late with 200 from app-0" in story
-    assert "objective 800" in story
+    timeline = late_response_timeline()
+    assert "finished late with 200 from app-0" in timeline
+    assert "objective 800" in timeline
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -32,7 +32,7 @@
         return {span["name"]: span for span in map(json.loads, lines)}
 
 
-def test_the_way_of_a_request_hangs_below_its_callers_trace(tmp_path):
+def test_request_spans_are_children_in_the_callers_trace(tmp_path):
     """The spans of a request are children in the caller's trace, found by its id."""
     with TracedLab(LabPlan(engines=1), tmp_path) as lab:
         body = {"model": "scribe", "x_tokens": 5, "stream": True}
