--- a/greengageflow/events.py
+++ b/greengageflow/events.py
@@ -167,13 +167,13 @@
                 logger.warning(f"{event.number} {suppressed} more of these left out")
 
     def _write(self, event: Event, fields: dict[str, Any]) -> None:
-        text = _fill(event.value.template, fields)
+        text = _format_template(event.value.template, fields)
         bound = logger.bind(event=event.number, **fields)
         # Passed as an argument so that loguru does not format braces in field values.
         bound.log(event.value.level, "{} {}", event.number, text)
 
 
-def _fill(template: str, fields: dict[str, Any]) -> str:
+def _format_template(template: str, fields: dict[str, Any]) -> str:
     try:
         return template.format(**fields)
     except (KeyError, ValueError):
--- a/greengageflow/metrics.py
+++ b/greengageflow/metrics.py
@@ -9,7 +9,7 @@
 
 from greengageflow.settings_file import Address
 
-_UNSAFE = re.compile(r"[^A-Za-z0-9_-]+")
+_UNSAFE_CHARS = re.compile(r"[^A-Za-z0-9_-]+")
 
 
 class MetricKind(StrEnum):
@@ -83,7 +83,7 @@
         self._client: StatsClient | None = None
         if address is None:
             return
-        parts = [prefix, _component(host)] if host else [prefix]
+        parts = [prefix, _sanitize(host)] if host else [prefix]
         self._client = StatsClient(
             address.ip,
             address.port,
@@ -97,17 +97,17 @@
     def count(self, metric: Metric, count: float = 1, label: str = "") -> None:
         """Add ``count`` to a counter."""
         if self._client:
-            self._client.incr(_name(metric, label), count)
+            self._client.incr(_full_name(metric, label), count)
 
     def gauge(self, metric: Metric, value: float, label: str = "") -> None:
         """Set a gauge."""
         if self._client:
-            self._client.gauge(_name(metric, label), value)
+            self._client.gauge(_full_name(metric, label), value)
 
     def timing(self, metric: Metric, seconds: float, label: str = "") -> None:
         """Record a duration in seconds, sent in milliseconds."""
         if self._client:
-            self._client.timing(_name(metric, label), seconds * 1000)
+            self._client.timing(_full_name(metric, label), seconds * 1000)
 
     def close(self) -> None:
         """Close the socket; later metrics are discarded."""
@@ -116,10 +116,10 @@
             self._client = None
 
 
-def _component(text: str) -> str:
-    return _UNSAFE.sub("_", text)
+def _sanitize(text: str) -> str:
+    return _UNSAFE_CHARS.sub("_", text)
 
 
-def _name(metric: Metric, label: str) -> str:
+def _full_name(metric: Metric, label: str) -> str:
     name = metric.value.name
-    return f"{name}.{_component(label)}" if label else name
+    return f"{name}.{_sanitize(label)}" if label else name
--- a/greengageflow/ops/decision_lines.py
+++ b/greengageflow/ops/decision_lines.py
@@ -10,10 +10,10 @@
 from greengageflow.net.decision_events import DecisionEvent
 
 _EVENT_MARKER = '"GG7'
-_BUCKETS_PER_S = 10
+_OFFSET_BUCKETS_PER_S = 10
 _HEADER_FIELDS = ("time", "up", "line", "host", "boot", "event", "name")
 _EVENTS = {event.number: event for event in DecisionEvent}
-_decoder = JSONDecoder()
+_JSON_DECODER = JSONDecoder()
 
 
 @dataclass(frozen=True, slots=True)
@@ -64,7 +64,7 @@
     start = row.find("{")
     while start >= 0:
         try:
-            value, end = _decoder.raw_decode(row, start)
+            value, end = _JSON_DECODER.raw_decode(row, start)
         except (ValueError, RecursionError):
             end = start + 1
         else:
@@ -106,7 +106,7 @@
     def record_offset(self, line: DecisionLine) -> None:
         """Count the offset between the wall and monotonic clocks of a line."""
         offset = line.unix_time - line.monotonic_s
-        bucket = round(offset * _BUCKETS_PER_S)
+        bucket = round(offset * _OFFSET_BUCKETS_PER_S)
         self._offsets.setdefault(line.incarnation, Counter())[bucket] += 1
         self._first_offsets.setdefault((line.incarnation, bucket), offset)
 
