--- a/greengageflow/events.py
+++ b/greengageflow/events.py
@@ -47,7 +47,9 @@
         "GG202", "WARNING", "record {offset} of {author} refused, {reason}: {text}"
     )
     CONFIG_LAPSED = EventType(
-        "GG203", "WARNING", "log trimmed unread records {offset} to {first_offset}"
+        "GG203",
+        "WARNING",
+        "unread records from {offset} on are lost, log begins at {first_offset}",
     )
     CONFIG_ADOPTED = EventType(
         "GG204", "INFO", "revision {revision} taken from {source}"
@@ -122,7 +124,7 @@
         "GG606", "ERROR", "request {digest} quarantined {seconds:.0f} s, by {source}"
     )
     QUARANTINE_CLEARED = EventType(
-        "GG607", "INFO", "request {digest} released from quarantine"
+        "GG607", "INFO", "request {digest} cleared by a successful answer"
     )
 
     @property
--- a/greengageflow/ops/_platform_http.py
+++ b/greengageflow/ops/_platform_http.py
@@ -132,7 +132,8 @@
             try:
                 return _call(self._address, "GET", path)
             except CallError as exc:
-                # Retries only truncated responses; a refusal or an outage is final.
+                # Retried only if the response was lost or unreadable. A refusal or an
+                # outage is reported at once.
                 if not exc.effect_unknown:
                     raise
         return _call(self._address, "GET", path)
--- a/greengageflow/ops/decision_messages.py
+++ b/greengageflow/ops/decision_messages.py
@@ -33,7 +33,8 @@
     Event.ENDPOINT_BACK: "endpoint {endpoint} is back after {after_ms} ms",
     Event.ENDPOINT_HELD: "endpoint {endpoint} is no longer listed and kept for"
     " {for_ms} ms, in case its entry only expired",
-    Event.LIST_LOST: "endpoint list unavailable, last read {unheard_ms} ms ago: {why}",
+    Event.LIST_LOST: "endpoint list unavailable, last confirmed {unheard_ms} ms ago:"
+    " {why}",
     Event.LIST_REGAINED: "endpoint list available again after {after_ms} ms",
     Event.ENDPOINT_CRASHED: "endpoint {endpoint} crashed with {requests} requests of"
     " this host in flight: {digests}",
@@ -41,7 +42,7 @@
     " {age_ms} ms old",
     Event.KEYS_UNTRUSTED: "keys no longer trusted: store silent for {unheard_ms} ms",
     Event.KEYS_TRUSTED: "keys trusted again after {after_ms} ms",
-    Event.STORE_LOST: "store unavailable, last read {unheard_ms} ms ago: {why}",
+    Event.STORE_LOST: "store unavailable, last confirmed {unheard_ms} ms ago: {why}",
     Event.STORE_REGAINED: "store available again after {after_ms} ms",
     Event.PLACER_SILENT: "placer {placer} does not answer, {asked} requests"
     " placed by this host",
@@ -66,7 +67,7 @@
     Event.CONNECTIONS_FULL: "connection limit reached with {connections} callers'"
     " connections, {gave_way} idle ones closed",
     Event.LINES_DROPPED: "log lines dropped: {sampled} by sampling, {budget} over"
-    " the budget, {buffer} with a full buffer, {sink} by write errors",
+    " the budget, {buffer} with a full buffer, {sink} not written",
     Event.STORE_ERA: "the store was restored to an older state, era {era} after"
     " {before}",
     Event.ENDPOINT_BACKOFF: "endpoint {endpoint} requested {for_ms} ms of backoff",
@@ -74,7 +75,7 @@
     " {requests} requests, {hosts} hosts",
     Event.QUARANTINED: "request {digest} quarantined for {for_ms} ms, reported by"
     " {source}",
-    Event.QUARANTINE_CLEARED: "request {digest} succeeded and leaves quarantine",
+    Event.QUARANTINE_CLEARED: "request {digest} was answered and is cleared of crashes",
 }
 
 
--- a/greengageflow/settings.py
+++ b/greengageflow/settings.py
@@ -86,11 +86,11 @@
     Args:
         host: Host name, unique in the fleet.
         zone: Availability zone of the host.
-        ip: IP address that callers connect to.
-        caller_port: TCP port that callers connect to.
-        peer_port: TCP port that other routers connect to.
+        ip: IP address to listen on for callers.
+        caller_port: TCP port to listen on for callers.
+        peer_port: TCP port to listen on for other routers.
         log: Address of the platform's log service.
-        peer_ip: IP address that other routers connect to; ``ip`` when empty.
+        peer_ip: IP address to listen on for other routers; ``ip`` when empty.
         host_list: Address of the platform's host list, or None.
         weight_store: Address of the platform's weight store, or None.
         seeds: Routers contacted to join the fleet.
