--- a/greengageflow/errors.py
+++ b/greengageflow/errors.py
@@ -1,11 +1,11 @@
-"""The closed list of error kinds and the one table from kind to answer."""
+"""Error kinds and the HTTP response that each of them maps to."""
 
 from dataclasses import dataclass
 from enum import StrEnum
 
 
 class Ran(StrEnum):
-    """Whether the endpoint ran the request; ``NO`` is a promise."""
+    """Whether the endpoint ran the request; ``NO`` is a guarantee."""
 
     NO = "no"
     YES = "yes"
@@ -13,7 +13,7 @@
 
 
 class ErrorKind(StrEnum):
-    """Every way in which a request can fail."""
+    """Reasons for which a request can fail."""
 
     BAD_REQUEST = "bad_request"
     UNAUTHORIZED = "unauthorized"
@@ -41,14 +41,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
-    """What a caller is told for one error kind.
+class ErrorResponse:
+    """HTTP response to the caller for one error kind.
 
     Args:
         status: HTTP status code.
-        ran: Whether the request ran, unless the raiser knows better.
-        retry_after_s: When to come back, in seconds; None when trying again
-            cannot help.
+        ran: Default for whether the request ran; the raiser may override it.
+        retry_after_s: Delay before a retry, in seconds; None when a retry
+            cannot succeed.
     """
 
     status: int
@@ -56,41 +56,41 @@
     retry_after_s: float | None = None
 
 
-ANSWERS: dict[ErrorKind, Answer] = {
-    ErrorKind.BAD_REQUEST: Answer(400),
-    ErrorKind.UNAUTHORIZED: Answer(401),
-    ErrorKind.NOT_FOUND: Answer(404),
-    ErrorKind.UNKNOWN_TARGET: Answer(404),
-    ErrorKind.METHOD_NOT_ALLOWED: Answer(405),
-    ErrorKind.BODY_TOO_LARGE: Answer(413),
-    ErrorKind.HEADERS_TOO_LARGE: Answer(431),
-    ErrorKind.REQUEST_TIMEOUT: Answer(408, retry_after_s=1),
-    ErrorKind.KEY_REQUIRED: Answer(400),
-    ErrorKind.KEY_CONFLICT: Answer(409),
-    ErrorKind.ANSWER_NOT_KEPT: Answer(410, Ran.YES),
-    ErrorKind.QUEUE_FULL: Answer(429, retry_after_s=1),
-    ErrorKind.DEADLINE: Answer(503, retry_after_s=1),
-    ErrorKind.NO_ENDPOINT: Answer(503, retry_after_s=1),
-    ErrorKind.STOPPING: Answer(503, retry_after_s=1),
-    ErrorKind.HOST_BUSY: Answer(503, retry_after_s=1),
-    ErrorKind.QUARANTINED: Answer(503, retry_after_s=600),
-    ErrorKind.NOT_CONFIGURED: Answer(503, retry_after_s=1),
-    ErrorKind.LOG_UNAVAILABLE: Answer(503, retry_after_s=2),
-    ErrorKind.OUTCOME_UNKNOWN: Answer(504, Ran.UNKNOWN, retry_after_s=2),
-    ErrorKind.ENDPOINT_FAILED: Answer(502, Ran.UNKNOWN, retry_after_s=1),
-    ErrorKind.ENDPOINT_CUT: Answer(502, Ran.UNKNOWN, retry_after_s=1),
-    ErrorKind.INTERNAL: Answer(500, Ran.UNKNOWN, retry_after_s=1),
+ERROR_RESPONSES: dict[ErrorKind, ErrorResponse] = {
+    ErrorKind.BAD_REQUEST: ErrorResponse(400),
+    ErrorKind.UNAUTHORIZED: ErrorResponse(401),
+    ErrorKind.NOT_FOUND: ErrorResponse(404),
+    ErrorKind.UNKNOWN_TARGET: ErrorResponse(404),
+    ErrorKind.METHOD_NOT_ALLOWED: ErrorResponse(405),
+    ErrorKind.BODY_TOO_LARGE: ErrorResponse(413),
+    ErrorKind.HEADERS_TOO_LARGE: ErrorResponse(431),
+    ErrorKind.REQUEST_TIMEOUT: ErrorResponse(408, retry_after_s=1),
+    ErrorKind.KEY_REQUIRED: ErrorResponse(400),
+    ErrorKind.KEY_CONFLICT: ErrorResponse(409),
+    ErrorKind.ANSWER_NOT_KEPT: ErrorResponse(410, Ran.YES),
+    ErrorKind.QUEUE_FULL: ErrorResponse(429, retry_after_s=1),
+    ErrorKind.DEADLINE: ErrorResponse(503, retry_after_s=1),
+    ErrorKind.NO_ENDPOINT: ErrorResponse(503, retry_after_s=1),
+    ErrorKind.STOPPING: ErrorResponse(503, retry_after_s=1),
+    ErrorKind.HOST_BUSY: ErrorResponse(503, retry_after_s=1),
+    ErrorKind.QUARANTINED: ErrorResponse(503, retry_after_s=600),
+    ErrorKind.NOT_CONFIGURED: ErrorResponse(503, retry_after_s=1),
+    ErrorKind.LOG_UNAVAILABLE: ErrorResponse(503, retry_after_s=2),
+    ErrorKind.OUTCOME_UNKNOWN: ErrorResponse(504, Ran.UNKNOWN, retry_after_s=2),
+    ErrorKind.ENDPOINT_FAILED: ErrorResponse(502, Ran.UNKNOWN, retry_after_s=1),
+    ErrorKind.ENDPOINT_CUT: ErrorResponse(502, Ran.UNKNOWN, retry_after_s=1),
+    ErrorKind.INTERNAL: ErrorResponse(500, Ran.UNKNOWN, retry_after_s=1),
 }
 
 
 class RouterError(Exception):
-    """A request failed in one of the known ways.
+    """A request failed for one of the reasons in ``ErrorKind``.
 
     Args:
-        kind: The error kind, which selects the answer.
-        message: What happened, for the caller to read.
-        ran: Overrides the table's word on whether the request ran.
-        retry_after_s: Overrides the table's retry time, in seconds.
+        kind: The error kind, which selects the HTTP response.
+        message: Description of the failure, sent to the caller.
+        ran: Overrides the default for whether the request ran.
+        retry_after_s: Overrides the default retry delay, in seconds.
     """
 
     def __init__(
@@ -102,22 +102,22 @@
         retry_after_s: float | None = None,
     ) -> None:
         super().__init__(message)
-        answer = ANSWERS[kind]
+        response = ERROR_RESPONSES[kind]
         self.kind = kind
         self.message = message
-        self.ran = answer.ran if ran is None else ran
+        self.ran = response.ran if ran is None else ran
         self.retry_after_s = (
-            answer.retry_after_s if retry_after_s is None else retry_after_s
+            response.retry_after_s if retry_after_s is None else retry_after_s
         )
 
     @property
     def status(self) -> int:
-        """HTTP status code of the answer."""
-        return ANSWERS[self.kind].status
+        """HTTP status code of the response."""
+        return ERROR_RESPONSES[self.kind].status
 
     @property
     def body(self) -> dict[str, object]:
-        """JSON object sent to the caller."""
+        """JSON body of the response."""
         return {
             "error": {
                 "kind": self.kind.value,
--- a/greengageflow/metrics.py
+++ b/greengageflow/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics by statsd, one closed table; ``docs/METRICS.md`` describes them."""
+"""Statsd metrics; ``docs/METRICS.md`` documents each of them."""
 
 import re
 from dataclasses import dataclass
@@ -9,11 +9,11 @@
 
 from greengageflow.settings_file import Address
 
-_UNSAFE = re.compile(r"[^A-Za-z0-9_-]+")
+_UNSAFE_CHARS = re.compile(r"[^A-Za-z0-9_-]+")
 
 
 class MetricKind(StrEnum):
-    """How statsd adds up a metric."""
+    """Statsd metric types."""
 
     COUNTER = "counter"
     GAUGE = "gauge"
@@ -22,21 +22,21 @@
 
 @dataclass(frozen=True, slots=True)
 class MetricType:
-    """What is fixed of one metric.
+    """Static definition of a metric.
 
     Args:
-        name: Its name below the prefix.
-        kind: How statsd adds it up.
-        part: What its last component tells apart, or empty.
+        name: Name, without the prefix.
+        kind: Statsd metric type.
+        label: Dimension given by the last name component, or empty.
     """
 
     name: str
     kind: MetricKind
-    part: str = ""
+    label: str = ""
 
 
 class Metric(Enum):
-    """Every metric that is sent."""
+    """All metrics sent to statsd."""
 
     REQUESTS = MetricType("requests", MetricKind.COUNTER, "pool")
     REFUSED = MetricType("refused", MetricKind.COUNTER, "error kind")
@@ -69,12 +69,12 @@
 
 
 class Metrics:
-    """Sends metrics over UDP; without an address it does nothing.
+    """Sends metrics to statsd over UDP; does nothing without an address.
 
     Args:
-        address: Where statsd listens, or None.
-        host: Host of this router; part of each name.
-        prefix: First component of each name.
+        address: Address of the statsd server, or None.
+        host: Host of this router, a component of every metric name.
+        prefix: First component of every metric name.
     """
 
     def __init__(
@@ -83,43 +83,43 @@
         self._client: StatsClient | None = None
         if address is None:
             return
-        parts = [prefix, _component(host)] if host else [prefix]
+        parts = [prefix, _sanitize(host)] if host else [prefix]
         self._client = StatsClient(
             address.ip,
             address.port,
             prefix=".".join(parts),
             ipv6=ip_address(address.ip).version == 6,
         )
-        # A full send buffer would hold up the one loop; the client drops the
-        # metric on any error of the socket, and a would-block error is one.
+        # A full send buffer would block the event loop. The client drops a metric
+        # on any socket error, including EWOULDBLOCK.
         self._client._sock.setblocking(False)
 
-    def count(self, metric: Metric, count: float = 1, part: str = "") -> None:
+    def count(self, metric: Metric, count: float = 1, label: str = "") -> None:
         """Add ``count`` to a counter."""
         if self._client:
-            self._client.incr(_name(metric, part), count)
+            self._client.incr(_full_name(metric, label), count)
 
-    def gauge(self, metric: Metric, value: float, part: str = "") -> None:
+    def gauge(self, metric: Metric, value: float, label: str = "") -> None:
         """Set a gauge."""
         if self._client:
-            self._client.gauge(_name(metric, part), value)
+            self._client.gauge(_full_name(metric, label), value)
 
-    def timing(self, metric: Metric, seconds: float, part: str = "") -> None:
-        """Record a time in seconds; it is sent in milliseconds."""
+    def timing(self, metric: Metric, seconds: float, label: str = "") -> None:
+        """Record a duration in seconds, sent in milliseconds."""
         if self._client:
-            self._client.timing(_name(metric, part), seconds * 1000)
+            self._client.timing(_full_name(metric, label), seconds * 1000)
 
     def close(self) -> None:
-        """Close the socket and send no more."""
+        """Close the socket; later metrics are discarded."""
         if self._client:
             self._client.close()
             self._client = None
 
 
-def _component(text: str) -> str:
-    return _UNSAFE.sub("_", text)
+def _sanitize(text: str) -> str:
+    return _UNSAFE_CHARS.sub("_", text)
 
 
-def _name(metric: Metric, part: str) -> str:
+def _full_name(metric: Metric, label: str) -> str:
     name = metric.value.name
-    return f"{name}.{_component(part)}" if part else name
+    return f"{name}.{_sanitize(label)}" if label else name
--- a/greengageflow/ops/_ctl_config.py
+++ b/greengageflow/ops/_ctl_config.py
@@ -1,4 +1,4 @@
-"""What the operators' command does to the configuration."""
+"""Configuration commands of ``greengage-ctl``."""
 
 import os
 from collections.abc import Iterable, Mapping
@@ -22,7 +22,7 @@
     decision_text,
     differences,
     history_text,
-    spread_text,
+    rollout_text,
 )
 from greengageflow.ops._platform_http import (
     BlockingLog,
@@ -33,24 +33,24 @@
 from greengageflow.ops.ctl_publish import Publisher, PublishError, await_in_force
 from greengageflow.settings_file import Address
 
-IN_FORCE_WITHIN_S = 12.0
+IN_FORCE_TIMEOUT_S = 12.0
 LOG_VARIABLE = "GREENGAGE_LOG"
 ROUTERS_VARIABLE = "GREENGAGE_ROUTERS"
 
 
 class BadInputError(Exception):
-    """The command line is not as it should be."""
+    """A command-line argument is missing or invalid."""
 
 
-def addresses_of(routers: str | None, *, needed: bool = True) -> list[Address]:
-    """Return the addresses in ``IP:PORT,IP:PORT`` or in the environment.
+def router_addresses(routers: str | None, *, required: bool = True) -> list[Address]:
+    """Parse router addresses from ``IP:PORT,IP:PORT`` or from the environment.
 
     Raises:
-        BadInputError: They are broken, or needed and not there.
+        BadInputError: An address is invalid, or addresses are required but missing.
     """
     text = routers or os.environ.get(ROUTERS_VARIABLE, "")
-    if not text and needed:
-        raise BadInputError(f"--routers=IP:PORT,... or {ROUTERS_VARIABLE} is needed")
+    if not text and required:
+        raise BadInputError(f"--routers=IP:PORT,... or {ROUTERS_VARIABLE} is required")
     return [_address(part) for part in text.split(",") if part.strip()]
 
 
@@ -61,126 +61,128 @@
         raise BadInputError(str(exc)) from None
 
 
-def log_of(log: str | None, stream: str) -> BlockingLog:
-    """Return a stream of the log at ``IP:PORT`` or named by the environment.
+def log_client(log: str | None, stream: str) -> BlockingLog:
+    """Return a client of a log stream, addressed by ``log`` or the environment.
 
     Raises:
-        BadInputError: The address is broken or not there.
+        BadInputError: The address is invalid or missing.
     """
     text = log or os.environ.get(LOG_VARIABLE, "")
     if not text:
-        raise BadInputError(f"--log=IP:PORT or {LOG_VARIABLE} is needed")
+        raise BadInputError(f"--log=IP:PORT or {LOG_VARIABLE} is required")
     return BlockingLog(_address(text), stream)
 
 
 def _publisher(log: str | None) -> Publisher:
     author = os.environ.get("USER") or "greengage-ctl"
-    return Publisher(log_of(log, CONFIG_STREAM), author)
+    return Publisher(log_client(log, CONFIG_STREAM), author)
 
 
-def _current(log: str | None) -> Publisher:
+def _synced_publisher(log: str | None) -> Publisher:
     publisher = _publisher(log)
     publisher.refresh()
     publisher.check_complete()
     return publisher
 
 
-def _merged(present: FleetConfig, document: Mapping[str, Any]) -> FleetConfig:
+def _merge_document(current: FleetConfig, document: Mapping[str, Any]) -> FleetConfig:
     schema = SCHEMAS[document["schema"]]
-    form = parse_config(document["config"], schema.number)
-    return schema.merge(present, form)
+    parsed = parse_config(document["config"], schema.number)
+    return schema.merge(current, parsed)
 
 
 def diff(file: str, log: str | None) -> Report:
-    """Show what publishing a file would change."""
+    """Compare a configuration file with the configuration in force."""
     document = read_config_file(file)
-    old = _current(log).fold.config
-    lines = list(differences(old, _merged(old, document)))
+    old = _synced_publisher(log).fold.config
+    lines = list(differences(old, _merge_document(old, document)))
     return Report("\n".join(lines) or "no difference", lines)
 
 
 def show(log: str | None) -> Report:
-    """Return the configuration in force as a file that can be published."""
-    fold = _current(log).fold
-    document = _file_of(fold, fold.config)
+    """Return the configuration in force in the format that ``publish`` reads."""
+    fold = _synced_publisher(log).fold
+    document = _config_document(fold, fold.config)
     return Report("", document)
 
 
 def publish(file: str, log: str | None, routers: str | None, within_s: float) -> Report:
-    """Publish a file and wait until it is in force."""
+    """Publish a configuration file and wait until it is in force."""
     if type(within_s) not in (int, float):
         raise BadInputError(f"--within_s: expected seconds, found {within_s!r}")
     document = read_config_file(file)
-    asked = addresses_of(routers, needed=False)
-    publisher = _current(log)
+    addresses = router_addresses(routers, required=False)
+    publisher = _synced_publisher(log)
     _check_allowed(publisher.fold.state, document["schema"])
     revision = publisher.fold.config.revision
     decision = publisher.publish({"replaces": revision, **document})
-    return _published(decision, asked, within_s)
+    return _publish_report(decision, addresses, within_s)
 
 
 def _check_allowed(state: State, schema: int) -> None:
     if schema > state.highest:
         raise PublishError(
-            f"schema {schema} is not allowed yet, {state.highest} is the highest; see"
+            f"schema {schema} is not allowed yet, the highest is {state.highest}; see"
             f" `greengage-ctl allow-schema {schema}`"
         )
 
 
-def _published(decision: Decision, asked: list[Address], within_s: float) -> Report:
+def _publish_report(
+    decision: Decision, addresses: list[Address], within_s: float
+) -> Report:
     text = decision_text(decision)
     data = decision_row(decision, None)
     if not isinstance(decision.outcome, Accepted):
         return Report(text, data, ok=False)
-    if not asked:
-        return Report(f"{text}; no routers given, so not watched further", data)
-    spread = await_in_force(asked, decision.outcome.revision, within_s)
-    data["in_force"] = len(spread.done)
-    data["asked"] = len(asked)
-    data["waiting"] = {str(address): why for address, why in spread.waiting.items()}
-    return Report(f"{text}\n{spread_text(spread)}", data, ok=not spread.waiting)
+    if not addresses:
+        return Report(f"{text}; no routers given, rollout not checked", data)
+    rollout = await_in_force(addresses, decision.outcome.revision, within_s)
+    data["in_force"] = len(rollout.in_force)
+    data["asked"] = len(addresses)
+    data["waiting"] = {str(address): why for address, why in rollout.pending.items()}
+    return Report(f"{text}\n{rollout_text(rollout)}", data, ok=not rollout.pending)
 
 
 def drain(endpoint: str, leaving: bool, log: str | None, routers: str | None) -> Report:
-    """Set or clear ``leaving`` of an endpoint.
+    """Set or clear the ``leaving`` flag of an endpoint.
 
-    Routers keep an endpoint out for the rest of its generation, so taking it back
-    raises the generation.
+    Routers exclude a leaving endpoint for the rest of its generation, so clearing
+    the flag increments the generation.
     """
-    asked = addresses_of(routers, needed=False)
-    publisher = _current(log)
+    addresses = router_addresses(routers, required=False)
+    publisher = _synced_publisher(log)
 
-    def make(fold: Fold) -> dict[str, Any]:
+    def make_record(fold: Fold) -> dict[str, Any]:
         config = fold.config
         item = config.endpoints.get(endpoint)
         if item is None:
-            known = ", ".join(config.endpoints) or "none"
-            raise BadInputError(f"no endpoint {endpoint}; known: {known}")
+            names = ", ".join(config.endpoints) or "none"
+            raise BadInputError(f"no endpoint {endpoint}; known: {names}")
         generation = item.generation + (item.leaving and not leaving)
         item = replace(item, leaving=leaving, generation=generation)
         endpoints = {**config.endpoints, endpoint: item}
-        document = _file_of(fold, replace(config, endpoints=endpoints))
+        document = _config_document(fold, replace(config, endpoints=endpoints))
         return {**document, "replaces": config.revision}
 
-    decision = publisher.change(make)
-    return _published(decision, asked, IN_FORCE_WITHIN_S)
+    decision = publisher.change(make_record)
+    return _publish_report(decision, addresses, IN_FORCE_TIMEOUT_S)
 
 
-def _file_of(fold: Fold, config: FleetConfig) -> dict[str, Any]:
+def _config_document(fold: Fold, config: FleetConfig) -> dict[str, Any]:
     schema = max(number for number in SCHEMAS if number <= fold.state.highest)
     return {"schema": schema, "config": SCHEMAS[schema].dump(config)}
 
 
 def allow_schema(highest: int, log: str | None, routers: str | None) -> Report:
-    """Raise the highest schema, once all routers understand it."""
+    """Raise the highest allowed schema if all routers support it."""
     if type(highest) is not int or highest < 1:
-        raise BadInputError(f"expected the number of a schema, found {highest!r}")
-    asked = addresses_of(routers)
-    objections = list(_objections(asked, highest))
+        raise BadInputError(f"expected a schema number, found {highest!r}")
+    addresses = router_addresses(routers)
+    objections = list(_objections(addresses, highest))
     if objections:
         text = "\n".join(["nothing was published:", *objections])
         return Report(text, {"objections": objections}, ok=False)
-    publisher = _current(log)
+    publisher = _synced_publisher(log)
     decision = publisher.publish(
         {
             "schema": 1,
@@ -189,18 +191,18 @@
             "replaces": publisher.fold.config.revision,
         }
     )
-    return _published(decision, asked, IN_FORCE_WITHIN_S)
+    return _publish_report(decision, addresses, IN_FORCE_TIMEOUT_S)
 
 
-def _objections(asked: Iterable[Address], highest: int) -> Iterable[str]:
-    """Yield why the fleet cannot change over yet.
+def _objections(addresses: Iterable[Address], highest: int) -> Iterable[str]:
+    """Yield the reasons why the schema cannot be raised yet.
 
-    A router that is not asked may run an old release and would stop following the
-    configuration, so the members that the asked ones see must all be among them.
+    A router running an old release would stop following the configuration. So all
+    members that the queried routers report must be among the queried routers.
     """
     members: set[str] = set()
     hosts: set[str] = set()
-    for address in asked:
+    for address in addresses:
         try:
             status = router_status(address)
             schemas = status["config"]["schemas"]
@@ -210,53 +212,57 @@
             yield f"{address}: {exc}"
             continue
         except (KeyError, TypeError):
-            yield f"{address}: its status does not name the schemas it understands"
+            yield f"{address}: its status does not list the schemas it supports"
             continue
         if highest not in schemas:
-            yield f"{address}: {status['host']} understands schemas {schemas} only"
+            yield f"{address}: {status['host']} supports only schemas {schemas}"
     for host in sorted(members - hosts):
-        yield f"{host}: a member of the fleet that was not asked; add it to --routers"
+        yield f"{host}: a member of the fleet that was not queried; add it to --routers"
 
 
 def restore(file: str, log: str | None, routers: str | None) -> Report:
-    """Start again from a file when nobody knows what is in force.
+    """Restore the configuration from a file when it is lost everywhere.
 
     Raises:
-        PublishError: Somebody does.
+        PublishError: The log or a router still has the configuration in force.
     """
     document = read_config_file(file)
-    asked = addresses_of(routers)
-    for address in asked:
+    addresses = router_addresses(routers)
+    for address in addresses:
         if router_status(address).get("config", {}).get("complete", True):
             raise PublishError(
-                f"{address} knows what is in force and will append a snapshot; use"
-                " `greengage-ctl publish` after that"
+                f"{address} knows the configuration in force and will append a"
+                " snapshot; use `greengage-ctl publish` after that"
             )
     publisher = _publisher(log)
     publisher.refresh()
     if publisher.fold.complete:
-        raise PublishError("the log tells what is in force; use `publish`")
-    # No revision can be larger than the number of records, so this is a later one.
-    revision = publisher.end
+        raise PublishError("the log has the configuration in force; use `publish`")
+    # A revision never exceeds the number of records, so this one is newer than all.
+    revision = publisher.end_offset
     record = SnapshotRecord(
         revision,
-        publisher.end - 1,
-        publisher.end - 1,
+        publisher.end_offset - 1,
+        publisher.end_offset - 1,
         document["schema"],
         document["schema"],
         None,
         "greengage-ctl",
     )
-    config = _merged(State().config, document)
+    config = _merge_document(State().config, document)
     publisher.append(snapshot_document(record, config))
-    spread = await_in_force(asked, revision, IN_FORCE_WITHIN_S)
-    data = {"revision": revision, "in_force": len(spread.done), "asked": len(asked)}
-    text = f"restored as revision {revision}\n{spread_text(spread)}"
-    return Report(text, data, ok=not spread.waiting)
+    rollout = await_in_force(addresses, revision, IN_FORCE_TIMEOUT_S)
+    data = {
+        "revision": revision,
+        "in_force": len(rollout.in_force),
+        "asked": len(addresses),
+    }
+    text = f"restored as revision {revision}\n{rollout_text(rollout)}"
+    return Report(text, data, ok=not rollout.pending)
 
 
 def history(log: str | None, last: int) -> Report:
-    """Show what became of the last records."""
+    """List the outcomes of the last configuration records."""
     if type(last) is not int or last < 1:
         raise BadInputError(f"--last: expected a number above 0, found {last!r}")
     publisher = _publisher(log)
--- a/greengageflow/ops/_ctl_files.py
+++ b/greengageflow/ops/_ctl_files.py
@@ -1,4 +1,4 @@
-"""Files that the operators' command reads."""
+"""Reading of the files given to ``greengage-ctl``."""
 
 import json
 import sys
@@ -15,10 +15,11 @@
 
 
 def read_text(path: str) -> str:
-    """Return the text of a file, ``-`` for the standard input.
+    """Return the text of a file, or of standard input for ``-``.
 
     Raises:
-        ExceptionGroup: Holds the ``OSError`` of a file that cannot be read.
+        ExceptionGroup: Contains the ``OSError`` or ``ValueError`` of a file that
+            cannot be read or decoded.
     """
     if path == "-":
         return sys.stdin.read()
@@ -35,7 +36,7 @@
 
 def _any_value(value: Any, path: str) -> Any:
     return value
-    yield
+    yield  # Makes this a generator, as checks are.
 
 
 _any_value.expected = "an object"
@@ -48,34 +49,38 @@
 
 
 def read_config_file(path: str) -> dict[str, Any]:
-    """Return a checked ``{"schema", "config"}`` and perhaps ``"replaces"``.
+    """Read and validate a configuration file.
+
+    Returns:
+        A dict with the keys ``schema`` and ``config``, and ``replaces`` if given.
 
     Raises:
-        ExceptionGroup: Holds one fault for everything wrong.
+        ExceptionGroup: Contains one ``Fault`` per validation error, or the error of
+            a file that cannot be read.
     """
     document = run(_CHECK, parse_json(read_text(path), path), path)
     parse_config(document["config"], document["schema"])
     return document
 
 
-def read_spans(path: str, identity: str) -> list[Mapping[str, Any]]:
-    """Return the spans of one trace, by its id or the id of its request.
+def read_spans(path: str, trace_or_request: str) -> list[Mapping[str, Any]]:
+    """Return the spans of one trace, selected by trace id or request id.
 
     Raises:
-        ExceptionGroup: Holds the ``OSError`` of a file that cannot be read.
+        ExceptionGroup: Contains the error of a file that cannot be read.
     """
     spans = list(_spans(read_text(path)))
-    traces = {span["trace"] for span in spans if _is_meant(span, identity)}
+    traces = {span["trace"] for span in spans if _matches(span, trace_or_request)}
     return [span for span in spans if span["trace"] in traces]
 
 
-def _is_meant(span: Mapping[str, Any], identity: str) -> bool:
+def _matches(span: Mapping[str, Any], trace_or_request: str) -> bool:
     attributes = span.get("attributes") or {}
-    return identity in (span["trace"], attributes.get("request"))
+    return trace_or_request in (span["trace"], attributes.get("request"))
 
 
 def _spans(text: str) -> Iterator[Mapping[str, Any]]:
-    """Yield spans; other lines, such as one that is cut short, are passed over."""
+    """Yield spans, skipping other lines such as truncated ones."""
     for line in text.splitlines():
         try:
             span = json.loads(line)
--- a/greengageflow/ops/_ctl_text.py
+++ b/greengageflow/ops/_ctl_text.py
@@ -1,4 +1,4 @@
-"""Text that the operators' command prints."""
+"""Formatting of the output of ``greengage-ctl``."""
 
 from collections.abc import Iterable, Iterator, Mapping, Sequence
 from dataclasses import asdict, dataclass, fields
@@ -7,19 +7,19 @@
 
 from greengageflow.core.catalog import FleetConfig
 from greengageflow.core.decisions import Accepted, Adopted, Decision
-from greengageflow.ops.ctl_publish import Spread
+from greengageflow.ops.ctl_publish import Rollout
 
-_PARTS = (("account", "accounts"), ("pool", "pools"), ("endpoint", "endpoints"))
+_SECTIONS = (("account", "accounts"), ("pool", "pools"), ("endpoint", "endpoints"))
 
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """What a command has to say.
+    """Output of a command.
 
     Args:
-        text: For people.
-        data: JSON value, for machines.
-        ok: False for exit status 1.
+        text: Human-readable output.
+        data: JSON value printed with ``--json``.
+        ok: Whether the command succeeded; False gives exit status 1.
     """
 
     text: str
@@ -27,8 +27,8 @@
     ok: bool = True
 
 
-def table(rows: Iterable[Sequence[object]]) -> str:
-    """Return rows as columns of text."""
+def format_table(rows: Iterable[Sequence[object]]) -> str:
+    """Format rows as aligned columns."""
     cells = [[str(cell) for cell in row] for row in rows]
     widths = [max(map(len, column)) for column in zip(*cells, strict=True)]
     lines = (
@@ -39,21 +39,21 @@
 
 
 def differences(old: FleetConfig, new: FleetConfig) -> Iterator[str]:
-    """Yield one line for each thing that differs."""
-    for kind, part in _PARTS:
-        before, after = getattr(old, part), getattr(new, part)
+    """Yield one line per account, pool or endpoint that differs, and the policy."""
+    for kind, section in _SECTIONS:
+        before, after = getattr(old, section), getattr(new, section)
         for name in sorted(before.keys() | after.keys()):
             yield from _difference(f"{kind} {name}", before.get(name), after.get(name))
     yield from _difference("policy", old.policy, new.policy)
 
 
-def _difference(what: str, old: Any, new: Any) -> Iterator[str]:
+def _difference(label: str, old: Any, new: Any) -> Iterator[str]:
     if old is None:
-        yield f"+ {what}: {_values(new)}"
+        yield f"+ {label}: {_values(new)}"
     elif new is None:
-        yield f"- {what}"
+        yield f"- {label}"
     elif old != new:
-        yield f"~ {what}: {_changes(old, new)}"
+        yield f"~ {label}: {_changes(old, new)}"
 
 
 def _values(item: Any) -> str:
@@ -67,7 +67,7 @@
 
 
 def decision_row(decision: Decision, unix_time: float | None) -> dict[str, Any]:
-    """Return one decision as a JSON object."""
+    """Return a decision as a JSON object."""
     outcome = decision.outcome
     when = None
     if unix_time is not None:
@@ -85,12 +85,12 @@
 
 
 def decision_text(decision: Decision) -> str:
-    """Return what became of a record, in one line."""
+    """Describe the outcome of a record in one line."""
     match decision.outcome:
         case Accepted(revision):
             return f"accepted as revision {revision}"
         case Adopted(revision):
-            return f"snapshot, revision {revision} taken from it"
+            return f"snapshot, revision {revision} adopted"
         case outcome:
             verb = type(outcome).__name__.lower()
             return f"{verb}, {outcome.reason}: {outcome.text}"
@@ -99,16 +99,16 @@
 def history_text(
     rows: Iterable[Mapping[str, Any]], decisions: Iterable[Decision]
 ) -> str:
-    """Return a table of decisions."""
+    """Format decisions as a table."""
     lines = [("OFFSET", "TIME", "AUTHOR", "OUTCOME")]
     for row, decision in zip(rows, decisions, strict=True):
         line = row["offset"], row["time"], row["author"] or "-", decision_text(decision)
         lines.append(line)
-    return table(lines)
+    return format_table(lines)
 
 
 def status_text(rows: Mapping[str, Any]) -> str:
-    """Return a table of routers; a text in place of a status is an error."""
+    """Format router statuses as a table; a ``str`` status is an error message."""
     lines = [("ROUTER", "HOST", "ZONE", "STATE", "REVISION", "LOG", "REMARK")]
     for address, status in rows.items():
         if isinstance(status, str):
@@ -116,7 +116,7 @@
             continue
         config = status.get("config", {})
         remark = config.get("halted") or (
-            "" if config.get("complete", True) else "misses records of the log"
+            "" if config.get("complete", True) else "records of the log are missing"
         )
         lines.append(
             (
@@ -129,24 +129,26 @@
                 remark,
             )
         )
-    return table(lines)
+    return format_table(lines)
 
 
-def spread_text(spread: Spread) -> str:
-    """Return on how many routers a revision is in force, and on which it is not."""
-    asked = len(spread.done) + len(spread.waiting)
-    lines = [f"in force on {len(spread.done)} of {asked} after {spread.seconds:.1f} s"]
-    lines += [f"not on {address}: {why}" for address, why in spread.waiting.items()]
+def rollout_text(rollout: Rollout) -> str:
+    """Describe how many routers apply a revision and which ones do not."""
+    total = len(rollout.in_force) + len(rollout.pending)
+    lines = [
+        f"in force on {len(rollout.in_force)} of {total} after {rollout.seconds:.1f} s"
+    ]
+    lines += [f"not on {address}: {why}" for address, why in rollout.pending.items()]
     return "\n".join(lines)
 
 
 def trace_text(spans: Sequence[Mapping[str, Any]]) -> str:
-    """Return spans as a tree, with start and length in milliseconds."""
-    known = {span["span"] for span in spans}
+    """Format spans as a tree, with start and duration in milliseconds."""
+    span_ids = {span["span"] for span in spans}
     children: dict[Any, list[Mapping[str, Any]]] = {}
     for span in sorted(spans, key=lambda item: item["start_ns"]):
-        # A parent in the caller's own process is not in the file.
-        parent = span["parent"] if span["parent"] in known else None
+        # The parent span of the caller is recorded elsewhere, not in this file.
+        parent = span["parent"] if span["parent"] in span_ids else None
         children.setdefault(parent, []).append(span)
     start = min(span["start_ns"] for span in spans)
     rows = [("START", "LENGTH", "HOST", "SPAN")]
@@ -154,9 +156,9 @@
     while stack:
         span, depth = stack.pop()
         rows.append(_span_row(span, depth, start))
-        below = reversed(children.get(span["span"], []))
-        stack += [(child, depth + 1) for child in below]
-    return table(rows)
+        nested = reversed(children.get(span["span"], []))
+        stack += [(child, depth + 1) for child in nested]
+    return format_table(rows)
 
 
 def _span_row(span: Mapping[str, Any], depth: int, start: int) -> tuple[str, ...]:
--- a/greengageflow/ops/_platform_http.py
+++ b/greengageflow/ops/_platform_http.py
@@ -1,4 +1,4 @@
-"""Blocking HTTP calls of the operators' command: the log and the routers."""
+"""Blocking HTTP client of ``greengage-ctl`` for the log and the routers."""
 
 import json
 from collections.abc import Mapping, Sequence
@@ -13,17 +13,17 @@
 from greengageflow.settings_file import Address
 
 _TIMEOUT_S = 5.0
-_PAGE_LENGTH = 50
-_READ_TRIES = 3
+_PAGE_RECORDS = 50
+_MAX_READ_ATTEMPTS = 3
 
 
 class CallError(Exception):
-    """A call brought no answer to work with.
+    """A call failed or returned an unusable response.
 
     Args:
-        message: What happened, with the address.
-        effect_unknown: True when it may have taken effect all the same.
-        retry_after_s: When the other side asked to come back, in seconds.
+        message: Description of the failure, including the address.
+        effect_unknown: True if the call may have taken effect despite the error.
+        retry_after_s: Retry delay requested by the server, in seconds.
     """
 
     def __init__(
@@ -39,16 +39,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Answer:
+class _Response:
     status: int
     value: Any
 
 
 def parse_address(text: str) -> Address:
-    """Return the address in ``ip:port``.
+    """Parse an address of the form ``ip:port``.
 
     Raises:
-        ValueError: It is not an IP number and a port.
+        ValueError: The text is not an IP address and a port.
     """
     ip, _, port = text.strip().rpartition(":")
     ip = ip.strip("[]")
@@ -62,7 +62,7 @@
     return Address(ip, number)
 
 
-def _call(address: Address, method: str, path: str, body: Any = None) -> _Answer:
+def _call(address: Address, method: str, path: str, body: Any = None) -> _Response:
     conn = HTTPConnection(address.ip, address.port, timeout=_TIMEOUT_S)
     sent = False
     try:
@@ -70,36 +70,36 @@
         sent = True
         data = None if body is None else json.dumps(body)
         conn.request(method, path, data, {"Content-Type": "application/json"})
-        answer = conn.getresponse()
-        return _read(answer, address)
+        response = conn.getresponse()
+        return _parse_response(response, address)
     except (OSError, HTTPException) as exc:
-        what = str(exc) or type(exc).__name__
-        raise CallError(f"{address}: {what}", effect_unknown=sent) from None
+        reason = str(exc) or type(exc).__name__
+        raise CallError(f"{address}: {reason}", effect_unknown=sent) from None
     finally:
         conn.close()
 
 
-def _read(answer: HTTPResponse, address: Address) -> _Answer:
-    data = answer.read()
+def _parse_response(response: HTTPResponse, address: Address) -> _Response:
+    data = response.read()
     try:
         value = json.loads(data)
     except (ValueError, RecursionError):
         value = None
-    if answer.status in (200, 410) and isinstance(value, Mapping):
-        return _Answer(answer.status, value)
-    after = answer.getheader("Retry-After", "")
+    if response.status in (200, 410) and isinstance(value, Mapping):
+        return _Response(response.status, value)
+    retry_after = response.getheader("Retry-After", "")
     raise CallError(
-        f"{address}: answered {answer.status}",
-        effect_unknown=answer.status == 200,
-        retry_after_s=float(after) if after.isdigit() else None,
+        f"{address}: answered {response.status}",
+        effect_unknown=response.status == 200,
+        retry_after_s=float(retry_after) if retry_after.isdigit() else None,
     )
 
 
 class BlockingLog:
-    """One stream of the platform's log.
+    """Blocking client of one stream of the platform's log.
 
     Args:
-        address: Where the log listens.
+        address: Address of the log service.
         stream: Name of the stream.
     """
 
@@ -108,47 +108,49 @@
         self._stream = stream
 
     def read(self, from_offset: int) -> Records | OffsetTrimmed:
-        """Return some records from ``from_offset`` on.
+        """Return one page of records starting at ``from_offset``.
 
         Raises:
-            CallError: The log does not answer.
+            CallError: The log is unavailable or its response is invalid.
         """
         path = (
-            f"/streams/{self._stream}/records?from={from_offset}&limit={_PAGE_LENGTH}"
+            f"/streams/{self._stream}/records?from={from_offset}&limit={_PAGE_RECORDS}"
         )
-        answer = self._get(path)
-        value = answer.value
+        response = self._get(path)
+        value = response.value
         try:
             first, end = int(value["first_offset"]), int(value["next_offset"])
-            if answer.status == 410:
+            if response.status == 410:
                 return OffsetTrimmed(first, end)
             records = tuple(LogRecord(**item) for item in value["records"])
         except (KeyError, TypeError, ValueError) as exc:
-            raise CallError(f"the log's answer is broken: {exc!r}") from None
+            raise CallError(f"invalid response from the log: {exc!r}") from None
         return Records(records, first, end)
 
-    def _get(self, path: str) -> _Answer:
-        for _ in range(_READ_TRIES - 1):
+    def _get(self, path: str) -> _Response:
+        for _ in range(_MAX_READ_ATTEMPTS - 1):
             try:
                 return _call(self._address, "GET", path)
             except CallError as exc:
-                # A log that refuses or is down is told at once; a cut answer is not.
+                # Retried only if the response was lost or unreadable. A refusal or an
+                # outage is reported at once.
                 if not exc.effect_unknown:
                     raise
         return _call(self._address, "GET", path)
 
     def append(self, records: Sequence[Any]) -> int:
-        """Append records; return the offset of the first one.
+        """Append records and return the offset of the first one.
 
         Raises:
-            CallError: The log does not answer; see its ``effect_unknown``.
+            CallError: The log is unavailable or its response is invalid;
+                ``effect_unknown`` tells whether the records may be in the log.
         """
         path = f"/streams/{self._stream}/records"
-        answer = _call(self._address, "POST", path, {"records": list(records)})
+        response = _call(self._address, "POST", path, {"records": list(records)})
         try:
-            return int(answer.value["first_offset"])
+            return int(response.value["first_offset"])
         except (KeyError, TypeError, ValueError) as exc:
-            message = f"the log's answer is broken: {exc!r}"
+            message = f"invalid response from the log: {exc!r}"
             raise CallError(message, effect_unknown=True) from None
 
 
@@ -156,11 +158,11 @@
     """Return the status object of a router.
 
     Args:
-        address: The callers' side of the router.
-        request: Id of a request to tell about, or empty.
+        address: Address that callers connect to.
+        request: Id of a request to include, or empty.
 
     Raises:
-        CallError: The router does not answer.
+        CallError: The router is unreachable or its response is invalid.
     """
     query = f"?request={quote(request, safe='')}" if request else ""
     return _call(address, "GET", f"/status{query}").value
--- a/greengageflow/ops/ctl.py
+++ b/greengageflow/ops/ctl.py
@@ -1,4 +1,4 @@
-"""``greengage-ctl``: the operators' command."""
+"""``greengage-ctl``: the command-line tool for operators."""
 
 import json as json_module
 import os
@@ -13,26 +13,31 @@
 from fire.parser import DefaultParseValue
 
 from greengageflow.ops import _ctl_config, _ctl_fleet
-from greengageflow.ops._ctl_config import IN_FORCE_WITHIN_S, BadInputError
+from greengageflow.ops._ctl_config import IN_FORCE_TIMEOUT_S, BadInputError
 from greengageflow.ops._ctl_files import read_config_file, read_text
 from greengageflow.ops._ctl_text import Report
 from greengageflow.ops._platform_http import CallError
 from greengageflow.ops.ctl_orders import OrderError, make_order
 from greengageflow.ops.ctl_publish import PublishError
-from greengageflow.ops.explain import read_files, story_data, story_text, tell
+from greengageflow.ops.explain import (
+    build_timeline,
+    read_files,
+    timeline_data,
+    timeline_text,
+)
 from greengageflow.settings import example_settings, load_settings
 
-FAILED = 1
-BAD_INPUT = 2
+EXIT_FAILED = 1
+EXIT_BAD_INPUT = 2
 
 
 @dataclass(frozen=True, slots=True)
-class _Planned:
-    """A command that was parsed and not run yet.
+class _ParsedCommand:
+    """A parsed command that has not run yet.
 
-    Fire calls a command before it finds that arguments are left over, so that
-    ``publish FILE --typo`` would publish and then complain. What it calls only
-    returns this, and ``main`` runs it once the whole line was understood.
+    Fire calls a command before it rejects leftover arguments, so
+    ``publish FILE --typo`` would publish and then fail. Command methods therefore
+    only return this object, and ``main`` runs it after the whole line was parsed.
     """
 
     _run: Callable[[], Report]
@@ -40,19 +45,19 @@
 
 
 class SettingsCommands:
-    """Settings files of routers."""
+    """Work with router settings files."""
 
-    def example(self) -> _Planned:
-        """Print a working settings file.
+    def example(self) -> _ParsedCommand:
+        """Print an example settings file.
 
         Example:
             greengage-ctl settings example > r1.json
         """
-        return _Planned(lambda: Report(example_settings()))
+        return _ParsedCommand(lambda: Report(example_settings()))
 
     @SetParseFn(str, "file")
-    def check(self, file: str, *, json: bool = False) -> _Planned:
-        """Tell everything that is wrong in a settings file.
+    def check(self, file: str, *, json: bool = False) -> _ParsedCommand:
+        """Validate a settings file and list all errors.
 
         Example:
             greengage-ctl settings check r1.json
@@ -60,13 +65,13 @@
 
         def run() -> Report:
             host = load_settings(file).host
-            return Report(f"{file}: good, host {host}", {"host": host})
+            return Report(f"{file}: valid, host {host}", {"host": host})
 
-        return _Planned(run, json)
+        return _ParsedCommand(run, json)
 
 
 class OrderCommands:
-    """Orders to engines; their results come with ``list``."""
+    """Send orders to engines and list their results."""
 
     @SetParseFn(str, "endpoint", "model", "adapter", "version", "log")
     def load(
@@ -78,7 +83,7 @@
         version: str = "",
         log: str | None = None,
         json: bool = False,
-    ) -> _Planned:
+    ) -> _ParsedCommand:
         """Order an engine to load a model, an adapter or a version.
 
         Example:
@@ -91,12 +96,12 @@
             )
             return _ctl_fleet.order(order, log)
 
-        return _Planned(run, json)
+        return _ParsedCommand(run, json)
 
     @SetParseFn(str, "endpoint", "role", "log")
     def role(
         self, endpoint: str, role: str, *, log: str | None = None, json: bool = False
-    ) -> _Planned:
+    ) -> _ParsedCommand:
         """Order an engine to change its role.
 
         Example:
@@ -106,24 +111,24 @@
         def run() -> Report:
             return _ctl_fleet.order(make_order(endpoint, "role", role=role), log)
 
-        return _Planned(run, json)
+        return _ParsedCommand(run, json)
 
     @SetParseFn(str, "routers")
-    def list(self, *, routers: str | None = None, json: bool = False) -> _Planned:
-        """Show the orders that routers know of, with their results.
+    def list(self, *, routers: str | None = None, json: bool = False) -> _ParsedCommand:
+        """List the orders that routers report, with their results.
 
         Example:
             greengage-ctl order list --routers=10.0.0.1:8080,10.0.0.2:8080
         """
-        return _Planned(lambda: _ctl_fleet.orders(routers), json)
+        return _ParsedCommand(lambda: _ctl_fleet.orders(routers), json)
 
 
 class Commands:
-    """Drives a fleet of greengageflow routers.
+    """Operates a fleet of greengageflow routers.
 
-    The log and the routers are given by --log=IP:PORT and --routers=IP:PORT,IP:PORT
-    or by GREENGAGE_LOG and GREENGAGE_ROUTERS. With --json the answer is a JSON value.
-    Exit status: 0 done; 1 refused, lost, or not in force everywhere; 2 bad input.
+    The log and the routers are set with --log=IP:PORT and --routers=IP:PORT,IP:PORT
+    or with GREENGAGE_LOG and GREENGAGE_ROUTERS. With --json the output is JSON.
+    Exit status: 0 success; 1 refused, lost, or not in force everywhere; 2 bad input.
 
     Example:
         greengage-ctl validate fleet.json
@@ -138,11 +143,11 @@
         self.order = OrderCommands()
 
     @SetParseFn(str, "file")
-    def validate(self, file: str, *, json: bool = False) -> _Planned:
-        """Tell everything that is wrong in a configuration file.
+    def validate(self, file: str, *, json: bool = False) -> _ParsedCommand:
+        """Validate a configuration file and list all errors.
 
-        The file holds {"schema": 1 or 2, "config": {...}}; with "replaces" it is
-        published only over that very revision.
+        The file contains {"schema": 1 or 2, "config": {...}}. With "replaces", it is
+        accepted only if that revision is in force.
 
         Example:
             greengage-ctl validate fleet.json
@@ -150,29 +155,29 @@
 
         def run() -> Report:
             schema = read_config_file(file)["schema"]
-            return Report(f"{file}: good, schema {schema}", {"schema": schema})
+            return Report(f"{file}: valid, schema {schema}", {"schema": schema})
 
-        return _Planned(run, json)
+        return _ParsedCommand(run, json)
 
     @SetParseFn(str, "file", "log")
     def diff(
         self, file: str, *, log: str | None = None, json: bool = False
-    ) -> _Planned:
-        """Show what publishing a file would change.
+    ) -> _ParsedCommand:
+        """Compare a configuration file with the configuration in force.
 
         Example:
             greengage-ctl diff fleet.json --log=10.0.0.9:9000
         """
-        return _Planned(lambda: _ctl_config.diff(file, log), json)
+        return _ParsedCommand(lambda: _ctl_config.diff(file, log), json)
 
     @SetParseFn(str, "log")
-    def show(self, *, log: str | None = None) -> _Planned:
-        """Print the configuration in force, as a file that can be published.
+    def show(self, *, log: str | None = None) -> _ParsedCommand:
+        """Print the configuration in force in the format that publish reads.
 
         Example:
             greengage-ctl show --log=10.0.0.9:9000 > fleet.json
         """
-        return _Planned(lambda: _ctl_config.show(log), True)
+        return _ParsedCommand(lambda: _ctl_config.show(log), True)
 
     @SetParseFn(str, "file", "log", "routers")
     def publish(
@@ -181,18 +186,20 @@
         *,
         log: str | None = None,
         routers: str | None = None,
-        within_s: float = IN_FORCE_WITHIN_S,
+        within_s: float = IN_FORCE_TIMEOUT_S,
         json: bool = False,
-    ) -> _Planned:
+    ) -> _ParsedCommand:
         """Publish a configuration file and wait until it is in force.
 
-        Tells whether it was accepted or lost to another one, and which of the
+        Shows whether it was accepted or lost to a concurrent change, and which
         routers have it in force after at most within_s seconds.
 
         Example:
             greengage-ctl publish fleet.json --log=10.0.0.9:9000 --routers=10.0.0.1:8080
         """
-        return _Planned(lambda: _ctl_config.publish(file, log, routers, within_s), json)
+        return _ParsedCommand(
+            lambda: _ctl_config.publish(file, log, routers, within_s), json
+        )
 
     @SetParseFn(str, "endpoint", "log", "routers")
     def drain(
@@ -202,13 +209,15 @@
         log: str | None = None,
         routers: str | None = None,
         json: bool = False,
-    ) -> _Planned:
-        """Let an endpoint finish what it runs and give it no new work.
+    ) -> _ParsedCommand:
+        """Stop sending new requests to an endpoint; running ones finish.
 
         Example:
             greengage-ctl drain scribe-3 --log=10.0.0.9:9000 --routers=10.0.0.1:8080
         """
-        return _Planned(lambda: _ctl_config.drain(endpoint, True, log, routers), json)
+        return _ParsedCommand(
+            lambda: _ctl_config.drain(endpoint, True, log, routers), json
+        )
 
     @SetParseFn(str, "endpoint", "log", "routers")
     def undrain(
@@ -218,13 +227,15 @@
         log: str | None = None,
         routers: str | None = None,
         json: bool = False,
-    ) -> _Planned:
-        """Give an endpoint work again, as a new generation of it.
+    ) -> _ParsedCommand:
+        """Send requests to a drained endpoint again, as a new generation.
 
         Example:
             greengage-ctl undrain scribe-3 --log=10.0.0.9:9000
         """
-        return _Planned(lambda: _ctl_config.drain(endpoint, False, log, routers), json)
+        return _ParsedCommand(
+            lambda: _ctl_config.drain(endpoint, False, log, routers), json
+        )
 
     @SetParseFn(str, "log", "routers")
     def allow_schema(
@@ -234,13 +245,15 @@
         log: str | None = None,
         routers: str | None = None,
         json: bool = False,
-    ) -> _Planned:
-        """Allow records of a higher schema, once all routers understand it.
+    ) -> _ParsedCommand:
+        """Allow records of a higher schema if all routers support it.
 
         Example:
             greengage-ctl allow-schema 2 --log=10.0.0.9:9000 --routers=10.0.0.1:8080
         """
-        return _Planned(lambda: _ctl_config.allow_schema(highest, log, routers), json)
+        return _ParsedCommand(
+            lambda: _ctl_config.allow_schema(highest, log, routers), json
+        )
 
     @SetParseFn(str, "file", "log", "routers")
     def restore(
@@ -250,45 +263,47 @@
         log: str | None = None,
         routers: str | None = None,
         json: bool = False,
-    ) -> _Planned:
-        """Start again from a file when nobody knows what is in force.
+    ) -> _ParsedCommand:
+        """Restore the configuration from a file when it is lost everywhere.
 
-        Refused while the log or one of the routers knows it.
+        Refused while the log or a router still has the configuration in force.
 
         Example:
             greengage-ctl restore fleet.json --log=10.0.0.9:9000 --routers=10.0.0.1:8080
         """
-        return _Planned(lambda: _ctl_config.restore(file, log, routers), json)
+        return _ParsedCommand(lambda: _ctl_config.restore(file, log, routers), json)
 
     @SetParseFn(str, "log")
     def history(
         self, *, log: str | None = None, last: int = 20, json: bool = False
-    ) -> _Planned:
-        """Show what became of the last records, refused ones included.
+    ) -> _ParsedCommand:
+        """List the outcomes of the last records, including refused ones.
 
         Example:
             greengage-ctl history --last=50 --log=10.0.0.9:9000
         """
-        return _Planned(lambda: _ctl_config.history(log, last), json)
+        return _ParsedCommand(lambda: _ctl_config.history(log, last), json)
 
     @SetParseFn(str, "routers")
-    def status(self, *, routers: str | None = None, json: bool = False) -> _Planned:
-        """Show every router; status 1 unless all answer with one revision.
+    def status(
+        self, *, routers: str | None = None, json: bool = False
+    ) -> _ParsedCommand:
+        """Show each router; exit status 1 unless all report the same revision.
 
         Example:
             greengage-ctl status --routers=10.0.0.1:8080,10.0.0.2:8080
         """
-        return _Planned(lambda: _ctl_fleet.status(routers), json)
+        return _ParsedCommand(lambda: _ctl_fleet.status(routers), json)
 
     @SetParseFn(DefaultParseValue, "json")
     @SetParseFn(str)
     def explain(
         self, request: str, *files: str, routers: str | None = None, json: bool = False
-    ) -> _Planned:
-        """Tell the way of one request, by its id.
+    ) -> _ParsedCommand:
+        """Show the timeline of one request, by its id.
 
-        Files hold collected output of routers; - is the standard input. Without
-        files, the routers are asked what they know.
+        Files contain collected router logs; - is standard input. Without files, the
+        routers are queried for the state of the request.
 
         Example:
             greengage-ctl explain 7f3c r1.log r2.log
@@ -298,41 +313,41 @@
         def run() -> Report:
             if not files:
                 return _ctl_fleet.explain(request, routers)
-            story = tell(request, read_files(files))
-            text = story_text(request, story)
-            return Report(text, story_data(story), ok=bool(story.attempts))
+            timeline = build_timeline(request, read_files(files))
+            text = timeline_text(request, timeline)
+            return Report(text, timeline_data(timeline), ok=bool(timeline.attempts))
 
-        return _Planned(run, json)
+        return _ParsedCommand(run, json)
 
     @SetParseFn(str, "id", "file")
-    def trace(self, id: str, *, file: str, json: bool = False) -> _Planned:
-        """Show the spans of one trace, or of one request, as a tree.
+    def trace(self, id: str, *, file: str, json: bool = False) -> _ParsedCommand:
+        """Show the spans of a trace or a request as a tree.
 
         Example:
             greengage-ctl trace 4bf92f3577b34da6a3ce929d0e0e4736 --file=spans.jsonl
         """
-        return _Planned(lambda: _ctl_fleet.trace(id, file), json)
+        return _ParsedCommand(lambda: _ctl_fleet.trace(id, file), json)
 
     @SetParseFn(str, "key")
-    def hash_key(self, key: str) -> _Planned:
-        """Print the hash of a bearer key, for "key_hashes"; - reads the key.
+    def hash_key(self, key: str) -> _ParsedCommand:
+        """Print the hash of a bearer key for "key_hashes"; - reads standard input.
 
         Example:
             greengage-ctl hash-key - < key.txt
         """
 
         def run() -> Report:
-            plain = read_text(key).strip() if key == "-" else key
-            return Report(sha256(plain.encode()).hexdigest())
+            key_text = read_text(key).strip() if key == "-" else key
+            return Report(sha256(key_text.encode()).hexdigest())
 
-        return _Planned(run)
+        return _ParsedCommand(run)
 
 
 def _serialize(component: Any) -> Any:
-    return None if isinstance(component, _Planned) else component
+    return None if isinstance(component, _ParsedCommand) else component
 
 
-def _faults(group: ExceptionGroup) -> Iterator[str]:
+def _error_lines(group: ExceptionGroup) -> Iterator[str]:
     for exc in group.exceptions:
         yield f"{group.message}: {exc}"
 
@@ -344,39 +359,39 @@
         print(report.text)
 
 
-def _run(planned: _Planned) -> int:
+def _run(command: _ParsedCommand) -> int:
     try:
-        report = planned._run()
+        report = command._run()
     except ExceptionGroup as group:
-        print("\n".join(_faults(group)), file=sys.stderr)
-        return BAD_INPUT
+        print("\n".join(_error_lines(group)), file=sys.stderr)
+        return EXIT_BAD_INPUT
     except (BadInputError, OrderError) as exc:
         print(exc, file=sys.stderr)
-        return BAD_INPUT
+        return EXIT_BAD_INPUT
     except (CallError, PublishError) as exc:
         print(exc, file=sys.stderr)
-        return FAILED
+        return EXIT_FAILED
     except KeyboardInterrupt:
         print("interrupted; see `greengage-ctl history`", file=sys.stderr)
-        return FAILED
-    _print(report, planned._json)
-    return 0 if report.ok else FAILED
+        return EXIT_FAILED
+    _print(report, command._json)
+    return 0 if report.ok else EXIT_FAILED
 
 
-def _with_dash(args: list[str]) -> list[str]:
-    # Fire takes "-" for the end of a command's arguments; here it is the standard
-    # input. No argument of a process can hold the separator given instead.
+def _fire_args(args: list[str]) -> list[str]:
+    # Fire treats "-" as its argument separator, but here "-" is standard input. A NUL
+    # byte replaces it, which no process argument can contain.
     return [*args, *(() if "--" in args else ("--",)), "--separator=\0"]
 
 
 def main() -> None:
     """Run the program."""
-    # On a terminal, help would start a pager, which is a process of its own.
+    # On a terminal, fire would show help in a pager, a separate process.
     os.environ["PAGER"] = "-"
-    args = _with_dash(sys.argv[1:])
-    planned = fire.Fire(Commands(), args, name="greengage-ctl", serialize=_serialize)
-    if isinstance(planned, _Planned):
-        sys.exit(_run(planned))
+    args = _fire_args(sys.argv[1:])
+    command = fire.Fire(Commands(), args, name="greengage-ctl", serialize=_serialize)
+    if isinstance(command, _ParsedCommand):
+        sys.exit(_run(command))
 
 
 if __name__ == "__main__":
--- a/greengageflow/ops/ctl_orders.py
+++ b/greengageflow/ops/ctl_orders.py
@@ -1,4 +1,4 @@
-"""``greengage-ctl order``: orders to engines, appended to the log."""
+"""Creation of engine orders and their submission to the log."""
 
 from collections.abc import Callable, Iterable, Mapping
 from getpass import getuser
@@ -7,14 +7,14 @@
 
 from greengageflow.core.orders import Order, to_json
 
-APPEND_TRIES = 5
+MAX_APPEND_ATTEMPTS = 5
 
 Append = Callable[[list[Any]], int]
-"""Appends records to the stream of orders and returns the first offset."""
+"""Appends records to the order stream and returns the first offset."""
 
 
 class OrderError(ValueError):
-    """An order that cannot be given."""
+    """The arguments of an order are missing or inconsistent."""
 
 
 def make_order(
@@ -35,44 +35,46 @@
         model: Model to load.
         adapter: Adapter to load.
         version: Version to load.
-        role: Role to take.
-        author: Who orders it; the user of this process when empty.
+        role: Role to switch to.
+        author: Author of the order; the user of this process if empty.
 
     Raises:
-        OrderError: Something is missing or does not belong together.
+        OrderError: Arguments are missing or inconsistent.
     """
     match op:
         case "load" if role:
-            raise OrderError("a load has no role")
+            raise OrderError("a load order takes no role")
         case "load" if not (model or adapter):
-            raise OrderError("a load needs a model or an adapter")
+            raise OrderError("a load order requires a model or an adapter")
         case "role" if not role:
-            raise OrderError("a change of role needs the role")
+            raise OrderError("a role order requires a role")
         case "role" if model or adapter or version:
-            raise OrderError("a change of role loads nothing")
+            raise OrderError("a role order takes no model, adapter or version")
         case "load" | "role":
             pass
         case _:
             raise OrderError(f"expected load or role, found {op!r}")
     if not endpoint:
-        raise OrderError("an order needs an endpoint")
-    who = author or getuser()
-    return Order(uuid4().hex, endpoint, op, model, adapter, version, role, who)
+        raise OrderError("an order requires an endpoint")
+    author_name = author or getuser()
+    return Order(uuid4().hex, endpoint, op, model, adapter, version, role, author_name)
 
 
-def give(order: Order, append: Append, *, tries: int = APPEND_TRIES) -> int:
-    """Append an order and return its offset.
+def append_order(
+    order: Order, append: Append, *, max_attempts: int = MAX_APPEND_ATTEMPTS
+) -> int:
+    """Append an order to the log and return its offset.
 
-    An append whose answer is lost is repeated: the order keeps its id, and a copy
-    is not run again.
+    An append with unknown outcome is retried. This is safe because the order keeps
+    its id, and duplicates of an order are not executed.
 
     Args:
         order: The order.
-        append: Appends to the stream of orders; ``OSError`` or an exception with
-            a true ``effect_unknown`` says that the records may be in the log.
-        tries: Most appends.
+        append: Appends to the order stream. An ``OSError``, or an exception with a
+            true ``effect_unknown``, means that the records may be in the log.
+        max_attempts: Maximum number of appends.
     """
-    for _ in range(tries - 1):
+    for _ in range(max_attempts - 1):
         try:
             return append([to_json(order)])
         except Exception as exc:
@@ -82,27 +84,29 @@
     return append([to_json(order)])
 
 
-def merged(statuses: Iterable[Mapping[str, Any]], id_: str = "") -> list[dict]:
-    """Return the orders in the status of several routers, one row an order.
+def merge_orders(
+    statuses: Iterable[Mapping[str, Any]], order_id: str = ""
+) -> list[dict]:
+    """Merge the orders reported by several routers into one row per order.
 
-    The routers differ in how far they have read; a result, and else the newest
-    claim, tells more.
+    Routers may have read the log up to different offsets. The row with a result
+    wins, otherwise the one with the newest claim.
 
     Args:
-        statuses: What ``/status`` of routers told.
-        id_: The only order to return, or empty.
+        statuses: Responses of the routers' ``/status``.
+        order_id: Id of the only order to return; empty for all orders.
     """
     rows: dict[str, dict] = {}
     for status in statuses:
         for row in status.get("orders", ()):
-            if id_ not in ("", row["id"]):
+            if order_id not in ("", row["id"]):
                 continue
-            known = rows.get(row["id"])
-            if known is None or _told(row) > _told(known):
+            current = rows.get(row["id"])
+            if current is None or _progress(row) > _progress(current):
                 rows[row["id"]] = dict(row)
     return sorted(rows.values(), key=lambda row: row["offset"])
 
 
-def _told(row: Mapping[str, Any]) -> tuple[bool, bool, int]:
+def _progress(row: Mapping[str, Any]) -> tuple[bool, bool, int]:
     result = row["result"]
     return bool(result), result != "unknown", row["fencing"]
--- a/greengageflow/ops/decision_lines.py
+++ b/greengageflow/ops/decision_lines.py
@@ -1,4 +1,4 @@
-"""Reads decision lines back from collected output of several hosts."""
+"""Parses decision log lines from the collected output of several hosts."""
 
 from collections import Counter
 from collections.abc import Iterable, Iterator, Mapping
@@ -9,11 +9,11 @@
 
 from greengageflow.net.decision_events import DecisionEvent
 
-_MARK = '"GG7'
-_BUCKETS_PER_S = 10
-_HEAD = ("time", "up", "line", "host", "boot", "event", "name")
+_EVENT_MARKER = '"GG7'
+_OFFSET_BUCKETS_PER_S = 10
+_HEADER_FIELDS = ("time", "up", "line", "host", "boot", "event", "name")
 _EVENTS = {event.number: event for event in DecisionEvent}
-_decoder = JSONDecoder()
+_JSON_DECODER = JSONDecoder()
 
 
 @dataclass(frozen=True, slots=True)
@@ -21,20 +21,20 @@
     """One line of the decision log.
 
     Args:
-        event: What was decided.
+        event: Type of the decision.
         host: Host of the router.
-        boot: Tells one life of that router's process from the next.
-        number: Position among the lines of that life.
-        up: Steady clock of the host, in seconds.
-        unix_time: Time of day of the host, in seconds; it may step.
-        fields: Everything else that the line says.
+        boot: Id of the router process, new at every start.
+        number: Sequence number among the lines of that process.
+        monotonic_s: Monotonic clock of the host, in seconds.
+        unix_time: Wall clock of the host, in seconds; it may jump.
+        fields: All other fields of the line.
     """
 
     event: DecisionEvent
     host: str
     boot: str
     number: int
-    up: float
+    monotonic_s: float
     unix_time: float
     fields: Mapping[str, Any]
 
@@ -44,74 +44,76 @@
         return str(self.fields.get("request") or "")
 
     @property
-    def life(self) -> tuple[str, str]:
-        """The life of a router's process that wrote it."""
+    def incarnation(self) -> tuple[str, str]:
+        """Host and boot id of the router process that wrote the line."""
         return self.host, self.boot
 
 
 def decision_lines(text: Iterable[str]) -> Iterator[DecisionLine]:
     """Yield the decision lines in collected text.
 
-    A collector may put words before the object, other programs' lines come between,
-    and a process that was killed leaves half a line that the next one continues.
+    Collectors may prefix the JSON object with text and interleave lines of other
+    programs. A killed process leaves a partial line that the next line continues.
     """
     for row in text:
-        if _MARK in row:
-            yield from _lines_in(row)
+        if _EVENT_MARKER in row:
+            yield from _parse_row(row)
 
 
-def _lines_in(row: str) -> Iterator[DecisionLine]:
+def _parse_row(row: str) -> Iterator[DecisionLine]:
     start = row.find("{")
     while start >= 0:
         try:
-            value, end = _decoder.raw_decode(row, start)
+            value, end = _JSON_DECODER.raw_decode(row, start)
         except (ValueError, RecursionError):
             end = start + 1
         else:
-            if line := _line(value):
+            if line := _parse_line(value):
                 yield line
         start = row.find("{", end)
 
 
-def _line(value: Mapping[str, Any]) -> DecisionLine | None:
+def _parse_line(value: Mapping[str, Any]) -> DecisionLine | None:
     try:
-        _, up, number, host, boot, event, _ = (value[name] for name in _HEAD)
+        _, monotonic_s, number, host, boot, event, _ = (
+            value[name] for name in _HEADER_FIELDS
+        )
         return DecisionLine(
             event=_EVENTS[event],
             host=str(host),
             boot=str(boot),
             number=int(number),
-            up=float(up),
+            monotonic_s=float(monotonic_s),
             unix_time=datetime.fromisoformat(value["time"]).timestamp(),
-            fields={name: value[name] for name in value if name not in _HEAD},
+            fields={name: value[name] for name in value if name not in _HEADER_FIELDS},
         )
     except (KeyError, TypeError, ValueError):
         return None
 
 
-class Clocks:
-    """Times of lines, by the steady clock of each host.
+class ClockOffsets:
+    """Computes line times from the monotonic clock of each host.
 
-    The time of day of a host may step, and lines before and after the step would
-    change places in the story. So a line's time is its steady time plus the offset
-    that most lines of the same life have. Clocks of two hosts may still differ.
+    The wall clock of a host may jump, which would reorder lines from before and
+    after the jump. So a line's time is its monotonic time plus the most frequent
+    offset among the lines of the same process. The clocks of two hosts may differ.
     """
 
     def __init__(self) -> None:
         self._offsets: dict[tuple[str, str], Counter[int]] = {}
-        self._exact: dict[tuple[tuple[str, str], int], float] = {}
+        self._first_offsets: dict[tuple[tuple[str, str], int], float] = {}
 
-    def learn(self, line: DecisionLine) -> None:
-        """Take a line's offset into account."""
-        offset = line.unix_time - line.up
-        bucket = round(offset * _BUCKETS_PER_S)
-        self._offsets.setdefault(line.life, Counter())[bucket] += 1
-        self._exact.setdefault((line.life, bucket), offset)
+    def record_offset(self, line: DecisionLine) -> None:
+        """Count the offset between the wall and monotonic clocks of a line."""
+        offset = line.unix_time - line.monotonic_s
+        bucket = round(offset * _OFFSET_BUCKETS_PER_S)
+        self._offsets.setdefault(line.incarnation, Counter())[bucket] += 1
+        self._first_offsets.setdefault((line.incarnation, bucket), offset)
 
     def time(self, line: DecisionLine) -> float:
-        """Return when a line was written, in seconds since 1970."""
-        offsets = self._offsets.get(line.life)
+        """Return the time of a line, in seconds since the Unix epoch."""
+        offsets = self._offsets.get(line.incarnation)
         if not offsets:
             return line.unix_time
         bucket, _ = offsets.most_common(1)[0]
-        return line.up + self._exact[line.life, bucket]
+        return line.monotonic_s + self._first_offsets[line.incarnation, bucket]
--- a/tests/test_ctl.py
+++ b/tests/test_ctl.py
@@ -24,7 +24,7 @@
 
 @contextmanager
 def router(**status):
-    """A router that answers ``/status`` and nothing else."""
+    """Serve ``status`` as the ``/status`` response of a router."""
 
     class Handler(BaseHTTPRequestHandler):
         def do_GET(self):
@@ -77,7 +77,7 @@
     return [item["record"] for item in log.call("GET", STREAM).json["records"]]
 
 
-def test_publish_tells_where_it_is_in_force(log, run, file):
+def test_publish_reports_routers_that_applied_the_revision(log, run, file):
     path = file({"schema": 1, "config": CONFIG})
     with (
         router(config={"revision": 1}) as new,
@@ -94,9 +94,9 @@
     assert "not on 127.0.0.1:1: " in text
 
 
-def test_the_loser_of_a_race_is_told(log, run, file):
-    """Two operators publish over revision 0. The first is accepted; the second is told
-    that it lost and by what, with status 1, and the log's history names both.
+def test_lost_publish_race_is_reported(log, run, file):
+    """Two operators replace revision 0. The first is accepted; the second gets exit
+    status 1 and the revision it lost to. The history lists both records.
     """
     document = {"schema": 1, "replaces": 0, "config": CONFIG}
     assert run("publish", file(document))[0] == 0
@@ -109,10 +109,9 @@
     assert "rejected, lost" in text
 
 
-def test_a_lost_answer_of_the_log_is_found_in_the_log(log, run, file):
-    """The log takes the record, and its answer is lost. The operator is told that the
-    record was accepted, and it stands in the log once: it was found by its nonce, not
-    blindly appended again.
+def test_append_with_lost_response_is_found_by_its_nonce(log, run, file):
+    """The log appends the record, but its response is lost. The publisher finds the
+    record by its nonce instead of appending a duplicate, and reports it as accepted.
     """
     log.fault(lose_answers=1, only="append")
     code, text = run("publish", file({"schema": 1, "config": CONFIG}))
@@ -122,23 +121,23 @@
     assert run("history")[0] == 0
 
 
-def test_an_append_that_shows_up_late_counts_once(log):
-    """The log takes a record late, after it was appended again. Both copies are in the
-    log; the first is accepted and the second lost, and the operator hears of the first.
+def test_delayed_append_is_counted_once(log):
+    """The first append takes effect only when the retry arrives, so the log contains
+    two copies. The first is accepted, the second lost; the first one is reported.
     """
 
-    class Late(BlockingLog):
+    class DelayedLog(BlockingLog):
         appends = 0
 
         def append(self, values):
             self.appends += 1
             if self.appends == 1:
-                self.late = values
+                self.delayed = values
                 raise CallError("no answer", effect_unknown=True)
-            super().append(self.late)
+            super().append(self.delayed)
             return super().append(values)
 
-    publisher = Publisher(Late(Address(*log.address)))
+    publisher = Publisher(DelayedLog(Address(*log.address)))
     decision = publisher.publish({"schema": 1, "replaces": 0, "config": CONFIG})
     assert decision.outcome == Accepted(1)
     assert decision.offset == 0
@@ -147,8 +146,10 @@
 
 def test_an_outage_of_the_log_is_reported(log):
     log.fault(down=True)
-    publisher = Publisher(BlockingLog(Address(*log.address)), patience_s=0.1)
-    with pytest.raises(PublishError, match="log unavailable .* 503.*may still get"):
+    publisher = Publisher(BlockingLog(Address(*log.address)), retry_timeout_s=0.1)
+    with pytest.raises(
+        PublishError, match="log unavailable .* 503.*may still be appended"
+    ):
         publisher.publish({"schema": 1, "replaces": 0, "config": CONFIG})
 
 
@@ -174,9 +175,9 @@
 
 
 def test_a_schema_is_allowed_only_when_all_routers_understand_it(log, run, file):
-    """One router runs an old release, or is a member that nobody asked. Were schema 2
-    allowed, that router would stop at the first such record, and its callers would be
-    served by an old configuration. So nothing is published until all agree.
+    """One router runs an old release, or a member is missing in ``--routers``. With
+    schema 2 allowed, such a router would halt at the first record of that schema and
+    keep an outdated configuration. So nothing is published until all support it.
     """
     new = {"host": "r1", "config": {"schemas": [1, 2], "revision": 1}}
     old = {"host": "r2", "config": {"schemas": [1], "revision": 1}}
@@ -188,7 +189,7 @@
         router(**new) as alone,
     ):
         code, text = run("allow-schema", 2, f"--routers={first},{second}")
-        assert (code, "r2 understands schemas [1] only" in text) == (1, True)
+        assert (code, "r2 supports only schemas [1]" in text) == (1, True)
         code, text = run("allow-schema", 2, f"--routers={first}")
         assert (code, "r2: a member" in text) == (1, True)
         assert run("allow-schema", 2, f"--routers={alone},127.0.0.1:1")[0] == 1
@@ -198,9 +199,9 @@
 
 
 def test_a_fleet_that_lost_its_records_is_restored_from_a_file(run, file, monkeypatch):
-    """All routers and the log have lost what was in force. Publishing is refused, as
-    nobody could judge it; the operator restores a file instead. While one router still
-    knows, that is refused too, since it would turn its configuration back.
+    """All routers and the log lost the configuration in force. ``publish`` is refused,
+    since its record cannot be decided; ``restore`` works instead. While one router
+    still has the configuration, ``restore`` is refused, since it would revert it.
     """
     document = file({"schema": 1, "config": CONFIG})
     with standin("log", keep_records=1) as log:
@@ -214,14 +215,14 @@
             router(config={"revision": 3, "complete": False}) as empty,
         ):
             code, text = run("restore", document, f"--routers={empty},{whole}")
-            assert (code, "knows what is in force" in text) == (1, True)
+            assert (code, "knows the configuration in force" in text) == (1, True)
             assert run("restore", document, f"--routers={empty}")[0] == 0
         assert run("publish", document)[0] == 0
         last = log.call("GET", f"{STREAM}?from=4").json["records"][0]
         assert last["record"]["replaces"] == 3
 
 
-def test_bad_input_is_named_without_a_traceback(run, file, monkeypatch):
+def test_bad_input_is_reported_without_a_traceback(run, file, monkeypatch):
     monkeypatch.setenv("GREENGAGE_LOG", "127.0.0.1:1")
     good = file({"schema": 1, "config": {}}, "good.json")
     broken = file('{"schema": 1,', "broken.json")
@@ -252,7 +253,7 @@
         assert "Traceback" not in text
 
 
-def test_status_and_explain_read_what_routers_tell(run):
+def test_status_and_explain_report_router_statuses(run):
     same = {"revision": 4, "log": "up", "complete": True}
     first = {"host": "r1", "zone": "z1", "state": "running", "config": same}
     with (
@@ -291,7 +292,7 @@
         ]
 
 
-def test_settings_name_every_fault_at_once(run, file):
+def test_settings_check_reports_every_fault_at_once(run, file):
     good = json.loads(example_settings())
     assert parse_settings(good | {"statsd": None}).peer_ip == "127.0.0.1"
     bad = {
