--- a/greengageflow/lab/_capacity_gateway.py
+++ b/greengageflow/lab/_capacity_gateway.py
@@ -8,16 +8,16 @@
 from greengageflow.lab._capacity_overload import overload_part
 from greengageflow.lab._processes import ROOT
 
-SAVED = ROOT / "docs" / "gateway-slopes.json"
-RATE = 7.5
-BUDGET_BYTES = 30e3
-BUDGET_CORE = 0.02
-BUDGET_MEMORY = 32e6
+SAVED_PATH = ROOT / "docs" / "gateway-slopes.json"
+REQUESTS_PER_S = 7.5
+BUDGET_BYTES_PER_S = 30e3
+BUDGET_CORE_SHARE = 0.02
+BUDGET_MEMORY_BYTES = 32e6
 
 
 def gateway_part() -> Iterator[str]:
     """Yield the lines of the section."""
-    document = json.loads(SAVED.read_text())
+    document = json.loads(SAVED_PATH.read_text())
     rows = document["rows"]
     yield HEAD.format(**document)
     yield TABLE
@@ -36,14 +36,14 @@
     over = [
         name
         for name, value, budget in (
-            ("core", core, BUDGET_CORE),
-            ("out", row["bytes_out"], BUDGET_BYTES),
-            ("in", row["bytes_in"], BUDGET_BYTES),
-            ("memory", row["memory"], BUDGET_MEMORY),
+            ("core", core, BUDGET_CORE_SHARE),
+            ("out", row["bytes_out"], BUDGET_BYTES_PER_S),
+            ("in", row["bytes_in"], BUDGET_BYTES_PER_S),
+            ("memory", row["memory"], BUDGET_MEMORY_BYTES),
         )
         if value > budget
     ]
-    low, high = (100 * (edge + row["sockets"]) for edge in _edges(row["cores"]))
+    low, high = (100 * (edge + row["sockets"]) for edge in _min_max(row["cores"]))
     cells = (
         f"{row['routers']}",
         row["role"],
@@ -56,7 +56,7 @@
     return f"| {' | '.join(cells)} |"
 
 
-def _edges(values: list[float]) -> tuple[float, float]:
+def _min_max(values: list[float]) -> tuple[float, float]:
     return min(values), max(values)
 
 
@@ -64,8 +64,8 @@
     before = document.get("before")
     if before is None:
         return
-    when, load = before["date"], before["load"]
-    yield f"\nBefore sums of changes ({when}, load average {load}):\n"
+    date, load = before["date"], before["load"]
+    yield f"\nBefore sums of changes ({date}, load average {load}):\n"
     yield TABLE.strip().split("\n\n")[-1]
     yield from map(_row, before["rows"])
 
@@ -78,9 +78,9 @@
     for row in document["rows"]:
         by_size.setdefault(row["routers"], []).append(row)
     for routers, rows in by_size.items():
-        zone, whole = (max(r[k] for r in rows) for k in ("zone_sum", "largest"))
+        zone, largest = (max(r[k] for r in rows) for k in ("zone_sum", "largest"))
         dropped = sum(r["dropped"] for r in rows)
-        yield f"| {routers} | {zone or 'none'} | {whole} | {dropped:.0f} |"
+        yield f"| {routers} | {zone or 'none'} | {largest} | {dropped:.0f} |"
     low, high = _last_two(by_size)
     slope = (high[1] - low[1]) / (high[0] - low[0])
     limit = high[0] + (60_000 - high[1]) / slope
@@ -101,24 +101,28 @@
 
 def _store(rows: list[Mapping[str, Any]]) -> Iterator[str]:
     for routers in dict.fromkeys(row["routers"] for row in rows):
-        here = [row for row in rows if row["routers"] == routers]
-        zones = here[0]["zones"]
-        count = {"relay that reads the store": zones, "second relay": zones}
-        per = {row["role"]: row["calls"] for row in here}
-        whole = sum(
-            calls * count.get(role, routers - 2 * zones) for role, calls in per.items()
+        fleet_rows = [row for row in rows if row["routers"] == routers]
+        zones = fleet_rows[0]["zones"]
+        routers_by_role = {"relay that reads the store": zones, "second relay": zones}
+        calls_by_role = {row["role"]: row["calls"] for row in fleet_rows}
+        total = sum(
+            calls * routers_by_role.get(role, routers - 2 * zones)
+            for role, calls in calls_by_role.items()
         )
-        cells = (routers, zones, *(f"{calls:.2f}" for calls in per.values()))
-        yield f"| {' | '.join(map(str, cells))} | {3 / 0.9 * zones:.1f} | {whole:.0f} |"
+        cells = (routers, zones, *(f"{calls:.2f}" for calls in calls_by_role.values()))
+        yield f"| {' | '.join(map(str, cells))} | {3 / 0.9 * zones:.1f} | {total:.0f} |"
 
 
 def _log(log: Mapping[str, float]) -> Iterator[str]:
     yield "\n### Decision log\n"
     yield "| requests/s a node | lines/s | KB/s | core % |"
     yield "| --- | --- | --- | --- |"
-    for rate in (RATE, 2 * RATE):
-        lines, size = rate * log["lines"], rate * log["bytes"] / 1000
-        yield f"| {rate:g} | {lines:.0f} | {size:.1f} | {100 * rate * log['cpu']:.3f} |"
+    for rate in (REQUESTS_PER_S, 2 * REQUESTS_PER_S):
+        lines, kilobytes = rate * log["lines"], rate * log["bytes"] / 1000
+        yield (
+            f"| {rate:g} | {lines:.0f} | {kilobytes:.1f} |"
+            f" {100 * rate * log['cpu']:.3f} |"
+        )
     yield (
         f"\nTwo lines and {log['bytes']:.0f} bytes an answered request, "
         f"{1e6 * log['cpu']:.0f} µs with the flush to a file; the budget of 200 lines "
--- a/greengageflow/lab/_capacity_overload.py
+++ b/greengageflow/lab/_capacity_overload.py
@@ -30,18 +30,18 @@
     yield HEAD
     for name in RUNS:
         path = ROOT / "docs" / f"overload-{name}.json"
-        yield from _run(name, json.loads(path.read_text()))
+        yield from _run_section(name, json.loads(path.read_text()))
 
 
-def _run(name: str, run: Mapping[str, Any]) -> Iterator[str]:
-    ends = run["endpoints"]
+def _run_section(name: str, run: Mapping[str, Any]) -> Iterator[str]:
+    endpoints = run["endpoints"]
     yield f"#### {name}\n"
     yield (
         f"{run['date']}, load average {run['load_average'][0]:g} to "
-        f"{run['load_average'][1]:g}; {run['gateways']} gateway, {ends['count']} "
-        f"endpoints of {ends['slots']} slots and {ends['work_ms']:g} ms, which give at "
-        f"most {ends['capacity']:g} requests/s. [Data](overload-{name}.json), "
-        f"[plot](overload-{name}.svg)."
+        f"{run['load_average'][1]:g}; {run['gateways']} gateway, {endpoints['count']} "
+        f"endpoints of {endpoints['slots']} slots and {endpoints['work_ms']:g} ms, "
+        f"which give at most {endpoints['capacity']:g} requests/s. "
+        f"[Data](overload-{name}.json), [plot](overload-{name}.svg)."
     )
     yield TABLE
     yield from map(_row, run["phases"], (seconds for _, seconds in PHASES))
--- a/greengageflow/lab/_capacity_rows.py
+++ b/greengageflow/lab/_capacity_rows.py
@@ -5,19 +5,19 @@
 from math import exp
 from typing import Any
 
-BUDGET_CPU = 20_000.0
+BUDGET_CPU_US_PER_S = 20_000.0
 """Microseconds of processor time per second: 2% of a core."""
-BUDGET_BYTES = 30_000.0
-BUDGET_MEMORY = 32e6
-STREAMS = 16
-APPENDS_A_STREAM = 10.0
-KEY_KEPT_S = 600.0
-OWNED_MOST = 8
-OWNERS_ASKED = 16
-NEIGHBOURS = 18
-COLLECTORS = 37
-IDLE_S = 10.0
-WRITTEN_MOST = 2
+BUDGET_BYTES_PER_S = 30_000.0
+BUDGET_MEMORY_BYTES = 32e6
+ACTION_STREAMS = 16
+MAX_APPENDS_PER_STREAM_S = 10.0
+KEY_RETENTION_S = 600.0
+MAX_OWNED_ENDPOINTS = 8
+MAX_OWNERS_PER_DEMAND = 16
+RING_NEIGHBOURS = 18
+COLLECTOR_CONNECTIONS = 37
+IDLE_TIMEOUT_S = 10.0
+MAX_WRITTEN_STREAMS = 2
 
 
 @dataclass(frozen=True, slots=True)
@@ -69,15 +69,15 @@
         return self.accounts * (1 - exp(-self.in_flight / self.accounts))
 
     @property
-    def keys_a_stream(self) -> float:
+    def keys_per_stream(self) -> float:
         """Idempotency keys that the writer of one stream remembers."""
-        return self.requests * self.protected * KEY_KEPT_S / STREAMS
+        return self.requests * self.protected * KEY_RETENTION_S / ACTION_STREAMS
 
     @property
     def appends(self) -> float:
         """Appends per second of all protected actions, two records each."""
         records = 2 * self.requests * self.protected
-        return min(STREAMS * APPENDS_A_STREAM, records)
+        return min(ACTION_STREAMS * MAX_APPENDS_PER_STREAM_S, records)
 
 
 class Slopes:
@@ -90,20 +90,20 @@
     def __init__(self, entries: Mapping[str, Mapping[str, Any]]) -> None:
         self._entries = entries
 
-    def of(self, name: str) -> float:
+    def slope(self, name: str) -> float:
         """Return the slope of a fitted line."""
         return self._entries[name]["slope"]
 
-    def at(self, name: str, driver: float) -> float:
+    def predict(self, name: str, driver: float) -> float:
         """Return the outcome predicted by the fitted line at ``driver``."""
         entry = self._entries[name]
         return entry["intercept"] + entry["slope"] * driver
 
-    def all(self, name: str) -> list[float]:
+    def outcomes(self, name: str) -> list[float]:
         """Return the measured outcomes of all points."""
         return [outcome for _, outcome in self._entries[name]["points"]]
 
-    def point(self, name: str, driver: float) -> float:
+    def measured_at(self, name: str, driver: float) -> float:
         """Return the outcome measured at ``driver``."""
         return dict(self._entries[name]["points"])[driver]
 
@@ -133,7 +133,7 @@
     busiest: "Row | None" = None
 
     @property
-    def most(self) -> "Row":
+    def at_busiest(self) -> "Row":
         """The row of the busiest node."""
         return self.busiest or self
 
@@ -160,25 +160,25 @@
     yield Row(
         "entry queue, per request",
         "one owner asked first, late binding of the grant",
-        rate * s.of("entry/requests/cpu_us"),
-        rate * s.of("entry/requests/bytes_out"),
-        rate * s.of("entry/requests/bytes_in"),
-        rate * s.of("entry/requests/messages_out"),
+        rate * s.slope("entry/requests/cpu_us"),
+        rate * s.slope("entry/requests/bytes_out"),
+        rate * s.slope("entry/requests/bytes_in"),
+        rate * s.slope("entry/requests/messages_out"),
     )
-    held = s.of("entry/waiting requests/memory_bytes") * 64 * size.backlogged
+    memory = s.slope("entry/waiting requests/memory_bytes") * 64 * size.backlogged
     name = "entry/backlogged accounts/"
-    demand_bytes = s.at(f"{name}bytes_out", size.backlogged)
+    demand_bytes = s.predict(f"{name}bytes_out", size.backlogged)
     yield Row(
         "entry queue, backlog",
         "absolute demand at no more than 16 owners, told again every 4 to 8 s",
-        s.at(f"{name}cpu_us", size.backlogged),
+        s.predict(f"{name}cpu_us", size.backlogged),
         demand_bytes,
         demand_bytes,
-        s.at(f"{name}messages_out", size.backlogged),
-        held,
+        s.predict(f"{name}messages_out", size.backlogged),
+        memory,
     )
     yield _owner_row(
-        s, size, size.replicas / size.nodes, _owner_row(s, size, OWNED_MOST)
+        s, size, size.replicas / size.nodes, _owner_row(s, size, MAX_OWNED_ENDPOINTS)
     )
 
 
@@ -187,18 +187,18 @@
 ) -> Row:
     grants = size.requests / size.replicas * endpoints
     owners = size.nodes * (1 - exp(-size.replicas / size.nodes))
-    routers = OWNERS_ASKED * size.nodes / owners
+    routers = MAX_OWNERS_PER_DEMAND * size.nodes / owners
     slots = size.requests * (size.answer_s + 1) / size.replicas * endpoints
-    book = s.of("owner/entry routers/memory_bytes") * routers
+    demand_memory = s.slope("owner/entry routers/memory_bytes") * routers
     return Row(
         "endpoint owner",
         "rendezvous owner grants to the account served least",
-        grants * s.of("owner/grants/cpu_us")
-        + s.at("owner/owned endpoints/cpu_us", endpoints),
-        grants * s.of("owner/grants/bytes_out"),
-        grants * s.of("owner/grants/bytes_in"),
+        grants * s.slope("owner/grants/cpu_us")
+        + s.predict("owner/owned endpoints/cpu_us", endpoints),
+        grants * s.slope("owner/grants/bytes_out"),
+        grants * s.slope("owner/grants/bytes_in"),
         grants,
-        slots * s.of("owner/slots in use/memory_bytes") + book,
+        slots * s.slope("owner/slots in use/memory_bytes") + demand_memory,
         busiest,
     )
 
@@ -206,7 +206,9 @@
 def _fleet_rows(s: Slopes, size: Size) -> Iterator[Row]:
     def shares(which: str, memory: float, busiest: Row | None = None) -> Row:
         names = ("cpu_us", "bytes_out", "bytes_in", "messages_out")
-        values = [s.point(f"shares/routers/{n}_{which}", size.nodes) for n in names]
+        values = [
+            s.measured_at(f"shares/routers/{n}_{which}", size.nodes) for n in names
+        ]
         return Row(
             "service counters",
             "64 shards summed by zone; the interval grows with the fleet",
@@ -216,32 +218,32 @@
         )
 
     name = "shares/routers of the zone/memory_bytes"
-    held = s.at(name, size.nodes / size.zones)
-    yield shares("mean", held, shares("busiest", held))
+    memory = s.predict(name, size.nodes / size.zones)
+    yield shares("mean", memory, shares("busiest", memory))
     values = [
-        s.at(f"membership/members/{n}", size.nodes)
+        s.predict(f"membership/members/{n}", size.nodes)
         for n in ("cpu_us", "bytes_out", "bytes_in", "messages_out")
     ]
-    held = s.at("membership/members known/memory_bytes", size.nodes)
+    memory = s.predict("membership/members known/memory_bytes", size.nodes)
     yield Row(
-        "membership, quiet", "probes of the ring, news riding on them", *values, held
+        "membership, quiet", "probes of the ring, news riding on them", *values, memory
     )
     changes = (52 * 3 + 8 * 2) / 86_400
-    cost = s.at("view/members/member_lost_us", size.nodes)
+    cost = s.predict("view/members/member_lost_us", size.nodes)
     yield Row(
         "placement, 60 hosts a day",
         "rendezvous over one view; no election, no message",
         changes * cost,
-        memory=s.at("view/members/memory_bytes", size.nodes),
+        memory=s.predict("view/members/memory_bytes", size.nodes),
     )
 
 
 def _config_rows(s: Slopes, size: Size) -> Iterator[Row]:
     name = "configuration/endpoints/"
     rate = size.changes / 86_400
-    cost = s.at(f"{name}fold_us", size.replicas)
-    cost += s.at(f"{name}take_over_us", size.replicas)
-    state = s.at(f"{name}state_bytes", size.replicas)
+    cost = s.predict(f"{name}fold_us", size.replicas)
+    cost += s.predict(f"{name}take_over_us", size.replicas)
+    state = s.predict(f"{name}state_bytes", size.replicas)
     yield Row(
         "configuration",
         "fold of the log; 2 readers a zone, others fetch a peer's state",
@@ -249,16 +251,16 @@
         rate * state,
         rate * state,
         2 * rate,
-        2 * s.at(f"{name}memory_bytes", size.replicas),
+        2 * s.predict(f"{name}memory_bytes", size.replicas),
     )
     hosts = size.nodes + size.replicas
     interval = max(2.0, size.nodes / 5.0)
     yield Row(
         "host list",
         "5 readings a second by the whole fleet",
-        s.at("host list/hosts/cpu_us", hosts) / interval,
+        s.predict("host list/hosts/cpu_us", hosts) / interval,
         0.0,
-        s.at("host list/hosts/bytes", hosts) / interval,
+        s.predict("host list/hosts/bytes", hosts) / interval,
     )
 
 
@@ -268,28 +270,30 @@
     yield Row(
         "protected actions, entry",
         "first intent in the log may send",
-        rate * s.of(f"{name}entry_cpu_us"),
-        rate * s.of(f"{name}entry_bytes_out"),
-        rate * s.of(f"{name}entry_bytes_in"),
+        rate * s.slope(f"{name}entry_cpu_us"),
+        rate * s.slope(f"{name}entry_bytes_out"),
+        rate * s.slope(f"{name}entry_bytes_in"),
         2 * rate,
     )
-    yield _writer_row(s, size, STREAMS / size.nodes, _writer_row(s, size, WRITTEN_MOST))
+    yield _writer_row(
+        s, size, ACTION_STREAMS / size.nodes, _writer_row(s, size, MAX_WRITTEN_STREAMS)
+    )
 
 
 def _writer_row(
     s: Slopes, size: Size, streams: float, busiest: Row | None = None
 ) -> Row:
-    rate = size.requests * size.protected / STREAMS * streams
+    rate = size.requests * size.protected / ACTION_STREAMS * streams
     name = "actions/actions a second/"
-    held = size.keys_a_stream * s.of("actions/keys/memory_bytes")
+    memory = size.keys_per_stream * s.slope("actions/keys/memory_bytes")
     return Row(
         "protected actions, writer",
         "16 streams, each with one writer that appends for all",
-        rate * s.of(f"{name}writer_cpu_us"),
-        rate * s.of(f"{name}writer_bytes_out"),
-        rate * s.of(f"{name}writer_bytes_in"),
+        rate * s.slope(f"{name}writer_cpu_us"),
+        rate * s.slope(f"{name}writer_bytes_out"),
+        rate * s.slope(f"{name}writer_bytes_in"),
         2 * rate,
-        streams * held,
+        streams * memory,
         busiest,
     )
 
@@ -302,8 +306,12 @@
     neighbours.
     """
     owners = size.nodes * (1 - exp(-size.replicas / size.nodes))
-    spoken = IDLE_S * size.node_requests + OWNERS_ASKED * size.backlogged
-    return owners * (1 - exp(-spoken / owners)) + COLLECTORS + NEIGHBOURS
+    contacts = (
+        IDLE_TIMEOUT_S * size.node_requests + MAX_OWNERS_PER_DEMAND * size.backlogged
+    )
+    return (
+        owners * (1 - exp(-contacts / owners)) + COLLECTOR_CONNECTIONS + RING_NEIGHBOURS
+    )
 
 
 def _link_row(s: Slopes, size: Size, rows: list[Row]) -> Row:
@@ -311,10 +319,10 @@
         return Row(
             "link",
             "ZeroMQ, one connection a peer and way, closed when idle",
-            messages * s.of("link/messages a second/cpu_us"),
-            memory=connections(size) * s.of("link/connections/memory_bytes"),
+            messages * s.slope("link/messages a second/cpu_us"),
+            memory=connections(size) * s.slope("link/connections/memory_bytes"),
             busiest=busiest,
         )
 
-    most = sum(row.most.messages for row in rows)
-    return link(sum(row.messages for row in rows), link(most))
+    busiest_messages = sum(row.at_busiest.messages for row in rows)
+    return link(sum(row.messages for row in rows), link(busiest_messages))
--- a/greengageflow/lab/_capacity_sweep.py
+++ b/greengageflow/lab/_capacity_sweep.py
@@ -8,7 +8,7 @@
 from greengageflow.lab._processes import ROOT
 from greengageflow.lab.slopes_fit import fit_line
 
-SAVED = ROOT / "docs" / "sweep-large.txt"
+SAVED_PATH = ROOT / "docs" / "sweep-large.txt"
 NODES = 360
 BUDGETS = {"processor %": 2.0, "memory MB": 32.0, "kB a second": 30.0}
 
@@ -66,12 +66,14 @@
         ValueError: The output has no table of fleet sizes.
     """
     lines = text.splitlines()
-    heads = [at for at, line in enumerate(lines) if line.lstrip().startswith("30 ")]
-    if not heads:
+    header_lines = [
+        index for index, line in enumerate(lines) if line.lstrip().startswith("30 ")
+    ]
+    if not header_lines:
         raise ValueError("no table of fleet sizes in the sweep output")
-    sizes = tuple(int(size) for size in re.findall(r"\d+", lines[heads[0]])[:-1])
+    sizes = tuple(int(size) for size in re.findall(r"\d+", lines[header_lines[0]])[:-1])
     rows = []
-    for line in lines[heads[0] + 1 :]:
+    for line in lines[header_lines[0] + 1 :]:
         cells = re.findall(r"(\d+(?:\.\d+)?) / (\d+(?:\.\d+)?)", line)
         if len(cells) == len(sizes):
             name = re.split(r"\s{2,}", line.strip())[0].removeprefix("router: ")
@@ -79,7 +81,7 @@
     return Sweep(lines[0], sizes, tuple(rows))
 
 
-def carried_on(sizes: tuple[int, ...], values: tuple[float, ...], to: int) -> float:
+def extrapolate(sizes: tuple[int, ...], values: tuple[float, ...], to: int) -> float:
     """Extrapolate values to another fleet size by a power-law fit.
 
     Where a value is not positive, the last value is returned unchanged.
@@ -87,12 +89,12 @@
     if min(values) <= 0:
         return values[-1]
     points = [(log(x), log(y)) for x, y in zip(sizes, values, strict=True)]
-    return exp(fit_line(points).at(log(to)))
+    return exp(fit_line(points).predict(log(to)))
 
 
 def sweep_part() -> Iterator[str]:
     """Yield the lines of the section."""
-    sweep = read_sweep(SAVED.read_text())
+    sweep = read_sweep(SAVED_PATH.read_text())
     yield HEAD.format(
         sizes=", ".join(map(str, sweep.sizes)),
         origin=sweep.origin,
@@ -106,15 +108,19 @@
 
 
 def _line(sizes: tuple[int, ...], row: SweepRow) -> str:
-    ends = [carried_on(sizes, values, NODES) for values in zip(*row.cells, strict=True)]
-    cells = [f"{middle:g}, {most:g}" for middle, most in row.cells]
+    extrapolated = [
+        extrapolate(sizes, values, NODES) for values in zip(*row.cells, strict=True)
+    ]
+    cells = [f"{median:g}, {busiest:g}" for median, busiest in row.cells]
     budget = BUDGETS.get(row.name)
-    fits = ["", ""] if budget is None else [f"{budget:g}", _verdict(budget, *ends)]
-    columns = [row.name, *cells, f"{ends[0]:.3g}, {ends[1]:.3g}", *fits]
+    fits = (
+        ["", ""] if budget is None else [f"{budget:g}", _verdict(budget, *extrapolated)]
+    )
+    columns = [row.name, *cells, f"{extrapolated[0]:.3g}, {extrapolated[1]:.3g}", *fits]
     return f"| {' | '.join(columns)} |"
 
 
-def _verdict(budget: float, middle: float, most: float) -> str:
-    if most <= budget:
+def _verdict(budget: float, median: float, busiest: float) -> str:
+    if busiest <= budget:
         return "yes"
-    return "the middle one" if middle <= budget else "**no**"
+    return "the middle one" if median <= budget else "**no**"
--- a/greengageflow/lab/_gateway_log.py
+++ b/greengageflow/lab/_gateway_log.py
@@ -13,19 +13,19 @@
 
 def measure_log(lines: int = 20_000) -> dict[str, float]:
     """Return the bytes and processor seconds of the two log lines per request."""
-    costs, written = [], 0
+    costs, bytes_per_request = [], 0
     for _ in range(WINDOWS):
         with TemporaryFile() as file:
             log = DecisionLog(file.fileno(), "node-001", 1e9, 1 << 30)
-            began = process_time()
+            start = process_time()
             for number in range(lines):
                 _log_request(log, f"7f3a-{number:08d}")
                 if number % 2 == 0:
                     log.flush()
             log.flush()
-            costs.append((process_time() - began) / lines)
-            written = fstat(file.fileno()).st_size / lines
-    return {"lines": 2, "bytes": written, "cpu": median(costs)}
+            costs.append((process_time() - start) / lines)
+            bytes_per_request = fstat(file.fileno()).st_size / lines
+    return {"lines": 2, "bytes": bytes_per_request, "cpu": median(costs)}
 
 
 def _log_request(log: DecisionLog, request: str) -> None:
--- a/greengageflow/lab/_gateway_world.py
+++ b/greengageflow/lab/_gateway_world.py
@@ -30,18 +30,18 @@
 from greengageflow.net.report_codec import CHANGES, SUM, WANTED, encode
 
 TICK_S = 0.05
-PACE_S = read_interval_s(2.0)
-TELL_PLACED_S = 0.3
-WAY_S = 0.002
-STORE_S = 0.003
-ANSWER_S = 15.4
-FIRST_S = 1.0
+STORE_READ_INTERVAL_S = read_interval_s(2.0)
+PLACEMENT_WINDOW_S = 0.3
+NETWORK_DELAY_S = 0.002
+STORE_DELAY_S = 0.003
+ANSWER_DURATION_S = 15.4
+FIRST_EVENT_S = 1.0
 SERVICES = 6
 SHARED_PARTS = 2000
-HOLDERS = 4
-SUMS = (SUM, CHANGES, WANTED)
-NEWEST = Response(200, (), b'{"items": [], "end": 0}')
-NOTHING_NEW = Response(200, (), bytes(16))
+ENDPOINTS_PER_PART = 4
+SUM_KINDS = (SUM, CHANGES, WANTED)
+NEWEST_RESPONSE = Response(200, (), b'{"items": [], "end": 0}')
+EMPTY_READ_RESPONSE = Response(200, (), bytes(16))
 
 Address = tuple[str, int]
 
@@ -69,31 +69,31 @@
 
 
 @dataclass(slots=True)
-class Spent:
+class NodeUsage:
     """Resource usage of one node.
 
     Args:
-        cpu: Processor seconds.
-        out: Datagrams sent.
-        taken: Datagrams received.
+        cpu_s: Processor seconds.
+        sent: Datagrams sent.
+        received: Datagrams received.
         bytes_out: Bytes sent.
-        bytes_taken: Bytes received.
+        bytes_received: Bytes received.
         largest: Bytes of the largest datagram, dropped ones included.
         dropped: Datagrams dropped because they exceed the size limit.
-        calls: Store calls.
-        sums: Bytes of the largest aggregate by scope: False for a zone's, True for
-            the whole fleet's.
+        store_calls: Store calls.
+        largest_sums: Bytes of the largest aggregate by scope: False for a zone's,
+            True for the whole fleet's.
     """
 
-    cpu: float = 0.0
-    out: int = 0
-    taken: int = 0
+    cpu_s: float = 0.0
+    sent: int = 0
+    received: int = 0
     bytes_out: int = 0
-    bytes_taken: int = 0
+    bytes_received: int = 0
     largest: int = 0
     dropped: int = 0
-    calls: int = 0
-    sums: dict[bool, int] = field(default_factory=dict)
+    store_calls: int = 0
+    largest_sums: dict[bool, int] = field(default_factory=dict)
 
 
 class Node:
@@ -108,8 +108,8 @@
         seeds: Addresses of the seed routers for discovery.
         names: Names of the endpoints and of the accounts.
         rate: Requests per second.
-        whole: Whether the node processes aggregates and reads the store. Nodes that
-            don't only send, which shortens runs of large fleets.
+        processes_sums: Whether the node processes aggregates and reads the store.
+            Other nodes only send, which shortens runs of large fleets.
     """
 
     def __init__(
@@ -120,23 +120,23 @@
         names: tuple[list[str], list[str]],
         rate: float,
         *,
-        whole: bool,
+        processes_sums: bool,
     ) -> None:
-        self.spent = Spent()
+        self.usage = NodeUsage()
         self.profile: Profile | None = None
         self.hosts = 1
         self.own = own
-        self.whole = whole
+        self.processes_sums = processes_sums
         self.world = world
-        self._endpoints, self._accounts = self.shared = names
+        self._endpoints, self._accounts = self.shared_names = names
         self._rate = rate
-        self._numbers = count()
+        self._request_numbers = count()
         self._loads = EndpointLoads()
         for name in self._endpoints:
             self._loads.add(name, "model", 64, 1_000_000)
         self._served: DecayedSums[tuple[str, str]] = DecayedSums(USAGE_DECAY_S)
         self._offered: DecayedSums[tuple[str, str]] = DecayedSums(USAGE_DECAY_S)
-        self._placed: list[tuple[float, str, str]] = []
+        self._placements: list[tuple[float, str, str]] = []
         self._places = PromptPlaces()
         self.exchange = FleetExchange(own, self, self, seeds, self)
         world.nodes[own.address] = self
@@ -151,25 +151,25 @@
             on_update=self.exchange.schedule_report,
             on_read=self.exchange.forward_update,
             on_era=lambda _era: None,
-            poll_interval_s=PACE_S,
+            poll_interval_s=STORE_READ_INTERVAL_S,
             clock=lambda: world.now,
         )
 
-    def begin(self) -> None:
+    def start_traffic(self) -> None:
         """Start the exchange and the arrival of requests."""
         self.exchange.start()
-        for _ in range(round(self._rate * ANSWER_S)):
-            self._request(self.world.random.uniform(0, ANSWER_S))
-        self._arrive()
-        if self.whole:
+        for _ in range(round(self._rate * ANSWER_DURATION_S)):
+            self._request(self.world.random.uniform(0, ANSWER_DURATION_S))
+        self._on_arrival()
+        if self.processes_sums:
             # Staggers store reads: readers in lockstep would be equally stale.
-            first_s = self.world.random.uniform(0, PACE_S)
+            first_s = self.world.random.uniform(0, STORE_READ_INTERVAL_S)
             self.world.at(first_s, lambda: self.every(TICK_S, self._tick))
 
     @property
-    def state(self) -> list[Any]:
+    def state_objects(self) -> list[Any]:
         """Objects that hold the control state."""
-        sums = (self._served, self._offered, self._placed, self._places)
+        sums = (self._served, self._offered, self._placements, self._places)
         return [self.exchange, self._loads, *sums]
 
     # Timers; processor time of the callbacks is charged to this node.
@@ -186,20 +186,22 @@
     def every(self, interval_s: float, call: Callable[[], None]) -> None:
         """Schedule periodic calls with a random initial delay."""
 
-        def again() -> None:
+        def run_and_reschedule() -> None:
             self.timed(call)
-            self.world.at(self.now + interval_s, again)
+            self.world.at(self.now + interval_s, run_and_reschedule)
 
-        self.world.at(self.now + self.world.random.uniform(0, interval_s), again)
+        self.world.at(
+            self.now + self.world.random.uniform(0, interval_s), run_and_reschedule
+        )
 
     def timed(self, call: Callable[..., None], *values: Any) -> None:
         """Call a function and charge its processor time to this node."""
-        began = process_time()
+        start_s = process_time()
         if self.profile is None:
             call(*values)
         else:
             self.profile.runcall(call, *values)
-        self.spent.cpu += process_time() - began
+        self.usage.cpu_s += process_time() - start_s
 
     # Link.
 
@@ -208,40 +210,42 @@
 
     def send(self, address: Address, data: bytes) -> None:
         """Send a datagram as the real link would."""
-        spent = self.spent
-        spent.largest = max(spent.largest, len(data))
+        usage = self.usage
+        usage.largest = max(usage.largest, len(data))
         kind = data[1] if data[0] & 0xF0 == 0x90 else data[3]
         node = self.world.nodes.get(address)
-        if kind in SUMS and node is not None:
+        if kind in SUM_KINDS and node is not None:
             # Aggregates sent within a zone cover the fleet; between zones, one zone.
-            same = node.own.zone == self.own.zone
-            spent.sums[same] = max(spent.sums.get(same, 0), len(data))
+            same_zone = node.own.zone == self.own.zone
+            usage.largest_sums[same_zone] = max(
+                usage.largest_sums.get(same_zone, 0), len(data)
+            )
         if len(data) > MAX_DATAGRAM_BYTES:
-            spent.dropped += 1
+            usage.dropped += 1
             return
-        spent.out += 1
-        spent.bytes_out += len(data)
+        usage.sent += 1
+        usage.bytes_out += len(data)
         if node is not None:
-            self.world.at(self.now + WAY_S, lambda: node.take(data, kind))
+            self.world.at(self.now + NETWORK_DELAY_S, lambda: node.deliver(data, kind))
 
-    def take(self, data: bytes, kind: int) -> None:
+    def deliver(self, data: bytes, kind: int) -> None:
         """Receive a datagram."""
-        self.spent.taken += 1
-        self.spent.bytes_taken += len(data)
-        if self.whole or kind not in SUMS:
+        self.usage.received += 1
+        self.usage.bytes_received += len(data)
+        if self.processes_sums or kind not in SUM_KINDS:
             self.timed(self.exchange.receive, data)
 
     # Store connection.
 
     def fetch(
-        self, asked: HttpRequest, on_done: Callable[[Response], None], _most: int
+        self, request: HttpRequest, on_done: Callable[[Response], None], _max_bytes: int
     ) -> None:
         """Respond to a store call; there is never a new record."""
-        self.spent.calls += 1
-        newest = "newest" in asked.path
-        _, _, wait = asked.path.partition("wait_ms=")
-        answer = NEWEST if newest else NOTHING_NEW
-        self.after(STORE_S + int(wait or 0) / 1000, lambda: on_done(answer))
+        self.usage.store_calls += 1
+        newest = "newest" in request.path
+        _, _, wait = request.path.partition("wait_ms=")
+        answer = NEWEST_RESPONSE if newest else EMPTY_READ_RESPONSE
+        self.after(STORE_DELAY_S + int(wait or 0) / 1000, lambda: on_done(answer))
 
     def _tick(self) -> None:
         self.view.on_tick(self.exchange.store_role, self.exchange.store_states())
@@ -249,30 +253,36 @@
 
     # Requests. They are not control traffic, so their cost is not charged.
 
-    def _arrive(self) -> None:
+    def _on_arrival(self) -> None:
         self._request(0.0)
         after_s = self.world.random.expovariate(self._rate)
-        self.world.at(self.now + after_s, self._arrive)
+        self.world.at(self.now + after_s, self._on_arrival)
 
-    def _request(self, gone_s: float) -> None:
+    def _request(self, elapsed_s: float) -> None:
         random, now = self.world.random, self.now
         part = random.randrange(SHARED_PARTS)
         # Prefix affinity keeps a prompt part on a few endpoints.
-        place = part * HOLDERS + random.randrange(HOLDERS)
-        endpoint = self._endpoints[place % len(self._endpoints)]
+        placement_index = part * ENDPOINTS_PER_PART + random.randrange(
+            ENDPOINTS_PER_PART
+        )
+        endpoint = self._endpoints[placement_index % len(self._endpoints)]
         load = self._loads.get(endpoint)
-        tenth = max(1, len(self._accounts) // 10)
-        pick = random.randrange(tenth if random.random() < 0.5 else len(self._accounts))
-        key = (f"model-{pick % SERVICES}", self._accounts[pick])
-        request = str(next(self._numbers))
+        heavy_accounts = max(1, len(self._accounts) // 10)
+        account_index = random.randrange(
+            heavy_accounts if random.random() < 0.5 else len(self._accounts)
+        )
+        key = (f"model-{account_index % SERVICES}", self._accounts[account_index])
+        request = str(next(self._request_numbers))
         self._served.add(now, key, 1500.0)
         self._offered.add(now, key, 1500.0)
         load.add_request(now, request, 1000.0, 1500.0)
-        if random.random() < 0.5 and not gone_s:
-            self._placed.append((now, f"part-{part:07d}", endpoint))
-        first_s = max(0.0, FIRST_S - gone_s)
+        if random.random() < 0.5 and not elapsed_s:
+            self._placements.append((now, f"part-{part:07d}", endpoint))
+        first_s = max(0.0, FIRST_EVENT_S - elapsed_s)
         self.world.at(now + first_s, lambda: load.on_first_event(now, request))
-        self.world.at(now + ANSWER_S - gone_s, lambda: load.remove_request(request))
+        self.world.at(
+            now + ANSWER_DURATION_S - elapsed_s, lambda: load.remove_request(request)
+        )
 
     # Exchange listener.
 
@@ -302,8 +312,10 @@
     def recent_placements(self) -> Placements:
         """Return the prompt parts placed recently and their endpoints."""
         now = self.now
-        self._placed = [row for row in self._placed if row[0] >= now - TELL_PLACED_S]
-        return tuple(dict.fromkeys(row[1:] for row in self._placed))
+        self._placements = [
+            row for row in self._placements if row[0] >= now - PLACEMENT_WINDOW_S
+        ]
+        return tuple(dict.fromkeys(row[1:] for row in self._placements))
 
     def on_placements(self, placed: Placements) -> None:
         """Record where other routers sent prompt parts."""
@@ -320,9 +332,9 @@
     def on_leaving_report(self, report: LeavingReport) -> None:
         """Ignore the report: no endpoint leaves in this simulation."""
 
-    def on_store_update(self, news: StoreUpdate) -> None:
+    def on_store_update(self, update: StoreUpdate) -> None:
         """Apply an update that another router read from the store."""
-        self.view.apply_update(news)
+        self.view.apply_update(update)
 
     def on_totals(self, totals: FleetTotals) -> None:
         """Apply fleet totals and divide the capacity of each service."""
@@ -331,9 +343,9 @@
         own = dict(self._offered.items(self.now, 1.0))
         for number in range(SERVICES):
             name = f"model-{number}"
-            mine = {a: x for (s, a), x in own.items() if s == name}
-            others = {a: x for (s, a), x in totals.offered.items() if s == name}
-            divide_capacity(mine, others, 1e6)
+            own_demand = {a: x for (s, a), x in own.items() if s == name}
+            other_demand = {a: x for (s, a), x in totals.offered.items() if s == name}
+            divide_capacity(own_demand, other_demand, 1e6)
 
 
 def hello(number: int, zones: int) -> Hello:
@@ -347,9 +359,9 @@
     )
 
 
-def introduce(world: World) -> None:
+def exchange_hellos(world: World) -> None:
     """Deliver the hello of every router to every router."""
-    words = [encode(node.own) for node in world.nodes.values()]
+    hellos = [encode(node.own) for node in world.nodes.values()]
     for node in world.nodes.values():
-        for data in words:
+        for data in hellos:
             node.exchange.receive(data)
--- a/greengageflow/lab/_slopes_actions.py
+++ b/greengageflow/lab/_slopes_actions.py
@@ -10,11 +10,11 @@
 from greengageflow.core.effects import AppendRecords, Effect, MayRun, ReadRecords, Send
 from greengageflow.core.log_records import Appended, LogRecord, Records
 from greengageflow.errors import Ran
-from greengageflow.lab._slopes_world import Cost, Experiment, memory_of, peer
+from greengageflow.lab._slopes_world import CostMeter, Experiment, measure_memory, peer
 from greengageflow.net.wire import decode
 
 _BODY = b"x" * 200
-_SECONDS = 20
+_RUN_S = 20
 _STEP_S = 0.05
 
 
@@ -25,8 +25,8 @@
         self.now = 100.0
         self.entry_peer, self.writer_peer = peer(0), peer(1)
         self.entry_cost, self.writer_cost = (
-            Cost(self.entry_peer),
-            Cost(self.writer_peer),
+            CostMeter(self.entry_peer),
+            CostMeter(self.writer_peer),
         )
         self.writer = ActionWriter()
         self.entry = ActionEntry(
@@ -34,19 +34,21 @@
         )
         self.log: dict[str, list[LogRecord]] = {}
         self.appends: Counter[str] = Counter()
-        self.may_run: list[str] = []
-        self._began = 0
+        self.runnable: list[str] = []
+        self._action_count = 0
 
-    def begin(self) -> None:
+    def begin_action(self) -> None:
         """Begin a protected action."""
-        self._began += 1
-        key = f"account{self._began % 200:03d}\norder-{self._began:08d}"
+        self._action_count += 1
+        key = f"account{self._action_count % 200:03d}\norder-{self._action_count:08d}"
         digest = sha256(key.encode()).hexdigest()
-        until = self.now + 60.0
-        self._from_entry(
+        deadline = self.now + 60.0
+        self._handle_entry_effects(
             self.entry_cost.run(
                 lambda: list(
-                    self.entry.begin(self.now, f"q{self._began}", key, digest, until)
+                    self.entry.begin(
+                        self.now, f"q{self._action_count}", key, digest, deadline
+                    )
                 )
             )
         )
@@ -54,59 +56,61 @@
     def step(self) -> None:
         """Advance by one tick and complete the requests that were allowed to run."""
         self.now += _STEP_S
-        ran, self.may_run = self.may_run, []
-        for request in ran:
-            self._end(request)
-        self._from_writer(
+        ready, self.runnable = self.runnable, []
+        for request in ready:
+            self._finish_request(request)
+        self._handle_writer_effects(
             self.writer_cost.run(lambda: list(self.writer.on_tick(self.now)))
         )
 
-    def _end(self, request: str) -> None:
+    def _finish_request(self, request: str) -> None:
         entry, cost = self.entry, self.entry_cost
         cost.run(lambda: entry.begin_send(self.now, request))
-        found = cost.run(
+        effects = cost.run(
             lambda: list(
                 entry.on_ended(self.now, request, Ran.YES, status=200, body=_BODY)
             )
         )
-        self._from_entry(found)
+        self._handle_entry_effects(effects)
 
-    def _from_entry(self, effects: Iterable[Effect]) -> None:
+    def _handle_entry_effects(self, effects: Iterable[Effect]) -> None:
         effects = list(effects)
-        self.may_run += [one.request for one in effects if isinstance(one, MayRun)]
+        self.runnable += [
+            effect.request for effect in effects if isinstance(effect, MayRun)
+        ]
         for _, data in self.entry_cost.send(effects):
             self.writer_cost.bytes_in += len(data)
-            self._from_writer(
+            self._handle_writer_effects(
                 self.writer_cost.run(
                     lambda data=data: list(self.writer.receive(self.now, *decode(data)))
                 )
             )
 
-    def _from_writer(self, effects: Iterable[Effect]) -> None:
+    def _handle_writer_effects(self, effects: Iterable[Effect]) -> None:
         effects = list(effects)
         for _, data in self.writer_cost.send(effects):
             self.entry_cost.bytes_in += len(data)
-            self._to_entry(data)
+            self._deliver_to_entry(data)
         for effect in effects:
             match effect:
                 case AppendRecords() | ReadRecords():
-                    self._from_writer(
-                        self.writer_cost.run(lambda e=effect: list(self._log_call(e)))
+                    self._handle_writer_effects(
+                        self.writer_cost.run(lambda e=effect: list(self._call_log(e)))
                     )
                 case Send():
                     pass
 
-    def _to_entry(self, data: bytes) -> None:
+    def _deliver_to_entry(self, data: bytes) -> None:
         sender, message = decode(data)
         if hasattr(message, "verdict"):
             verdict = lambda: list(  # noqa: E731
                 self.entry.on_verdict(self.now, sender, message)
             )
-            self._from_entry(self.entry_cost.run(verdict))
+            self._handle_entry_effects(self.entry_cost.run(verdict))
         else:
             self.entry_cost.run(lambda: self.entry.on_stored(message))
 
-    def _log_call(self, effect: AppendRecords | ReadRecords) -> Iterable[Effect]:
+    def _call_log(self, effect: AppendRecords | ReadRecords) -> Iterable[Effect]:
         log = self.log.setdefault(effect.stream, [])
         if isinstance(effect, ReadRecords):
             rows = tuple(log[effect.from_offset :])
@@ -124,23 +128,23 @@
 def actions_rate(rate: int) -> dict[str, float]:
     """Run protected actions at a rate per second, spread over all streams."""
     world = ActionWorld()
-    due = 0.0
-    for _ in range(int(_SECONDS / _STEP_S)):
-        due += rate * _STEP_S
-        while due >= 1:
-            due -= 1
-            world.begin()
+    due_actions = 0.0
+    for _ in range(int(_RUN_S / _STEP_S)):
+        due_actions += rate * _STEP_S
+        while due_actions >= 1:
+            due_actions -= 1
+            world.begin_action()
         world.step()
     entry, writer = world.entry_cost.outcomes, world.writer_cost.outcomes
     assert world.entry.unreported < rate
     return {
-        "entry_cpu_us": entry["cpu_us"] / _SECONDS,
-        "entry_bytes_out": entry["bytes_out"] / _SECONDS,
-        "entry_bytes_in": entry["bytes_in"] / _SECONDS,
-        "writer_cpu_us": writer["cpu_us"] / _SECONDS,
-        "writer_bytes_out": writer["bytes_out"] / _SECONDS,
-        "writer_bytes_in": writer["bytes_in"] / _SECONDS,
-        "appends": sum(world.appends.values()) / _SECONDS,
+        "entry_cpu_us": entry["cpu_us"] / _RUN_S,
+        "entry_bytes_out": entry["bytes_out"] / _RUN_S,
+        "entry_bytes_in": entry["bytes_in"] / _RUN_S,
+        "writer_cpu_us": writer["cpu_us"] / _RUN_S,
+        "writer_bytes_out": writer["bytes_out"] / _RUN_S,
+        "writer_bytes_in": writer["bytes_in"] / _RUN_S,
+        "appends": sum(world.appends.values()) / _RUN_S,
     }
 
 
@@ -159,7 +163,7 @@
         assert partition_of(key)
         return fold
 
-    return {"memory_bytes": memory_of(make)[0]}
+    return {"memory_bytes": measure_memory(make)[0]}
 
 
 def experiments() -> tuple[Experiment, ...]:
--- a/greengageflow/lab/_slopes_config.py
+++ b/greengageflow/lab/_slopes_config.py
@@ -15,7 +15,7 @@
     POOLS,
     Experiment,
     account,
-    memory_of,
+    measure_memory,
     peer,
     view_of,
 )
@@ -56,7 +56,7 @@
     return {"schema": 2, "replaces": 1, "author": "operator", "config": config}
 
 
-def _measured(endpoints: int, accounts: int) -> dict[str, float]:
+def _measure_costs(endpoints: int, accounts: int) -> dict[str, float]:
     text = json.dumps(record(endpoints, accounts))
     fold = Fold()
     fold.apply(0, _ALLOW)
@@ -65,32 +65,32 @@
     folded = process_time()
     document = pack_document(fold.snapshot("r000"))
     packed = process_time()
-    other = Fold()
-    assert other.restore(unpack_document(document))
+    restored_fold = Fold()
+    assert restored_fold.restore(unpack_document(document))
     restored = process_time()
-    _take(fold)
-    taken = process_time()
+    _apply_config(fold)
+    applied = process_time()
     state = encode(peer(0), ConfigState(2, 1, document))
-    held, _ = memory_of(lambda: _folded(text))
+    memory_bytes, _ = measure_memory(lambda: _fold_record(text))
     return {
         "record_bytes": len(text),
         "state_bytes": len(state),
         "fold_us": 1e6 * (folded - start),
         "pack_us": 1e6 * (packed - folded),
         "restore_us": 1e6 * (restored - packed),
-        "take_over_us": 1e6 * (taken - restored),
-        "memory_bytes": held,
+        "take_over_us": 1e6 * (applied - restored),
+        "memory_bytes": memory_bytes,
     }
 
 
-def _folded(text: str) -> Fold:
+def _fold_record(text: str) -> Fold:
     fold = Fold()
     fold.apply(0, _ALLOW)
     fold.apply(1, json.loads(text))
     return fold
 
 
-def _take(fold: Fold) -> None:
+def _apply_config(fold: Fold) -> None:
     own = peer(0)
     ledger = ServiceLedger(own)
     ledger.on_config(fold.config)
@@ -101,12 +101,12 @@
 
 def config_endpoints(endpoints: int) -> dict[str, float]:
     """Measure adopting a configuration by its number of endpoints."""
-    return _measured(endpoints, ACCOUNTS)
+    return _measure_costs(endpoints, ACCOUNTS)
 
 
 def config_accounts(accounts: int) -> dict[str, float]:
     """Measure adopting a configuration by its number of accounts."""
-    return _measured(ENDPOINTS, accounts)
+    return _measure_costs(ENDPOINTS, accounts)
 
 
 def host_list(hosts: int) -> dict[str, float]:
--- a/greengageflow/lab/_slopes_link.py
+++ b/greengageflow/lab/_slopes_link.py
@@ -17,33 +17,38 @@
 _RUN_S = 3.0
 _SETTLE_S = 0.4
 _TICK_S = 0.005
-_APART_S = 0.02
-_PAGE = os.sysconf("SC_PAGE_SIZE")
+_CONNECT_INTERVAL_S = 0.02
+_PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
 
 class LinkWorld:
     """Links on one event loop; the first one sends to all others.
 
     Args:
-        others: Receiving links.
+        receivers: Number of receiving links.
     """
 
-    def __init__(self, others: int) -> None:
+    def __init__(self, receivers: int) -> None:
         self.app = Component()
         EPoll().register(self.app)
         self.timers = Timers().register(self.app)
         self.received = 0
-        self.links = [self._link(number) for number in range(1 + others)]
+        self.links = [self._link(number) for number in range(1 + receivers)]
         for number, link in enumerate(self.links):
             self.links[0].set_address(peer(number).host, _IP, link.port)
 
     def _link(self, number: int) -> PeerLink:
         link = PeerLink(
-            peer(number), _IP, 0, self._take, channel=f"peers{number}", idle_s=600.0
+            peer(number),
+            _IP,
+            0,
+            self._on_message,
+            channel=f"peers{number}",
+            idle_s=600.0,
         )
         return link.register(self.app)
 
-    def _take(self, _sender: PeerId, _message: object) -> None:
+    def _on_message(self, _sender: PeerId, _message: object) -> None:
         self.received += 1
 
     def send(self, number: int) -> None:
@@ -71,21 +76,21 @@
         self.sent = 0
         self.cpu_s = 0.0
         self._start = 0.0
-        world.timers.after(_SETTLE_S, self._begin)
-        world.timers.after(_SETTLE_S + _RUN_S, self._end)
+        world.timers.after(_SETTLE_S, self._start_measuring)
+        world.timers.after(_SETTLE_S + _RUN_S, self._stop_measuring)
 
-    def _begin(self) -> None:
+    def _start_measuring(self) -> None:
         self._start, self.cpu_s = monotonic(), process_time()
-        self.every = self.world.timers.every(_TICK_S, self._on_tick)
+        self._timer = self.world.timers.every(_TICK_S, self._on_tick)
 
     def _on_tick(self) -> None:
         while self.sent < self.rate * (monotonic() - self._start):
             self.world.send(self.sent)
             self.sent += 1
 
-    def _end(self) -> None:
+    def _stop_measuring(self) -> None:
         self.cpu_s = process_time() - self.cpu_s
-        self.every.cancel()
+        self._timer.cancel()
 
 
 def link_messages(rate: int) -> dict[str, float]:
@@ -102,22 +107,22 @@
     gc.collect()
     world = LinkWorld(connections)
     sizes: list[int] = []
-    world.timers.after(_SETTLE_S, lambda: sizes.append(_resident()))
+    world.timers.after(_SETTLE_S, lambda: sizes.append(_resident_bytes()))
     for number in range(connections):
         # Connections are staggered because a message waits at most 1 s for its
         # connection to open.
-        when = 2 * _SETTLE_S + number * _APART_S
+        when = 2 * _SETTLE_S + number * _CONNECT_INTERVAL_S
         world.timers.after(when, partial(world.send, number))
-    end = 4 * _SETTLE_S + connections * _APART_S
-    world.timers.after(end, lambda: sizes.append(_resident()))
+    end = 4 * _SETTLE_S + connections * _CONNECT_INTERVAL_S
+    world.timers.after(end, lambda: sizes.append(_resident_bytes()))
     world.run(end + _SETTLE_S)
     assert world.received == connections, world.received
     return {"memory_bytes": sizes[1] - sizes[0]}
 
 
-def _resident() -> int:
+def _resident_bytes() -> int:
     with open("/proc/self/statm") as file:
-        return int(file.read().split()[1]) * _PAGE
+        return int(file.read().split()[1]) * _PAGE_BYTES
 
 
 def experiments() -> tuple[Experiment, ...]:
--- a/greengageflow/lab/_slopes_members.py
+++ b/greengageflow/lab/_slopes_members.py
@@ -14,21 +14,21 @@
     NODES,
     SEED,
     ZONES,
-    Cost,
+    CostMeter,
     Experiment,
     host,
-    memory_of,
+    measure_memory,
+    paused_garbage_collection,
     peer,
-    steady_garbage,
 )
 
-_QUIET_S = 10.0
-_WARM_S = 6.0
-_CHANGE_S = 20.0
-_ADOPT_S = 0.2
+_STABLE_RUN_S = 10.0
+_WARM_UP_S = 6.0
+_LOSS_RUN_S = 20.0
+_CONFIG_FETCH_S = 0.2
 """Time to fetch a newer configuration from the peer that announced it."""
 _READERS_PER_ZONE = 2
-_DELAY_S = (0.0005, 0.003)
+_DELAY_RANGE_S = (0.0005, 0.003)
 
 
 def _member(number: int, zones: int, boot: int = BOOT) -> Member:
@@ -47,33 +47,33 @@
     def __init__(self, nodes: int = NODES, zones: int = ZONES) -> None:
         self.now = 1000.0
         self.cores: dict[str, Membership] = {}
-        self.costs: dict[str, Cost] = {}
-        self.cut: Callable[[str, str], bool] = lambda _from, _to: False
-        self.per_second: dict[str, Counter[int]] = defaultdict(Counter)
+        self.costs: dict[str, CostMeter] = {}
+        self.is_partitioned: Callable[[str, str], bool] = lambda _from, _to: False
+        self.bytes_by_second: dict[str, Counter[int]] = defaultdict(Counter)
         self._random = Random(SEED)
         self._queue: list[tuple[float, int, Callable[..., None], tuple]] = []
         self._order = count()
         self._members = [_member(n, zones) for n in range(nodes)]
         for member in self._members:
             self.start(member)
-        self._adopting: set[str] = set()
+        self._fetching: set[str] = set()
 
     def start(self, member: Member) -> None:
         """Start a router with a complete view of the fleet."""
         name, core = member.host, Membership(member, seed=self._random.random())
         self.cores[name] = core
-        self.costs[name] = Cost(PeerId(name, member.boot))
-        first = next(one for one in self._members if one.host != name)
+        self.costs[name] = CostMeter(PeerId(name, member.boot))
+        first = next(other for other in self._members if other.host != name)
         for message in (Ping(1, 0, 0, (first,)), View(tuple(self._members))):
             list(core.receive(self.now, PeerId(first.host, first.boot), message))
-        self._at(self.now + self._random.random(), self._tick, core)
+        self._schedule(self.now + self._random.random(), self._tick, core)
 
     def stop(self, names: Iterable[str]) -> None:
         """Stop routers without notice, as in a crash."""
         for name in names:
             del self.cores[name]
 
-    def _at(self, when: float, call: Callable[..., None], *args: Any) -> None:
+    def _schedule(self, when: float, call: Callable[..., None], *args: Any) -> None:
         heappush(self._queue, (when, next(self._order), call, args))
 
     def run(self, seconds: float, until: Callable[[], bool] = lambda: False) -> float:
@@ -93,90 +93,94 @@
         if self.cores.get(name) is not core:
             return
         cost = self.costs[name]
-        self._post(name, cost.send(core.on_tick(self.now)))
-        self._adopt(core)
-        self._at(self.now + core.tick_s, self._tick, core)
+        self._send_all(name, cost.send(core.on_tick(self.now)))
+        self._fetch_revision(core)
+        self._schedule(self.now + core.tick_s, self._tick, core)
 
-    def _adopt(self, core: Membership) -> None:
+    def _fetch_revision(self, core: Membership) -> None:
         name = core.own.host
-        if core.newer_revision_host() is not None and name not in self._adopting:
-            self._adopting.add(name)
-            self._at(self.now + _ADOPT_S, self._adopted, core)
+        if core.newer_revision_host() is not None and name not in self._fetching:
+            self._fetching.add(name)
+            self._schedule(self.now + _CONFIG_FETCH_S, self._on_revision_fetched, core)
 
-    def _adopted(self, core: Membership) -> None:
-        self._adopting.discard(core.own.host)
+    def _on_revision_fetched(self, core: Membership) -> None:
+        self._fetching.discard(core.own.host)
         core.revision = core.newest_revision
 
-    def _post(self, sender: str, sent: list[tuple[str, bytes]]) -> None:
-        self.per_second[sender][int(self.now)] += sum(len(data) for _, data in sent)
+    def _send_all(self, sender: str, sent: list[tuple[str, bytes]]) -> None:
+        self.bytes_by_second[sender][int(self.now)] += sum(
+            len(data) for _, data in sent
+        )
         for to, data in sent:
-            delay = self._random.uniform(*_DELAY_S)
-            self._at(self.now + delay, self._arrive, sender, to, data)
+            delay = self._random.uniform(*_DELAY_RANGE_S)
+            self._schedule(self.now + delay, self._deliver, sender, to, data)
 
-    def _arrive(self, sender: str, to: str, data: bytes) -> None:
+    def _deliver(self, sender: str, to: str, data: bytes) -> None:
         core = self.cores.get(to)
-        if core is None or self.cut(sender, to):
+        if core is None or self.is_partitioned(sender, to):
             return
         now = self.now
-        self._post(
+        self._send_all(
             to,
-            self.costs[to].take(data, lambda who, what: core.receive(now, who, what)),
+            self.costs[to].deliver(
+                data, lambda source, message: core.receive(now, source, message)
+            ),
         )
 
-    def reset(self) -> None:
+    def reset_costs(self) -> None:
         """Reset all cost counters."""
-        self.costs = {name: Cost(cost.own) for name, cost in self.costs.items()}
-        self.per_second.clear()
+        self.costs = {name: CostMeter(cost.own) for name, cost in self.costs.items()}
+        self.bytes_by_second.clear()
 
-    def means(self, seconds: float) -> dict[str, float]:
+    def mean_costs(self, seconds: float) -> dict[str, float]:
         """Return the mean costs of a router per second, and the peak of bytes sent."""
         costs = [self.costs[name].outcomes for name in self.cores]
         names = ("cpu_us", "bytes_out", "bytes_in", "messages_out", "messages_in")
-        out = {n: sum(c[n] for c in costs) / len(costs) / seconds for n in names}
-        out["worst_second_bytes_out"] = self.worst_second
-        return out
+        means = {n: sum(c[n] for c in costs) / len(costs) / seconds for n in names}
+        means["worst_second_bytes_out"] = self.peak_bytes_per_s
+        return means
 
     @property
-    def worst_second(self) -> float:
+    def peak_bytes_per_s(self) -> float:
         """Largest number of bytes that any router sent within one second."""
-        return max(max(c.values(), default=0) for c in self.per_second.values())
+        return max(max(c.values(), default=0) for c in self.bytes_by_second.values())
 
-    def agreed(self) -> bool:
+    def has_converged(self) -> bool:
         """Return whether the view of each router is exactly the set of live routers."""
         live = self.cores.keys()
         return all(core.members.keys() == live for core in self.cores.values())
 
 
-def members_quiet(nodes: int) -> dict[str, float]:
+def members_stable(nodes: int) -> dict[str, float]:
     """Measure one router's cost per second in a stable fleet."""
     world = MembersWorld(nodes)
-    world.run(_WARM_S)
-    world.reset()
-    with steady_garbage():
-        world.run(_QUIET_S)
-    return world.means(_QUIET_S)
+    world.run(_WARM_UP_S)
+    world.reset_costs()
+    with paused_garbage_collection():
+        world.run(_STABLE_RUN_S)
+    return world.mean_costs(_STABLE_RUN_S)
 
 
-def members_lost(lost: int) -> dict[str, float]:
+def members_crashed(crashed: int) -> dict[str, float]:
     """Crash routers at the same time; measure each router's total cost over 20 s."""
     world = MembersWorld()
-    world.run(_WARM_S)
-    world.reset()
-    world.stop([host(n) for n in range(lost)])
-    with steady_garbage():
-        seconds = world.run(_CHANGE_S, world.agreed)
-        world.run(_CHANGE_S - seconds)
-    return {**world.means(1.0), "seconds": seconds}
+    world.run(_WARM_UP_S)
+    world.reset_costs()
+    world.stop([host(n) for n in range(crashed)])
+    with paused_garbage_collection():
+        seconds = world.run(_LOSS_RUN_S, world.has_converged)
+        world.run(_LOSS_RUN_S - seconds)
+    return {**world.mean_costs(1.0), "seconds": seconds}
 
 
 def members_revision(nodes: int) -> dict[str, float]:
     """Measure how long a new configuration takes from the zones' readers to all."""
     world = MembersWorld(nodes)
-    world.run(_WARM_S)
+    world.run(_WARM_UP_S)
     for number in range(_READERS_PER_ZONE * ZONES):
         world.cores[host(number)].revision = 1
-    everywhere = lambda: all(c.revision for c in world.cores.values())  # noqa: E731
-    return {"seconds": world.run(60.0, everywhere)}
+    all_updated = lambda: all(c.revision for c in world.cores.values())  # noqa: E731
+    return {"seconds": world.run(60.0, all_updated)}
 
 
 def members_memory(nodes: int) -> dict[str, float]:
@@ -186,57 +190,59 @@
     def make() -> Membership:
         core = Membership(members[0], seed=SEED)
         first = peer(1)
-        for message in (Ping(1, 0, 0, members[1:2]), View(_fresh(members))):
+        for message in (Ping(1, 0, 0, members[1:2]), View(_copies(members))):
             list(core.receive(0.0, first, message))
         list(core.on_tick(0.0))
         return core
 
-    return {"memory_bytes": memory_of(make)[0]}
+    return {"memory_bytes": measure_memory(make)[0]}
 
 
-def _fresh(members: tuple[Member, ...]) -> tuple[Member, ...]:
+def _copies(members: tuple[Member, ...]) -> tuple[Member, ...]:
     return tuple(_member(n, ZONES) for n in range(len(members)))
 
 
-def lost_zone() -> dict[str, float]:
+def simulate_zone_loss() -> dict[str, float]:
     """Simulate the crash of all routers in one of 7 zones."""
-    return _lost([n for n in range(NODES) if n % ZONES == 0])
+    return _simulate_loss([n for n in range(NODES) if n % ZONES == 0])
 
 
-def _lost(numbers: list[int]) -> dict[str, float]:
+def _simulate_loss(numbers: list[int]) -> dict[str, float]:
     world = MembersWorld()
-    world.run(_WARM_S)
-    world.reset()
+    world.run(_WARM_UP_S)
+    world.reset_costs()
     world.stop([host(n) for n in numbers])
-    seconds = world.run(90.0, world.agreed)
-    return {"lost": len(numbers), "seconds": seconds, "worst": world.worst_second}
+    seconds = world.run(90.0, world.has_converged)
+    return {"lost": len(numbers), "seconds": seconds, "worst": world.peak_bytes_per_s}
 
 
-def regions_apart(apart_s: float = 60.0) -> dict[str, float]:
+def simulate_region_partition(partition_s: float = 60.0) -> dict[str, float]:
     """Simulate a network partition between two regions, and its healing."""
     world = MembersWorld()
-    world.run(_WARM_S)
-    world.reset()
-    far = {host(n) for n in range(NODES) if n % ZONES >= 4}
-    world.cut = lambda sender, to: (sender in far) != (to in far)
-    world.run(apart_s)
-    apart = world.worst_second
-    world.per_second.clear()
-    world.cut = lambda _sender, _to: False
-    seconds = world.run(120.0, world.agreed)
+    world.run(_WARM_UP_S)
+    world.reset_costs()
+    far_region = {host(n) for n in range(NODES) if n % ZONES >= 4}
+    world.is_partitioned = lambda sender, to: (
+        (sender in far_region) != (to in far_region)
+    )
+    world.run(partition_s)
+    partition_peak = world.peak_bytes_per_s
+    world.bytes_by_second.clear()
+    world.is_partitioned = lambda _sender, _to: False
+    seconds = world.run(120.0, world.has_converged)
     return {
-        "worst_apart": apart,
-        "worst_rejoin": world.worst_second,
+        "worst_apart": partition_peak,
+        "worst_rejoin": world.peak_bytes_per_s,
         "seconds": seconds,
-        "agreed": world.agreed(),
+        "agreed": world.has_converged(),
     }
 
 
 def experiments() -> tuple[Experiment, ...]:
     """Return the experiments of this module."""
     return (
-        Experiment("membership", "members", (45, 90, 180, 360), members_quiet),
-        Experiment("membership", "routers lost", (1, 8, 26, 52), members_lost),
+        Experiment("membership", "members", (45, 90, 180, 360), members_stable),
+        Experiment("membership", "routers lost", (1, 8, 26, 52), members_crashed),
         Experiment("membership", "members told", (45, 90, 180, 360), members_revision),
         Experiment("membership", "members known", (45, 90, 180, 360), members_memory),
     )
--- a/greengageflow/lab/_slopes_requests.py
+++ b/greengageflow/lab/_slopes_requests.py
@@ -24,12 +24,12 @@
     BOOT,
     NODES,
     SLOTS,
-    Cost,
+    CostMeter,
     Experiment,
     account,
     fleet_config,
     host,
-    memory_of,
+    measure_memory,
     owners_of,
     peer,
     placed_view,
@@ -38,8 +38,8 @@
 from greengageflow.net.wire import decode, encode
 
 _POOL = "m0"
-_PIECES = 10
-_WAITING = 16
+_PIECES_PER_ANSWER = 10
+_WAITING_PER_ACCOUNT = 16
 _BACKLOG_WARM_S = 10.0
 _BACKLOG_S = 20.0
 _ENTRY_ROUTERS = 29
@@ -57,29 +57,29 @@
 
 
 @cache
-def _asker() -> PeerId:
+def _remote_entry_peer() -> PeerId:
     """Return a router that owns no endpoint of the pool, so all demand is remote."""
     owners = owners_of(_POOL)
     return next(peer(n) for n in range(NODES) if host(n) not in owners)
 
 
 def _entry() -> EntryQueue:
-    own = _asker()
+    own = _remote_entry_peer()
     entry = EntryQueue(own, _ledger(own))
     list(entry.on_view(0.0, view_of(own)))
     list(entry.on_config(0.0, fleet_config()))
     return entry
 
 
-def _request(number: int, now: float, of: int = ACCOUNTS) -> WaitingRequest:
-    name = account(number % of)
+def _request(number: int, now: float, accounts: int = ACCOUNTS) -> WaitingRequest:
+    name = account(number % accounts)
     return WaitingRequest(f"q{number}", name, _POOL, 480.0, now + 60.0)
 
 
 def entry_requests(requests: int) -> dict[str, float]:
     """Serve requests one after the other, each granted by the first owner asked."""
     entry = _entry()
-    cost = Cost(_asker())
+    cost = CostMeter(_remote_entry_peer())
     owned = owners_of(_POOL)
     for number in range(requests):
         now = 1.0 + 0.1 * number
@@ -90,10 +90,12 @@
     return cost.outcomes
 
 
-def _serve(entry: EntryQueue, cost: Cost, owner: str, grant: Grant, now: float) -> None:
+def _serve(
+    entry: EntryQueue, cost: CostMeter, owner: str, grant: Grant, now: float
+) -> None:
     data = encode(PeerId(owner, BOOT), grant)
-    cost.take(data, lambda sender, message: entry.receive(now, sender, message))
-    for _ in range(_PIECES):
+    cost.deliver(data, lambda sender, message: entry.receive(now, sender, message))
+    for _ in range(_PIECES_PER_ANSWER):
         cost.run(lambda: entry.on_progress(grant.grant, 48.0))
     cost.send(entry.on_finished(grant.grant, 480.0, 15.0))
 
@@ -101,15 +103,15 @@
 def entry_backlog(accounts: int) -> dict[str, float]:
     """Measure the cost per second of backlogged accounts that get no grants."""
     entry = _entry()
-    cost = Cost(_asker())
-    for number in range(accounts * _WAITING):
+    cost = CostMeter(_remote_entry_peer())
+    for number in range(accounts * _WAITING_PER_ACCOUNT):
         list(entry.submit(1.0, _request(number, 1.0, accounts)))
-    _run_ticks(entry, 1.0, _BACKLOG_WARM_S, Cost(_asker()))
+    _run_ticks(entry, 1.0, _BACKLOG_WARM_S, CostMeter(_remote_entry_peer()))
     _run_ticks(entry, _BACKLOG_WARM_S, _BACKLOG_WARM_S + _BACKLOG_S, cost)
     return {name: value / _BACKLOG_S for name, value in cost.outcomes.items()}
 
 
-def _run_ticks(entry: EntryQueue, now: float, end: float, cost: Cost) -> None:
+def _run_ticks(entry: EntryQueue, now: float, end: float, cost: CostMeter) -> None:
     while (now := max(now + 0.001, entry.next_tick(now))) < end:
         cost.send(entry.on_tick(now))
 
@@ -122,7 +124,7 @@
         for number in range(requests):
             list(entry.submit(1.0, _request(number, 1.0, BACKLOGGED)))
 
-    return {"memory_bytes": memory_of(fill)[0]}
+    return {"memory_bytes": measure_memory(fill)[0]}
 
 
 # Endpoint owner.
@@ -140,30 +142,30 @@
         self, entry_routers: int = _ENTRY_ROUTERS, *, endpoints: int = 2
     ) -> None:
         self.now = 100.0
-        self.cfg = fleet_config()
-        self.own = self._owner_with(placed_view(), endpoints)
+        self.config = fleet_config()
+        self.own = self._select_owner(placed_view(), endpoints)
         view = view_of(self.own)
         self.owner = EndpointOwner(self.own, _ledger(self.own))
-        self.cost = Cost(self.own)
+        self.cost = CostMeter(self.own)
         self._seq = count(1)
         self._routers = [peer(n) for n in range(NODES) if peer(n) != self.own]
         self._routers = self._routers[:entry_routers]
-        list(self.owner.on_config(self.now, self.cfg))
+        list(self.owner.on_config(self.now, self.config))
         list(self.owner.on_view(self.now, view))
         self.now += 2.0
-        self.held = list(self._demand_all())
+        self.open_grants = list(self._demand_all())
 
-    def _owner_with(self, view: FleetView, endpoints: int) -> PeerId:
+    def _select_owner(self, view: FleetView, endpoints: int) -> PeerId:
         counts: dict[str, int] = {}
-        for name in self.cfg.endpoints:
+        for name in self.config.endpoints:
             owner = view.owner_of(name)
             counts[owner] = counts.get(owner, 0) + 1
-        best = min(counts, key=lambda name: abs(counts[name] - endpoints))
-        self.endpoints = counts[best]
-        return PeerId(best, view.live[best].boot)
+        closest = min(counts, key=lambda name: abs(counts[name] - endpoints))
+        self.endpoints = counts[closest]
+        return PeerId(closest, view.live[closest].boot)
 
     def _demand_all(self) -> Iterator[tuple[str, Grant]]:
-        pools = {self.cfg.endpoints[name].pool for name in self.owner.owned}
+        pools = {self.config.endpoints[name].pool for name in self.owner.owned}
         for router in self._routers:
             for number in range(BACKLOGGED):
                 for pool in pools:
@@ -173,11 +175,13 @@
         self, router: PeerId, number: int, pool: str
     ) -> Iterator[tuple[str, Grant]]:
         """Send a router's demand to the owner; yield the resulting grants."""
-        message = Demand(next(self._seq), account(number), pool, _WAITING, 480.0)
-        yield from self._take(router, message)
+        message = Demand(
+            next(self._seq), account(number), pool, _WAITING_PER_ACCOUNT, 480.0
+        )
+        yield from self._deliver(router, message)
 
-    def _take(self, sender: PeerId, message: Any) -> Iterator[tuple[str, Grant]]:
-        out = self.cost.take(encode(sender, message), self._receive)
+    def _deliver(self, sender: PeerId, message: Any) -> Iterator[tuple[str, Grant]]:
+        out = self.cost.deliver(encode(sender, message), self._receive)
         for to, data in out:
             grant = decode(data)[1]
             if isinstance(grant, Grant):
@@ -186,17 +190,19 @@
     def _receive(self, sender: PeerId, message: Any) -> Any:
         return self.owner.receive(self.now, sender, message)
 
-    def cycle(self) -> None:
+    def finish_oldest(self) -> None:
         """Finish the oldest request: take its grant, renew demand, return the slot."""
-        to, grant = self.held.pop(0)
+        to, grant = self.open_grants.pop(0)
         entry = PeerId(to, grant.boot)
         self.now += 0.05
-        list(self._take(entry, GrantTaken(grant.grant, grant.endpoint, "a", 480, 60)))
+        list(
+            self._deliver(entry, GrantTaken(grant.grant, grant.endpoint, "a", 480, 60))
+        )
         router = self._routers[grant_number(grant) % len(self._routers)]
         number = grant_number(grant) % BACKLOGGED
-        self.held += self.demand(router, number, grant.pool)
+        self.open_grants += self.demand(router, number, grant.pool)
         returned = GrantReturned(grant.grant, grant.endpoint, 480, 15.0)
-        self.held += self._take(entry, returned)
+        self.open_grants += self._deliver(entry, returned)
 
 
 def grant_number(grant: Grant) -> int:
@@ -207,25 +213,28 @@
 def owner_grants(grants: int) -> dict[str, float]:
     """Measure grants while 20 accounts are backlogged at each of 29 entry routers."""
     world = OwnerWorld()
-    world.cost = Cost(world.own)
+    world.cost = CostMeter(world.own)
     for _ in range(grants):
-        world.cycle()
+        world.finish_oldest()
     return world.cost.outcomes
 
 
 def owner_demands(entry_routers: int) -> dict[str, float]:
     """Measure one grant's cost and the demand table's memory by entry routers."""
-    held, world = memory_of(lambda: OwnerWorld(entry_routers))
-    world.cost = Cost(world.own)
+    memory_bytes, world = measure_memory(lambda: OwnerWorld(entry_routers))
+    world.cost = CostMeter(world.own)
     for _ in range(_GRANTS):
-        world.cycle()
-    return {"cpu_us": world.cost.outcomes["cpu_us"] / _GRANTS, "memory_bytes": held}
+        world.finish_oldest()
+    return {
+        "cpu_us": world.cost.outcomes["cpu_us"] / _GRANTS,
+        "memory_bytes": memory_bytes,
+    }
 
 
 def owner_tick(endpoints: int) -> dict[str, float]:
     """Measure one second of ticks of an owner whose slots are all in use."""
     world = OwnerWorld(endpoints=endpoints)
-    world.cost = Cost(world.own)
+    world.cost = CostMeter(world.own)
     for _ in range(_TICKS):
         world.now += _TICK_S
         world.cost.send(world.owner.on_tick(world.now))
@@ -235,28 +244,28 @@
 def owner_slots(slots: int) -> dict[str, float]:
     """Measure the memory of granted slots."""
     world = OwnerWorld()
-    endpoint = world.held[0][1].endpoint
+    endpoint = world.open_grants[0][1].endpoint
 
     def fill() -> None:
         for number in range(slots):
             taken = GrantTaken(f"x:1:{number}", endpoint, account(number % 20), 480, 60)
             list(world.owner.receive(world.now, peer(1), taken))
 
-    return {"memory_bytes": memory_of(fill)[0]}
+    return {"memory_bytes": measure_memory(fill)[0]}
 
 
-def _doubled(first: int) -> tuple[int, ...]:
+def _doubling_points(first: int) -> tuple[int, ...]:
     return first, 2 * first, 4 * first, 8 * first
 
 
 def experiments() -> tuple[Experiment, ...]:
     """Return the experiments of this module."""
     return (
-        Experiment("entry", "requests", _doubled(100), entry_requests),
-        Experiment("entry", "backlogged accounts", _doubled(5), entry_backlog),
-        Experiment("entry", "waiting requests", _doubled(100), entry_memory),
-        Experiment("owner", "grants", _doubled(100), owner_grants),
+        Experiment("entry", "requests", _doubling_points(100), entry_requests),
+        Experiment("entry", "backlogged accounts", _doubling_points(5), entry_backlog),
+        Experiment("entry", "waiting requests", _doubling_points(100), entry_memory),
+        Experiment("owner", "grants", _doubling_points(100), owner_grants),
         Experiment("owner", "entry routers", (4, 8, 16, 29, 58), owner_demands),
         Experiment("owner", "owned endpoints", (1, 2, 3, 4, 5), owner_tick),
-        Experiment("owner", "slots in use", _doubled(SLOTS), owner_slots),
+        Experiment("owner", "slots in use", _doubling_points(SLOTS), owner_slots),
     )
--- a/greengageflow/lab/_slopes_shares.py
+++ b/greengageflow/lab/_slopes_shares.py
@@ -18,23 +18,23 @@
     NODES,
     SEED,
     ZONES,
-    Cost,
+    CostMeter,
     Experiment,
     account,
     fleet_config,
     live_members,
-    memory_of,
+    measure_memory,
+    paused_garbage_collection,
     peer,
-    steady_garbage,
 )
 from greengageflow.net.wire import decode, encode
 
 BUSY_ACCOUNTS = 92
 """Accounts that one router serves at the same time, at the design load."""
-_POLICY_S = 0.5
-_HALF = NODES // 2
-_WARM = 4
-_MEASURED = 6
+_POLICY_INTERVAL_S = 0.5
+_HALF_FLEET_NODES = NODES // 2
+_WARM_UP_INTERVALS = 4
+_MEASURED_INTERVALS = 6
 
 
 class SharesNode:
@@ -52,14 +52,14 @@
         self.collector = Collector(own, self.ledger, interval_s=interval_s)
         self.view = FleetView(own, live, frozenset(live), _ranks=ranks)
         self.collector.on_view(0.0, self.view)
-        self.cost = Cost(own)
+        self.cost = CostMeter(own)
 
-    def receive(self, now: float, sender: PeerId, data: object) -> None:
+    def receive(self, now: float, sender: PeerId, message: object) -> None:
         """Handle one message."""
-        if isinstance(data, FleetTotals):
-            self.ledger.on_totals(now, sender, data)
+        if isinstance(message, FleetTotals):
+            self.ledger.on_totals(now, sender, message)
         else:
-            self.collector.receive(now, sender, data)
+            self.collector.receive(now, sender, message)
 
 
 class SharesWorld:
@@ -79,7 +79,7 @@
         busy: int = BUSY_ACCOUNTS,
         accounts: int = ACCOUNTS,
     ) -> None:
-        self.interval_s = share_interval_s(_POLICY_S, nodes)
+        self.interval_s = share_interval_s(_POLICY_INTERVAL_S, nodes)
         self.now = 0.0
         self._random = Random(SEED)
         self._busy = min(busy, accounts)
@@ -103,8 +103,11 @@
             sent += self._report(node)
         for to, data in sent:
             node = self.nodes[to]
-            node.cost.take(
-                data, lambda who, what, node=node: node.receive(self.now, who, what)
+            node.cost.deliver(
+                data,
+                lambda sender, message, node=node: node.receive(
+                    self.now, sender, message
+                ),
             )
 
     def _report(self, node: SharesNode) -> list[tuple[str, bytes]]:
@@ -112,26 +115,28 @@
             *node.ledger.report(node.view),
             *node.collector.report(self.now),
         ]
-        found = node.cost.run(reports)
-        own = [e.message for e in found if e.to == node.cost.own.host]
+        effects = node.cost.run(reports)
+        own = [e.message for e in effects if e.to == node.cost.own.host]
         for message in own:
             node.receive(self.now, node.cost.own, message)
-        return node.cost.send(found)
+        return node.cost.send(effects)
 
     def measure(self) -> dict[str, float]:
         """Return the costs per second of the mean and of the busiest router."""
-        for _ in range(_WARM):
+        for _ in range(_WARM_UP_INTERVALS):
             self.step()
         for node in self.nodes.values():
-            node.cost = Cost(node.cost.own)
-        with steady_garbage():
-            for _ in range(_MEASURED):
+            node.cost = CostMeter(node.cost.own)
+        with paused_garbage_collection():
+            for _ in range(_MEASURED_INTERVALS):
                 self.step()
-        seconds = _MEASURED * self.interval_s
-        return dict(_sums([n.cost for n in self.nodes.values()], seconds))
+        seconds = _MEASURED_INTERVALS * self.interval_s
+        return dict(_mean_and_busiest([n.cost for n in self.nodes.values()], seconds))
 
 
-def _sums(costs: Iterable[Cost], seconds: float) -> Iterator[tuple[str, float]]:
+def _mean_and_busiest(
+    costs: Iterable[CostMeter], seconds: float
+) -> Iterator[tuple[str, float]]:
     for name in ("cpu_us", "bytes_out", "bytes_in", "messages_out", "messages_in"):
         values = [cost.outcomes[name] / seconds for cost in costs]
         yield f"{name}_mean", sum(values) / len(values)
@@ -140,7 +145,7 @@
 
 def shares_accounts(busy: int) -> dict[str, float]:
     """Measure counters of 180 routers by the accounts that each one serves."""
-    return SharesWorld(_HALF, busy=busy).measure()
+    return SharesWorld(_HALF_FLEET_NODES, busy=busy).measure()
 
 
 def shares_routers(nodes: int) -> dict[str, float]:
@@ -150,7 +155,7 @@
 
 def shares_zones(zones: int) -> dict[str, float]:
     """Measure counters of 180 routers by the number of zones."""
-    return SharesWorld(_HALF, zones).measure()
+    return SharesWorld(_HALF_FLEET_NODES, zones).measure()
 
 
 def shares_memory(routers: int) -> dict[str, float]:
@@ -161,18 +166,18 @@
     views = (
         FleetView(peer(n), live, frozenset(live), _ranks=ranks) for n in range(nodes)
     )
-    own = max(views, key=_collected)
+    busiest_view = max(views, key=_collected_shards)
     names = [account(n) for n in range(ACCOUNTS)]
-    zone = [PeerId(h, live[h].boot) for h in own.zone_hosts(own.zone)]
+    zone = [PeerId(h, live[h].boot) for h in busiest_view.zone_hosts(busiest_view.zone)]
 
     def make() -> SharesNode:
-        node = SharesNode(own.own, live, _POLICY_S, ranks)
+        node = SharesNode(busiest_view.own, live, _POLICY_INTERVAL_S, ranks)
         for sender in zone:
             rows = tuple(AccountService(name, 1000.0, 400.0, 3) for name in names)
             report = ShareReport(1, rows, (1 << SHARDS) - 1)
             node.receive(0.0, sender, decode(encode(sender, report))[1])
         for number in range(1, ZONES):
-            sender = PeerId(own.own.host, 0)
+            sender = PeerId(busiest_view.own.host, 0)
             rows = tuple(AccountService(name, 9000.0, 400.0, 3) for name in names)
             totals = ZoneTotals(f"other{number}", rows)
             node.receive(0.0, sender, decode(encode(sender, totals))[1])
@@ -181,10 +186,10 @@
         node.receive(0.0, zone[0], decode(encode(zone[0], totals))[1])
         return node
 
-    return {"memory_bytes": memory_of(make)[0]}
+    return {"memory_bytes": measure_memory(make)[0]}
 
 
-def _collected(view: FleetView) -> int:
+def _collected_shards(view: FleetView) -> int:
     own = view.own.host
     return sum(view.collector_of(view.zone, s) == own for s in range(SHARDS))
 
--- a/greengageflow/lab/_slopes_stream.py
+++ b/greengageflow/lab/_slopes_stream.py
@@ -8,7 +8,7 @@
 from greengageflow.lab.load import LoadClient
 from greengageflow.lab.load_plan import ChatLoad, LoadPlan
 
-_SECONDS = 8.0
+_RUN_S = 8.0
 
 
 def stream_pieces(streams: int) -> dict[str, float]:
@@ -23,14 +23,14 @@
             median_tokens=400,
             sigma=0.1,
         )
-        plan = LoadPlan(routers=(router.address,), loads=(load,), duration_s=_SECONDS)
+        plan = LoadPlan(routers=(router.address,), loads=(load,), duration_s=_RUN_S)
         start, before = monotonic(), usage_of(router)
         results = LoadClient(plan).run()
         after, seconds = usage_of(router), monotonic() - start
         traffic = lab.status("r1")["control"]
-    whole = [one for one in results if one.complete]
-    pieces = sum(one.tokens for one in whole)
-    assert len(whole) == len(results), "some answers are incomplete"
+    complete = [result for result in results if result.complete]
+    pieces = sum(result.tokens for result in complete)
+    assert len(complete) == len(results), "some answers are incomplete"
     return {
         "cpu_us": 1e6 * (after.cpu_s - before.cpu_s) / seconds,
         "pieces_per_s": pieces / seconds,
--- a/greengageflow/lab/_slopes_svg.py
+++ b/greengageflow/lab/_slopes_svg.py
@@ -27,14 +27,14 @@
 
 def _panel(name: str, entry: Mapping[str, Any]) -> Iterator[str]:
     points = entry["points"]
-    most_x = max(x for x, _ in points)
-    most_y = max(*(y for _, y in points), 1e-9)
-    wide, high = _WIDTH - 2 * _MARGIN, _HEIGHT - 2 * _MARGIN
+    max_x = max(x for x, _ in points)
+    max_y = max(*(y for _, y in points), 1e-9)
+    plot_width, plot_height = _WIDTH - 2 * _MARGIN, _HEIGHT - 2 * _MARGIN
 
-    def at(x: float, y: float) -> tuple[float, float]:
+    def to_pixels(x: float, y: float) -> tuple[float, float]:
         return (
-            round(_MARGIN + wide * x / most_x, 1),
-            round(_HEIGHT - _MARGIN - high * min(max(y / most_y, 0), 1.2), 1),
+            round(_MARGIN + plot_width * x / max_x, 1),
+            round(_HEIGHT - _MARGIN - plot_height * min(max(y / max_y, 0), 1.2), 1),
         )
 
     base, left = _HEIGHT - _MARGIN, _MARGIN
@@ -46,16 +46,16 @@
     line, fill = points, 'fill="none" '
     if fitted:
         fill = ""
-        line = [(x, entry["intercept"] + entry["slope"] * x) for x in (0, most_x)]
-    corners = "L".join(f"{x},{y}" for x, y in (at(*point) for point in line))
-    yield f'<path d="M{corners}" {fill}stroke="steelblue"/>'
+        line = [(x, entry["intercept"] + entry["slope"] * x) for x in (0, max_x)]
+    path_points = "L".join(f"{x},{y}" for x, y in (to_pixels(*point) for point in line))
+    yield f'<path d="M{path_points}" {fill}stroke="steelblue"/>'
     if fitted:
-        for x, y in (at(*point) for point in points):
+        for x, y in (to_pixels(*point) for point in points):
             yield f'<circle cx="{x}" cy="{y}" r="2.5"/>'
     yield f'<text x="4" y="12">{escape(name)}</text>'
     if fitted:
         text = f"slope {entry['slope']:.4g}, residual {entry['residual']:.3g}"
         yield f'<text x="4" y="24" fill="dimgray">{text}</text>'
-    yield f'<text x="2" y="{_MARGIN + 6}" fill="gray">{most_y:.4g}</text>'
-    yield f'<text x="{_WIDTH - 2 * _MARGIN}" y="{base + 12}" fill="gray">{most_x:g}'
+    yield f'<text x="2" y="{_MARGIN + 6}" fill="gray">{max_y:.4g}</text>'
+    yield f'<text x="{_WIDTH - 2 * _MARGIN}" y="{base + 12}" fill="gray">{max_x:g}'
     yield "</text>"
--- a/greengageflow/lab/_slopes_world.py
+++ b/greengageflow/lab/_slopes_world.py
@@ -108,14 +108,14 @@
         revision=revision,
         accounts={name: ClientAccount(name, queue_limit=4096) for name in names},
         pools={f"m{n}": Pool(f"m{n}", PoolKind.MODEL) for n in range(POOLS)},
-        endpoints={one.name: one for one in replicas},
+        endpoints={endpoint.name: endpoint for endpoint in replicas},
     )
 
 
-class Cost:
+class CostMeter:
     """Accumulates processor time, bytes and messages of one router.
 
-    ``take`` and ``send`` include the codec; neither includes ZeroMQ.
+    ``deliver`` and ``send`` include the codec; neither includes ZeroMQ.
 
     Args:
         own: Sender of the encoded messages.
@@ -143,7 +143,7 @@
         self.bytes_out += sum(len(data) for _, data in out)
         return out
 
-    def take(
+    def deliver(
         self, data: bytes, receive: Callable[[PeerId, Any], Iterable[Any] | None]
     ) -> list[tuple[str, bytes]]:
         """Decode one message, pass it to ``receive`` and return the sent messages."""
@@ -174,7 +174,7 @@
 
 
 @contextmanager
-def steady_garbage() -> Iterator[None]:
+def paused_garbage_collection() -> Iterator[None]:
     """Disable garbage collection while a simulated fleet is measured.
 
     With a whole fleet in one process, a collection costs hundreds of times more than
@@ -190,13 +190,13 @@
         gc.unfreeze()
 
 
-def memory_of(make: Callable[[], Any]) -> tuple[float, Any]:
+def measure_memory(make: Callable[[], Any]) -> tuple[float, Any]:
     """Return the bytes allocated by ``make``, and the object that it returns."""
     gc.collect()
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
-    made = make()  # keeps the object alive until memory is read
+    result = make()  # keeps the object alive until memory is read
     gc.collect()
     after = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    return float(after - before), made
+    return float(after - before), result
--- a/greengageflow/lab/bench_sixty.py
+++ b/greengageflow/lab/bench_sixty.py
@@ -128,19 +128,19 @@
     found = {}
     for key, name in names.items():
         found[f"{key}_expected"] = (
-            slopes.at(f"membership/members/{name}", routers)
+            slopes.predict(f"membership/members/{name}", routers)
             + shares[f"{name}_mean"]
-            + each * slopes.of(f"entry/requests/{name}")
-            + each * slopes.of(f"owner/grants/{name}")
+            + each * slopes.slope(f"entry/requests/{name}")
+            + each * slopes.slope(f"owner/grants/{name}")
             + backlog[name] * min(1.0, ENGINES / 16)
         )
     found["cpu_expected"] = (
-        slopes.at("membership/members/cpu_us", routers)
+        slopes.predict("membership/members/cpu_us", routers)
         + shares["cpu_us_mean"]
-        + each * slopes.of("entry/requests/cpu_us")
-        + each * slopes.of("owner/grants/cpu_us")
+        + each * slopes.slope("entry/requests/cpu_us")
+        + each * slopes.slope("owner/grants/cpu_us")
         + backlog["cpu_us"]
-        + found["messages_expected"] * slopes.of("link/messages a second/cpu_us")
+        + found["messages_expected"] * slopes.slope("link/messages a second/cpu_us")
     )
     return found
 
--- a/greengageflow/lab/capacity.py
+++ b/greengageflow/lab/capacity.py
@@ -7,9 +7,9 @@
 
 from greengageflow.lab._capacity_gateway import gateway_part
 from greengageflow.lab._capacity_rows import (
-    BUDGET_BYTES,
-    BUDGET_CPU,
-    BUDGET_MEMORY,
+    BUDGET_BYTES_PER_S,
+    BUDGET_CPU_US_PER_S,
+    BUDGET_MEMORY_BYTES,
     Row,
     Size,
     Slopes,
@@ -28,7 +28,7 @@
 from greengageflow.lab._processes import ROOT
 from greengageflow.lab.slopes import load
 
-PAGE = ROOT / "docs" / "CAPACITY.md"
+PAGE_PATH = ROOT / "docs" / "CAPACITY.md"
 _COLUMNS = (
     "| role | mechanism | state MB | messages/s | out KB/s | in KB/s | core % |\n"
     "| --- | --- | --- | --- | --- | --- | --- |"
@@ -56,7 +56,7 @@
     return "\n".join(parts)
 
 
-def write_page(path: Path = PAGE) -> None:
+def write_page(path: Path = PAGE_PATH) -> None:
     """Generate the page from the saved slopes and write it."""
     path.write_text(page(load()))
 
@@ -85,14 +85,14 @@
 
 def _table(document: Mapping[str, Any], size: Size) -> Iterator[str]:
     rows = rows_at(Slopes(document["slopes"]), size)
-    most = [row.most for row in rows]
+    busiest = [row.at_busiest for row in rows]
     yield "## One node, by role\n"
     yield "Mean node:\n"
     yield _COLUMNS
     yield from (_line(row) for row in [*rows, total(rows, "**all**")])
     yield "\nA node that is the busiest in every role at once (none is):\n"
     yield _COLUMNS
-    yield from (_line(row) for row in [*most, total(most, "**all**")])
+    yield from (_line(row) for row in [*busiest, total(busiest, "**all**")])
     yield ""
 
 
@@ -109,34 +109,41 @@
 
 def _budget(document: Mapping[str, Any]) -> Iterator[str]:
     rows = rows_at(Slopes(document["slopes"]), Size())
-    mean, most = total(rows, ""), total([row.most for row in rows], "")
+    mean, busiest = total(rows, ""), total([row.at_busiest for row in rows], "")
     yield "## Against the budget\n"
     yield "| a node spends | budget | mean | busiest | fits |"
     yield "| --- | --- | --- | --- | --- |"
-    for name, budget, one, other, unit, scale in (
-        ("processor time", BUDGET_CPU, mean.cpu, most.cpu, "% of a core", 1e4),
-        ("memory", BUDGET_MEMORY, mean.memory, most.memory, "MB", 1e6),
-        ("bytes sent", BUDGET_BYTES, mean.out, most.out, "KB/s", 1e3),
-        ("bytes received", BUDGET_BYTES, mean.taken, most.taken, "KB/s", 1e3),
+    for name, budget, mean_value, busiest_value, unit, scale in (
+        (
+            "processor time",
+            BUDGET_CPU_US_PER_S,
+            mean.cpu,
+            busiest.cpu,
+            "% of a core",
+            1e4,
+        ),
+        ("memory", BUDGET_MEMORY_BYTES, mean.memory, busiest.memory, "MB", 1e6),
+        ("bytes sent", BUDGET_BYTES_PER_S, mean.out, busiest.out, "KB/s", 1e3),
+        ("bytes received", BUDGET_BYTES_PER_S, mean.taken, busiest.taken, "KB/s", 1e3),
         (
             "bytes sent and received",
-            BUDGET_BYTES,
+            BUDGET_BYTES_PER_S,
             mean.out + mean.taken,
-            most.out + most.taken,
+            busiest.out + busiest.taken,
             "KB/s",
             1e3,
         ),
     ):
-        verdict = _verdict(one, other, budget)
+        verdict = _verdict(mean_value, busiest_value, budget)
         yield (
-            f"| {name} | {budget / scale:.0f} {unit} | {one / scale:.1f} |"
-            f" {other / scale:.1f} | {verdict} |"
+            f"| {name} | {budget / scale:.0f} {unit} | {mean_value / scale:.1f} |"
+            f" {busiest_value / scale:.1f} | {verdict} |"
         )
     yield ""
 
 
-def _verdict(mean: float, most: float, budget: float) -> str:
-    if most <= budget:
+def _verdict(mean: float, busiest: float, budget: float) -> str:
+    if busiest <= budget:
         return "yes"
     return "mean yes, busiest **no**" if mean <= budget else "**no**"
 
@@ -152,10 +159,10 @@
     yield "| --- | --- | --- | --- | --- | --- | --- |"
     for share in (0.01, 0.1):
         size = replace(Size(), protected=share)
-        writer = rows_at(s, size)[-2].most
+        writer = rows_at(s, size)[-2].at_busiest
         yield (
             f"| {share:.0%} | {size.requests * share:.0f} | {size.appends:.0f} |"
-            f" {size.keys_a_stream:.0f} | {writer.memory / 1e6:.1f} |"
+            f" {size.keys_per_stream:.0f} | {writer.memory / 1e6:.1f} |"
             f" {writer.cpu / 1e4:.2f} | {writer.out / 1000:.1f} |"
         )
     yield (
@@ -167,62 +174,69 @@
 
 def _changes(document: Mapping[str, Any]) -> Iterator[str]:
     s = Slopes(document["slopes"])
-    told = s.all("membership/members told/seconds")
-    fold = s.at("configuration/endpoints/fold_us", 600) / 1000
-    take = s.at("configuration/endpoints/take_over_us", 600) / 1000
-    state = s.at("configuration/endpoints/state_bytes", 600) / 1000
-    pack = s.at("configuration/endpoints/pack_us", 600) / 1000
+    propagation_s = s.outcomes("membership/members told/seconds")
+    fold_ms = s.predict("configuration/endpoints/fold_us", 600) / 1000
+    take_over_ms = s.predict("configuration/endpoints/take_over_us", 600) / 1000
+    state_kb = s.predict("configuration/endpoints/state_bytes", 600) / 1000
+    pack_ms = s.predict("configuration/endpoints/pack_us", 600) / 1000
     yield "## A change of configuration: in force everywhere within 12 s\n"
     yield "| step | seconds |"
     yield "| --- | --- |"
     yield "| the readers' long poll answers, or starts within the 0.1 s pause | 0.1 |"
-    yield f"| fold {fold:.0f} ms, take over {take:.0f} ms | {(fold + take) / 1e3:.2f} |"
+    yield (
+        f"| fold {fold_ms:.0f} ms, take over {take_over_ms:.0f} ms |"
+        f" {(fold_ms + take_over_ms) / 1e3:.2f} |"
+    )
     yield (
         f"| all 360 have heard of it by probes, 0.2 s for each fetch (simulated,"
-        f" {', '.join(f'{y:.1f}' for y in told)} s at 45 to 360) | {told[-1]:.1f} |"
+        f" {', '.join(f'{y:.1f}' for y in propagation_s)} s at 45 to 360) |"
+        f" {propagation_s[-1]:.1f} |"
     )
-    worst = 0.1 + (fold + take) / 1e3 + told[-1]
-    yield f"| **sum** | **{worst:.1f}** of 12 |"
+    total_s = 0.1 + (fold_ms + take_over_ms) / 1e3 + propagation_s[-1]
+    yield f"| **sum** | **{total_s:.1f}** of 12 |"
     yield (
-        f"\nOne state is {state:.1f} KB packed ({pack:.0f} ms once a change and"
+        f"\nOne state is {state_kb:.1f} KB packed ({pack_ms:.0f} ms once a change and"
         " teller). A teller has 18 neighbours in the ring; if all ask it within one"
-        f" second, that second sends {18 * state:.0f} KB. A reader that is out stands"
-        " for 10 s at most (`config_poll_s`), a router cut off from peers and log"
-        " stays behind until it is back.\n"
+        f" second, that second sends {18 * state_kb:.0f} KB. A reader that is out"
+        " stands for 10 s at most (`config_poll_s`), a router cut off from peers and"
+        " log stays behind until it is back.\n"
     )
 
 
 def _events(document: Mapping[str, Any]) -> Iterator[str]:
     events = document.get("events")
     s = Slopes(document["slopes"])
-    each = s.at("membership/routers lost/bytes_out", 1) / 1000
-    lost = s.at("view/members/member_lost_us", 360) / 1000
-    roster = s.at("view/members/roster_changed_us", 360) / 1000
-    first = s.at("view/members/first_us", 360) / 1000
+    crash_out_kb = s.predict("membership/routers lost/bytes_out", 1) / 1000
+    member_lost_ms = s.predict("view/members/member_lost_us", 360) / 1000
+    roster_change_ms = s.predict("view/members/roster_changed_us", 360) / 1000
+    first_view_ms = s.predict("view/members/first_us", 360) / 1000
     yield "## What happens to hosts\n"
     yield "| event | how often | cost a node |"
     yield "| --- | --- | --- |"
     yield (
-        f"| host fails | 8 a day | {each:.1f} KB sent over 20 s, a view change of"
-        f" {lost:.1f} ms, later a change of the roster of {roster:.0f} ms |"
+        f"| host fails | 8 a day | {crash_out_kb:.1f} KB sent over 20 s, a view change"
+        f" of {member_lost_ms:.1f} ms, later a change of the roster of"
+        f" {roster_change_ms:.0f} ms |"
     )
     yield (
         "| restart | 52 a day | the same three changes of the view (stopping, gone,"
-        f" back); the restarted one places everything anew, {first:.0f} ms once |"
+        f" back); the restarted one places everything anew, {first_view_ms:.0f} ms"
+        " once |"
     )
     if events:
-        zone, apart = events["lost_zone"], events["regions_apart"]
+        zone, partition = events["lost_zone"], events["regions_apart"]
         yield (
             f"| zone lost | a few a year | {zone['lost']} of 360 at once: all agree"
             f" after {zone['seconds']:.1f} s; worst second of any router"
             f" {zone['worst'] / 1000:.1f} KB; {zone['lost']} changes of the view at"
-            f" most, {zone['lost'] * lost / 1000:.1f} s of processor time within it |"
+            f" most, {zone['lost'] * member_lost_ms / 1000:.1f} s of processor time"
+            " within it |"
         )
         yield (
             "| regions apart | an hour now and then | worst second"
-            f" {apart['worst_apart'] / 1000:.1f} KB while apart,"
-            f" {apart['worst_rejoin'] / 1000:.1f} KB when they meet again; one view"
-            f" {apart['seconds']:.0f} s after ({apart['agreed']}) |"
+            f" {partition['worst_apart'] / 1000:.1f} KB while apart,"
+            f" {partition['worst_rejoin'] / 1000:.1f} KB when they meet again; one view"
+            f" {partition['seconds']:.0f} s after ({partition['agreed']}) |"
         )
     yield (
         "\nApart, each region grants the slots that its own hosts bear (205 and 155 of"
--- a/greengageflow/lab/gateway_slopes.py
+++ b/greengageflow/lab/gateway_slopes.py
@@ -19,17 +19,17 @@
 from typing import Any
 
 from greengageflow.lab._gateway_log import measure_log
-from greengageflow.lab._gateway_world import Node, World, hello, introduce
+from greengageflow.lab._gateway_world import Node, World, exchange_hellos, hello
 from greengageflow.lab._processes import ROOT
 
-SAVED = ROOT / "docs" / "gateway-slopes.json"
-RATE = 7.5
-WARM_S = 3.0
+SAVED_PATH = ROOT / "docs" / "gateway-slopes.json"
+REQUESTS_PER_S = 7.5
+WARM_UP_S = 3.0
 WINDOW_S = 2.0
 WINDOWS = 3
-SHOWN = 25
-SMALL, LARGE = 200, 50_000
-PLAIN = (type, ModuleType, FunctionType, BuiltinFunctionType, MethodType)
+PROFILE_ROWS = 25
+SMALL_BYTES, LARGE_BYTES = 200, 50_000
+UNCOUNTED_TYPES = (type, ModuleType, FunctionType, BuiltinFunctionType, MethodType)
 
 
 @dataclass(frozen=True, slots=True)
@@ -73,28 +73,30 @@
     """Measure a socket that sends small and large datagrams to itself."""
     with socket(AF_INET, SOCK_DGRAM) as sock:
         sock.bind(("127.0.0.1", 0))
-        costs = {size: _loopback(sock, size, rounds) for size in (SMALL, LARGE)}
-    (send, take), (send_large, take_large) = costs[SMALL], costs[LARGE]
-    send_byte = (send_large - send) / (LARGE - SMALL)
-    take_byte = (take_large - take) / (LARGE - SMALL)
+        costs = {
+            size: _loopback(sock, size, rounds) for size in (SMALL_BYTES, LARGE_BYTES)
+        }
+    (send, take), (send_large, take_large) = costs[SMALL_BYTES], costs[LARGE_BYTES]
+    send_byte = (send_large - send) / (LARGE_BYTES - SMALL_BYTES)
+    take_byte = (take_large - take) / (LARGE_BYTES - SMALL_BYTES)
     return Datagram(send, send_byte, take, take_byte)
 
 
 def _loopback(sock: socket, size: int, rounds: int) -> tuple[float, float]:
     address, data = sock.getsockname(), bytes(size)
-    sends, takes = [], []
+    send_times, receive_times = [], []
     for _ in range(WINDOWS):
-        sent = taken = 0.0
+        sent = received = 0.0
         for _ in range(rounds):
-            began = process_time()
+            start = process_time()
             sock.sendto(data, address)
-            between = process_time()
+            after_send = process_time()
             sock.recv(60_000)
-            sent += between - began
-            taken += process_time() - between
-        sends.append(sent / rounds)
-        takes.append(taken / rounds)
-    return median(sends), median(takes)
+            sent += after_send - start
+            received += process_time() - after_send
+        send_times.append(sent / rounds)
+        receive_times.append(received / rounds)
+    return median(send_times), median(receive_times)
 
 
 def _world(size: Size) -> tuple[World, dict[str, list[Node]]]:
@@ -113,8 +115,8 @@
             hello(number, size.zones),
             seeds,
             (endpoints, accounts),
-            RATE,
-            whole=number < measured,
+            REQUESTS_PER_S,
+            processes_sums=number < measured,
         )
     nodes = list(world.nodes.values())
     roles = {
@@ -125,18 +127,18 @@
     return world, roles
 
 
-def _begun(size: Size) -> tuple[World, dict[str, list[Node]]]:
+def _warmed_up_world(size: Size) -> tuple[World, dict[str, list[Node]]]:
     world, roles = _world(size)
-    introduce(world)
+    exchange_hellos(world)
     for node in world.nodes.values():
-        node.begin()
-    world.run(WARM_S)
+        node.start_traffic()
+    world.run(WARM_UP_S)
     return world, roles
 
 
 def measure(size: Size, cost: Datagram) -> Iterator[dict[str, Any]]:
     """Yield one result row for each role of a fleet."""
-    world, roles = _begun(size)
+    world, roles = _warmed_up_world(size)
     gc.collect()
     # A garbage collection over the objects of all routers would be charged to the
     # one that is running.
@@ -144,8 +146,8 @@
     gc.disable()
     windows: dict[str, list[dict[str, float]]] = {role: [] for role in roles}
     for number in range(WINDOWS):
-        before = {id(n): replace(n.spent) for n in world.nodes.values()}
-        world.run(WARM_S + (number + 1) * WINDOW_S)
+        before = {id(n): replace(n.usage) for n in world.nodes.values()}
+        world.run(WARM_UP_S + (number + 1) * WINDOW_S)
         for role, nodes in roles.items():
             rows = [_rates(before[id(n)], n, cost) for n in nodes]
             mean = {key: sum(r[key] for r in rows) / len(rows) for key in rows[0]}
@@ -153,36 +155,40 @@
     gc.enable()
     gc.unfreeze()
     for role, rows in windows.items():
-        spent = [node.spent for node in roles[role]]
+        usage = [node.usage for node in roles[role]]
         yield {
             **asdict(size),
             "role": role,
             **{key: median(row[key] for row in rows) for key in rows[0]},
             "cores": [round(row["core"], 5) for row in rows],
             "memory": median(state_bytes(node) for node in roles[role]),
-            "largest": max(one.largest for one in spent),
-            "zone_sum": max(one.sums.get(False, 0) for one in spent),
-            "whole_sum": max(one.sums.get(True, 0) for one in spent),
+            "largest": max(node_usage.largest for node_usage in usage),
+            "zone_sum": max(
+                node_usage.largest_sums.get(False, 0) for node_usage in usage
+            ),
+            "whole_sum": max(
+                node_usage.largest_sums.get(True, 0) for node_usage in usage
+            ),
             "hosts_heard": min(node.hosts for node in roles[role]),
         }
 
 
 def _rates(before: Any, node: Node, cost: Datagram) -> dict[str, float]:
-    spent = node.spent
-    out, taken = spent.out - before.out, spent.taken - before.taken
-    bytes_out = spent.bytes_out - before.bytes_out
-    bytes_taken = spent.bytes_taken - before.bytes_taken
-    sockets = out * cost.send + bytes_out * cost.send_byte
-    sockets += taken * cost.take + bytes_taken * cost.take_byte
+    usage = node.usage
+    sent, received = usage.sent - before.sent, usage.received - before.received
+    bytes_out = usage.bytes_out - before.bytes_out
+    bytes_received = usage.bytes_received - before.bytes_received
+    sockets = sent * cost.send + bytes_out * cost.send_byte
+    sockets += received * cost.take + bytes_received * cost.take_byte
     sums = {
-        "out": out,
-        "in": taken,
+        "out": sent,
+        "in": received,
         "bytes_out": bytes_out,
-        "bytes_in": bytes_taken,
-        "core": spent.cpu - before.cpu,
+        "bytes_in": bytes_received,
+        "core": usage.cpu_s - before.cpu_s,
         "sockets": sockets,
-        "dropped": spent.dropped - before.dropped,
-        "calls": spent.calls - before.calls,
+        "dropped": usage.dropped - before.dropped,
+        "calls": usage.store_calls - before.store_calls,
     }
     return {key: value / WINDOW_S for key, value in sums.items()}
 
@@ -192,15 +198,15 @@
 
     Each router decodes messages into its own objects, as in separate processes.
     """
-    seen = {id(node), id(node.world), id(node.view), *map(id, node.shared)}
-    todo, total = list(node.state), 0
-    while todo:
-        thing = todo.pop()
-        if id(thing) in seen or isinstance(thing, PLAIN):
+    seen = {id(node), id(node.world), id(node.view), *map(id, node.shared_names)}
+    pending, total = list(node.state_objects), 0
+    while pending:
+        item = pending.pop()
+        if id(item) in seen or isinstance(item, UNCOUNTED_TYPES):
             continue
-        seen.add(id(thing))
-        total += getsizeof(thing)
-        todo.extend(gc.get_referents(thing))
+        seen.add(id(item))
+        total += getsizeof(item)
+        pending.extend(gc.get_referents(item))
     return total
 
 
@@ -213,15 +219,15 @@
     for size in SIZES:
         if routers and size.routers not in routers:
             continue
-        world, roles = _begun(size)
+        world, roles = _warmed_up_world(size)
         for nodes in roles.values():
             nodes[0].profile = Profile()
-        world.run(WARM_S + WINDOW_S)
+        world.run(WARM_UP_S + WINDOW_S)
         for role, nodes in roles.items():
             print(f"{size.routers} routers, {role}, {WINDOW_S:g} s")
             stats = Stats(nodes[0].profile).strip_dirs()
-            stats.sort_stats("cumulative").print_stats(SHOWN)
-            stats.sort_stats("tottime").print_stats(SHOWN)
+            stats.sort_stats("cumulative").print_stats(PROFILE_ROWS)
+            stats.sort_stats("tottime").print_stats(PROFILE_ROWS)
 
 
 def run_gateway(*routers: int) -> None:
@@ -248,6 +254,6 @@
     print(json.dumps(document["datagram"]), json.dumps(document["log"]))
     if not routers:
         # Keeps the saved baseline for comparison.
-        if SAVED.exists():
-            document["before"] = json.loads(SAVED.read_text()).get("before")
-        SAVED.write_text(json.dumps(document, indent=1) + "\n")
+        if SAVED_PATH.exists():
+            document["before"] = json.loads(SAVED_PATH.read_text()).get("before")
+        SAVED_PATH.write_text(json.dumps(document, indent=1) + "\n")
--- a/greengageflow/lab/slopes.py
+++ b/greengageflow/lab/slopes.py
@@ -17,30 +17,33 @@
 from typing import Any
 
 from greengageflow.lab._processes import ROOT
-from greengageflow.lab._slopes_members import lost_zone, regions_apart
+from greengageflow.lab._slopes_members import (
+    simulate_region_partition,
+    simulate_zone_loss,
+)
 from greengageflow.lab._slopes_svg import draw
 from greengageflow.lab._slopes_world import SEED, Experiment
 from greengageflow.lab.slopes_fit import fit_line
 
-SLOPES = ROOT / "docs" / "slopes.json"
-DRAWING = ROOT / "docs" / "slopes.svg"
+SLOPES_PATH = ROOT / "docs" / "slopes.json"
+PLOT_PATH = ROOT / "docs" / "slopes.svg"
 ROLES = ("requests", "shares", "members", "config", "actions", "view", "link", "stream")
 _REPEATS = 3
-_LONG_S = 3.0
+_REPEAT_LIMIT_S = 3.0
 """Points whose first run takes at least this long are not repeated."""
 
 
 def measure(experiment: Experiment) -> Iterator[tuple[str, list[list[float]]]]:
     """Yield the name and the (driver, outcome) points of each outcome."""
-    rows = [(x, _median_of(experiment, x)) for x in experiment.points]
+    rows = [(x, _median_outcomes(experiment, x)) for x in experiment.points]
     for name in rows[0][1]:
         yield name, [[x, outcomes[name]] for x, outcomes in rows]
 
 
-def _median_of(experiment: Experiment, x: int) -> dict[str, float]:
+def _median_outcomes(experiment: Experiment, x: int) -> dict[str, float]:
     start = monotonic()
     runs = [experiment.run(x)]
-    if monotonic() - start < _LONG_S:
+    if monotonic() - start < _REPEAT_LIMIT_S:
         runs += [experiment.run(x) for _ in range(_REPEATS - 1)]
     return {name: median(run[name] for run in runs) for name in runs[0]}
 
@@ -62,26 +65,29 @@
     return entries
 
 
-def load(path: Path = SLOPES) -> dict[str, Any]:
+def load(path: Path = SLOPES_PATH) -> dict[str, Any]:
     """Return the saved document."""
     return json.loads(path.read_text())
 
 
-def save(document: dict[str, Any], path: Path = SLOPES) -> None:
+def save(document: dict[str, Any], path: Path = SLOPES_PATH) -> None:
     """Save the document with one slope per line."""
-    rest = {key: value for key, value in document.items() if key != "slopes"}
+    metadata = {key: value for key, value in document.items() if key != "slopes"}
     rows = (
         f"{json.dumps(name)}: {json.dumps(entry, sort_keys=True)}"
         for name, entry in sorted(document["slopes"].items())
     )
-    head = json.dumps(rest, sort_keys=True)[:-1] + ", " if rest else "{"
+    head = json.dumps(metadata, sort_keys=True)[:-1] + ", " if metadata else "{"
     slopes = ",\n".join(rows)
     path.write_text(f'{head}"slopes": {{\n{slopes}\n}}}}\n')
 
 
 def run_events() -> None:
     """Simulate the loss of a zone and a partition of regions; save the results."""
-    events = {"lost_zone": lost_zone(), "regions_apart": regions_apart()}
+    events = {
+        "lost_zone": simulate_zone_loss(),
+        "regions_apart": simulate_region_partition(),
+    }
     document = load()
     document["events"] = events
     save(document)
@@ -92,7 +98,7 @@
     """Measure the given roles, save and plot them; keep the entries of other roles."""
     for role in roles:
         entries = run_role(role)
-        document = load() if SLOPES.exists() else {"slopes": {}}
+        document = load() if SLOPES_PATH.exists() else {"slopes": {}}
         document["seed"] = SEED
         document["date"] = datetime.now(UTC).strftime("%Y-%m-%d %H:%M UTC")
         document["processors"] = os.cpu_count()
@@ -111,4 +117,4 @@
                 ),
                 flush=True,
             )
-    DRAWING.write_text(draw(load()["slopes"]))
+    PLOT_PATH.write_text(draw(load()["slopes"]))
--- a/greengageflow/lab/slopes_fit.py
+++ b/greengageflow/lab/slopes_fit.py
@@ -22,7 +22,7 @@
     intercept: float
     residual: float
 
-    def at(self, driver: float) -> float:
+    def predict(self, driver: float) -> float:
         """Return the outcome predicted for a value of the driver."""
         return self.intercept + self.slope * driver
 
@@ -38,8 +38,8 @@
         raise ValueError("a line fit needs at least two distinct driver values")
     mean_x = fmean(x for x, _ in points)
     mean_y = fmean(y for _, y in points)
-    spread = sum((x - mean_x) ** 2 for x, _ in points)
-    slope = sum((x - mean_x) * (y - mean_y) for x, y in points) / spread
+    sum_squares_x = sum((x - mean_x) ** 2 for x, _ in points)
+    slope = sum((x - mean_x) * (y - mean_y) for x, y in points) / sum_squares_x
     intercept = mean_y - slope * mean_x
-    missed = fmean((y - intercept - slope * x) ** 2 for x, y in points)
-    return Fit(slope, intercept, sqrt(missed))
+    mean_squared_error = fmean((y - intercept - slope * x) ** 2 for x, y in points)
+    return Fit(slope, intercept, sqrt(mean_squared_error))
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -7,35 +7,35 @@
 from greengageflow.core.placement import FleetView, LiveMember
 from greengageflow.core.shares import ServiceLedger, share_interval_s
 from greengageflow.lab._slopes_svg import draw
-from greengageflow.lab.capacity import PAGE, page
-from greengageflow.lab.slopes import DRAWING, load
+from greengageflow.lab.capacity import PAGE_PATH, page
+from greengageflow.lab.slopes import PLOT_PATH, load
 from greengageflow.lab.slopes_fit import fit_line
 
 
-def test_a_line_is_found_again():
+def test_fit_recovers_an_exact_line():
     fit = fit_line([(x, 3.0 + 0.5 * x) for x in (1, 2, 4, 8)])
     assert (fit.slope, fit.intercept) == pytest.approx((0.5, 3.0))
     assert fit.residual == pytest.approx(0.0, abs=1e-9)
-    assert fit.at(100) == pytest.approx(53.0)
+    assert fit.predict(100) == pytest.approx(53.0)
 
 
-def test_the_residual_is_what_the_line_misses():
+def test_residual_is_the_root_mean_square_error():
     fit = fit_line([(0, 1.0), (0, -1.0), (2, 1.0), (2, -1.0)])
     assert (fit.slope, fit.intercept, fit.residual) == pytest.approx((0.0, 0.0, 1.0))
 
 
-def test_one_driver_makes_no_line():
+def test_fit_rejects_a_single_driver_value():
     with pytest.raises(ValueError):
         fit_line([(3, 1.0), (3, 2.0)])
 
 
-def test_the_page_is_what_the_saved_slopes_give():
+def test_page_and_plot_match_the_saved_slopes():
     document = load()
-    assert PAGE.read_text() == page(document)
-    assert DRAWING.read_text() == draw(document["slopes"])
+    assert PAGE_PATH.read_text() == page(document)
+    assert PLOT_PATH.read_text() == draw(document["slopes"])
 
 
-def test_each_saved_slope_is_the_line_through_its_points():
+def test_saved_slopes_match_the_fit_of_their_points():
     for name, entry in load()["slopes"].items():
         fit = fit_line(entry["points"])
         assert len(entry["points"]) >= 4, name
@@ -43,13 +43,13 @@
         assert saved == pytest.approx((fit.slope, fit.intercept), rel=1e-2, abs=0.01)
 
 
-def test_reports_become_rarer_only_in_large_fleets():
-    paces = [share_interval_s(0.5, n) for n in (1, 9, 22, 23, 90, 360, 720)]
-    assert paces == [0.5, 0.5, 0.5, 1.0, 1.0, 2.0, 4.0]
+def test_report_interval_grows_only_in_large_fleets():
+    intervals_s = [share_interval_s(0.5, n) for n in (1, 9, 22, 23, 90, 360, 720)]
+    assert intervals_s == [0.5, 0.5, 0.5, 1.0, 1.0, 2.0, 4.0]
     assert share_interval_s(3.0, 360) == 3.0
 
 
-def test_an_owner_waits_for_the_totals_as_long_as_the_fleet_takes():
+def test_totals_lag_follows_the_report_interval_of_the_fleet():
     """The owner's lag for service totals follows the report interval of the fleet.
 
     Until its grants appear in the totals, an account looks underserved. In a large
@@ -64,7 +64,7 @@
     assert owner._totals_lag_s == 6.0
 
 
-def test_short_answers_leave_nothing_behind():
+def test_expired_short_answers_are_removed():
     """Expired keys of short answers are removed from the list of stored bodies.
 
     That list was trimmed only when the total size of stored answers exceeded its
--- a/tests/test_capacity_sweep.py
+++ b/tests/test_capacity_sweep.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from greengageflow.lab._capacity_sweep import carried_on, read_sweep
+from greengageflow.lab._capacity_sweep import extrapolate, read_sweep
 
-TEXT = """code 123, a day
+SWEEP_OUTPUT = """code 123, a day
 
 day          own/srv
 sweep-30     33/298   0.94
@@ -17,19 +17,19 @@
 """
 
 
-def test_the_table_is_read_and_nothing_else():
-    sweep = read_sweep(TEXT)
+def test_read_sweep_parses_only_the_table():
+    sweep = read_sweep(SWEEP_OUTPUT)
     assert sweep.origin == "code 123, a day"
     assert sweep.sizes == (30, 100, 300)
     assert [row.name for row in sweep.rows] == ["processor %", "config acked, ms"]
     assert sweep.rows[0].cells == ((5.0, 8.3), (5.7, 11.6), (6.4, 18.9))
 
 
-def test_a_text_without_a_table_is_an_error():
+def test_read_sweep_rejects_output_without_a_table():
     with pytest.raises(ValueError, match="no table"):
         read_sweep("given up\n")
 
 
-def test_what_grows_as_a_power_is_carried_on_as_one():
-    assert carried_on((30, 100, 300), (9.0, 100.0, 900.0), 360) == pytest.approx(1296)
-    assert carried_on((30, 100, 300), (0.0, 1.0, 2.0), 360) == 2.0
+def test_extrapolate_follows_a_power_law():
+    assert extrapolate((30, 100, 300), (9.0, 100.0, 900.0), 360) == pytest.approx(1296)
+    assert extrapolate((30, 100, 300), (0.0, 1.0, 2.0), 360) == 2.0
