--- a/greengageflow/lab/_platform_batch.py
+++ b/greengageflow/lab/_platform_batch.py
@@ -1,6 +1,6 @@
-"""Batch and prompt cache of the platform engine's fake, without I/O.
+"""Batch and prefix cache of the fake platform engine, without I/O.
 
-Left out: preemption, pins, holds, moves and backups.
+Not modelled: preemption, and pinning, holding, migrating and backing up cache entries.
 """
 
 from collections import OrderedDict
@@ -28,11 +28,11 @@
 
     Args:
         model: Name of the model.
-        parts: Name and tokens of each part of the prompt, in order.
-        prompt: Tokens of the prompt.
-        wanted: Tokens to make, with those made elsewhere.
-        made: Tokens made; above 0 from the start where a stream goes on.
-        to_read: Tokens to prefill before the next one is made.
+        parts: Name and number of tokens of each part of the prompt, in order.
+        prompt: Number of prompt tokens.
+        wanted: Tokens to generate, including those generated before a resumption.
+        made: Tokens generated so far; a resumed stream starts above 0.
+        to_read: Tokens to prefill before the next one is generated.
     """
 
     model: str
@@ -44,10 +44,10 @@
 
     @classmethod
     def of(cls, headers: Mapping[str, str], stride: int) -> "Job | None":
-        """Return the job of a request, None without a token count.
+        """Return the job of a request; None if it has no token count.
 
         Raises:
-            ValueError: The headers make no sense.
+            ValueError: A header is malformed.
         """
         if TOKEN_COUNT not in headers:
             return None
@@ -60,12 +60,12 @@
 
     @property
     def held(self) -> int:
-        """Tokens that it holds in memory, with those still to be read."""
+        """Tokens that it reserves in the KV cache, including those still to prefill."""
         return self.prompt + self.made
 
 
 class PartCache:
-    """Prompt parts in limited memory; the least recently used go first."""
+    """Cache of prompt parts; evicts the least recently used parts."""
 
     def __init__(self, capacity: int) -> None:
         self.capacity = capacity
@@ -73,11 +73,11 @@
 
     @property
     def rows(self) -> list[tuple[str, str, int]]:
-        """Model, name and tokens of each part kept."""
+        """Model, name and number of tokens of each cached part."""
         return [(*key, tokens) for key, tokens in self._parts.items()]
 
     def kept(self, job: Job) -> int:
-        """Return how many leading parts of a prompt are kept."""
+        """Return how many leading parts of a prompt are cached."""
         count = 0
         for name, _ in job.parts:
             if (job.model, name) not in self._parts:
@@ -86,14 +86,27 @@
         return count
 
     def fetched(self, job: Job, found: Mapping[str, int]) -> Iterator[tuple[str, int]]:
-        """Yield the parts after the kept ones that another has, up to a gap."""
+        """Yield the parts after the cached prefix that another replica has.
+
+        Ends at the first part that the other replica lacks.
+
+        Args:
+            job: Generation whose prompt is meant.
+            found: Number of tokens of each part that the other replica holds.
+        """
         for name, _ in job.parts[self.kept(job) :]:
             if name not in found:
                 return
             yield name, found[name]
 
     def keep(self, model: str, parts: Iterator, used: int) -> None:
-        """Keep parts beside ``used`` tokens of running requests."""
+        """Cache parts, then evict until all fit beside ``used`` tokens.
+
+        Args:
+            model: Name of the model.
+            parts: Name and number of tokens of each part.
+            used: Tokens that running requests reserve.
+        """
         for name, tokens in parts:
             self._parts[model, name] = tokens
             self._parts.move_to_end((model, name))
@@ -102,13 +115,13 @@
 
 
 class Batch:
-    """The running generations.
+    """Continuous batch of the running generations.
 
     Args:
-        step_s: Seconds of one step of a batch of one.
-        growth: Part by which each further request lengthens a step.
-        chunk: Tokens that one step prefills, over all requests.
-        capacity: Tokens that running requests and kept parts may hold.
+        step_s: Duration of a step with one generation, in seconds.
+        growth: Fraction of ``step_s`` that each further generation adds to a step.
+        chunk: Maximum number of tokens that a step prefills, over all generations.
+        capacity: Maximum number of tokens of generations and cached parts.
     """
 
     def __init__(self, step_s: float, growth: float, chunk: int, capacity: int) -> None:
@@ -118,27 +131,27 @@
 
     @property
     def used(self) -> int:
-        """Tokens that cannot yield."""
+        """Tokens that running generations reserve; they cannot be evicted."""
         return sum(job.held for job in self.jobs)
 
     @property
     def step_s(self) -> float:
-        """Seconds that the next step takes."""
+        """Duration of the next step in seconds."""
         return self._step_s * (1 + self._growth * max(0, len(self.jobs) - 1))
 
     def add(self, job: Job) -> None:
-        """Let a generation run."""
+        """Add a generation; the tokens of its cached prefix need no prefill."""
         kept = sum(tokens for _, tokens in job.parts[: self.cache.kept(job)])
         job.to_read = max(0, job.prompt - kept) + job.made
         self.jobs.append(job)
 
     def drop(self, job: Job) -> None:
-        """End a generation, done or not."""
+        """Remove a generation, complete or not."""
         if job in self.jobs:
             self.jobs.remove(job)
 
     def step(self) -> Iterator[Job]:
-        """Advance all; yield those that made a token."""
+        """Run one step; yield the generations that produced a token."""
         budget = self._chunk
         for job in list(self.jobs):
             read = min(budget, job.to_read)
--- a/greengageflow/lab/_platform_faults.py
+++ b/greengageflow/lab/_platform_faults.py
@@ -1,4 +1,4 @@
-"""Faults and records of the platform replica's fake."""
+"""Faults and request records of the fake platform replica."""
 
 from dataclasses import dataclass, field, replace
 from hashlib import sha256
@@ -24,25 +24,28 @@
     """Faults of a replica; all off by default.
 
     Args:
-        lose: ``close`` or ``reset``: run, then end the connection unanswered.
-        cut_after: Stream: tear the event after this many, then close; plain answer:
-            any number closes it after half of its body.
-        extra: ``at_once`` or ``late``: a second answer, of another request.
-        extra_s: Seconds after which a late second answer comes.
-        unframed: ``close``: an answer without length that ends with the connection;
-            ``reset``: one that is reset after half of its body.
-        early: Answer when the head has come, read the body on.
-        hang: Run and never answer.
-        grey: Every that many-th run ends with a 500; 0 for none.
-        spoil: Send bytes that are no answer.
+        lose: Execute the request, then ``close`` or ``reset`` the connection without
+            a response.
+        cut_after: Send this many events of a stream, cut the next one and close. Any
+            number closes a plain response after half of its body.
+        extra: Send a second response with a foreign request id, ``at_once`` or
+            ``late``.
+        extra_s: Delay of a ``late`` second response in seconds.
+        unframed: Send a response without a length. ``close`` ends it by closing the
+            connection, ``reset`` resets it after half of the body.
+        early: Respond as soon as the head has arrived, then read the body.
+        hang: Start the request and never respond.
+        grey: Respond with 500 to every ``grey``-th completed request; 0 for none.
+        spoil: Send bytes that are not HTTP.
         refuse: Refuse connections.
-        health: Status of the health check, whatever is true; 0: the true one.
-        says_leaving: Say in each answer that it leaves, though the list does not.
-        backoff_s: Turn each request away and ask for so many seconds of backoff.
-        shed: Turn away all but every that many-th request; 0 for none.
-        times: Requests to hit; negative for all.
-        path: Only requests whose path begins so.
-        via: Only requests whose path has this in it.
+        health: Status that the health check returns; 0 for the actual one.
+        says_leaving: Announce in each response that the replica is leaving, although
+            its entry in the store doesn't say so.
+        backoff_s: Refuse requests and ask for a backoff of this many seconds.
+        shed: Refuse all but every ``shed``-th request; 0 for none.
+        times: Number of requests to affect; negative for all.
+        path: Affect only requests whose path starts with this.
+        via: Affect only requests whose path contains this.
     """
 
     lose: str = ""
@@ -64,24 +67,25 @@
     via: str = ""
 
     def concern(self, call: Call) -> bool:
-        """Whether a request is hit."""
+        """Whether the faults apply to a request."""
         here = call.path.startswith(self.path) and self.via in call.path
         return self.times != 0 and here
 
     def used(self) -> "ReplicaFaults":
-        """Return the faults after one request was hit."""
+        """Return the faults that are left after one request was affected."""
         return replace(self, times=self.times - 1) if self.times > 0 else self
 
 
 @dataclass(slots=True, eq=False)
 class Run:
-    """What became of one request; times are monotonic seconds of the machine.
+    """Record of one request; times are monotonic seconds of the host.
 
     Args:
         outcome: ``waiting``, ``running``, ``done``, ``cancelled``, ``deadline``,
-            or the status of a refusal (``503`` and such: never run), or ``crashed``.
-        begun: When it began to run; None if it never did.
-        backoff_s: Seconds of backoff that its refusal asked for.
+            ``cut``, ``crashed``, or the status of a refusal such as ``503`` (not
+            executed).
+        begun: Start of execution; None if it was never executed.
+        backoff_s: Backoff that its refusal asked for, in seconds.
     """
 
     call: Call
@@ -93,22 +97,22 @@
 
     @property
     def id(self) -> str:
-        """Id of the request; empty without one."""
+        """Id of the request; empty if it has none."""
         return self.call.headers.get(REQUEST_ID, "")
 
     @property
     def body_sha256(self) -> str:
-        """Digest of the body as far as it has come."""
+        """SHA-256 digest of the body received so far."""
         return sha256(self.call.body).hexdigest()
 
     def end(self, outcome: str) -> None:
-        """Note the end; only the first one counts."""
+        """Record the outcome and the time; later calls have no effect."""
         if self.ended is None:
             self.outcome, self.ended = outcome, monotonic()
 
     @property
     def row(self) -> dict[str, Any]:
-        """The record as tests get it."""
+        """The record as the control call ``GET /runs`` returns it."""
         call = self.call
         header = call.headers.get
         return {
@@ -133,7 +137,7 @@
 
 @dataclass(slots=True, eq=False)
 class Work:
-    """A request that was taken; ``events`` counts the stream events sent."""
+    """An accepted request; ``events`` counts the stream events sent."""
 
     call: Call
     run: Run
--- a/greengageflow/lab/_platform_generations.py
+++ b/greengageflow/lab/_platform_generations.py
@@ -1,4 +1,4 @@
-"""Generations of a fake model engine: fetched prompts, steps and their streams."""
+"""Generations of the fake model engine: prefix transfer, steps and streams."""
 
 import json
 from typing import Protocol
@@ -13,31 +13,31 @@
 
 
 class Replica(Protocol):
-    """What a generation needs of its replica."""
+    """Interface of the replica that generations use."""
 
     def headers(self, work: Work) -> dict[str, str]:
-        """Return the headers of the answer to a request."""
+        """Return the headers of the response to a request."""
 
     def end(self, work: Work, outcome: str) -> None:
-        """End a request with this outcome."""
+        """End a request with an outcome."""
 
     def finish(self, call: Call, data: bytes) -> None:
-        """Send the end of an answer."""
+        """Send the last bytes of a response."""
 
     def follow(self, wire: Wire, faults: ReplicaFaults) -> None:
-        """Do what follows a whole answer."""
+        """Do what is due after a complete response."""
 
 
 class Generations:
-    """Works the generations of one replica off, step by step.
+    """Runs the generations of one replica step by step.
 
     Args:
         timers: Timer service.
-        pool: For what is fetched from other replicas.
-        batch: Steps and memory of the engine.
-        replica: Whose generations they are.
-        stride: Tokens of one stream event.
-        fetch_s: Seconds that one token takes from another replica.
+        pool: Connection pool for transfers from other replicas.
+        batch: Batch and prefix cache of the engine.
+        replica: Replica that the generations belong to.
+        stride: Tokens per stream event.
+        fetch_s: Transfer time of one token from another replica, in seconds.
     """
 
     def __init__(
@@ -60,7 +60,10 @@
         self._stepping = False
 
     def begin(self, work: Work) -> None:
-        """Generate, with the parts of the prompt that another replica holds."""
+        """Start a generation.
+
+        Cached prompt parts are fetched first from the replica that the request names.
+        """
         if KV_FETCH not in work.call.headers:
             self._generate(work)
             return
@@ -116,12 +119,12 @@
             self._replica.follow(wire, work.faults)
 
     def tear(self, work: Work) -> None:
-        """Break a stream off in the middle of an event."""
+        """Cut a stream in the middle of an event and close its connection."""
         work.call.wire.send(b"40\r\nid: %d\nda" % (work.events + 1))
         self._replica.end(work, "cut")
         work.call.wire.close()
 
     def drop(self, work: Work) -> None:
-        """Forget a generation that has ended."""
+        """Remove a generation that has ended."""
         self._batch.drop(work.job)
         self._works.pop(work.job, None)
--- a/greengageflow/lab/_platform_log.py
+++ b/greengageflow/lab/_platform_log.py
@@ -1,4 +1,4 @@
-"""Partitions of the platform store's fake: framed records, keys and fencing."""
+"""Partitions of the fake platform store: framed records, keys and fencing."""
 
 from base64 import b64encode
 from collections import deque
@@ -13,11 +13,11 @@
 
 
 class Conflict(Exception):
-    """An append is against the condition or the fence that it names.
+    """An append was refused by its condition, its epoch or its sequence number.
 
     Args:
         status: HTTP status code.
-        body: What the answer says.
+        body: Fields of the response body.
     """
 
     def __init__(self, status: int, **body: object) -> None:
@@ -26,7 +26,7 @@
 
 
 def frame(record: bytes) -> bytes:
-    """Return a record with its length, 4 bytes big-endian, before it."""
+    """Return a record prefixed with its length as 4 bytes, big-endian."""
     return pack(">I", len(record)) + record
 
 
@@ -34,23 +34,23 @@
     """Yield the records of a body.
 
     Raises:
-        ValueError: The body ends within a record.
+        ValueError: The body ends in the middle of a record.
     """
     start = 0
     while start < len(data):
         try:
             (size,) = unpack_from(">I", data, start)
         except StructError as exc:
-            raise ValueError("cut within a length") from exc
+            raise ValueError("body ends within a record length") from exc
         record = data[start + 4 : start + 4 + size]
         if len(record) < size:
-            raise ValueError("cut within a record")
+            raise ValueError("body ends within a record")
         yield record
         start += 4 + size
 
 
 def keyed_record(key: str, value: bytes) -> bytes:
-    """Return a record of a keyed topic; an empty value drops the key."""
+    """Return a record of a keyed topic; an empty value is a tombstone."""
     name = key.encode()
     return bytes([len(name)]) + name + value
 
@@ -66,10 +66,14 @@
 
 @dataclass(slots=True)
 class Partition:
-    """Records of one partition; ``first`` is the offset of the first one kept.
+    """Records of one partition.
 
     Args:
-        keyed: Whether records have keys whose newest value is kept for ever.
+        keyed: Whether records have keys; the newest value of each key is retained.
+        first: Offset of the first retained record.
+        records: Retained records.
+        newest: Newest value and its offset, by key.
+        producers: State of the fenced producers, by name.
     """
 
     keyed: bool
@@ -84,15 +88,15 @@
         return self.first + len(self.records)
 
     def append(self, query: dict[str, str], data: bytes) -> dict:
-        """Append all records of a body or none.
+        """Append all records of a body or none of them.
 
         Raises:
-            Conflict: The condition or the fence refuses it.
-            ValueError: The body or a parameter makes no sense.
+            Conflict: The condition, epoch or sequence number doesn't match.
+            ValueError: The body or a parameter is invalid.
         """
         records = list(frames(data))
         if self.keyed and not all(records):
-            raise ValueError("a record without a key")
+            raise ValueError("record without a key in a keyed topic")
         if "at" in query and int(query["at"]) != self.end:
             raise Conflict(412, end=self.end)
         producer = self._fenced(query)
@@ -123,7 +127,7 @@
         return known
 
     def add(self, record: bytes) -> None:
-        """Add one record; in a keyed topic it is the newest of its key."""
+        """Append one record; in a keyed topic, update the newest value of its key."""
         if self.keyed:
             size = 1 + record[0]
             key, value = record[1:size].decode(), record[size:]
@@ -133,13 +137,18 @@
         self.records.append(record)
 
     def forget(self, before: int) -> None:
-        """Drop the records before an offset; newest values stay."""
+        """Drop the records before an offset; the newest values of keys stay."""
         while self.records and self.first < before:
             self.records.popleft()
             self.first += 1
 
     def page(self, start: int, most_bytes: int) -> bytes:
-        """Return end, first offset and the records from ``start`` on, framed."""
+        """Return the end and first offsets and the framed records from ``start`` on.
+
+        Args:
+            start: Offset of the first record.
+            most_bytes: Stop after the record that reaches this size.
+        """
         out = bytearray(pack(">QQ", self.end, self.first))
         for record in islice(self.records, max(0, start - self.first), None):
             out += frame(record)
@@ -148,7 +157,7 @@
         return bytes(out)
 
     def newest_page(self, after: str) -> dict:
-        """Return the newest value of each key greater than ``after``."""
+        """Return one page of newest values, of keys greater than ``after``."""
         keys = sorted(key for key in self.newest if key > after)
         items = [
             {
--- a/greengageflow/lab/_platform_plain.py
+++ b/greengageflow/lab/_platform_plain.py
@@ -1,4 +1,4 @@
-"""Answers of a plain fake replica, and what its faults make of them."""
+"""Responses of the fake plain replica, and the faults that affect them."""
 
 from dataclasses import dataclass
 
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlainAnswer:
-    """One answer with its body and headers."""
+    """Body and headers of one response."""
 
     data: bytes
     headers: dict[str, str]
@@ -27,7 +27,15 @@
     def send(
         self, fake: HttpFake, call: Call, faults: ReplicaFaults, number: int
     ) -> bool:
-        """Send the ``number``-th answer; return whether it is whole."""
+        """Send the response, subject to faults; return whether it is complete.
+
+        Args:
+            fake: Replica that sends it.
+            call: Request that it answers.
+            faults: Faults that apply to the request.
+            number: Number of the response, counted from 1; the ``grey`` fault selects
+                by it.
+        """
         wire, data = call.wire, self.data
         if faults.lose:
             wire.reset() if faults.lose == RESET else wire.close()
@@ -48,7 +56,8 @@
         wire.send(head_bytes(200, {**self.headers, "Connection": "close"}))
         if cut:
             wire.send(self.data[: len(self.data) // 2])
-            # Later, so that the caller has the half answer in its hands.
+            # The delay lets the client read the first half before the reset
+            # discards it.
             fake.timers.after(RESET_DELAY_S, wire.reset)
         else:
             wire.send(self.data)
@@ -56,7 +65,7 @@
 
 
 def send_extra(timers: Timers, wire: Wire, faults: ReplicaFaults) -> None:
-    """Send a second answer, of a request that nobody sent here, if faults say so."""
+    """Send a second response with a foreign request id if the faults ask for it."""
     headers = {REQUEST_ID: FOREIGN_ID, RESPONSE_SEAL: f"foreign.{FOREIGN_ID}"}
     data = answer_bytes(200, {"id": FOREIGN_ID}, headers)
     if faults.extra == AT_ONCE:
--- a/greengageflow/lab/_store_entry.py
+++ b/greengageflow/lab/_store_entry.py
@@ -1,4 +1,4 @@
-"""Entry of a fake replica in the list that the store's fake keeps."""
+"""Registration of a fake replica in the fake store."""
 
 import json
 from itertools import count
@@ -10,13 +10,14 @@
 
 
 class StoreEntry:
-    """Writes and removes the entry over the store's control calls.
+    """Writes and removes a replica's entry through the store's control calls.
 
     Args:
-        pool: Connections to send on.
+        pool: Connection pool.
         store: ``IP:PORT`` of the store's control calls.
         name: Id of the replica.
-        heartbeat_ms: Milliseconds between two writes.
+        heartbeat_ms: Interval of the writes in milliseconds; the entry expires after
+            three of them.
     """
 
     def __init__(
@@ -28,7 +29,7 @@
         self._sequence = count()
 
     def put(self, fields: dict[str, Any]) -> None:
-        """Write the entry with a new sequence."""
+        """Write the entry with the next sequence number."""
         more = {"version": "1", COLD_MS: 0}
         entry = {**more, **fields, "sequence": next(self._sequence)}
         path = f"/servers/{self._name}?ttl_ms={self._ttl_ms}"
--- a/greengageflow/lab/platform_client.py
+++ b/greengageflow/lab/platform_client.py
@@ -16,12 +16,12 @@
 
 
 class Torn(Exception):
-    """The connection ended, or what came is no HTTP, before the answer was whole."""
+    """The response was cut off by the end of the connection or by invalid HTTP."""
 
 
 @dataclass(frozen=True, slots=True)
 class PlatformAnswer:
-    """A whole answer; header names are in lower case."""
+    """A complete response; header names are in lower case."""
 
     id: str
     status: int
@@ -38,11 +38,11 @@
 
 
 class PlatformClient:
-    """One kept connection; requests go one after the other.
+    """A persistent connection; requests are sent one at a time.
 
     Args:
         address: IP number and port.
-        source: Local IP number, None for any.
+        source: Local IP number; None for any.
     """
 
     def __init__(self, address: tuple[str, int], source: str | None = None) -> None:
@@ -54,7 +54,7 @@
 
     @property
     def unused(self) -> bool:
-        """Whether no request was sent on the connection yet."""
+        """Whether no request has been sent on the connection."""
         return self._id == ""
 
     def send(
@@ -94,22 +94,25 @@
         except (h11.RemoteProtocolError, ConnectionError) as exc:
             raise Torn(str(exc)) from exc
         if isinstance(event, h11.ConnectionClosed):
-            raise Torn("closed")
+            raise Torn("connection closed")
         return event
 
     def head(self) -> PlatformAnswer:
-        """Return status and headers, once they are there."""
+        """Wait for the response head; return status and headers."""
         event = self._next()
         headers = {name.decode(): value.decode() for name, value in event.headers}
         return PlatformAnswer(self._id, event.status_code, headers)
 
     def pieces(self) -> Iterator[bytes]:
-        """Yield the body as it comes."""
+        """Yield the parts of the body as they arrive."""
         while not isinstance(event := self._next(), h11.EndOfMessage):
             yield bytes(event.data)
 
     def events(self) -> Iterator[PlatformEvent]:
-        """Yield the events of a stream as they come; go on after a break."""
+        """Yield the events of a stream as they arrive.
+
+        May be called again to read on after the loop was left.
+        """
         for piece in self.pieces():
             self._rest += piece
             *blocks, self._rest = self._rest.split(b"\n\n")
@@ -117,21 +120,21 @@
                 lines = (line.partition(": ") for line in block.decode().split("\n"))
                 fields = {name: value for name, _, value in lines}
                 yield PlatformEvent(int(fields["id"]), fields["data"])
-        assert not self._rest, "the stream ended within an event"
+        assert not self._rest, "stream ended in the middle of an event"
 
     def answer(self) -> PlatformAnswer:
-        """Return the whole answer to what was sent."""
+        """Return the complete response to the last request."""
         head = self.head()
         body = b"".join(self.pieces())
         return PlatformAnswer(head.id, head.status, head.headers, body)
 
     def ask(self, path: str, body: bytes = b"", **options: Any) -> PlatformAnswer:
-        """Send a request and return its answer."""
+        """Send a request and return its response."""
         self.send(path, body, **options)
         return self.answer()
 
     def silent(self) -> bool:
-        """Whether nothing has come that was not asked for."""
+        """Whether no unsolicited bytes have arrived."""
         self.sock.setblocking(False)
         try:
             return not self.sock.recv(1)
@@ -141,14 +144,18 @@
             self.sock.settimeout(LIMIT_S)
 
     def close(self, *, reset: bool = False) -> None:
-        """Leave, also midway."""
+        """Close the connection, also in the middle of a response.
+
+        Args:
+            reset: Whether to close it by a TCP reset.
+        """
         if reset:
             self.sock.setsockopt(SOL_SOCKET, SO_LINGER, pack("ii", 1, 0))
         self.sock.close()
 
 
 def ask_once(address: tuple[str, int], path: str, **options: Any) -> PlatformAnswer:
-    """Make one request on a connection of its own."""
+    """Make one request on a new connection."""
     client = PlatformClient(address)
     try:
         return client.ask(path, **options)
--- a/greengageflow/lab/platform_http.py
+++ b/greengageflow/lab/platform_http.py
@@ -1,6 +1,7 @@
-"""HTTP server of the platform's fakes: h11 reads, answers are written as raw bytes.
+"""HTTP server of the platform fakes: h11 parses, responses are written as raw bytes.
 
-``circuits.web`` cannot answer before a body is read, tear an answer or send two.
+``circuits.web`` cannot respond before a body has been read, truncate a response or
+send two responses to one request.
 """
 
 import json
@@ -24,9 +25,17 @@
 
 @dataclass(slots=True, eq=False)
 class Wire:
-    """One connection; a ``mute`` one swallows what is sent on it.
+    """One connection.
 
-    A ``dropped`` one is reset by what comes next on it.
+    Args:
+        listener: Listener that accepted it.
+        sock: Its socket.
+        ip: IP number of the client.
+        http: Parser of the current request.
+        call: Current request; None between requests.
+        mute: Whether to discard everything that is sent on it.
+        dropped: Whether to reset it as soon as more data arrives.
+        open: Whether it is still open.
     """
 
     listener: "Listener"
@@ -39,26 +48,26 @@
     open: bool = True
 
     def send(self, data: bytes) -> None:
-        """Send bytes as they are."""
-        # circuits closes a socket first and tells of it later; a write in between
-        # fails, and would end whatever loop of the fake made it.
+        """Send raw bytes."""
+        # circuits closes a socket before it fires the disconnect event. A write in
+        # between raises, which would end the timer loop that made it.
         if self.open and not self.mute and self.sock.fileno() >= 0:
             self.listener.server.write(self.sock, data)
 
     def close(self) -> None:
-        """Close once what was sent is out."""
+        """Close once the write buffer is empty."""
         if self.open:
             self.listener.server.close(self.sock)
 
     def reset(self) -> None:
-        """Reset at once; what was not sent yet is lost."""
+        """Reset at once and discard unsent data."""
         if self.open:
             self.listener.reset(self.sock)
 
 
 @dataclass(slots=True, eq=False)
 class Call:
-    """One request; ``headers`` has names in lower case, ``body`` grows as it comes."""
+    """One request; header names are in lower case, ``body`` grows as data arrives."""
 
     wire: Wire
     method: str
@@ -80,7 +89,7 @@
 
     @property
     def json(self) -> dict:
-        """The body as JSON; {} without a body.
+        """The body parsed as JSON; {} if it is empty.
 
         Raises:
             ValueError: The body is not JSON.
@@ -91,7 +100,7 @@
 def answer_bytes(
     status: int, body: object = b"", headers: Mapping[str, str] | None = None
 ) -> bytes:
-    """Return a whole answer; a body that is not bytes goes as JSON."""
+    """Return a complete response; a body that is not bytes is encoded as JSON."""
     data = body if isinstance(body, bytes) else json.dumps(body).encode()
     kind = "application/octet-stream" if data is body else "application/json"
     lines = {"Content-Type": kind, "Content-Length": str(len(data)), **(headers or {})}
@@ -99,13 +108,13 @@
 
 
 def head_bytes(status: int, headers: Mapping[str, str]) -> bytes:
-    """Return the head of an answer."""
+    """Return the head of a response."""
     lines = "".join(f"{name}: {value}\r\n" for name, value in headers.items())
     return f"HTTP/1.1 {status} -\r\n{lines}\r\n".encode("latin-1")
 
 
 class Listener(BaseComponent):
-    """One listening port, its connections, and the requests read from them."""
+    """Accepts connections on one port and parses the requests."""
 
     def __init__(self, owner: "HttpFake", channel: str, bind: tuple[str, int]) -> None:
         super().__init__(channel=channel)
@@ -115,7 +124,7 @@
         self.address = (self.server.host, self.server.port)
 
     def stop(self) -> None:
-        """Close the port and all connections; connecting is refused from now on."""
+        """Close the port and all connections; new connections are refused."""
         self.server.close()
         self.server.unregister()
 
@@ -126,8 +135,8 @@
 
     def reset(self, sock: socket) -> None:
         """Reset a connection."""
-        # circuits shuts a socket down before it closes it; that would send an
-        # orderly end first, which a caller may take for the end of an answer.
+        # circuits shuts a socket down before it closes it. That would send a FIN
+        # first, which a client may take for the end of a response.
         sock.setsockopt(SOL_SOCKET, SO_LINGER, pack("ii", 1, 0))
         self.owner.poller.discard(sock)
         sock.close()
@@ -199,7 +208,7 @@
             self.owner.arrived(call)
 
     def finish(self, call: Call, data: bytes) -> None:
-        """Send the last bytes of an answer and read the next request."""
+        """Send the last bytes of a response and read the next request."""
         call.wire.send(data)
         if not call.answered:
             call.answered = True
@@ -207,8 +216,8 @@
                 self._renew(call.wire)
 
     def _renew(self, wire: Wire) -> None:
-        # h11 would have to see the answers too; a parser for each request spares
-        # that, and what was read too far goes to the next.
+        # Reusing an h11 parser would require passing the responses through it, so
+        # each request gets a new one, which starts with the surplus bytes.
         rest, _ = wire.http.trailing_data
         wire.http = h11.Connection(h11.SERVER)
         wire.call = None
@@ -218,12 +227,13 @@
 
 
 class HttpFake(BaseComponent):
-    """Base of the platform's fakes: a port for the product, one for the tests.
+    """Base class of the platform fakes: one port for the product, one for tests.
 
     Args:
         host: IP number to listen on.
         port: TCP port; 0 for any free one.
-        control_port: TCP port that no fault touches; 0 for any free one.
+        control_port: TCP port of the control calls, which faults don't affect; 0 for
+            any free one.
     """
 
     def __init__(self, host: str, port: int, control_port: int) -> None:
@@ -234,28 +244,30 @@
         self.side = Listener(self, CONTROL, (host, control_port)).register(self)
 
     def connected(self, wire: Wire) -> None:
-        """React to a new connection."""
+        """Handle a new connection."""
 
     def head_arrived(self, call: Call) -> None:
-        """React to a request whose body may still be on its way."""
+        """Handle a request whose body may still be incomplete."""
 
     def arrived(self, call: Call) -> None:
-        """Answer a whole request, now or later, by ``finish``."""
+        """Handle a complete request; ``finish`` sends the response, now or later."""
         raise NotImplementedError
 
     def control(self, call: Call) -> bytes:
-        """Answer a call of a test.
+        """Return the response to a control call.
 
         Raises:
-            ValueError: The call makes no sense; so do TypeError and KeyError.
+            ValueError: The call is invalid.
+            TypeError: The call is invalid.
+            KeyError: The call is invalid.
         """
         raise NotImplementedError
 
     def gone(self, wire: Wire) -> None:
-        """React to a connection that ended."""
+        """Handle a closed connection."""
 
     def finish(self, call: Call, data: bytes) -> None:
-        """Send the last bytes of an answer."""
+        """Send the last bytes of a response."""
         self.data.finish(call, data)
 
     @handler("started")
--- a/greengageflow/lab/platform_lab.py
+++ b/greengageflow/lab/platform_lab.py
@@ -1,4 +1,7 @@
-"""The platform's fakes and routers as real processes on loopback addresses."""
+"""Test environment: fake store, fake replicas and real routers as processes.
+
+All processes listen on loopback addresses.
+"""
 
 import json
 import os
@@ -47,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformShape:
-    """What a lab is made of.
+    """Number and options of the processes that a lab starts.
 
     Args:
         routers: Number of routers.
@@ -55,7 +58,8 @@
         engines: Number of replicas of the model service ``scribe``.
         plain_options: Flags of the plain replicas.
         engine_options: Flags of the engines.
-        bounds: Bounds in the routers' settings that differ from the lab's.
+        bounds: Entries of the routers' ``bounds`` settings that override the
+            lab's defaults.
     """
 
     routers: int = 1
@@ -67,7 +71,13 @@
 
 
 def generation(wanted: int, *parts: tuple[str, int], prompt: int = 0) -> dict[str, str]:
-    """Return the headers of a generation of ``wanted`` tokens."""
+    """Return the headers of a request that generates ``wanted`` tokens.
+
+    Args:
+        wanted: Number of tokens to generate.
+        parts: Name and number of tokens of each part of the prompt prefix.
+        prompt: Number of prompt tokens; 0 for the sum of the parts.
+    """
     read = prompt or sum(tokens for _, tokens in parts)
     return {
         MODEL: "m",
@@ -77,7 +87,7 @@
 
 
 def route(name: str, prefix: str, service: str, kind: str, **more: Any) -> dict:
-    """Return one route of a configuration."""
+    """Return a route of a configuration; ``more`` overrides or adds fields."""
     return {
         "name": name,
         "host": HOST,
@@ -94,7 +104,11 @@
 
 
 def configuration(version: int = 1, **changes: Any) -> dict[str, Any]:
-    """Return a configuration with one route of each kind and one tenant."""
+    """Return a configuration with one tenant and four routes.
+
+    The routes are idempotent, non-idempotent, and streaming with and without
+    resumption. ``changes`` replaces top-level fields.
+    """
     stream = {"sticky": True, "gap_target_ms": 400}
     routes = [
         route("safe", SAFE, "app", IDEMPOTENT),
@@ -126,7 +140,7 @@
 
 
 def router_settings(lab: "PlatformLab", number: int) -> dict[str, Any]:
-    """Return the settings of the ``number``-th router."""
+    """Return the settings of router ``number``, counted from 0."""
     ip = lab.subnet.host(10 + number)
     others = [one["gossip"] for one in lab.settings.values()]
     return {
@@ -148,7 +162,7 @@
 
 
 class PlatformLab:
-    """Starts and ends the processes of a shape; use it in a ``with`` block."""
+    """Starts and stops the processes of a shape; use it in a ``with`` block."""
 
     def __init__(self, shape: PlatformShape | None = None) -> None:
         self.shape = shape or PlatformShape()
@@ -161,7 +175,7 @@
         self._dir = TemporaryDirectory(prefix="greengageflow-")
 
     def __enter__(self) -> "PlatformLab":
-        """Start everything."""
+        """Start the store and replicas, publish a configuration, start the routers."""
         try:
             self.start_store()
             self.start_replicas()
@@ -173,10 +187,10 @@
         return self
 
     def __exit__(self, kind: type[BaseException] | None, *_: object) -> None:
-        """End everything.
+        """Stop all processes.
 
         Raises:
-            RuntimeError: A router logged a fault of the program.
+            RuntimeError: A router logged an internal error.
         """
         logs = [one.stderr for one in (*self.routers.values(), *self._ended)]
         self.close()
@@ -187,12 +201,12 @@
     # Processes.
 
     def start_store(self) -> None:
-        """Start the store and wait for it."""
+        """Start the store; return once it is ready."""
         module = "greengageflow.lab.platform_store"
         self.store = await_ready(launch(module, f"--host={self.subnet.host(1)}"))
 
     def start_replicas(self) -> None:
-        """Start the shape's replicas; return once the store lists all."""
+        """Start the shape's replicas; return once the store lists all of them."""
         shape = self.shape
         launched = {}
         for number in range(shape.plain):
@@ -204,13 +218,16 @@
             launched[name] = self._launch(name, options)
         for name, process in launched.items():
             self.replicas[name] = await_ready(process)
-        # A router reads the list once a second: one that comes later is not known.
+        # Routers read the list once a second, so a replica that is listed after a
+        # router has started is unknown to it for up to a second.
         wait_for(
-            lambda: self.newest(SERVERS_TOPIC).keys() >= launched.keys(), "all listed"
+            lambda: self.newest(SERVERS_TOPIC).keys() >= launched.keys(),
+            "all replicas are listed",
         )
 
     def _launch(self, name: str, options: Mapping[str, Any]) -> Process:
-        # Entries carry the address, so replicas are told apart by their port alone.
+        # All replicas share one IP number; the address in an entry includes the
+        # port, which distinguishes them.
         given = {
             "host": self.subnet.host(2),
             "store": "{}:{}".format(*self.control_address(self.store)),
@@ -221,37 +238,38 @@
         return launch("greengageflow.lab.platform_replica", *flags)
 
     def add_replica(self, name: str, **options: Any) -> Process:
-        """Start one more replica with these flags."""
+        """Start another replica with the given flags."""
         self.replicas[name] = await_ready(self._launch(name, options))
         return self.replicas[name]
 
     @property
     def crashed(self) -> list[str]:
-        """Names of the replicas that ran a poison request."""
+        """Names of the replicas that crashed on a poison request."""
         processes = self.replicas.items()
         return [name for name, one in processes if one.popen.poll() == CRASHED]
 
     def start_routers(self) -> None:
-        """Start the shape's routers; return once all are ready."""
+        """Start the shape's routers; return once all of them are ready."""
         for _ in range(self.shape.routers):
             self.add_router()
         for name in self.settings:
             self.wait_ready(name)
 
     def add_router(self) -> str:
-        """Start one more router; return its name."""
+        """Start another router without waiting for it; return its name."""
         name = f"r{len(self.settings)}"
         self.settings[name] = router_settings(self, len(self.settings))
         self.launch_router(name)
         return name
 
     def launch_router(self, name: str) -> Process:
-        """Start a router, also again, without waiting for it."""
+        """Start or restart a router without waiting for it."""
         if name in self.routers:
             self._ended.append(self.routers[name])
         path = Path(self._dir.name, f"{name}.json")
         path.write_text(json.dumps(self.settings[name]))
-        # To a file: a pipe that nobody reads would stop the router one day.
+        # Logs go to a file: the router would block on a pipe that is full because
+        # nothing reads it.
         logs = TemporaryFile()  # noqa: SIM115 (lives as long as the process)
         popen = Popen(
             [sys.executable, "-m", GATEWAY, "--settings", str(path)],
@@ -265,7 +283,7 @@
         return self.routers[name]
 
     def ready(self, name: str) -> int:
-        """Return the status with which a router says whether it is ready."""
+        """Return the HTTP status of a router's readiness check."""
         address = _address(self.settings[name]["ready"])
         return call(address, "GET", READY_PATH, timeout_s=2).status
 
@@ -273,18 +291,18 @@
         """Wait until a router is ready.
 
         Raises:
-            RuntimeError: It ended instead.
+            RuntimeError: The router exited.
         """
 
         def asked() -> bool:
             if self.routers[name].popen.poll() is not None:
-                raise RuntimeError(f"router ended: {self.routers[name].stderr}")
+                raise RuntimeError(f"router exited: {self.routers[name].stderr}")
             return self.ready(name) == 200
 
         wait_for(asked, f"{name} is ready")
 
     def close(self) -> None:
-        """End all processes."""
+        """Kill all processes and remove temporary files."""
         mine = [*self.routers.values(), *self._ended, *self.replicas.values()]
         for process in (*mine, *filter(None, [self.store])):
             with suppress(ProcessLookupError):
@@ -296,29 +314,29 @@
         self._dir.cleanup()
         self.subnet.close()
 
-    # The fakes' control calls.
+    # Control calls of the fakes.
 
     @staticmethod
     def control_address(process: Process) -> tuple[str, int]:
-        """Return where a fake takes the control calls."""
+        """Return the address of a fake's control port."""
         return process.ready["host"], process.ready["control"]
 
     def control(self, process: Process, method: str, path: str, body=None) -> Any:
-        """Make a control call that must succeed; return its answer's value."""
+        """Make a control call, which must succeed; return the parsed response."""
         answer = call(self.control_address(process), method, path, body)
         assert answer.status == 200, answer.data
         return answer.json
 
     def publish(self, config: dict[str, Any]) -> None:
-        """Have the operator write a configuration."""
+        """Write a configuration to the store as the operator."""
         self.control(self.store, "PUT", "/config", config)
 
     def store_fault(self, **faults: Any) -> None:
-        """Set the store's faults; none clears them."""
+        """Set the store's faults; without arguments, clear them."""
         self.control(self.store, "POST", "/fault", faults)
 
     def compact(self, topic: str) -> None:
-        """Have the store forget all records of a topic."""
+        """Have the store drop all records of a topic; newest values stay."""
         self.control(self.store, "POST", "/compact", {"topic": topic})
 
     def newest(self, topic: str = STATUS_TOPIC) -> dict[str, Any]:
@@ -326,20 +344,24 @@
         return self.control(self.store, "GET", f"/newest?topic={topic}")
 
     def fault(self, replica: str, **faults: Any) -> None:
-        """Set a replica's faults; none clears them."""
+        """Set a replica's faults; without arguments, clear them."""
         self.control(self.replicas[replica], "POST", "/fault", faults)
 
     def tear(self, replica: str) -> None:
-        """Tear all streams of a replica in the middle of an event, now."""
+        """Cut all streams of a replica in the middle of an event."""
         self.control(self.replicas[replica], "POST", "/tear")
 
     def set_state(self, replica: str, state: str) -> float:
-        """Have a replica report a state; return when (seconds, monotonic)."""
+        """Set a replica's state; return the time of the change (monotonic seconds)."""
         self.control(self.replicas[replica], "PUT", "/state", {"state": state})
         return monotonic()
 
     def runs(self, name: str | None = None) -> list[dict[str, Any]]:
-        """Return what came to all replicas, of one request if named."""
+        """Return the request records of all live replicas.
+
+        Args:
+            name: Request id; None for all requests.
+        """
         rows = [
             {**row, "replica": replica}
             for replica, process in self.replicas.items()
@@ -350,21 +372,26 @@
 
     @property
     def log(self) -> str:
-        """All lines of all routers that run."""
+        """Log output of the current process of each router."""
         return "".join(process.stderr for process in self.routers.values())
 
     def begun(self, name: str) -> list[dict[str, Any]]:
-        """Return the runs of a request that began."""
+        """Return the records of a request that replicas started to execute."""
         return [row for row in self.runs(name) if row["begun"] is not None]
 
-    # Callers.
+    # Clients.
 
     def client(self, router: str = "r0", source: str | None = None) -> PlatformClient:
-        """Return a connection to a router, from a local IP number if given."""
+        """Open a connection to a router.
+
+        Args:
+            router: Name of the router.
+            source: Local IP number; None for any.
+        """
         return PlatformClient(_address(self.settings[router]["callers"]), source)
 
     def ask(self, path: str, router: str = "r0", **options: Any) -> PlatformAnswer:
-        """Make one request with the tenant's key on a connection of its own."""
+        """Make one request with the tenant's key on a new connection."""
         client = self.client(router)
         try:
             return client.ask(path, **{"key": KEY, "host": HOST, **options})
@@ -372,11 +399,11 @@
             client.close()
 
     def direct(self, replica: str) -> PlatformClient:
-        """Return a connection straight to a replica."""
+        """Open a connection to a replica, bypassing the routers."""
         return PlatformClient(self.replicas[replica].address)
 
     def terminate(self, router: str) -> None:
-        """Send a router SIGTERM."""
+        """Send SIGTERM to a router."""
         self.routers[router].popen.send_signal(signal.SIGTERM)
 
 
--- a/greengageflow/lab/platform_replica.py
+++ b/greengageflow/lab/platform_replica.py
@@ -1,4 +1,4 @@
-"""Fake of one of the platform's replicas: a plain service, or a model engine."""
+"""Fake of a platform replica: a plain service or a model engine."""
 
 import json
 from collections import deque
@@ -47,39 +47,43 @@
 
 
 class PlatformReplica(HttpFake):
-    """A replica; requests that carry a token count are generations.
+    """A replica; requests with a token count are generations.
 
-    Control calls: ``GET /runs`` (all requests that came, but probes), ``POST
-    /fault`` (``ReplicaFaults``), ``PUT /state`` (``state``: ready, draining, or gone:
-    the entry is removed), ``POST /tear`` (streams, now), ``POST /drop`` (idle
-    connections: what comes next on them is reset), ``GET /conns`` (connections taken so
-    far).
+    Control calls:
+        ``GET /runs``: records of all requests except probes.
+        ``POST /fault``: set the faults (``ReplicaFaults``).
+        ``PUT /state``: set ``state`` to ready or draining; gone removes the entry.
+        ``POST /tear``: cut all streams in the middle of an event.
+        ``POST /drop``: reset each idle connection when more data arrives on it.
+        ``GET /conns``: number of connections accepted so far.
 
     Args:
         host: IP number to listen on.
         port: TCP port; 0 for any free one.
         control_port: TCP port of the control calls; 0 for any free one.
-        store: ``IP:PORT`` of the store's control calls; empty: not registered.
-        advertise: ``IP:PORT`` to register, of a proxy; empty: its own.
-        name: Id of this incarnation.
-        service: Service that it belongs to.
+        store: ``IP:PORT`` of the store's control calls; empty to
+            register nowhere.
+        advertise: ``IP:PORT`` to register, such as that of a proxy; empty for its
+            own.
+        name: Id of this replica process.
+        service: Name of its service.
         zone: Availability zone.
-        slots: Requests that run at once.
-        queue: Requests that wait for a slot; more are refused.
-        work_ms: Milliseconds that a plain request runs.
-        step_ms: Milliseconds of an engine's step with one request.
-        growth: Part by which each further request lengthens a step.
-        chunk: Tokens that a step prefills.
-        stride: Tokens of one stream event.
-        kv_capacity: Tokens of memory.
-        fetch_us: Microseconds that one token takes from another replica.
+        slots: Maximum number of concurrent requests.
+        queue: Maximum number of queued requests; more are refused.
+        work_ms: Execution time of a plain request in milliseconds.
+        step_ms: Duration of an engine step with one request, in milliseconds.
+        growth: Fraction of ``step_ms`` that each further request adds to a step.
+        chunk: Maximum number of tokens that a step prefills.
+        stride: Tokens per stream event.
+        kv_capacity: Capacity of the KV cache in tokens.
+        fetch_us: Transfer time of one token from another replica, in microseconds.
         model: Name of the model; empty for a plain service.
-        weights: Version of its weights.
+        weights: Version of the model weights.
         health_path: Path of the health check.
         heartbeat_ms: Milliseconds between heartbeats.
-        max_conns: Connections taken at once; more are reset.
-        poison: The process crashes as it begins to run a request whose body has this
-            text in it; empty: none does.
+        max_conns: Maximum number of open connections; more are reset.
+        poison: The process crashes when it starts a request whose body contains this
+            text; empty to disable.
     """
 
     def __init__(
@@ -156,20 +160,20 @@
         return [{"name": self._model, "version": self._weights, "adapters": []}]
 
     def connected(self, wire: Wire) -> None:
-        """Count a connection; reset it where there are too many."""
+        """Count a connection; reset it above ``max_conns``."""
         self._connections += 1
         if len(self.data.wires) > self._max_conns:
             wire.reset()
 
     def head_arrived(self, call: Call) -> None:
-        """Answer before a long body is read, where the fault says so."""
+        """Respond before a long body has been read if the ``early`` fault is set."""
         long = int(call.headers.get("content-length", LONG_BODY)) >= LONG_BODY
         has_body = call.method not in ("GET", "HEAD", "DELETE")
         if self._faults.early and self._faults.concern(call) and long and has_body:
             self._request(call)
 
     def arrived(self, call: Call) -> None:
-        """Answer a probe, or take a request."""
+        """Answer a probe or accept a request."""
         if call.wire in self._works:
             return
         if call.path == REPORT_PATH:
@@ -185,7 +189,7 @@
             self._request(call)
 
     def gone(self, wire: Wire) -> None:
-        """Drop the request of a connection that the caller closed."""
+        """Cancel the request of a closed connection."""
         if work := self._works.get(wire):
             self.end(work, "cancelled")
 
@@ -232,7 +236,8 @@
         wait_s = FULL_BACKOFF_S
         if self._backs_off(call):
             wait_s, self._faults = self._faults.backoff_s, self._faults.used()
-        # One that sheds takes the next request at once.
+        # A replica that sheds load accepts the next request at once, so it asks for
+        # no backoff.
         asks = status == 503 and not self._sheds(call)
         run.backoff_s = wait_s if asks else 0.0
         headers = {NOT_EXECUTED: "1", REPLICA_ID: self._name}
@@ -263,7 +268,7 @@
             crash_if_poison(self._poison, work.call.body, [r.row for r in self._runs])
 
     def end(self, work: Work, outcome: str) -> None:
-        """End a request with this outcome, and begin the next one."""
+        """End a request with an outcome and start the next one."""
         work.run.end(outcome)
         for timer in work.timers:
             timer.cancel()
@@ -288,7 +293,7 @@
             self.finish(work.call, answer_bytes(504, b"", self.headers(work)))
 
     def headers(self, work: Work) -> dict[str, str]:
-        """Return the headers of the answer to a request."""
+        """Return the headers of the response to a request."""
         headers = {REQUEST_ID: work.run.id, RESPONSE_SEAL: work.seal}
         if work.job:
             headers[WEIGHT_VERSIONS] = str(self._weights)
@@ -311,7 +316,7 @@
             self.follow(call.wire, work.faults)
 
     def follow(self, wire: Wire, faults: ReplicaFaults) -> None:
-        """Do what follows a whole answer."""
+        """Send the extra response that a fault asks for; close if draining."""
         send_extra(self.timers, wire, faults)
         if self._state == DRAINING:
             wire.close()
@@ -332,7 +337,7 @@
         }
 
     def control(self, call: Call) -> bytes:
-        """Answer a call of a test."""
+        """Return the response to a control call."""
         match call.method, call.path:
             case "GET", "/runs":
                 return answer_bytes(200, [run.row for run in self._runs])
--- a/greengageflow/lab/platform_store.py
+++ b/greengageflow/lab/platform_store.py
@@ -1,6 +1,6 @@
 """Fake of the platform's metadata store, as one process.
 
-Left out: partitions' speed, groups of consumers, prices and rates.
+Not modelled: throughput of partitions, consumer groups, prices and rate limits.
 """
 
 import json
@@ -35,13 +35,14 @@
     """Faults of the store; all off by default.
 
     Args:
-        down: Connections are accepted and nothing is done or answered.
-        status: 503 or 429: refuse with it.
-        reset: Reset each connection on which a call comes.
-        slow_s: Seconds that a call waits before it is done.
-        lost: Calls are done and not answered; the connection stays mute.
-        ips: Addresses of the callers concerned; none for all.
-        path: Only calls of this path; empty for all.
+        down: Accept connections, but execute and answer nothing.
+        status: Refuse calls with this status, 503 or 429; 0 for off.
+        reset: Reset the connection of each call.
+        slow_s: Delay before a call is executed, in seconds.
+        lost: Execute calls, but answer neither them nor later calls on their
+            connections.
+        ips: Affect only callers with these IP numbers; empty for all.
+        path: Affect only calls of this path; empty for all.
     """
 
     down: bool = False
@@ -53,7 +54,7 @@
     path: str = ""
 
     def concern(self, call: Call) -> bool:
-        """Whether a call is hit."""
+        """Whether the faults apply to a call."""
         return self.path in ("", call.path) and (
             not self.ips or call.wire.ip in self.ips
         )
@@ -69,14 +70,19 @@
 
 
 class PlatformStore(HttpFake):
-    """The store; the operator and the replicas write on the control port.
-
-    Control calls: ``PUT /config`` (a configuration), ``PUT`` and ``DELETE
-    /servers/ID`` (``ttl_ms`` in the query: gone after that silence), ``POST
-    /fault`` (``StoreFaults``), ``POST /compact`` (``topic``, ``part``: forget all
-    records), ``GET /newest?topic=T``, ``GET /calls`` (count by path and address),
-    ``POST /copy`` (keep a copy), ``POST /restore`` (be away for ``away_s``, then come
-    back from the copy, in the next era).
+    """The store; the operator and the replicas write through the control port.
+
+    Control calls:
+        ``PUT /config``: write a configuration.
+        ``PUT /servers/ID``, ``DELETE /servers/ID``: write or remove a replica's
+            entry; ``ttl_ms`` in the query is the time to live of the entry.
+        ``POST /fault``: set the faults (``StoreFaults``).
+        ``POST /compact``: drop all records of ``topic`` and ``part``.
+        ``GET /newest?topic=T``: newest value of each key.
+        ``GET /calls``: number of calls by path and IP number.
+        ``POST /copy``: take a snapshot.
+        ``POST /restore``: be down for ``away_s`` seconds, then restart from the
+            snapshot with the next era.
 
     Args:
         host: IP number to listen on.
@@ -99,7 +105,7 @@
     # Calls of the product.
 
     def arrived(self, call: Call) -> None:
-        """Do a call, unless a fault has it otherwise."""
+        """Execute a call or apply the faults to it."""
         self._calls[call.path, call.wire.ip] += 1
         faults = self._faults
         if not faults.concern(call):
@@ -118,11 +124,11 @@
             self._do(call)
 
     def gone(self, wire: Wire) -> None:
-        """Forget the long polls of a connection."""
+        """Drop the long polls of a closed connection."""
         self._readers = [one for one in self._readers if one.call.wire is not wire]
 
     def _answer(self, call: Call, status: int, body: object) -> None:
-        # A long poll that began before the store fell silent gets nothing either.
+        # Faults also apply to long polls that arrived before they were set.
         if self._faults.concern(call) and (self._faults.lost or self._faults.down):
             call.wire.mute = True
         self.finish(call, answer_bytes(status, body, self._headers))
@@ -150,7 +156,7 @@
         match call.method, call.path:
             case "POST", path if path == LOG_APPEND:
                 if topic in OWN_TOPICS:
-                    return 403, {"error": "not yours"}
+                    return 403, {"error": "topic is read-only"}
                 answer = part.append(query, bytes(call.body))
                 self._wake(part)
                 return 200, answer
@@ -194,10 +200,10 @@
                 page = reader.part.page(reader.start, reader.most_bytes)
                 self._answer(reader.call, 200, page)
 
-    # Calls of the tests, the operator and the replicas.
+    # Control calls of tests, the operator and the replicas.
 
     def control(self, call: Call) -> bytes:
-        """Answer a call of a test."""
+        """Return the response to a control call."""
         match call.method, call.path.strip("/").split("/"):
             case "PUT", ["config"]:
                 return self._put(OPERATOR_TOPIC, CONFIG_KEY, bytes(call.body))
--- a/tests/test_platform_fakes.py
+++ b/tests/test_platform_fakes.py
@@ -1,4 +1,4 @@
-"""The fakes of the platform do what its protocol says, and their faults bite."""
+"""The platform fakes follow its protocol, and their faults take effect."""
 
 import json
 from base64 import b64decode
@@ -119,17 +119,18 @@
 
 
 def test_replicas_register_drain_and_expire(lab):
-    wait_for(lambda: len(lab.newest(SERVERS_TOPIC)) == 3, "three entries")
+    wait_for(lambda: len(lab.newest(SERVERS_TOPIC)) == 3, "three replicas are listed")
     assert lab.newest(OPERATOR_TOPIC)["config"] == configuration()
     extra = lab.add_replica("app-x", service="app", heartbeat_ms=100)
-    wait_for(lambda: "app-x" in lab.newest(SERVERS_TOPIC), "the new one's entry")
+    wait_for(lambda: "app-x" in lab.newest(SERVERS_TOPIC), "the new replica is listed")
     lab.set_state("app-x", DRAINING)
     wait_for(
-        lambda: lab.newest(SERVERS_TOPIC)["app-x"]["state"] == DRAINING, "draining"
+        lambda: lab.newest(SERVERS_TOPIC)["app-x"]["state"] == DRAINING,
+        "its entry says draining",
     )
     extra.kill()
     del lab.replicas["app-x"]
-    wait_for(lambda: "app-x" not in lab.newest(SERVERS_TOPIC), "its entry expires")
+    wait_for(lambda: "app-x" not in lab.newest(SERVERS_TOPIC), "the entry expires")
 
 
 def test_replica_answers_and_refuses(lab):
@@ -150,15 +151,17 @@
     lab.fault("app-0", hang=True)
     held = [lab.direct("app-0") for _ in range(3)]
     names = [client.send("/safe/") for client in held]
-    wait_for(lambda: all(lab.runs(name) for name in names), "all arrived")
+    wait_for(lambda: all(lab.runs(name) for name in names), "all requests arrive")
     refused = lab.direct("app-0").ask("/safe/")
     assert refused.status == 503 and NOT_EXECUTED in refused.headers
     held[0].close()
-    wait_for(lambda: lab.runs(names[0])[0]["cancelled"], "it is dropped")
-    wait_for(lambda: lab.begun(names[2]), "the waiting one runs")
+    wait_for(lambda: lab.runs(names[0])[0]["cancelled"], "the closed one is cancelled")
+    wait_for(lambda: lab.begun(names[2]), "the queued one starts")
     held[1].close(reset=True)
     held[2].close()
-    wait_for(lambda: all(lab.runs(one)[0]["cancelled"] for one in names), "all dropped")
+    wait_for(
+        lambda: all(lab.runs(one)[0]["cancelled"] for one in names), "all are cancelled"
+    )
 
 
 @pytest.mark.parametrize(
@@ -190,7 +193,7 @@
     lab.fault("app-0", extra="late", extra_s=0.01)
     client = lab.direct("app-0")
     client.ask("/safe/")
-    wait_for(lambda: not client.silent(), "a foreign answer")
+    wait_for(lambda: not client.silent(), "a foreign response arrives")
     lab.fault("app-0", refuse=True)
     with pytest.raises(ConnectionRefusedError):
         lab.direct("app-0")
@@ -217,7 +220,7 @@
     assert client.ask("/safe/r0/x").status == 200
     held = lab.direct("app-0")
     name = held.send("/safe/r1/x")
-    wait_for(lambda: lab.begun(name), "it runs and is not answered")
+    wait_for(lambda: lab.begun(name), "the request starts")
     lab.control(lab.replicas["app-0"], "POST", "/drop")
     name = client.send("/unsafe/r0/x")
     with pytest.raises(Torn):
@@ -256,7 +259,7 @@
     name = client.send("/chat/", headers=headers)
     assert client.head().status == 200
     client.close()
-    wait_for(lambda: lab.runs(name)[0]["cancelled"], "the stream is dropped")
+    wait_for(lambda: lab.runs(name)[0]["cancelled"], "the stream is cancelled")
 
 
 def test_batch_reads_shared_parts_once_and_forgets_the_oldest():
@@ -286,9 +289,11 @@
 
 
 def test_engine_goes_on_when_callers_leave_in_the_middle_of_its_steps():
-    """Callers reset their streams while the engine sends. A write on a socket that
-    circuits had closed and not told of yet ended the engine's steps for good, so that
-    every later stream hung."""
+    """Clients reset their streams while the engine sends.
+
+    A write to a socket that circuits had closed, but whose disconnect event was still
+    pending, ended the engine's step loop, and every later stream hung.
+    """
     shape = fakes_only(plain=0, engines=1, engine_options={"slots": 40, "step_ms": 1})
     with PlatformLab(shape) as lab:
         for _ in range(12):
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -1,4 +1,4 @@
-"""Keys, leaving replicas and stopping routers, by what the platform's store says."""
+"""Routers follow the store: API keys, leaving replicas, routes, shutdown."""
 
 from threading import Thread
 
@@ -36,7 +36,7 @@
 
 
 def reads(lab):
-    """Return how often the router has read the store."""
+    """Return how often routers have read the store's log."""
     rows = lab.control(lab.store, "GET", "/calls")
     return sum(count for path, _, count in rows if path == LOG_READ)
 
@@ -45,7 +45,9 @@
     client = lab.client()
     assert client.ask(SAFE, key=KEY).status == 200
     lab.publish(configuration(3, tenants=NO_TENANT))
-    wait_for(lambda: client.ask(SAFE, key=KEY).status == 401, "the key is refused")
+    wait_for(
+        lambda: client.ask(SAFE, key=KEY).status == 401, "the revoked key is refused"
+    )
     for _ in range(10):
         refused = client.ask(UNSAFE, key=KEY)
         assert refused.status in REFUSALS and not lab.runs(refused.id)
@@ -53,24 +55,30 @@
 
 
 def test_unknown_routes_and_keys_are_refused_for_good_while_the_store_is_well(lab):
-    """Nothing is wrong with the store, so that the router knows that there is no
-    such route or key: a 503 would have the caller come back again and again."""
+    """While the store is reachable, unknown routes get 404 and unknown keys 401.
+
+    A 503 would make the client retry in vain.
+    """
     begun, seen = reads(lab), []
     while reads(lab) < begun + 6:
         seen += [lab.ask("/none/").status, lab.ask(SAFE, key="no-key").status]
     assert set(seen) <= {404, 401, 503}
-    # Not all: a router that a busy machine holds up may doubt what it knows.
+    # A few 503s are allowed: a router that is delayed on a busy host may consider its
+    # configuration stale.
     assert seen.count(503) <= len(seen) / 10
 
 
 def test_older_configuration_never_comes_back(lab):
-    """A key is taken away; then the store forgets its history and an older record
-    comes once more: the router goes on with the newest version."""
+    """Routers ignore a configuration that is older than the one in force.
+
+    A key is revoked, an older version that still has it is published, and then the
+    store compacts the topic.
+    """
     lab.publish(configuration(3, tenants=NO_TENANT))
-    wait_for(lambda: lab.ask(SAFE).status == 401, "the key is refused")
+    wait_for(lambda: lab.ask(SAFE).status == 401, "the revoked key is refused")
     lab.publish(configuration(2))
     begun = reads(lab)
-    wait_for(lambda: reads(lab) > begun + 4, "the older one is read")
+    wait_for(lambda: reads(lab) > begun + 4, "the older version is read")
     for _ in range(5):
         assert lab.ask(SAFE).status in REFUSALS
     lab.compact(OPERATOR_TOPIC)
@@ -82,32 +90,41 @@
         seen.append(lab.ask(SAFE).status)
         return lab.ask(SAFE, key="k2").status == 200
 
-    wait_for(in_force, "version 4")
+    wait_for(in_force, "version 4 is in force")
     assert set(seen) <= REFUSALS
 
 
 def test_keys_are_not_trusted_when_the_store_is_out_of_reach(lab):
-    """The store falls silent and a key is taken away meanwhile. The router cannot
-    know; from the bound on it must refuse all keys, with a promise, and trust the
-    new ones once the store is back."""
+    """A key is revoked while the store doesn't answer.
+
+    After the bound (``revoke_ms``) the router must refuse all keys with a 503 that
+    guarantees that the request was not executed. Once the store answers again, it
+    must accept the new keys.
+    """
     assert lab.ask(SAFE).status == 200
     lab.store_fault(down=True)
     lab.publish(configuration(3, tenants=NO_TENANT))
-    wait_for(lambda: lab.ask(SAFE).status == 503, "keys are not trusted")
+    wait_for(lambda: lab.ask(SAFE).status == 503, "keys are refused")
     for _ in range(5):
         refused = lab.ask(UNSAFE)
         assert refused.status == 503 and not lab.runs(refused.id)
     assert lab.ready("r0") != 200
     lab.store_fault()
-    wait_for(lambda: lab.ask(SAFE, key="another-key").status == 200, "keys again")
+    wait_for(
+        lambda: lab.ask(SAFE, key="another-key").status == 200,
+        "the new key is accepted",
+    )
     refused = lab.ask(SAFE)
     assert refused.status in REFUSALS and not lab.runs(refused.id)
 
 
 @pytest.mark.parametrize("fault", [{"status": 503}, {"status": 429}, {"reset": True}])
 def test_router_that_the_store_turns_away_serves_until_the_bound(lab, fault):
-    """The store refuses this router alone: it goes on with what it knows, then
-    refuses keys, never with an answer that ends the caller's tries."""
+    """The store refuses the calls of one router.
+
+    The router serves from its last configuration until the bound, then refuses keys
+    with a 503, which clients retry, and never with a final error.
+    """
     ip = lab.settings["r0"]["ip"]
     lab.store_fault(ips=[ip, "127.0.0.1"], **fault)
     answers = []
@@ -116,32 +133,37 @@
         answers.append(lab.ask(SAFE).status)
         return answers[-1] != 200
 
-    wait_for(refused, "keys are not trusted")
+    wait_for(refused, "keys are refused")
     assert set(answers) <= {200, 503}
     lab.store_fault()
-    wait_for(lambda: lab.ask(SAFE).status == 200, "served again")
+    wait_for(lambda: lab.ask(SAFE).status == 200, "requests are served again")
 
 
 def test_router_that_starts_without_the_store_refuses_for_now(lab):
-    """No configuration is known: not a 404 or 401, which would end the caller's
-    tries, and the balancer must not count the router in."""
+    """A router without a configuration answers 503 and isn't ready.
+
+    A 404 or 401 would end the client's retries, and the load balancer must not send
+    it traffic.
+    """
     lab.store_fault(down=True)
     name = lab.add_router()
-    wait_for(lambda: lab.ready(name), "it listens")
+    wait_for(lambda: lab.ready(name), "the router listens")
     assert lab.ready(name) != 200
     refused = lab.ask(SAFE, name)
     assert refused.status == 503 and not lab.runs(refused.id)
     assert float(refused.headers["retry-after"]) > 0
     lab.store_fault()
     lab.wait_ready(name)
-    wait_for(lambda: lab.ask(SAFE, name).status == 200, "it serves")
+    wait_for(lambda: lab.ask(SAFE, name).status == 200, "the router serves")
 
 
 @pytest.mark.parametrize("state", [DRAINING, "gone"])
 def test_leaving_replica_gets_nothing_new(lab, state):
-    """A replica says that it is leaving, or its entry is removed while it still
-    serves: after the router knows, no request may reach it, and a stream that it
-    runs goes on to its end."""
+    """A replica announces that it is draining, or its entry is removed.
+
+    Once the router has read this, the replica must get no new requests, and its
+    running stream must complete.
+    """
     extra = lab.add_replica("scribe-x", service="scribe", model="m", step_ms=5)
     assert extra.popen.poll() is None
     client = lab.client()
@@ -152,12 +174,13 @@
 
     def served_by_others():
         answers = [lab.ask(CHAT, headers=generation(2, ("f1", 50))) for _ in range(8)]
-        # It gets nothing more as soon as it says so, before the other one is known.
+        # The leaving replica gets no more requests as soon as the router knows, which
+        # may be before the router has found the other replica.
         served = all(answer.status == 200 for answer in answers)
         runs = [run for answer in answers for run in lab.runs(answer.id)]
         return served and leaving not in {run["replica"] for run in runs}
 
-    wait_for(served_by_others, "the router knows")
+    wait_for(served_by_others, "only other replicas serve")
     for number in range(20):
         answer = lab.ask(CHAT, headers=generation(2, (f"f{number}", 50)))
         assert answer.status == 200
@@ -166,12 +189,15 @@
 
 
 def test_list_that_lost_its_history_is_read_anew(lab):
-    """Two replicas leave and one comes, and the store forgets the records that say
-    so: the router must drop the two, which the list names no more."""
+    """Two replicas leave and one joins, and the store compacts these records away.
+
+    The router must read the newest values again and drop the two replicas, which are
+    no longer listed.
+    """
     lab.add_replica("app-x", service="app")
     for name in ("app-0", "app-1"):
         lab.set_state(name, "gone")
-    wait_for(lambda: len(lab.newest(SERVERS_TOPIC)) == 2, "the list says so")
+    wait_for(lambda: len(lab.newest(SERVERS_TOPIC)) == 2, "two replicas are listed")
     lab.compact(SERVERS_TOPIC)
 
     def served():
@@ -184,9 +210,12 @@
 
 
 def test_sigterm_loses_nothing(lab):
-    """A router is told to stop while requests run, wait on kept connections and go
-    on coming until the balancer has taken it out: all get whole answers or a
-    refusal that is true, and the process ends by itself."""
+    """A router gets SIGTERM while streams run and requests keep arriving.
+
+    Requests arrive until the load balancer has removed the router. All must get a
+    complete response or a refusal without having been executed, and the process must
+    exit by itself.
+    """
     streams = [lab.client() for _ in range(3)]
     for number, client in enumerate(streams):
         client.send(CHAT, key=KEY, headers=generation(300, (f"s{number}", 50)))
@@ -218,8 +247,10 @@
 
 
 def test_new_configuration_is_in_force_at_every_router():
-    """Routers of a zone tell each other what one of them read: a key that was taken
-    away must be refused by all, and the key in its place be taken by all."""
+    """Routers of a zone share the configuration that one of them has read.
+
+    All routers must refuse a revoked key and accept the key that replaces it.
+    """
     with PlatformLab(PlatformShape(routers=3, bounds={"revoke_ms": 5000})) as lab:
         assert {lab.ask(SAFE, name).status for name in lab.routers} == {200}
         lab.publish(configuration(3, tenants=NO_TENANT))
