--- a/greengageflow/lab/_soak_callers.py
+++ b/greengageflow/lab/_soak_callers.py
@@ -11,7 +11,7 @@
 import h11
 
 from greengageflow.lab._soak_fleet import SoakFleet
-from greengageflow.lab.platform_client import PlatformClient, Torn
+from greengageflow.lab.platform_client import IncompleteResponse, PlatformClient
 from greengageflow.lab.platform_lab import KEY, generation
 from greengageflow.lab.soak_checks import Breach, check_answer
 from greengageflow.lab.soak_facts import STREAMS, Asked, End, Kind
@@ -136,7 +136,7 @@
         try:
             self._send(client, asked, leave)
             self._take(client, asked, leave)
-        except Torn as exc:
+        except IncompleteResponse as exc:
             asked.error = str(exc).lower()
             http = isinstance(exc.__cause__, h11.RemoteProtocolError)
             ended = not http or any(word in asked.error for word in ENDED)
--- a/greengageflow/lab/_soak_fleet.py
+++ b/greengageflow/lab/_soak_fleet.py
@@ -145,7 +145,7 @@
 
     def has_crashed(self, place: str) -> bool:
         """Whether the replica that is at a place ran a poison request."""
-        return self.incarnation(place) in self.crashed
+        return self.incarnation(place) in self.crashed_replicas
 
     def take_rows(self, name: str) -> None:
         """Keep what came to a replica that is about to end."""
--- a/greengageflow/lab/_soak_steps.py
+++ b/greengageflow/lab/_soak_steps.py
@@ -94,9 +94,9 @@
                 yield from self._leave(step)
             case Do.REFUSE:
                 with self._fleet.trouble("store"):
-                    self._fleet.store_fault(status=503)
+                    self._fleet.set_store_faults(status=503)
                     yield step.for_s
-                    self._fleet.store_fault()
+                    self._fleet.set_store_faults()
             case Do.CONFIGURE | Do.REVOKE:
                 yield from self._thawed()
                 self._fleet.publish_next(revoke=step.do is Do.REVOKE)
@@ -142,9 +142,9 @@
         torn = [step.target] if step.do is Do.ABORT else []
         with self._fleet.trouble(*torn):
             via = f"/{step.source}/" if step.source else ""
-            self._fleet.fault(name, **REPLICA_FAULTS[step.do], via=via)
+            self._fleet.set_faults(name, **REPLICA_FAULTS[step.do], via=via)
             yield step.for_s
-            self._fleet.fault(name)
+            self._fleet.set_faults(name)
 
     def _poison(self, step: Step) -> Iterator[float]:
         """Repeat a request that crashes each replica; start them again."""
@@ -174,25 +174,25 @@
     def _say_leaving(self, step: Step) -> Iterator[float]:
         # No trouble is noted: callers must not see it.
         name = self._fleet.incarnation(step.target)
-        self._fleet.fault(name, says_leaving=True)
+        self._fleet.set_faults(name, says_leaving=True)
         yield step.for_s
         yield from self._replace(step.target, SETTLE_S)
 
     def _ask_backoff(self, step: Step) -> Iterator[float]:
         name = self._fleet.incarnation(step.target)
         with self._fleet.trouble():
-            self._fleet.fault(name, backoff_s=BACKOFF_S)
+            self._fleet.set_faults(name, backoff_s=BACKOFF_S)
             yield step.for_s
-            self._fleet.fault(name)
+            self._fleet.set_faults(name)
 
     def _shed(self, step: Step) -> Iterator[float]:
         names = [self._fleet.incarnation(place) for place in _places(step)]
         with self._fleet.trouble():
             for name in names:
-                self._fleet.fault(name, shed=SHED)
+                self._fleet.set_faults(name, shed=SHED)
             yield step.for_s
             for name in names:
-                self._fleet.fault(name)
+                self._fleet.set_faults(name)
 
     def _drop_idle(self, step: Step) -> Iterator[float]:
         # No trouble is noted: callers must not see it.
@@ -229,7 +229,7 @@
         while monotonic() < until:
             yield 2 * POLL_S
             try:
-                if self._fleet.ready(name) == 200:
+                if self._fleet.readiness_status(name) == 200:
                     return
             except OSError:
                 continue
@@ -278,7 +278,7 @@
         until = monotonic() + SHOWN_WITHIN_S
         while monotonic() < until:
             yield from self._thawed()
-            entry = self._fleet.newest(SERVERS_TOPIC).get(name)
+            entry = self._fleet.newest_values(SERVERS_TOPIC).get(name)
             if leaving is (entry is None or entry["state"] == DRAINING):
                 if leaving:
                     self._fleet.facts.leavings.append(Leaving(name, monotonic()))
--- a/greengageflow/lab/platform_client.py
+++ b/greengageflow/lab/platform_client.py
@@ -15,7 +15,7 @@
 DEFAULT_DEADLINE_MS = 20_000
 
 
-class Torn(Exception):
+class IncompleteResponse(Exception):
     """The response was cut off by the end of the connection or by invalid HTTP."""
 
 
@@ -92,9 +92,9 @@
             while (event := self._http.next_event()) is h11.NEED_DATA:
                 self._http.receive_data(self.sock.recv(65_536))
         except (h11.RemoteProtocolError, ConnectionError) as exc:
-            raise Torn(str(exc)) from exc
+            raise IncompleteResponse(str(exc)) from exc
         if isinstance(event, h11.ConnectionClosed):
-            raise Torn("connection closed")
+            raise IncompleteResponse("connection closed")
         return event
 
     def head(self) -> PlatformAnswer:
--- a/greengageflow/lab/platform_lab.py
+++ b/greengageflow/lab/platform_lab.py
@@ -45,7 +45,7 @@
 GATEWAY = "greengageflow.daemon.gateway"
 HOST = "app.example"
 KEY = "key-of-tenant-1"
-SAFE, UNSAFE, CHAT, TALE = "/safe/", "/unsafe/", "/chat/", "/tale/"
+SAFE, UNSAFE, CHAT, NON_RESUMABLE_CHAT = "/safe/", "/unsafe/", "/chat/", "/tale/"
 
 
 @dataclass(frozen=True, slots=True)
@@ -114,7 +114,7 @@
         route("safe", SAFE, "app", IDEMPOTENT),
         route("unsafe", UNSAFE, "app", NON_IDEMPOTENT),
         route("chat", CHAT, "scribe", STREAM, resumable=True, **stream),
-        route("tale", TALE, "scribe", STREAM, resumable=False, **stream),
+        route("tale", NON_RESUMABLE_CHAT, "scribe", STREAM, resumable=False, **stream),
     ]
     service = {"health_path": "/health", "max_conns": 200}
     engine = {"slots": 4, "kv_capacity": 100_000}
@@ -171,7 +171,7 @@
         self.replicas: dict[str, Process] = {}
         self.routers: dict[str, Process] = {}
         self.settings: dict[str, dict[str, Any]] = {}
-        self._ended: list[Process] = []
+        self._exited: list[Process] = []
         self._dir = TemporaryDirectory(prefix="greengageflow-")
 
     def __enter__(self) -> "PlatformLab":
@@ -192,7 +192,7 @@
         Raises:
             RuntimeError: A router logged an internal error.
         """
-        logs = [one.stderr for one in (*self.routers.values(), *self._ended)]
+        logs = [one.stderr for one in (*self.routers.values(), *self._exited)]
         self.close()
         faults = [log for log in logs if Event.INTERNAL.number in log]
         if faults and kind is None:
@@ -221,7 +221,7 @@
         # Routers read the list once a second, so a replica that is listed after a
         # router has started is unknown to it for up to a second.
         wait_for(
-            lambda: self.newest(SERVERS_TOPIC).keys() >= launched.keys(),
+            lambda: self.newest_values(SERVERS_TOPIC).keys() >= launched.keys(),
             "all replicas are listed",
         )
 
@@ -243,7 +243,7 @@
         return self.replicas[name]
 
     @property
-    def crashed(self) -> list[str]:
+    def crashed_replicas(self) -> list[str]:
         """Names of the replicas that crashed on a poison request."""
         processes = self.replicas.items()
         return [name for name, one in processes if one.popen.poll() == CRASHED]
@@ -265,7 +265,7 @@
     def launch_router(self, name: str) -> Process:
         """Start or restart a router without waiting for it."""
         if name in self.routers:
-            self._ended.append(self.routers[name])
+            self._exited.append(self.routers[name])
         path = Path(self._dir.name, f"{name}.json")
         path.write_text(json.dumps(self.settings[name]))
         # Logs go to a file: the router would block on a pipe that is full because
@@ -282,7 +282,7 @@
         self.routers[name] = Process(popen, {}, logs)
         return self.routers[name]
 
-    def ready(self, name: str) -> int:
+    def readiness_status(self, name: str) -> int:
         """Return the HTTP status of a router's readiness check."""
         address = _address(self.settings[name]["ready"])
         return call(address, "GET", READY_PATH, timeout_s=2).status
@@ -297,13 +297,13 @@
         def asked() -> bool:
             if self.routers[name].popen.poll() is not None:
                 raise RuntimeError(f"router exited: {self.routers[name].stderr}")
-            return self.ready(name) == 200
+            return self.readiness_status(name) == 200
 
         wait_for(asked, f"{name} is ready")
 
     def close(self) -> None:
         """Kill all processes and remove temporary files."""
-        mine = [*self.routers.values(), *self._ended, *self.replicas.values()]
+        mine = [*self.routers.values(), *self._exited, *self.replicas.values()]
         for process in (*mine, *filter(None, [self.store])):
             with suppress(ProcessLookupError):
                 process.popen.kill()
@@ -331,7 +331,7 @@
         """Write a configuration to the store as the operator."""
         self.control(self.store, "PUT", "/config", config)
 
-    def store_fault(self, **faults: Any) -> None:
+    def set_store_faults(self, **faults: Any) -> None:
         """Set the store's faults; without arguments, clear them."""
         self.control(self.store, "POST", "/fault", faults)
 
@@ -339,15 +339,15 @@
         """Have the store drop all records of a topic; newest values stay."""
         self.control(self.store, "POST", "/compact", {"topic": topic})
 
-    def newest(self, topic: str = STATUS_TOPIC) -> dict[str, Any]:
+    def newest_values(self, topic: str = STATUS_TOPIC) -> dict[str, Any]:
         """Return the newest value of each key of a topic."""
         return self.control(self.store, "GET", f"/newest?topic={topic}")
 
-    def fault(self, replica: str, **faults: Any) -> None:
+    def set_faults(self, replica: str, **faults: Any) -> None:
         """Set a replica's faults; without arguments, clear them."""
         self.control(self.replicas[replica], "POST", "/fault", faults)
 
-    def tear(self, replica: str) -> None:
+    def cut_streams(self, replica: str) -> None:
         """Cut all streams of a replica in the middle of an event."""
         self.control(self.replicas[replica], "POST", "/tear")
 
@@ -371,11 +371,11 @@
         return [row for row in rows if name in (None, row["id"])]
 
     @property
-    def log(self) -> str:
+    def router_logs(self) -> str:
         """Log output of the current process of each router."""
         return "".join(process.stderr for process in self.routers.values())
 
-    def begun(self, name: str) -> list[dict[str, Any]]:
+    def started_runs(self, name: str) -> list[dict[str, Any]]:
         """Return the records of a request that replicas started to execute."""
         return [row for row in self.runs(name) if row["begun"] is not None]
 
@@ -398,7 +398,7 @@
         finally:
             client.close()
 
-    def direct(self, replica: str) -> PlatformClient:
+    def replica_client(self, replica: str) -> PlatformClient:
         """Open a connection to a replica, bypassing the routers."""
         return PlatformClient(self.replicas[replica].address)
 
--- a/tests/test_callers_who_left.py
+++ b/tests/test_callers_who_left.py
@@ -82,7 +82,7 @@
 
 def logged_request_ids(lab):
     """Return the request ids in the router's log lines, in order."""
-    rows = (line for line in lab.log.splitlines() if line.startswith("{"))
+    rows = (line for line in lab.router_logs.splitlines() if line.startswith("{"))
     return [row["request"] for row in map(json.loads, rows) if "request" in row]
 
 
--- a/tests/test_endpoint_signs.py
+++ b/tests/test_endpoint_signs.py
@@ -10,8 +10,8 @@
 from greengageflow.lab.lab import Lab, LabPlan, key_of
 from greengageflow.lab.platform_lab import (
     CHAT,
+    NON_RESUMABLE_CHAT,
     SAFE,
-    TALE,
     UNSAFE,
     PlatformLab,
     PlatformShape,
@@ -22,7 +22,7 @@
 from tests.fleet_support import executions
 from tests.support import call, wait_for
 
-PATHS = pytest.mark.parametrize("path", [SAFE, UNSAFE, CHAT, TALE])
+PATHS = pytest.mark.parametrize("path", [SAFE, UNSAFE, CHAT, NON_RESUMABLE_CHAT])
 LEAVING = f'"{DecisionEvent.ENDPOINT_LEAVING.number}"'
 REQUESTS = 12
 SLOTS = 4
@@ -35,7 +35,7 @@
 
 
 def ask(lab, path, router="r0"):
-    headers = generation(6, ("p", 50)) if path in (CHAT, TALE) else {}
+    headers = generation(6, ("p", 50)) if path in (CHAT, NON_RESUMABLE_CHAT) else {}
     return lab.ask(path, router, headers=headers)
 
 
@@ -51,8 +51,8 @@
 def test_leaving_endpoint_gets_no_more_requests_from_any_host(lab, path):
     """The endpoint list shows it late, or not at all while the store is down."""
     name = answering_replica(ask(lab, path))
-    lab.fault(name, says_leaving=True)
-    lab.store_fault(status=503)
+    lab.set_faults(name, says_leaving=True)
+    lab.set_store_faults(status=503)
     wait_for(
         lambda: answering_replica(ask(lab, path)) == name,
         "an answer from the leaving endpoint",
@@ -64,14 +64,14 @@
     for _ in range(REQUESTS):
         assert ask(lab, path, "r1").status == 200
     assert run_count(lab, name) == before
-    assert lab.newest(SERVERS_TOPIC)[name]["state"] == "ready"
+    assert lab.newest_values(SERVERS_TOPIC)[name]["state"] == "ready"
 
 
 @PATHS
 def test_endpoint_that_asks_for_backoff_gets_no_more_requests(lab, path):
     """An endpoint that rejects requests at once seems idle and would get them all."""
     name = answering_replica(ask(lab, path))
-    lab.fault(name, backoff_s=600.0)
+    lab.set_faults(name, backoff_s=600.0)
     before = run_count(lab, name)
     for _ in range(REQUESTS):
         assert ask(lab, path).status == 200
@@ -82,20 +82,20 @@
 def test_request_waits_for_the_end_of_a_short_backoff(lab, path):
     """The request was rejected when all endpoints asked for a short backoff, although
     it had time to wait."""
-    kind = "scribe" if path in (CHAT, TALE) else "app"
+    kind = "scribe" if path in (CHAT, NON_RESUMABLE_CHAT) else "app"
     for number in range(3):
-        lab.fault(f"{kind}-{number}", backoff_s=0.05, times=1)
+        lab.set_faults(f"{kind}-{number}", backoff_s=0.05, times=1)
     answer = ask(lab, path)
     assert answer.status == 200
-    assert len(lab.begun(answer.id)) == 1
+    assert len(lab.started_runs(answer.id)) == 1
 
 
-@pytest.mark.parametrize("path", [SAFE, TALE])
+@pytest.mark.parametrize("path", [SAFE, NON_RESUMABLE_CHAT])
 def test_request_is_rejected_at_once_while_all_endpoints_back_off(lab, path):
     """It would queue for a slot that can't become free in time."""
-    kind = "scribe" if path == TALE else "app"
+    kind = "scribe" if path == NON_RESUMABLE_CHAT else "app"
     for number in range(3):
-        lab.fault(f"{kind}-{number}", backoff_s=600.0)
+        lab.set_faults(f"{kind}-{number}", backoff_s=600.0)
     for _ in range(REQUESTS):
         ask(lab, path)
     before = len(lab.runs())
--- a/tests/test_gateway_bounds.py
+++ b/tests/test_gateway_bounds.py
@@ -114,9 +114,9 @@
         idle = [lab.client() for _ in range(2 * FEW_FILES)]
         fd_dir = f"/proc/{lab.routers['r0'].pid}/fd"
         assert {lab.ask(SAFE).status for _ in range(20)} == {200}
-        assert lab.ready("r0") == 200
+        assert lab.readiness_status("r0") == 200
         assert len(os.listdir(fd_dir)) < FEW_FILES
-        assert "CONNECTIONS_FULL" in lab.log
+        assert "CONNECTIONS_FULL" in lab.router_logs
         for client in idle:
             client.close()
         assert lab.ask(SAFE).status == 200
@@ -128,8 +128,8 @@
     connections are free."""
     shape = PlatformShape(plain_options={"slots": 2 * FEW_FILES})
     with FewFilesLab(shape) as lab:
-        lab.fault("app-0", hang=True, times=FEW_FILES)
-        lab.fault("app-1", hang=True, times=FEW_FILES)
+        lab.set_faults("app-0", hang=True, times=FEW_FILES)
+        lab.set_faults("app-1", hang=True, times=FEW_FILES)
         busy_clients = []
 
         def is_full_with_one_more():
@@ -137,14 +137,14 @@
             busy_clients.append(lab.client())
             with suppress(OSError):
                 busy_clients[-1].send(SAFE, key=KEY, deadline_ms=60_000)
-            return lab.ready("r0") == 503
+            return lab.readiness_status("r0") == 503
 
         wait_for(is_full_with_one_more, "the host reports that it is full")
         for client in busy_clients:
             client.close()
-        lab.fault("app-0")
-        lab.fault("app-1")
-        wait_for(lambda: lab.ready("r0") == 200, "ready again")
+        lab.set_faults("app-0")
+        lab.set_faults("app-1")
+        wait_for(lambda: lab.readiness_status("r0") == 200, "ready again")
         wait_for(lambda: lab.ask(SAFE).status == 200, "served again")
 
 
@@ -176,7 +176,7 @@
         for name in ("r0", "r1"):
             wait_for(lambda n=name: lab.ask(LONG, n).status == 200, "in force")
         before = len(lab.runs())
-        lab.fault("app-0", hang=True, times=3)
+        lab.set_faults("app-0", hang=True, times=3)
         clients = [lab.client("r0") for _ in range(3)]
         for client in clients:
             client.send(LONG, key=KEY, deadline_ms=LONG_MS)
--- a/tests/test_gateway_cuts.py
+++ b/tests/test_gateway_cuts.py
@@ -122,7 +122,9 @@
             lab.wait_for_peers([1, 0, 1])
             lab.routers["r1"].kill()
             lab.launch_router("r1")
-            wait_for(lambda: lab.ready("r1") == 503, "the new process answers")
+            wait_for(
+                lambda: lab.readiness_status("r1") == 503, "the new process answers"
+            )
             refused = [lab.ask(SAFE, "r1") for _ in range(5)]
             assert {answer.status for answer in refused} == {503}
             assert not [run for answer in refused for run in lab.runs(answer.id)]
--- a/tests/test_gateway_explain.py
+++ b/tests/test_gateway_explain.py
@@ -6,11 +6,11 @@
 from tempfile import TemporaryDirectory
 
 from greengageflow.lab._processes import ROOT
-from greengageflow.lab.platform_client import Torn
+from greengageflow.lab.platform_client import IncompleteResponse
 from greengageflow.lab.platform_lab import (
     KEY,
+    NON_RESUMABLE_CHAT,
     SAFE,
-    TALE,
     UNSAFE,
     PlatformLab,
     PlatformShape,
@@ -48,7 +48,7 @@
     """Fill the only endpoint of a service; return the timeline of a refusal."""
     options = {"slots": 1, "queue": 4}
     with PlatformLab(PlatformShape(routers=2, plain=1, plain_options=options)) as lab:
-        lab.fault("app-0", hang=True, times=HANGING_REQUESTS)
+        lab.set_faults("app-0", hang=True, times=HANGING_REQUESTS)
         clients = [lab.client() for _ in range(HANGING_REQUESTS)]
         for client in clients:
             client.send(SAFE, key=KEY)
@@ -64,15 +64,17 @@
     """Kill an engine during a stream; return its name and the timeline."""
     with PlatformLab(PlatformShape(routers=2, plain=0, engines=2)) as lab:
         client = lab.client()
-        name = client.send(TALE, key=KEY, headers=generation(2000, ("p1", 50)))
+        name = client.send(
+            NON_RESUMABLE_CHAT, key=KEY, headers=generation(2000, ("p1", 50))
+        )
         client.head()
         events = client.events()
         next(events)
-        replica = lab.begun(name)[0]["replica"]
+        replica = lab.started_runs(name)[0]["replica"]
         lab.replicas[replica].kill()
         try:
             torn = not list(events)
-        except Torn:
+        except IncompleteResponse:
             torn = True
         assert torn
         return replica, explain_output(lab, name, "CUT")
--- a/tests/test_platform_answers.py
+++ b/tests/test_platform_answers.py
@@ -7,7 +7,7 @@
 import pytest
 
 from greengageflow.daemon.forwarder import STALL_TIMEOUT_S
-from greengageflow.lab.platform_client import PlatformClient, Torn
+from greengageflow.lab.platform_client import IncompleteResponse, PlatformClient
 from greengageflow.lab.platform_lab import (
     CHAT,
     KEY,
@@ -33,7 +33,7 @@
 def clear_faults(lab):
     yield
     for name in lab.replicas:
-        lab.fault(name)
+        lab.set_faults(name)
 
 
 def send_and_receive(client: PlatformClient, path: str, **options):
@@ -41,7 +41,7 @@
     name = client.send(path, **{"key": KEY, **options})
     try:
         return name, client.answer()
-    except Torn:
+    except IncompleteResponse:
         return name, None
 
 
@@ -51,18 +51,18 @@
     second replica would run it twice, and so would a status that promises the caller
     that it did not run."""
     for name in ("app-0", "app-1"):
-        lab.fault(name, lose=how)
+        lab.set_faults(name, lose=how)
     for _ in range(5):
         name, answer = send_and_receive(lab.client(), UNSAFE)
-        assert len(lab.begun(name)) == 1
+        assert len(lab.started_runs(name)) == 1
         assert answer is None or answer.status not in NOT_RUN_STATUSES | {200}
 
 
 def test_lost_response_of_an_idempotent_request_is_retried_elsewhere(lab):
-    lab.fault("app-0", lose="close")
+    lab.set_faults("app-0", lose="close")
     for _ in range(8):
         name, answer = send_and_receive(lab.client(), SAFE)
-        assert answer.status == 200 and 1 <= len(lab.begun(name)) <= 2
+        assert answer.status == 200 and 1 <= len(lab.started_runs(name)) <= 2
 
 
 @pytest.mark.parametrize("path", [SAFE, UNSAFE])
@@ -75,9 +75,9 @@
     """A replica's response is cut, reset or not HTTP. The caller gets an error or a
     closed connection, or a complete response of a retry if the route allows one."""
     for name in ("app-0", "app-1"):
-        lab.fault(name, **fault)
+        lab.set_faults(name, **fault)
     name, answer = send_and_receive(lab.client(), path, deadline_ms=3000)
-    assert len(lab.begun(name)) <= (2 if path == SAFE else 1)
+    assert len(lab.started_runs(name)) <= (2 if path == SAFE else 1)
     if answer is not None and answer.status == 200:
         assert path == SAFE and json.loads(answer.body)["id"] == name
     elif answer is not None:
@@ -86,7 +86,7 @@
 
 def test_response_that_ends_with_its_connection_is_complete(lab):
     for name in ("app-0", "app-1"):
-        lab.fault(name, unframed="close")
+        lab.set_faults(name, unframed="close")
     answer = lab.ask(UNSAFE)
     assert answer.status == 200 and json.loads(answer.body)["id"] == answer.id
 
@@ -98,7 +98,7 @@
     when the connection may already carry the next request. It must neither answer
     that request nor reach any caller."""
     for name in ("app-0", "app-1"):
-        lab.fault(name, extra_s=0.01, **extra)
+        lab.set_faults(name, extra_s=0.01, **extra)
     clients = [lab.client() for _ in range(4)]
     for number in range(40):
         client = clients[number % 4]
@@ -107,9 +107,9 @@
             clients[number % 4] = lab.client()
         elif answer.status == 200:
             assert json.loads(answer.body)["id"] == name
-            assert len(lab.begun(name)) <= (2 if path == SAFE else 1)
+            assert len(lab.started_runs(name)) <= (2 if path == SAFE else 1)
         else:
-            assert answer.status not in NOT_RUN_STATUSES or not lab.begun(name)
+            assert answer.status not in NOT_RUN_STATUSES or not lab.started_runs(name)
     assert all(client.silent() for client in clients)
 
 
@@ -117,14 +117,14 @@
     """A replica responds before it has read a long body and then reads on. The rest of
     that body must follow on the connection before any other request."""
     for name in ("app-0", "app-1"):
-        lab.fault(name, early=True)
+        lab.set_faults(name, early=True)
     body = bytes(range(256)) * 4000
     bodies = {}
     for number in range(8):
         sent = body if number % 2 else b"short"
         bodies[send_and_receive(lab.client(), UNSAFE, body=sent)[0]] = sent
     for name, sent in bodies.items():
-        (run,) = lab.begun(name)
+        (run,) = lab.started_runs(name)
         read_body = sent[: run["body_bytes"]]
         assert run["body_sha256"] == sha256(read_body).hexdigest()
     assert {run["target"] for run in lab.runs()} <= {SAFE, UNSAFE, CHAT}
@@ -133,10 +133,10 @@
 def start_hanging_requests(lab, path, count):
     """Start ``count`` requests that hang at the plain replicas."""
     for name in ("app-0", "app-1"):
-        lab.fault(name, hang=True)
+        lab.set_faults(name, hang=True)
     clients = [lab.client() for _ in range(count)]
     names = [client.send(path, key=KEY) for client in clients]
-    wait_for(lambda: all(lab.begun(name) for name in names), "all runs started")
+    wait_for(lambda: all(lab.started_runs(name) for name in names), "all runs started")
     return clients, names
 
 
@@ -149,10 +149,10 @@
     for client in clients:
         client.close()
     for name in ("app-0", "app-1"):
-        lab.fault(name)
+        lab.set_faults(name)
     assert wait_for(lambda: lab.ask(path).status == 200, "slots are free again")
     for name, answer in refused:
-        assert answer.status in NOT_RUN_STATUSES and not lab.begun(name)
+        assert answer.status in NOT_RUN_STATUSES and not lab.started_runs(name)
         assert float(answer.headers["retry-after"]) < 3
 
 
@@ -185,11 +185,11 @@
     wait_for(lambda: lab.runs(abandoned), "it was sent")
     waiting.close()
     for name in ("app-0", "app-1"):
-        lab.fault(name)
+        lab.set_faults(name)
     for client in clients:
         client.close()
     wait_for(lambda: lab.ask(SAFE).status == 200, "a later request is served")
-    assert not lab.begun(abandoned)
+    assert not lab.started_runs(abandoned)
 
 
 def test_stream_that_stands_still_is_not_cut_when_nothing_else_can_go_on(lab):
@@ -207,7 +207,7 @@
     engine.go_on()
     seen.extend(events)
     assert [event.id for event in seen] == list(range(1, 301))
-    assert [run["outcome"] for run in lab.begun(name)] == ["done"]
+    assert [run["outcome"] for run in lab.started_runs(name)] == ["done"]
 
 
 def test_stream_that_stands_still_goes_back_when_the_next_engine_is_dead():
@@ -219,7 +219,7 @@
         client.head()
         events = client.events()
         seen = [next(events)]
-        [run] = lab.begun(name)
+        [run] = lab.started_runs(name)
         [other] = {"scribe-0", "scribe-1"} - {run["replica"]}
         lab.replicas[other].kill()
         engine = lab.replicas[run["replica"]]
--- a/tests/test_platform_fakes.py
+++ b/tests/test_platform_fakes.py
@@ -10,7 +10,7 @@
 
 from greengageflow.lab._platform_batch import Batch, Job
 from greengageflow.lab._platform_log import frame, frames, keyed_record
-from greengageflow.lab.platform_client import Torn
+from greengageflow.lab.platform_client import IncompleteResponse
 from greengageflow.lab.platform_lab import (
     CHAT,
     PlatformLab,
@@ -48,9 +48,9 @@
 @pytest.fixture(autouse=True)
 def sound(lab):
     yield
-    lab.store_fault()
+    lab.set_store_faults()
     for name in lab.replicas:
-        lab.fault(name)
+        lab.set_faults(name)
 
 
 def log_call(lab, method, path, body=None, *, source="127.0.0.1", timeout_s=20):
@@ -102,39 +102,45 @@
 
 
 def test_store_loses_answers_of_what_it_did_for_the_given_callers_only(lab):
-    lab.store_fault(lost=True, ips=["127.0.0.9"])
+    lab.set_store_faults(lost=True, ips=["127.0.0.9"])
     with pytest.raises(TimeoutError):
         append(lab, "lost", b"a", source="127.0.0.9", timeout_s=0.5)
     assert read(lab, "lost", 0) == (200, 1, 0, [b"a"])
-    lab.store_fault(down=True)
+    lab.set_store_faults(down=True)
     with pytest.raises(TimeoutError):
         append(lab, "lost", b"b", timeout_s=0.5)
-    lab.store_fault(status=429)
+    lab.set_store_faults(status=429)
     assert append(lab, "lost", b"c")[0] == 429
-    lab.store_fault(reset=True)
+    lab.set_store_faults(reset=True)
     with pytest.raises(ConnectionError):
         append(lab, "lost", b"d")
-    lab.store_fault()
+    lab.set_store_faults()
     assert read(lab, "lost", 0)[3] == [b"a"]
 
 
 def test_replicas_register_drain_and_expire(lab):
-    wait_for(lambda: len(lab.newest(SERVERS_TOPIC)) == 3, "three replicas are listed")
-    assert lab.newest(OPERATOR_TOPIC)["config"] == configuration()
+    wait_for(
+        lambda: len(lab.newest_values(SERVERS_TOPIC)) == 3, "three replicas are listed"
+    )
+    assert lab.newest_values(OPERATOR_TOPIC)["config"] == configuration()
     extra = lab.add_replica("app-x", service="app", heartbeat_ms=100)
-    wait_for(lambda: "app-x" in lab.newest(SERVERS_TOPIC), "the new replica is listed")
+    wait_for(
+        lambda: "app-x" in lab.newest_values(SERVERS_TOPIC), "the new replica is listed"
+    )
     lab.set_state("app-x", DRAINING)
     wait_for(
-        lambda: lab.newest(SERVERS_TOPIC)["app-x"]["state"] == DRAINING,
+        lambda: lab.newest_values(SERVERS_TOPIC)["app-x"]["state"] == DRAINING,
         "its entry says draining",
     )
     extra.kill()
     del lab.replicas["app-x"]
-    wait_for(lambda: "app-x" not in lab.newest(SERVERS_TOPIC), "the entry expires")
+    wait_for(
+        lambda: "app-x" not in lab.newest_values(SERVERS_TOPIC), "the entry expires"
+    )
 
 
 def test_replica_answers_and_refuses(lab):
-    client = lab.direct("app-0")
+    client = lab.replica_client("app-0")
     answer = client.ask("/safe/x?q=1", b"body")
     assert answer.status == 200 and answer.headers[REQUEST_ID] == answer.id
     assert answer.headers[RESPONSE_SEAL]
@@ -143,20 +149,20 @@
     assert run["body_sha256"] == sha256(b"body").hexdigest()
     other = client.ask("/safe/x", headers={EXPECT_REPLICA: "i-other"})
     assert other.status == 421 and other.headers[REPLICA_ID] == "app-0"
-    assert NOT_EXECUTED in other.headers and not lab.begun(other.id)
+    assert NOT_EXECUTED in other.headers and not lab.started_runs(other.id)
     assert client.ask("/health", method="GET").headers[REPLICA_ID] == "app-0"
 
 
 def test_full_replica_refuses_and_drops_what_its_callers_left(lab):
-    lab.fault("app-0", hang=True)
-    held = [lab.direct("app-0") for _ in range(3)]
+    lab.set_faults("app-0", hang=True)
+    held = [lab.replica_client("app-0") for _ in range(3)]
     names = [client.send("/safe/") for client in held]
     wait_for(lambda: all(lab.runs(name) for name in names), "all requests arrive")
-    refused = lab.direct("app-0").ask("/safe/")
+    refused = lab.replica_client("app-0").ask("/safe/")
     assert refused.status == 503 and NOT_EXECUTED in refused.headers
     held[0].close()
     wait_for(lambda: lab.runs(names[0])[0]["cancelled"], "the closed one is cancelled")
-    wait_for(lambda: lab.begun(names[2]), "the queued one starts")
+    wait_for(lambda: lab.started_runs(names[2]), "the queued one starts")
     held[1].close(reset=True)
     held[2].close()
     wait_for(
@@ -175,35 +181,35 @@
     ],
 )
 def test_replica_runs_and_spoils_the_answer(lab, fault):
-    lab.fault("app-0", times=1, **fault)
-    client = lab.direct("app-0")
+    lab.set_faults("app-0", times=1, **fault)
+    client = lab.replica_client("app-0")
     name = client.send("/safe/")
-    with pytest.raises(Torn):
+    with pytest.raises(IncompleteResponse):
         client.answer()
     assert [run["outcome"] for run in lab.runs(name)] == ["done"]
-    assert lab.direct("app-0").ask("/safe/").status == 200
+    assert lab.replica_client("app-0").ask("/safe/").status == 200
 
 
 def test_replica_answers_unframed_grey_and_with_an_extra_answer(lab):
-    lab.fault("app-0", unframed="close")
-    answer = lab.direct("app-0").ask("/safe/")
+    lab.set_faults("app-0", unframed="close")
+    answer = lab.replica_client("app-0").ask("/safe/")
     assert json.loads(answer.body)["id"] == answer.id
-    lab.fault("app-0", grey=1)
-    assert lab.direct("app-0").ask("/safe/").status == 500
-    lab.fault("app-0", extra="late", extra_s=0.01)
-    client = lab.direct("app-0")
+    lab.set_faults("app-0", grey=1)
+    assert lab.replica_client("app-0").ask("/safe/").status == 500
+    lab.set_faults("app-0", extra="late", extra_s=0.01)
+    client = lab.replica_client("app-0")
     client.ask("/safe/")
     wait_for(lambda: not client.silent(), "a foreign response arrives")
-    lab.fault("app-0", refuse=True)
+    lab.set_faults("app-0", refuse=True)
     with pytest.raises(ConnectionRefusedError):
-        lab.direct("app-0")
-    lab.fault("app-0")
-    assert lab.direct("app-0").ask("/safe/").status == 200
+        lab.replica_client("app-0")
+    lab.set_faults("app-0")
+    assert lab.replica_client("app-0").ask("/safe/").status == 200
 
 
 def test_replica_answers_before_a_long_body_is_read(lab):
-    lab.fault("app-0", early=True)
-    body, client = bytes(100_000), lab.direct("app-0")
+    lab.set_faults("app-0", early=True)
+    body, client = bytes(100_000), lab.replica_client("app-0")
     head = f"POST /safe/ HTTP/1.1\r\nHost: a\r\n{REQUEST_ID}: early\r\n"
     client.sock.sendall(f"{head}Content-Length: {len(body)}\r\n\r\n".encode())
     assert b" 200 " in client.sock.recv(65_536)
@@ -213,49 +219,49 @@
 
 
 def test_replica_lies_about_its_health_and_drops_idle_connections(lab):
-    client = lab.direct("app-0")
+    client = lab.replica_client("app-0")
     assert client.ask("/health", method="GET").status == 200
-    lab.fault("app-0", health=503, hang=True, via="/r1/")
+    lab.set_faults("app-0", health=503, hang=True, via="/r1/")
     assert client.ask("/health", method="GET").status == 503
     assert client.ask("/safe/r0/x").status == 200
-    held = lab.direct("app-0")
+    held = lab.replica_client("app-0")
     name = held.send("/safe/r1/x")
-    wait_for(lambda: lab.begun(name), "the request starts")
+    wait_for(lambda: lab.started_runs(name), "the request starts")
     lab.control(lab.replicas["app-0"], "POST", "/drop")
     name = client.send("/unsafe/r0/x")
-    with pytest.raises(Torn):
+    with pytest.raises(IncompleteResponse):
         client.answer()
     assert not lab.runs(name)
-    assert held.silent() and lab.direct("app-0").ask("/safe/r0/x").status == 200
+    assert held.silent() and lab.replica_client("app-0").ask("/safe/r0/x").status == 200
 
 
 def test_engine_streams_resumes_and_tears(lab):
     headers = generation(20, ("aa", 500), ("bb", 300))
-    client = lab.direct("scribe-0")
+    client = lab.replica_client("scribe-0")
     client.send("/chat/", headers=headers)
     client.head()
     assert [event.id for event in client.events()] == list(range(1, 11))
     client.send("/chat/", headers={**headers, LAST_EVENT_ID: 7})
     client.head()
     assert [event.id for event in client.events()] == [8, 9, 10]
-    lab.fault("scribe-0", cut_after=3)
+    lab.set_faults("scribe-0", cut_after=3)
     client.send("/chat/", headers=headers)
     client.head()
     got = []
-    with pytest.raises(Torn):
+    with pytest.raises(IncompleteResponse):
         got.extend(event.id for event in client.events())
-    assert lab.begun(client._id)[0]["outcome"] == "cut"
+    assert lab.started_runs(client._id)[0]["outcome"] == "cut"
 
 
 def test_engine_drops_a_stream_at_its_deadline_and_when_the_caller_leaves(lab):
     headers = generation(50_000, ("cc", 100))
-    client = lab.direct("scribe-1")
+    client = lab.replica_client("scribe-1")
     name = client.send("/chat/", headers=headers, deadline_ms=200)
     assert client.head().status == 200
-    with pytest.raises(Torn):
+    with pytest.raises(IncompleteResponse):
         list(client.events())
     assert lab.runs(name)[0]["outcome"] == "deadline"
-    client = lab.direct("scribe-1")
+    client = lab.replica_client("scribe-1")
     name = client.send("/chat/", headers=headers)
     assert client.head().status == 200
     client.close()
@@ -281,10 +287,10 @@
 def test_engine_fetches_what_another_keeps(lab):
     headers = generation(2, ("ab", 400), ("ba", 200))
     holder = lab.replicas["scribe-0"]
-    lab.direct("scribe-0").ask("/chat/", headers=headers)
+    lab.replica_client("scribe-0").ask("/chat/", headers=headers)
     address = "{}:{}".format(*holder.address)
-    lab.direct("scribe-1").ask("/chat/", headers={**headers, KV_FETCH: address})
-    body = lab.direct("scribe-1").ask(KV_LIST, method="GET").body
+    lab.replica_client("scribe-1").ask("/chat/", headers={**headers, KV_FETCH: address})
+    body = lab.replica_client("scribe-1").ask(KV_LIST, method="GET").body
     assert {"ab", "ba"} <= {name for _, name, _, _ in json.loads(body)["held"]}
 
 
@@ -297,14 +303,14 @@
     shape = fakes_only(plain=0, engines=1, engine_options={"slots": 40, "step_ms": 1})
     with PlatformLab(shape) as lab:
         for _ in range(12):
-            clients = [lab.direct("scribe-0") for _ in range(20)]
+            clients = [lab.replica_client("scribe-0") for _ in range(20)]
             for client in clients:
                 client.send(CHAT, headers=generation(5000, ("a1", 50)))
             for client in clients:
                 client.head()
                 next(client.events())
                 client.close(reset=True)
-        client = lab.direct("scribe-0")
+        client = lab.replica_client("scribe-0")
         client.send(CHAT, headers=generation(9, ("a1", 50)))
         client.head()
         assert [event.id for event in client.events()] == [1, 2, 3, 4, 5]
--- a/tests/test_platform_path.py
+++ b/tests/test_platform_path.py
@@ -5,12 +5,12 @@
 
 import pytest
 
-from greengageflow.lab.platform_client import Torn
+from greengageflow.lab.platform_client import IncompleteResponse
 from greengageflow.lab.platform_lab import (
     CHAT,
     KEY,
+    NON_RESUMABLE_CHAT,
     SAFE,
-    TALE,
     UNSAFE,
     PlatformLab,
     PlatformShape,
@@ -94,7 +94,7 @@
     name = client.send(CHAT, key=KEY, headers=generation(50_000, ("c1", 50)))
     client.head()
     assert next(client.events()).id == 1
-    assert [run["ended"] for run in lab.begun(name)] == [None]
+    assert [run["ended"] for run in lab.started_runs(name)] == [None]
     client.close()
 
 
@@ -122,7 +122,7 @@
     assert client.head().status == 200
     events = client.events()
     seen = [next(events)]
-    lab.tear(lab.begun(name)[0]["replica"])
+    lab.cut_streams(lab.started_runs(name)[0]["replica"])
     return name, seen, events
 
 
@@ -133,7 +133,7 @@
     seen.extend(events)
     assert [event.id for event in seen] == list(range(1, 101))
     assert {json.loads(event.data)["run"] for event in seen} == {name}
-    runs = sorted(lab.begun(name), key=lambda run: run["begun"])
+    runs = sorted(lab.started_runs(name), key=lambda run: run["begun"])
     # On a busy machine the second run may stall and be replaced by a third.
     assert (runs[0]["outcome"], runs[-1]["outcome"]) == ("cut", "done")
     assert runs[0]["replica"] != runs[1]["replica"]
@@ -143,9 +143,9 @@
 def test_cut_stream_that_is_not_resumable_ends_incomplete(lab):
     """On a route that is not resumable there is no second run, and the caller must be
     able to tell that the response is incomplete."""
-    name, seen, events = start_and_cut_stream(lab, TALE)
-    with pytest.raises(Torn):
+    name, seen, events = start_and_cut_stream(lab, NON_RESUMABLE_CHAT)
+    with pytest.raises(IncompleteResponse):
         seen.extend(events)
-    assert [run["outcome"] for run in lab.begun(name)] == ["cut"]
+    assert [run["outcome"] for run in lab.started_runs(name)] == ["cut"]
     ids = [event.id for event in seen]
     assert ids == list(range(1, len(ids) + 1))
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -102,14 +102,14 @@
     must accept the new keys.
     """
     assert lab.ask(SAFE).status == 200
-    lab.store_fault(down=True)
+    lab.set_store_faults(down=True)
     lab.publish(configuration(3, tenants=NO_TENANT))
     wait_for(lambda: lab.ask(SAFE).status == 503, "keys are refused")
     for _ in range(5):
         refused = lab.ask(UNSAFE)
         assert refused.status == 503 and not lab.runs(refused.id)
-    assert lab.ready("r0") != 200
-    lab.store_fault()
+    assert lab.readiness_status("r0") != 200
+    lab.set_store_faults()
     wait_for(
         lambda: lab.ask(SAFE, key="another-key").status == 200,
         "the new key is accepted",
@@ -126,7 +126,7 @@
     with a 503, which clients retry, and never with a final error.
     """
     ip = lab.settings["r0"]["ip"]
-    lab.store_fault(ips=[ip, "127.0.0.1"], **fault)
+    lab.set_store_faults(ips=[ip, "127.0.0.1"], **fault)
     answers = []
 
     def refused():
@@ -135,7 +135,7 @@
 
     wait_for(refused, "keys are refused")
     assert set(answers) <= {200, 503}
-    lab.store_fault()
+    lab.set_store_faults()
     wait_for(lambda: lab.ask(SAFE).status == 200, "requests are served again")
 
 
@@ -145,14 +145,14 @@
     A 404 or 401 would end the client's retries, and the load balancer must not send
     it traffic.
     """
-    lab.store_fault(down=True)
+    lab.set_store_faults(down=True)
     name = lab.add_router()
-    wait_for(lambda: lab.ready(name), "the router listens")
-    assert lab.ready(name) != 200
+    wait_for(lambda: lab.readiness_status(name), "the router listens")
+    assert lab.readiness_status(name) != 200
     refused = lab.ask(SAFE, name)
     assert refused.status == 503 and not lab.runs(refused.id)
     assert float(refused.headers["retry-after"]) > 0
-    lab.store_fault()
+    lab.set_store_faults()
     lab.wait_ready(name)
     wait_for(lambda: lab.ask(SAFE, name).status == 200, "the router serves")
 
@@ -169,7 +169,7 @@
     client = lab.client()
     stream = client.send(CHAT, key=KEY, headers=generation(400, ("f1", 50)))
     assert client.head().status == 200
-    leaving = lab.begun(stream)[0]["replica"]
+    leaving = lab.started_runs(stream)[0]["replica"]
     lab.set_state(leaving, state)
 
     def served_by_others():
@@ -197,7 +197,9 @@
     lab.add_replica("app-x", service="app")
     for name in ("app-0", "app-1"):
         lab.set_state(name, "gone")
-    wait_for(lambda: len(lab.newest(SERVERS_TOPIC)) == 2, "two replicas are listed")
+    wait_for(
+        lambda: len(lab.newest_values(SERVERS_TOPIC)) == 2, "two replicas are listed"
+    )
     lab.compact(SERVERS_TOPIC)
 
     def served():
@@ -223,7 +225,7 @@
     asked, failed = [], []
 
     def ask_on():
-        while lab.ready("r0") == 200 or len(asked) < 50:
+        while lab.readiness_status("r0") == 200 or len(asked) < 50:
             try:
                 asked.append(lab.ask(UNSAFE))
             except Exception as exc:
@@ -242,7 +244,7 @@
     assert not failed
     assert 200 in {answer.status for answer in asked}
     for answer in asked:
-        assert answer.status == 200 or not lab.begun(answer.id)
+        assert answer.status == 200 or not lab.started_runs(answer.id)
     assert lab.routers["r0"].popen.wait(30) == 0
 
 
--- a/tests/test_poison_requests.py
+++ b/tests/test_poison_requests.py
@@ -3,11 +3,11 @@
 import pytest
 
 from greengageflow.lab.lab import Lab, LabPlan, key_of
-from greengageflow.lab.platform_client import Torn
+from greengageflow.lab.platform_client import IncompleteResponse
 from greengageflow.lab.platform_lab import (
     CHAT,
+    NON_RESUMABLE_CHAT,
     SAFE,
-    TALE,
     UNSAFE,
     PlatformLab,
     PlatformShape,
@@ -28,7 +28,7 @@
 
 
 def lab_of(path):
-    kind = "engines" if path in (CHAT, TALE) else "plain"
+    kind = "engines" if path in (CHAT, NON_RESUMABLE_CHAT) else "plain"
     shape = {"plain": 1, "engines": 1, kind: REPLICAS}
     return PlatformLab(
         PlatformShape(routers=3, plain_options=OPTIONS, engine_options=OPTIONS, **shape)
@@ -36,20 +36,20 @@
 
 
 def ask(lab, path, router, body=BODY):
-    headers = generation(6, ("p", 50)) if path in (CHAT, TALE) else {}
+    headers = generation(6, ("p", 50)) if path in (CHAT, NON_RESUMABLE_CHAT) else {}
     try:
         return lab.ask(path, router, body=body, headers=headers)
-    except Torn:
+    except IncompleteResponse:
         return None
 
 
-@pytest.mark.parametrize("path", [SAFE, UNSAFE, CHAT, TALE])
+@pytest.mark.parametrize("path", [SAFE, UNSAFE, CHAT, NON_RESUMABLE_CHAT])
 def test_request_that_crashes_replicas_is_quarantined_at_every_host(path):
     """Each retry at any host would crash one more replica."""
     with lab_of(path) as lab:
         for number in range(2 * REPLICAS):
             ask(lab, path, f"r{number % 3}")
-        assert len(lab.crashed) <= MAX_CRASHES
+        assert len(lab.crashed_replicas) <= MAX_CRASHES
         refused = ask(lab, path, "r0")
         assert refused.status == 503
         assert not lab.runs(refused.id)
@@ -63,28 +63,28 @@
 
 def test_restarted_router_learns_which_requests_are_quarantined():
     """It starts without crash records and would run each of them again."""
-    with lab_of(TALE) as lab:
+    with lab_of(NON_RESUMABLE_CHAT) as lab:
         for _ in range(2):
-            ask(lab, TALE, "r0")
+            ask(lab, NON_RESUMABLE_CHAT, "r0")
         wait_for(
             lambda: all(is_quarantined(lab, name) for name in lab.routers),
             "all have it",
         )
-        assert len(lab.crashed) == 2
+        assert len(lab.crashed_replicas) == 2
         lab.routers["r1"].kill()
         lab.launch_router("r1")
         lab.wait_ready("r1")
         wait_for(lambda: is_quarantined(lab, "r1"), "the new process knows")
-        assert ask(lab, TALE, "r1").status == 503
-        assert len(lab.crashed) == 2
+        assert ask(lab, NON_RESUMABLE_CHAT, "r1").status == 503
+        assert len(lab.crashed_replicas) == 2
 
 
 def test_requests_stay_quarantined_when_all_routers_end_at_once():
     """No host is left to pass on the crash records."""
-    with lab_of(TALE) as lab:
+    with lab_of(NON_RESUMABLE_CHAT) as lab:
         for _ in range(2):
-            ask(lab, TALE, "r0")
-        wait_for(lambda: lab.newest(QUARANTINE_TOPIC), "the store has it")
+            ask(lab, NON_RESUMABLE_CHAT, "r0")
+        wait_for(lambda: lab.newest_values(QUARANTINE_TOPIC), "the store has it")
         for router in list(lab.routers):
             lab.routers[router].kill()
         for router in list(lab.routers):
@@ -95,8 +95,8 @@
         )
         for router in lab.routers:
             lab.wait_ready(router)
-            assert ask(lab, TALE, router).status == 503
-        assert len(lab.crashed) == 2
+            assert ask(lab, NON_RESUMABLE_CHAT, router).status == 503
+        assert len(lab.crashed_replicas) == 2
 
 
 PLANS = {
--- a/tests/test_stale_retries.py
+++ b/tests/test_stale_retries.py
@@ -3,7 +3,7 @@
 import pytest
 
 from greengageflow.lab.lab import Lab, LabPlan, key_of
-from greengageflow.lab.platform_client import Torn
+from greengageflow.lab.platform_client import IncompleteResponse
 from greengageflow.lab.platform_lab import (
     CHAT,
     SAFE,
@@ -25,7 +25,7 @@
     headers = generation(6, ("p", 50)) if path == CHAT else {}
     try:
         return lab.ask(path, headers=headers, deadline_ms=12_000)
-    except Torn:
+    except IncompleteResponse:
         return None
 
 
@@ -35,7 +35,7 @@
     with lab_of(bounds=NO_RETRIES) as lab:
         for _ in range(4):
             assert ask(lab, SAFE).status == 200
-            lab.fault("app-0", lose=how, times=1)
+            lab.set_faults("app-0", lose=how, times=1)
             ask(lab, SAFE)
         runs = [row["id"] for row in lab.runs()]
         assert len(runs) == len(set(runs))
@@ -44,10 +44,10 @@
 def test_request_that_reached_no_endpoint_costs_no_retry_budget():
     """Otherwise attempts that no endpoint saw would use up the budget of callers."""
     with PlatformLab(PlatformShape(plain=2, bounds=NO_RETRIES)) as lab:
-        lab.fault("app-0", refuse=True)
+        lab.set_faults("app-0", refuse=True)
         assert [ask(lab, SAFE).status for _ in range(6)] == [200] * 6
-        lab.fault("app-0")
-        lab.fault("app-1", refuse=True)
+        lab.set_faults("app-0")
+        lab.set_faults("app-1", refuse=True)
         assert [ask(lab, SAFE).status for _ in range(6)] == [200] * 6
 
 
@@ -55,7 +55,7 @@
     """With the first attempt's header, the endpoint would work past the deadline."""
     with lab_of(plain_options={"work_ms": 600}) as lab:
         assert ask(lab, SAFE).status == 200
-        lab.fault("app-0", lose="reset", times=1)
+        lab.set_faults("app-0", lose="reset", times=1)
         answer = ask(lab, SAFE)
         first, second = (int(row["deadline_ms"]) for row in lab.runs(answer.id))
         assert second <= first - 600
@@ -70,7 +70,7 @@
             assert ask(lab, path).status == 200
             lab.control(lab.replicas[replica], "POST", "/drop")
             assert ask(lab, path).status == 200
-        wait_for(lambda: '"RETRIED"' in lab.log, "the line")
+        wait_for(lambda: '"RETRIED"' in lab.router_logs, "the line")
 
 
 RETRY_BURST = 10
