--- a/greengageflow/lab/_platform_batch.py
+++ b/greengageflow/lab/_platform_batch.py
@@ -14,9 +14,9 @@
     TOKEN_COUNT,
 )
 
-STAGE = {"stage": "prefill_decode"}
-NOTHING_MORE = (
-    STAGE
+STAGE_FIELD = {"stage": "prefill_decode"}
+REPORT_DEFAULTS = (
+    STAGE_FIELD
     | {"busy": False}
     | dict.fromkeys(("sequence", "handles", "pinned", "held", "next"), 0)
 )
@@ -31,19 +31,19 @@
         parts: Name and number of tokens of each part of the prompt, in order.
         prompt: Number of prompt tokens.
         wanted: Tokens to generate, including those generated before a resumption.
-        made: Tokens generated so far; a resumed stream starts above 0.
-        to_read: Tokens to prefill before the next one is generated.
+        generated: Tokens generated so far; a resumed stream starts above 0.
+        to_prefill: Tokens to prefill before the next one is generated.
     """
 
     model: str
     parts: tuple[tuple[str, int], ...]
     prompt: int
     wanted: int
-    made: int = 0
-    to_read: int = 0
+    generated: int = 0
+    to_prefill: int = 0
 
     @classmethod
-    def of(cls, headers: Mapping[str, str], stride: int) -> "Job | None":
+    def from_headers(cls, headers: Mapping[str, str], stride: int) -> "Job | None":
         """Return the job of a request; None if it has no token count.
 
         Raises:
@@ -55,16 +55,18 @@
         entries = filter(None, headers.get(PROMPT_PREFIX, "").split(","))
         pairs = (entry.split(":") for entry in entries)
         parts = tuple((name, int(tokens)) for name, tokens in pairs)
-        made = int(headers.get(LAST_EVENT_ID, 0)) * stride
-        return cls(headers.get(MODEL, ""), parts, prompt, wanted, min(made, wanted))
+        generated = int(headers.get(LAST_EVENT_ID, 0)) * stride
+        return cls(
+            headers.get(MODEL, ""), parts, prompt, wanted, min(generated, wanted)
+        )
 
     @property
-    def held(self) -> int:
+    def reserved(self) -> int:
         """Tokens that it reserves in the KV cache, including those still to prefill."""
-        return self.prompt + self.made
+        return self.prompt + self.generated
 
 
-class PartCache:
+class PrefixCache:
     """Cache of prompt parts; evicts the least recently used parts."""
 
     def __init__(self, capacity: int) -> None:
@@ -76,7 +78,7 @@
         """Model, name and number of tokens of each cached part."""
         return [(*key, tokens) for key, tokens in self._parts.items()]
 
-    def kept(self, job: Job) -> int:
+    def cached_prefix_length(self, job: Job) -> int:
         """Return how many leading parts of a prompt are cached."""
         count = 0
         for name, _ in job.parts:
@@ -85,32 +87,34 @@
             count += 1
         return count
 
-    def fetched(self, job: Job, found: Mapping[str, int]) -> Iterator[tuple[str, int]]:
+    def fetchable(
+        self, job: Job, remote_parts: Mapping[str, int]
+    ) -> Iterator[tuple[str, int]]:
         """Yield the parts after the cached prefix that another replica has.
 
         Ends at the first part that the other replica lacks.
 
         Args:
             job: Generation whose prompt is meant.
-            found: Number of tokens of each part that the other replica holds.
+            remote_parts: Number of tokens of each part that the other replica holds.
         """
-        for name, _ in job.parts[self.kept(job) :]:
-            if name not in found:
+        for name, _ in job.parts[self.cached_prefix_length(job) :]:
+            if name not in remote_parts:
                 return
-            yield name, found[name]
+            yield name, remote_parts[name]
 
-    def keep(self, model: str, parts: Iterator, used: int) -> None:
-        """Cache parts, then evict until all fit beside ``used`` tokens.
+    def store(self, model: str, parts: Iterator, reserved: int) -> None:
+        """Cache parts, then evict until all fit beside ``reserved`` tokens.
 
         Args:
             model: Name of the model.
             parts: Name and number of tokens of each part.
-            used: Tokens that running requests reserve.
+            reserved: Tokens that running requests reserve.
         """
         for name, tokens in parts:
             self._parts[model, name] = tokens
             self._parts.move_to_end((model, name))
-        while self._parts and sum(self._parts.values()) + used > self.capacity:
+        while self._parts and sum(self._parts.values()) + reserved > self.capacity:
             self._parts.popitem(last=False)
 
 
@@ -126,13 +130,13 @@
 
     def __init__(self, step_s: float, growth: float, chunk: int, capacity: int) -> None:
         self._step_s, self._growth, self._chunk = step_s, growth, chunk
-        self.cache = PartCache(capacity)
+        self.cache = PrefixCache(capacity)
         self.jobs: list[Job] = []
 
     @property
-    def used(self) -> int:
+    def reserved(self) -> int:
         """Tokens that running generations reserve; they cannot be evicted."""
-        return sum(job.held for job in self.jobs)
+        return sum(job.reserved for job in self.jobs)
 
     @property
     def step_s(self) -> float:
@@ -141,11 +145,13 @@
 
     def add(self, job: Job) -> None:
         """Add a generation; the tokens of its cached prefix need no prefill."""
-        kept = sum(tokens for _, tokens in job.parts[: self.cache.kept(job)])
-        job.to_read = max(0, job.prompt - kept) + job.made
+        cached_tokens = sum(
+            tokens for _, tokens in job.parts[: self.cache.cached_prefix_length(job)]
+        )
+        job.to_prefill = max(0, job.prompt - cached_tokens) + job.generated
         self.jobs.append(job)
 
-    def drop(self, job: Job) -> None:
+    def discard(self, job: Job) -> None:
         """Remove a generation, complete or not."""
         if job in self.jobs:
             self.jobs.remove(job)
@@ -154,11 +160,11 @@
         """Run one step; yield the generations that produced a token."""
         budget = self._chunk
         for job in list(self.jobs):
-            read = min(budget, job.to_read)
-            job.to_read -= read
-            budget -= read
-            if job.to_read == 0 and job in self.jobs:
-                if read or not job.made:
-                    self.cache.keep(job.model, job.parts, self.used)
-                job.made += 1
+            prefilled = min(budget, job.to_prefill)
+            job.to_prefill -= prefilled
+            budget -= prefilled
+            if job.to_prefill == 0 and job in self.jobs:
+                if prefilled or not job.generated:
+                    self.cache.store(job.model, job.parts, self.reserved)
+                job.generated += 1
                 yield job
--- a/greengageflow/lab/_platform_faults.py
+++ b/greengageflow/lab/_platform_faults.py
@@ -66,12 +66,12 @@
     path: str = ""
     via: str = ""
 
-    def concern(self, call: Call) -> bool:
+    def applies_to(self, call: Call) -> bool:
         """Whether the faults apply to a request."""
-        here = call.path.startswith(self.path) and self.via in call.path
-        return self.times != 0 and here
+        path_matches = call.path.startswith(self.path) and self.via in call.path
+        return self.times != 0 and path_matches
 
-    def used(self) -> "ReplicaFaults":
+    def after_use(self) -> "ReplicaFaults":
         """Return the faults that are left after one request was affected."""
         return replace(self, times=self.times - 1) if self.times > 0 else self
 
@@ -84,13 +84,13 @@
         outcome: ``waiting``, ``running``, ``done``, ``cancelled``, ``deadline``,
             ``cut``, ``crashed``, or the status of a refusal such as ``503`` (not
             executed).
-        begun: Start of execution; None if it was never executed.
+        started: Start of execution; None if it was never executed.
         backoff_s: Backoff that its refusal asked for, in seconds.
     """
 
     call: Call
     arrived: float = field(default_factory=monotonic)
-    begun: float | None = None
+    started: float | None = None
     ended: float | None = None
     outcome: str = WAITING
     backoff_s: float = 0.0
@@ -120,12 +120,12 @@
             "method": call.method,
             "target": call.target,
             "headers": call.headers,
-            "source": call.wire.ip,
+            "source": call.conn.ip,
             "tenant": header(TENANT),
             "deadline_ms": header(DEADLINE_MS),
             "last_event_id": header(LAST_EVENT_ID),
             "arrived": self.arrived,
-            "begun": self.begun,
+            "begun": self.started,
             "ended": self.ended,
             "outcome": self.outcome,
             "backoff_s": self.backoff_s,
--- a/greengageflow/lab/_platform_generations.py
+++ b/greengageflow/lab/_platform_generations.py
@@ -5,7 +5,7 @@
 
 from greengageflow.lab._platform_batch import Batch, Job
 from greengageflow.lab._platform_faults import ReplicaFaults, Work
-from greengageflow.lab.platform_http import Call, Wire, head_bytes
+from greengageflow.lab.platform_http import Call, ServerConnection, head_bytes
 from greengageflow.net.http_messages import Failure, HttpRequest, Response
 from greengageflow.net.http_pool import HttpPool
 from greengageflow.net.timers import Timers
@@ -24,7 +24,7 @@
     def finish(self, call: Call, data: bytes) -> None:
         """Send the last bytes of a response."""
 
-    def follow(self, wire: Wire, faults: ReplicaFaults) -> None:
+    def after_response(self, conn: ServerConnection, faults: ReplicaFaults) -> None:
         """Do what is due after a complete response."""
 
 
@@ -59,7 +59,7 @@
         self._works: dict[Job, Work] = {}
         self._stepping = False
 
-    def begin(self, work: Work) -> None:
+    def start(self, work: Work) -> None:
         """Start a generation.
 
         Cached prompt parts are fetched first from the replica that the request names.
@@ -68,22 +68,22 @@
             self._generate(work)
             return
         ip, _, port = work.call.headers[KV_FETCH].partition(":")
-        ask = HttpRequest("GET", ip, int(port), KV_LIST)
-        self._pool.fetch(ask, lambda answer: self._fetched(work, answer))
+        request = HttpRequest("GET", ip, int(port), KV_LIST)
+        self._pool.fetch(request, lambda answer: self._on_cached_parts(work, answer))
 
-    def _fetched(self, work: Work, answer: Response | Failure) -> None:
-        job, found = work.job, {}
+    def _on_cached_parts(self, work: Work, answer: Response | Failure) -> None:
+        job, remote_parts = work.job, {}
         if isinstance(answer, Response) and answer.status == 200:
             rows = answer.json()["held"]
-            found = {name: n for _, name, n, model in rows if model == job.model}
-        parts = list(self._batch.cache.fetched(job, found))
+            remote_parts = {name: n for _, name, n, model in rows if model == job.model}
+        parts = list(self._batch.cache.fetchable(job, remote_parts))
         delay_s = sum(tokens for _, tokens in parts) * self._fetch_s
         self._timers.after(delay_s, lambda: self._generate(work, parts))
 
     def _generate(self, work: Work, parts: list | None = None) -> None:
         if work.run.ended is not None:
             return
-        self._batch.cache.keep(work.job.model, parts or [], self._batch.used)
+        self._batch.cache.store(work.job.model, parts or [], self._batch.reserved)
         self._batch.add(work.job)
         self._works[work.job] = work
         if not self._stepping:
@@ -93,38 +93,38 @@
     def _step(self) -> None:
         works = dict(self._works)
         for job in self._batch.step():
-            if job.made >= job.wanted or job.made % self._stride == 0:
-                self._push(works[job])
+            if job.generated >= job.wanted or job.generated % self._stride == 0:
+                self._send_event(works[job])
         self._stepping = bool(self._batch.jobs)
         if self._stepping:
             self._timers.after(self._batch.step_s, self._step)
 
-    def _push(self, work: Work) -> None:
-        job, wire = work.job, work.call.wire
-        number = -(-job.made // self._stride)
-        text = json.dumps({"run": work.run.id, "tokens": job.made})
+    def _send_event(self, work: Work) -> None:
+        job, conn = work.job, work.call.conn
+        number = -(-job.generated // self._stride)
+        text = json.dumps({"run": work.run.id, "tokens": job.generated})
         event = f"id: {number}\ndata: {text}\n\n".encode()
         if not work.head_sent:
             work.head_sent = True
             kind = {"Content-Type": "text/event-stream", "Transfer-Encoding": "chunked"}
-            wire.send(head_bytes(200, {**kind, **self._replica.headers(work)}))
+            conn.send(head_bytes(200, {**kind, **self._replica.headers(work)}))
         if work.events == work.faults.cut_after:
-            self.tear(work)
+            self.cut_stream(work)
             return
         work.events += 1
-        wire.send(b"%x\r\n%s\r\n" % (len(event), event))
-        if job.made >= job.wanted:
+        conn.send(b"%x\r\n%s\r\n" % (len(event), event))
+        if job.generated >= job.wanted:
             self._replica.end(work, "done")
             self._replica.finish(work.call, b"0\r\n\r\n")
-            self._replica.follow(wire, work.faults)
+            self._replica.after_response(conn, work.faults)
 
-    def tear(self, work: Work) -> None:
+    def cut_stream(self, work: Work) -> None:
         """Cut a stream in the middle of an event and close its connection."""
-        work.call.wire.send(b"40\r\nid: %d\nda" % (work.events + 1))
+        work.call.conn.send(b"40\r\nid: %d\nda" % (work.events + 1))
         self._replica.end(work, "cut")
-        work.call.wire.close()
+        work.call.conn.close()
 
-    def drop(self, work: Work) -> None:
+    def discard(self, work: Work) -> None:
         """Remove a generation that has ended."""
-        self._batch.drop(work.job)
+        self._batch.discard(work.job)
         self._works.pop(work.job, None)
--- a/greengageflow/lab/_platform_log.py
+++ b/greengageflow/lab/_platform_log.py
@@ -8,8 +8,8 @@
 from struct import error as StructError
 from struct import pack, unpack_from
 
-MOST_ITEMS = 500
-REPEATS = 5
+MAX_PAGE_ITEMS = 500
+MAX_KEPT_ANSWERS = 5
 
 
 class Conflict(Exception):
@@ -60,7 +60,7 @@
     epoch: int
     sequence: int | None = None
     answers: deque[tuple[int, dict]] = field(
-        default_factory=lambda: deque(maxlen=REPEATS)
+        default_factory=lambda: deque(maxlen=MAX_KEPT_ANSWERS)
     )
 
 
@@ -99,7 +99,7 @@
             raise ValueError("record without a key in a keyed topic")
         if "at" in query and int(query["at"]) != self.end:
             raise Conflict(412, end=self.end)
-        producer = self._fenced(query)
+        producer = self._fenced_producer(query)
         sequence = int(query.get("sequence", 0))
         if producer and records:
             for number, answer in producer.answers:
@@ -115,16 +115,16 @@
             producer.answers.append((sequence, answer))
         return answer
 
-    def _fenced(self, query: dict[str, str]) -> _Producer | None:
+    def _fenced_producer(self, query: dict[str, str]) -> _Producer | None:
         if "producer" not in query:
             return None
         epoch = int(query.get("epoch", 0))
-        known = self.producers.get(query["producer"])
-        if known is None or epoch > known.epoch:
-            known = self.producers[query["producer"]] = _Producer(epoch)
-        elif epoch < known.epoch:
+        producer = self.producers.get(query["producer"])
+        if producer is None or epoch > producer.epoch:
+            producer = self.producers[query["producer"]] = _Producer(epoch)
+        elif epoch < producer.epoch:
             raise Conflict(409, reason="fenced")
-        return known
+        return producer
 
     def add(self, record: bytes) -> None:
         """Append one record; in a keyed topic, update the newest value of its key."""
@@ -136,23 +136,23 @@
                 self.newest[key] = (value, self.end)
         self.records.append(record)
 
-    def forget(self, before: int) -> None:
+    def trim(self, before: int) -> None:
         """Drop the records before an offset; the newest values of keys stay."""
         while self.records and self.first < before:
             self.records.popleft()
             self.first += 1
 
-    def page(self, start: int, most_bytes: int) -> bytes:
+    def page(self, start: int, max_bytes: int) -> bytes:
         """Return the end and first offsets and the framed records from ``start`` on.
 
         Args:
             start: Offset of the first record.
-            most_bytes: Stop after the record that reaches this size.
+            max_bytes: Stop after the record that reaches this size.
         """
         out = bytearray(pack(">QQ", self.end, self.first))
         for record in islice(self.records, max(0, start - self.first), None):
             out += frame(record)
-            if len(out) >= most_bytes:
+            if len(out) >= max_bytes:
                 break
         return bytes(out)
 
@@ -165,6 +165,10 @@
                 "value": b64encode(self.newest[key][0]).decode(),
                 "offset": self.newest[key][1],
             }
-            for key in keys[:MOST_ITEMS]
+            for key in keys[:MAX_PAGE_ITEMS]
         ]
-        return {"items": items, "truncated": len(keys) > MOST_ITEMS, "end": self.end}
+        return {
+            "items": items,
+            "truncated": len(keys) > MAX_PAGE_ITEMS,
+            "end": self.end,
+        }
--- a/greengageflow/lab/_platform_plain.py
+++ b/greengageflow/lab/_platform_plain.py
@@ -6,9 +6,9 @@
 from greengageflow.lab.platform_http import (
     Call,
     HttpFake,
-    Wire,
-    answer_bytes,
+    ServerConnection,
     head_bytes,
+    response_bytes,
 )
 from greengageflow.net.timers import Timers
 from greengageflow.platform.names import REQUEST_ID, RESPONSE_SEAL
@@ -36,39 +36,39 @@
             number: Number of the response, counted from 1; the ``grey`` fault selects
                 by it.
         """
-        wire, data = call.wire, self.data
+        conn, data = call.conn, self.data
         if faults.lose:
-            wire.reset() if faults.lose == RESET else wire.close()
+            conn.reset() if faults.lose == RESET else conn.close()
         elif faults.spoil:
-            wire.send(b"\x17\x00 no answer at all\r\n\r\n")
+            conn.send(b"\x17\x00 no answer at all\r\n\r\n")
         elif faults.cut_after is not None:
-            wire.send(answer_bytes(200, data, self.headers)[: -len(data) // 2])
-            wire.close()
+            conn.send(response_bytes(200, data, self.headers)[: -len(data) // 2])
+            conn.close()
         elif faults.unframed:
-            self._unframed(fake, wire, faults.unframed == RESET)
+            self._unframed(fake, conn, faults.unframed == RESET)
         else:
             status = 500 if faults.grey and number % faults.grey == 0 else 200
-            fake.finish(call, answer_bytes(status, data, self.headers))
+            fake.finish(call, response_bytes(status, data, self.headers))
             return True
         return False
 
-    def _unframed(self, fake: HttpFake, wire: Wire, cut: bool) -> None:
-        wire.send(head_bytes(200, {**self.headers, "Connection": "close"}))
+    def _unframed(self, fake: HttpFake, conn: ServerConnection, cut: bool) -> None:
+        conn.send(head_bytes(200, {**self.headers, "Connection": "close"}))
         if cut:
-            wire.send(self.data[: len(self.data) // 2])
+            conn.send(self.data[: len(self.data) // 2])
             # The delay lets the client read the first half before the reset
             # discards it.
-            fake.timers.after(RESET_DELAY_S, wire.reset)
+            fake.timers.after(RESET_DELAY_S, conn.reset)
         else:
-            wire.send(self.data)
-            wire.close()
+            conn.send(self.data)
+            conn.close()
 
 
-def send_extra(timers: Timers, wire: Wire, faults: ReplicaFaults) -> None:
+def send_extra(timers: Timers, conn: ServerConnection, faults: ReplicaFaults) -> None:
     """Send a second response with a foreign request id if the faults ask for it."""
     headers = {REQUEST_ID: FOREIGN_ID, RESPONSE_SEAL: f"foreign.{FOREIGN_ID}"}
-    data = answer_bytes(200, {"id": FOREIGN_ID}, headers)
+    data = response_bytes(200, {"id": FOREIGN_ID}, headers)
     if faults.extra == AT_ONCE:
-        wire.send(data)
+        conn.send(data)
     elif faults.extra == LATE:
-        timers.after(faults.extra_s, lambda: wire.send(data))
+        timers.after(faults.extra_s, lambda: conn.send(data))
--- a/greengageflow/lab/_store_entry.py
+++ b/greengageflow/lab/_store_entry.py
@@ -30,8 +30,8 @@
 
     def put(self, fields: dict[str, Any]) -> None:
         """Write the entry with the next sequence number."""
-        more = {"version": "1", COLD_MS: 0}
-        entry = {**more, **fields, "sequence": next(self._sequence)}
+        defaults = {"version": "1", COLD_MS: 0}
+        entry = {**defaults, **fields, "sequence": next(self._sequence)}
         path = f"/servers/{self._name}?ttl_ms={self._ttl_ms}"
         self._send("PUT", path, json.dumps(entry).encode())
 
--- a/greengageflow/lab/platform_client.py
+++ b/greengageflow/lab/platform_client.py
@@ -79,7 +79,8 @@
         if key is not None:
             lines[CREDENTIAL] = key
         fields = [
-            (one, str(value)) for one, value in {**lines, **(headers or {})}.items()
+            (header, str(value))
+            for header, value in {**lines, **(headers or {})}.items()
         ]
         out = self._http.send(h11.Request(method=method, target=path, headers=fields))
         if body:
--- a/greengageflow/lab/platform_http.py
+++ b/greengageflow/lab/platform_http.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Wire:
+class ServerConnection:
     """One connection.
 
     Args:
@@ -34,7 +34,7 @@
         http: Parser of the current request.
         call: Current request; None between requests.
         mute: Whether to discard everything that is sent on it.
-        dropped: Whether to reset it as soon as more data arrives.
+        reset_on_data: Whether to reset it as soon as more data arrives.
         open: Whether it is still open.
     """
 
@@ -44,7 +44,7 @@
     http: h11.Connection = field(default_factory=lambda: h11.Connection(h11.SERVER))
     call: "Call | None" = None
     mute: bool = False
-    dropped: bool = False
+    reset_on_data: bool = False
     open: bool = True
 
     def send(self, data: bytes) -> None:
@@ -69,12 +69,12 @@
 class Call:
     """One request; header names are in lower case, ``body`` grows as data arrives."""
 
-    wire: Wire
+    conn: ServerConnection
     method: str
     target: str
     headers: dict[str, str]
     body: bytearray = field(default_factory=bytearray)
-    whole: bool = False
+    complete: bool = False
     answered: bool = False
 
     @property
@@ -97,7 +97,7 @@
         return json.loads(bytes(self.body) or b"{}")
 
 
-def answer_bytes(
+def response_bytes(
     status: int, body: object = b"", headers: Mapping[str, str] | None = None
 ) -> bytes:
     """Return a complete response; a body that is not bytes is encoded as JSON."""
@@ -119,7 +119,7 @@
     def __init__(self, owner: "HttpFake", channel: str, bind: tuple[str, int]) -> None:
         super().__init__(channel=channel)
         self.owner = owner
-        self.wires: dict[socket, Wire] = {}
+        self.connections: dict[socket, ServerConnection] = {}
         self.server = TCPServer(bind, channel=channel, backlog=1024).register(self)
         self.address = (self.server.host, self.server.port)
 
@@ -128,7 +128,7 @@
         self.server.close()
         self.server.unregister()
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         """Listen again at the same address."""
         bind, name = self.address, self.channel
         self.server = TCPServer(bind, channel=name, backlog=1024).register(self)
@@ -144,86 +144,86 @@
 
     @handler("connect")
     def _on_connect(self, sock: socket, ip: str, port: int) -> None:
-        wire = self.wires[sock] = Wire(self, sock, ip)
+        conn = self.connections[sock] = ServerConnection(self, sock, ip)
         if self.channel == DATA:
-            self.owner.connected(wire)
+            self.owner.on_connect(conn)
 
     @handler("disconnect")
     def _on_disconnect(self, sock: socket) -> None:
-        if wire := self.wires.pop(sock, None):
-            wire.open = False
+        if conn := self.connections.pop(sock, None):
+            conn.open = False
             if self.channel == DATA:
-                self.owner.gone(wire)
+                self.owner.on_disconnect(conn)
 
     @handler("read")
     def _on_read(self, sock: socket, data: bytes) -> None:
-        wire = self.wires.get(sock)
-        if wire and wire.dropped:
-            wire.reset()
-        elif wire:
-            wire.http.receive_data(data)
-            self._advance(wire)
-
-    def _events(self, wire: Wire) -> Iterator[h11.Event]:
-        while wire.open:
+        conn = self.connections.get(sock)
+        if conn and conn.reset_on_data:
+            conn.reset()
+        elif conn:
+            conn.http.receive_data(data)
+            self._parse(conn)
+
+    def _events(self, conn: ServerConnection) -> Iterator[h11.Event]:
+        while conn.open:
             try:
-                event = wire.http.next_event()
+                event = conn.http.next_event()
             except h11.RemoteProtocolError as exc:
-                wire.send(answer_bytes(400, {"error": str(exc)}))
-                wire.close()
+                conn.send(response_bytes(400, {"error": str(exc)}))
+                conn.close()
                 return
             if event is h11.NEED_DATA or event is h11.PAUSED:
                 return
             yield event
 
-    def _advance(self, wire: Wire) -> None:
-        for event in self._events(wire):
+    def _parse(self, conn: ServerConnection) -> None:
+        for event in self._events(conn):
             match event:
                 case h11.Request():
                     names = (
                         (n.decode(), v.decode("latin-1")) for n, v in event.headers
                     )
                     target = event.target.decode("latin-1")
-                    wire.call = Call(wire, event.method.decode(), target, dict(names))
+                    conn.call = Call(conn, event.method.decode(), target, dict(names))
                     if self.channel == DATA:
-                        self.owner.head_arrived(wire.call)
+                        self.owner.on_request_head(conn.call)
                 case h11.Data():
-                    wire.call.body += event.data
+                    conn.call.body += event.data
                 case h11.EndOfMessage():
-                    wire.call.whole = True
-                    self._arrived(wire.call)
+                    conn.call.complete = True
+                    self._on_request_complete(conn.call)
                 case _:
                     return
 
-    def _arrived(self, call: Call) -> None:
+    def _on_request_complete(self, call: Call) -> None:
         if call.answered:
-            self._renew(call.wire)
+            self._start_next_request(call.conn)
         elif self.channel == CONTROL:
             try:
-                answer = self.owner.control(call)
+                answer = self.owner.on_control_call(call)
             except (ValueError, TypeError, KeyError) as exc:
-                answer = answer_bytes(400, {"error": repr(exc)})
+                answer = response_bytes(400, {"error": repr(exc)})
             self.finish(call, answer)
         else:
-            self.owner.arrived(call)
+            self.owner.on_request(call)
 
     def finish(self, call: Call, data: bytes) -> None:
         """Send the last bytes of a response and read the next request."""
-        call.wire.send(data)
+        call.conn.send(data)
         if not call.answered:
             call.answered = True
-            if call.whole:
-                self._renew(call.wire)
+            if call.complete:
+                self._start_next_request(call.conn)
 
-    def _renew(self, wire: Wire) -> None:
+    def _start_next_request(self, conn: ServerConnection) -> None:
         # Reusing an h11 parser would require passing the responses through it, so
         # each request gets a new one, which starts with the surplus bytes.
-        rest, _ = wire.http.trailing_data
-        wire.http = h11.Connection(h11.SERVER)
-        wire.call = None
-        if rest:
-            wire.http.receive_data(rest)
-            self._advance(wire)
+        surplus, _ = conn.http.trailing_data
+        conn.http = h11.Connection(h11.SERVER)
+        conn.call = None
+        if surplus:
+            conn.http.receive_data(surplus)
+            self._parse(conn)
 
 
 class HttpFake(BaseComponent):
@@ -240,20 +240,22 @@
         super().__init__()
         self.timers = Timers().register(self)
         self.poller = EPoll().register(self)
-        self.data = Listener(self, DATA, (host, port)).register(self)
-        self.side = Listener(self, CONTROL, (host, control_port)).register(self)
+        self.data_listener = Listener(self, DATA, (host, port)).register(self)
+        self.control_listener = Listener(self, CONTROL, (host, control_port)).register(
+            self
+        )
 
-    def connected(self, wire: Wire) -> None:
+    def on_connect(self, conn: ServerConnection) -> None:
         """Handle a new connection."""
 
-    def head_arrived(self, call: Call) -> None:
+    def on_request_head(self, call: Call) -> None:
         """Handle a request whose body may still be incomplete."""
 
-    def arrived(self, call: Call) -> None:
+    def on_request(self, call: Call) -> None:
         """Handle a complete request; ``finish`` sends the response, now or later."""
         raise NotImplementedError
 
-    def control(self, call: Call) -> bytes:
+    def on_control_call(self, call: Call) -> bytes:
         """Return the response to a control call.
 
         Raises:
@@ -263,18 +265,20 @@
         """
         raise NotImplementedError
 
-    def gone(self, wire: Wire) -> None:
+    def on_disconnect(self, conn: ServerConnection) -> None:
         """Handle a closed connection."""
 
     def finish(self, call: Call, data: bytes) -> None:
         """Send the last bytes of a response."""
-        self.data.finish(call, data)
+        self.data_listener.finish(call, data)
 
     @handler("started")
     def _on_started(self, *_: object) -> None:
-        host, port = self.data.address
+        host, port = self.data_listener.address
         line = {"ready": True, "host": host, "port": port}
-        print(json.dumps({**line, CONTROL: self.side.address[1]}), flush=True)
+        print(
+            json.dumps({**line, CONTROL: self.control_listener.address[1]}), flush=True
+        )
 
     @handler("signal", channel="*", priority=10)
     def _on_signal(self, event, signo, frame) -> None:
--- a/greengageflow/lab/platform_lab.py
+++ b/greengageflow/lab/platform_lab.py
@@ -78,10 +78,10 @@
         parts: Name and number of tokens of each part of the prompt prefix.
         prompt: Number of prompt tokens; 0 for the sum of the parts.
     """
-    read = prompt or sum(tokens for _, tokens in parts)
+    prompt_tokens = prompt or sum(tokens for _, tokens in parts)
     return {
         MODEL: "m",
-        TOKEN_COUNT: f"{read},{wanted}",
+        TOKEN_COUNT: f"{prompt_tokens},{wanted}",
         PROMPT_PREFIX: ",".join(f"{name}:{tokens}" for name, tokens in parts),
     }
 
@@ -142,7 +142,7 @@
 def router_settings(lab: "PlatformLab", number: int) -> dict[str, Any]:
     """Return the settings of router ``number``, counted from 0."""
     ip = lab.subnet.host(10 + number)
-    others = [one["gossip"] for one in lab.settings.values()]
+    others = [settings["gossip"] for settings in lab.settings.values()]
     return {
         "host": f"r{number}",
         "zone": "zone-1",
@@ -192,7 +192,7 @@
         Raises:
             RuntimeError: A router logged an internal error.
         """
-        logs = [one.stderr for one in (*self.routers.values(), *self._exited)]
+        logs = [router.stderr for router in (*self.routers.values(), *self._exited)]
         self.close()
         faults = [log for log in logs if Event.INTERNAL.number in log]
         if faults and kind is None:
@@ -228,13 +228,13 @@
     def _launch(self, name: str, options: Mapping[str, Any]) -> Process:
         # All replicas share one IP number; the address in an entry includes the
         # port, which distinguishes them.
-        given = {
+        arguments = {
             "host": self.subnet.host(2),
             "store": "{}:{}".format(*self.control_address(self.store)),
             "name": name,
             **options,
         }
-        flags = (f"--{key}={value}" for key, value in given.items())
+        flags = (f"--{key}={value}" for key, value in arguments.items())
         return launch("greengageflow.lab.platform_replica", *flags)
 
     def add_replica(self, name: str, **options: Any) -> Process:
@@ -246,7 +246,7 @@
     def crashed_replicas(self) -> list[str]:
         """Names of the replicas that crashed on a poison request."""
         processes = self.replicas.items()
-        return [name for name, one in processes if one.popen.poll() == CRASHED]
+        return [name for name, process in processes if process.popen.poll() == CRASHED]
 
     def start_routers(self) -> None:
         """Start the shape's routers; return once all of them are ready."""
@@ -294,17 +294,17 @@
             RuntimeError: The router exited.
         """
 
-        def asked() -> bool:
+        def is_ready() -> bool:
             if self.routers[name].popen.poll() is not None:
                 raise RuntimeError(f"router exited: {self.routers[name].stderr}")
             return self.readiness_status(name) == 200
 
-        wait_for(asked, f"{name} is ready")
+        wait_for(is_ready, f"{name} is ready")
 
     def close(self) -> None:
         """Kill all processes and remove temporary files."""
-        mine = [*self.routers.values(), *self._exited, *self.replicas.values()]
-        for process in (*mine, *filter(None, [self.store])):
+        children = [*self.routers.values(), *self._exited, *self.replicas.values()]
+        for process in (*children, *filter(None, [self.store])):
             with suppress(ProcessLookupError):
                 process.popen.kill()
             process.popen.wait()
--- a/greengageflow/lab/platform_replica.py
+++ b/greengageflow/lab/platform_replica.py
@@ -7,7 +7,7 @@
 
 import fire
 
-from greengageflow.lab._platform_batch import NOTHING_MORE, STAGE, Batch, Job
+from greengageflow.lab._platform_batch import REPORT_DEFAULTS, STAGE_FIELD, Batch, Job
 from greengageflow.lab._platform_faults import (
     RUNNING,
     ReplicaFaults,
@@ -20,8 +20,8 @@
 from greengageflow.lab.platform_http import (
     Call,
     HttpFake,
-    Wire,
-    answer_bytes,
+    ServerConnection,
+    response_bytes,
 )
 from greengageflow.lab.poison import crash_if_poison
 from greengageflow.net.http_messages import SERVER_LEAVING
@@ -42,7 +42,7 @@
     WEIGHT_VERSIONS,
 )
 
-LONG_BODY = 65_536
+LONG_BODY_BYTES = 65_536
 FULL_BACKOFF_S = 0.1
 
 
@@ -116,7 +116,7 @@
         super().__init__(host, port, control_port)
         self._name, self._service, self._zone = str(name), service, zone
         self._advertise = advertise
-        self._slots, self._places = slots, slots + queue
+        self._slots, self._max_requests = slots, slots + queue
         self._work_s = work_ms / 1000
         self._stride = stride
         self._model, self._weights = model, weights
@@ -129,29 +129,29 @@
         )
         self._faults = ReplicaFaults()
         self._runs: list[Run] = []
-        self._works: dict[Wire, Work] = {}
+        self._work_by_connection: dict[ServerConnection, Work] = {}
         self._waiting: deque[Work] = deque()
-        self._busy: list[Work] = []
-        self._seals, self._done_count = count(), count(1)
-        self._connections = 0
+        self._active: list[Work] = []
+        self._seal_numbers, self._response_numbers = count(), count(1)
+        self._accepted_connections = 0
         self._state = READY
-        self._measure()
-        self.timers.every(0.2, self._measure)
+        self._update_report()
+        self.timers.every(0.2, self._update_report)
         self._entry = None
         if store:
             self._entry = StoreEntry(pool, store, self._name, heartbeat_ms)
-            self.timers.after(0, self._beat)
-            self.timers.every(heartbeat_ms / 1000, self._beat)
+            self.timers.after(0, self._send_heartbeat)
+            self.timers.every(heartbeat_ms / 1000, self._send_heartbeat)
 
     # Requests.
 
-    def _beat(self) -> None:
-        host, port = self.data.address
+    def _send_heartbeat(self) -> None:
+        host, port = self.data_listener.address
         address = self._advertise or f"{host}:{port}"
         fields = {"service": self._service, "address": address}
         fields |= {"zone": self._zone, "slots": self._slots, "state": self._state}
         if self._model:
-            fields |= STAGE | {"models": self._models}
+            fields |= STAGE_FIELD | {"models": self._models}
         if self._state in (READY, DRAINING):
             self._entry.put(fields)
 
@@ -159,58 +159,69 @@
     def _models(self) -> list[dict]:
         return [{"name": self._model, "version": self._weights, "adapters": []}]
 
-    def connected(self, wire: Wire) -> None:
+    def on_connect(self, conn: ServerConnection) -> None:
         """Count a connection; reset it above ``max_conns``."""
-        self._connections += 1
-        if len(self.data.wires) > self._max_conns:
-            wire.reset()
+        self._accepted_connections += 1
+        if len(self.data_listener.connections) > self._max_conns:
+            conn.reset()
 
-    def head_arrived(self, call: Call) -> None:
+    def on_request_head(self, call: Call) -> None:
         """Respond before a long body has been read if the ``early`` fault is set."""
-        long = int(call.headers.get("content-length", LONG_BODY)) >= LONG_BODY
+        is_long = (
+            int(call.headers.get("content-length", LONG_BODY_BYTES)) >= LONG_BODY_BYTES
+        )
         has_body = call.method not in ("GET", "HEAD", "DELETE")
-        if self._faults.early and self._faults.concern(call) and long and has_body:
+        if (
+            self._faults.early
+            and self._faults.applies_to(call)
+            and is_long
+            and has_body
+        ):
             self._request(call)
 
-    def arrived(self, call: Call) -> None:
+    def on_request(self, call: Call) -> None:
         """Answer a probe or accept a request."""
-        if call.wire in self._works:
+        if call.conn in self._work_by_connection:
             return
         if call.path == REPORT_PATH:
-            self.finish(call, answer_bytes(200, self._report))
+            self.finish(call, response_bytes(200, self._report))
         elif call.path == KV_LIST:
-            held = [["", part, n, model] for model, part, n in self._batch.cache.rows]
-            body = {"epoch": self._name, "next": 0, "held": held}
-            self.finish(call, answer_bytes(200, body))
+            cached = [["", part, n, model] for model, part, n in self._batch.cache.rows]
+            body = {"epoch": self._name, "next": 0, "held": cached}
+            self.finish(call, response_bytes(200, body))
         elif call.path == self._health_path:
             status = self._faults.health or (200 if self._state == READY else 503)
-            self.finish(call, answer_bytes(status, b"", {REPLICA_ID: self._name}))
+            self.finish(call, response_bytes(status, b"", {REPLICA_ID: self._name}))
         else:
             self._request(call)
 
-    def gone(self, wire: Wire) -> None:
+    def on_disconnect(self, conn: ServerConnection) -> None:
         """Cancel the request of a closed connection."""
-        if work := self._works.get(wire):
+        if work := self._work_by_connection.get(conn):
             self.end(work, "cancelled")
 
     def _request(self, call: Call) -> None:
         self._runs.append(run := Run(call))
-        if status := self._refusal(call):
+        if status := self._refusal_status(call):
             self._refuse(call, run, status)
             return
         faults = ReplicaFaults()
-        if self._faults.concern(call):
-            faults, self._faults = self._faults, self._faults.used()
-        seal = f"{self._name}.{next(self._seals)}"
-        work = Work(call, run, faults, seal, Job.of(call.headers, self._stride))
-        self._works[call.wire] = work
+        if self._faults.applies_to(call):
+            faults, self._faults = self._faults, self._faults.after_use()
+        seal = f"{self._name}.{next(self._seal_numbers)}"
+        work = Work(
+            call, run, faults, seal, Job.from_headers(call.headers, self._stride)
+        )
+        self._work_by_connection[call.conn] = work
         self._waiting.append(work)
         if DEADLINE_MS in call.headers:
             left_s = float(call.headers[DEADLINE_MS]) / 1000
-            work.timers.append(self.timers.after(left_s, lambda: self._expire(work)))
+            work.timers.append(
+                self.timers.after(left_s, lambda: self._on_deadline(work))
+            )
         self._start_next()
 
-    def _refusal(self, call: Call) -> int:
+    def _refusal_status(self, call: Call) -> int:
         header = call.headers.get
         if not header(REQUEST_ID):
             return 400
@@ -218,48 +229,50 @@
             return 421
         if header(EXPECT_VERSION, str(self._weights)) != str(self._weights):
             return 421
-        job = Job.of(call.headers, self._stride)
+        job = Job.from_headers(call.headers, self._stride)
         too_large = job and job.prompt + job.wanted > self._batch.cache.capacity
-        full = len(self._busy) + len(self._waiting) >= self._places
+        full = len(self._active) + len(self._waiting) >= self._max_requests
         full = full or self._backs_off(call) or self._sheds(call)
         return 503 if full or too_large else 0
 
     def _backs_off(self, call: Call) -> bool:
-        return self._faults.backoff_s > 0 and self._faults.concern(call)
+        return self._faults.backoff_s > 0 and self._faults.applies_to(call)
 
     def _sheds(self, call: Call) -> bool:
         shed = self._faults.shed
-        return shed > 0 and len(self._runs) % shed > 0 and self._faults.concern(call)
+        return shed > 0 and len(self._runs) % shed > 0 and self._faults.applies_to(call)
 
     def _refuse(self, call: Call, run: Run, status: int) -> None:
         run.end(str(status))
         wait_s = FULL_BACKOFF_S
         if self._backs_off(call):
-            wait_s, self._faults = self._faults.backoff_s, self._faults.used()
+            wait_s, self._faults = self._faults.backoff_s, self._faults.after_use()
         # A replica that sheds load accepts the next request at once, so it asks for
         # no backoff.
-        asks = status == 503 and not self._sheds(call)
-        run.backoff_s = wait_s if asks else 0.0
+        asks_backoff = status == 503 and not self._sheds(call)
+        run.backoff_s = wait_s if asks_backoff else 0.0
         headers = {NOT_EXECUTED: "1", REPLICA_ID: self._name}
-        headers |= {RETRY_AFTER: str(wait_s)} if asks else {}
-        headers |= self._leaving
+        headers |= {RETRY_AFTER: str(wait_s)} if asks_backoff else {}
+        headers |= self._leaving_header
         if run.id:
             headers[REQUEST_ID] = run.id
-        self.finish(call, answer_bytes(status, b"", headers))
+        self.finish(call, response_bytes(status, b"", headers))
 
     def _start_next(self) -> None:
-        while self._waiting and len(self._busy) < self._slots:
+        while self._waiting and len(self._active) < self._slots:
             work = self._waiting.popleft()
-            self._busy.append(work)
-            work.run.begun, work.run.outcome = monotonic(), RUNNING
+            self._active.append(work)
+            work.run.started, work.run.outcome = monotonic(), RUNNING
             self._crash_if_poison(work)
             if work.faults.hang:
                 continue
             if work.job is None:
-                done = self.timers.after(self._work_s, lambda w=work: self._done(w))
-                work.timers.append(done)
+                done_timer = self.timers.after(
+                    self._work_s, lambda w=work: self._complete(w)
+                )
+                work.timers.append(done_timer)
             else:
-                self._generations.begin(work)
+                self._generations.start(work)
 
     def _crash_if_poison(self, work: Work) -> None:
         if self._poison and self._poison in work.call.body:
@@ -272,25 +285,25 @@
         work.run.end(outcome)
         for timer in work.timers:
             timer.cancel()
-        for group in (self._waiting, self._busy):
+        for group in (self._waiting, self._active):
             if work in group:
                 group.remove(work)
         if work.job:
-            self._generations.drop(work)
-        if self._works.get(work.call.wire) is work:
-            del self._works[work.call.wire]
+            self._generations.discard(work)
+        if self._work_by_connection.get(work.call.conn) is work:
+            del self._work_by_connection[work.call.conn]
         self._start_next()
 
-    def _expire(self, work: Work) -> None:
-        waited = work.run.begun is None
-        self.end(work, "503" if waited else "deadline")
-        if waited:
+    def _on_deadline(self, work: Work) -> None:
+        never_started = work.run.started is None
+        self.end(work, "503" if never_started else "deadline")
+        if never_started:
             headers = {NOT_EXECUTED: "1", REQUEST_ID: work.run.id}
-            self.finish(work.call, answer_bytes(503, b"", headers))
+            self.finish(work.call, response_bytes(503, b"", headers))
         elif work.head_sent:
-            work.call.wire.close()
+            work.call.conn.close()
         else:
-            self.finish(work.call, answer_bytes(504, b"", self.headers(work)))
+            self.finish(work.call, response_bytes(504, b"", self.headers(work)))
 
     def headers(self, work: Work) -> dict[str, str]:
         """Return the headers of the response to a request."""
@@ -299,72 +312,74 @@
             headers[WEIGHT_VERSIONS] = str(self._weights)
         if self._state == DRAINING:
             headers["Connection"] = "close"
-        return headers | self._leaving
+        return headers | self._leaving_header
 
     @property
-    def _leaving(self) -> dict[str, str]:
-        says = self._state == DRAINING or self._faults.says_leaving
-        return {SERVER_LEAVING: "1"} if says else {}
+    def _leaving_header(self) -> dict[str, str]:
+        announces = self._state == DRAINING or self._faults.says_leaving
+        return {SERVER_LEAVING: "1"} if announces else {}
 
-    def _done(self, work: Work) -> None:
+    def _complete(self, work: Work) -> None:
         run, call = work.run, work.call
         body = {"replica": self._name, "id": run.id, "method": call.method}
         body |= {"target": call.target, "body_sha256": run.body_sha256}
         answer = PlainAnswer(json.dumps(body).encode(), self.headers(work))
         self.end(work, "done")
-        if answer.send(self, call, work.faults, next(self._done_count)):
-            self.follow(call.wire, work.faults)
+        if answer.send(self, call, work.faults, next(self._response_numbers)):
+            self.after_response(call.conn, work.faults)
 
-    def follow(self, wire: Wire, faults: ReplicaFaults) -> None:
+    def after_response(self, conn: ServerConnection, faults: ReplicaFaults) -> None:
         """Send the extra response that a fault asks for; close if draining."""
-        send_extra(self.timers, wire, faults)
+        send_extra(self.timers, conn, faults)
         if self._state == DRAINING:
-            wire.close()
+            conn.close()
 
     # Reports and control.
 
-    def _measure(self) -> None:
-        jobs = ((work, work.job) for work in self._busy if work.job)
+    def _update_report(self) -> None:
+        jobs = ((work, work.job) for work in self._active if work.job)
         self._report = {
-            **NOTHING_MORE,
+            **REPORT_DEFAULTS,
             "models": self._models,
             "waiting": len(self._waiting),
-            "running": len(self._busy),
-            "kv_used": self._batch.used,
+            "running": len(self._active),
+            "kv_used": self._batch.reserved,
             "kv_total": self._batch.cache.capacity,
             "state": self._state,
-            "runs": [[work.run.id, job.held, work.events, 0] for work, job in jobs],
+            "runs": [[work.run.id, job.reserved, work.events, 0] for work, job in jobs],
         }
 
-    def control(self, call: Call) -> bytes:
+    def on_control_call(self, call: Call) -> bytes:
         """Return the response to a control call."""
         match call.method, call.path:
             case "GET", "/runs":
-                return answer_bytes(200, [run.row for run in self._runs])
+                return response_bytes(200, [run.row for run in self._runs])
             case "GET", "/conns":
-                return answer_bytes(200, self._connections)
+                return response_bytes(200, self._accepted_connections)
             case "POST", "/fault":
                 self._set_faults(ReplicaFaults(**call.json))
             case "POST", "/tear":
-                for work in [one for one in self._busy if one.head_sent]:
-                    self._generations.tear(work)
+                for work in [work for work in self._active if work.head_sent]:
+                    self._generations.cut_stream(work)
             case "POST", "/drop":
-                for wire in self.data.wires.values():
-                    wire.dropped = wire.dropped or wire not in self._works
+                for conn in self.data_listener.connections.values():
+                    conn.reset_on_data = (
+                        conn.reset_on_data or conn not in self._work_by_connection
+                    )
             case "PUT", "/state":
                 self._state = call.json["state"]
                 if self._state not in (READY, DRAINING):
                     self._entry.remove()
-                self._beat()
+                self._send_heartbeat()
             case _:
-                return answer_bytes(404, {"error": "no such call"})
-        return answer_bytes(200, {})
+                return response_bytes(404, {"error": "no such call"})
+        return response_bytes(200, {})
 
     def _set_faults(self, faults: ReplicaFaults) -> None:
         if faults.refuse and not self._faults.refuse:
-            self.data.stop()
+            self.data_listener.stop()
         elif self._faults.refuse and not faults.refuse:
-            self.data.go_on()
+            self.data_listener.resume()
         self._faults = faults
 
 
--- a/greengageflow/lab/platform_store.py
+++ b/greengageflow/lab/platform_store.py
@@ -11,7 +11,12 @@
 import fire
 
 from greengageflow.lab._platform_log import Conflict, Partition, keyed_record
-from greengageflow.lab.platform_http import Call, HttpFake, Wire, answer_bytes
+from greengageflow.lab.platform_http import (
+    Call,
+    HttpFake,
+    ServerConnection,
+    response_bytes,
+)
 from greengageflow.net.timers import Subscription
 from greengageflow.platform.names import (
     CONFIG_KEY,
@@ -26,8 +31,8 @@
     STORE_ERA,
 )
 
-MOST_WAIT_MS = 30_000
-OWN_TOPICS = (OPERATOR_TOPIC, SERVERS_TOPIC)
+MAX_WAIT_MS = 30_000
+READ_ONLY_TOPICS = (OPERATOR_TOPIC, SERVERS_TOPIC)
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,19 +58,19 @@
     ips: tuple[str, ...] = ()
     path: str = ""
 
-    def concern(self, call: Call) -> bool:
+    def applies_to(self, call: Call) -> bool:
         """Whether the faults apply to a call."""
         return self.path in ("", call.path) and (
-            not self.ips or call.wire.ip in self.ips
+            not self.ips or call.conn.ip in self.ips
         )
 
 
 @dataclass(slots=True, eq=False)
-class _Reader:
+class _LongPoll:
     call: Call
-    part: Partition
+    partition: Partition
     start: int
-    most_bytes: int
+    max_bytes: int
     timeout: Subscription | None = None
 
 
@@ -95,53 +100,57 @@
     ) -> None:
         super().__init__(host, port, control_port)
         self._faults = StoreFaults()
-        self._parts: dict[tuple[str, int], Partition] = {}
-        self._readers: list[_Reader] = []
+        self._partitions: dict[tuple[str, int], Partition] = {}
+        self._long_polls: list[_LongPoll] = []
         self._calls: Counter[tuple[str, str]] = Counter()
         self._expiry: dict[str, Subscription] = {}
         self._era = 1
-        self._copy: dict[tuple[str, int], Partition] = {}
+        self._snapshot: dict[tuple[str, int], Partition] = {}
 
     # Calls of the product.
 
-    def arrived(self, call: Call) -> None:
+    def on_request(self, call: Call) -> None:
         """Execute a call or apply the faults to it."""
-        self._calls[call.path, call.wire.ip] += 1
+        self._calls[call.path, call.conn.ip] += 1
         faults = self._faults
-        if not faults.concern(call):
-            self._do(call)
+        if not faults.applies_to(call):
+            self._execute(call)
         elif faults.reset:
-            call.wire.reset()
+            call.conn.reset()
         elif faults.down:
-            call.wire.mute = True
+            call.conn.mute = True
         elif faults.status:
             body = {"error": "refused by a fault"}
             headers = {RETRY_AFTER: "0.1", **self._headers}
-            self.finish(call, answer_bytes(faults.status, body, headers))
+            self.finish(call, response_bytes(faults.status, body, headers))
         elif faults.slow_s:
-            self.timers.after(faults.slow_s, lambda: self._do(call))
+            self.timers.after(faults.slow_s, lambda: self._execute(call))
         else:
-            self._do(call)
+            self._execute(call)
 
-    def gone(self, wire: Wire) -> None:
+    def on_disconnect(self, conn: ServerConnection) -> None:
         """Drop the long polls of a closed connection."""
-        self._readers = [one for one in self._readers if one.call.wire is not wire]
+        self._long_polls = [
+            long_poll
+            for long_poll in self._long_polls
+            if long_poll.call.conn is not conn
+        ]
 
     def _answer(self, call: Call, status: int, body: object) -> None:
         # Faults also apply to long polls that arrived before they were set.
-        if self._faults.concern(call) and (self._faults.lost or self._faults.down):
-            call.wire.mute = True
-        self.finish(call, answer_bytes(status, body, self._headers))
+        if self._faults.applies_to(call) and (self._faults.lost or self._faults.down):
+            call.conn.mute = True
+        self.finish(call, response_bytes(status, body, self._headers))
 
     @property
     def _headers(self) -> dict[str, str]:
         return {STORE_ERA: str(self._era)}
 
-    def _do(self, call: Call) -> None:
-        if not call.wire.open:
+    def _execute(self, call: Call) -> None:
+        if not call.conn.open:
             return
         try:
-            answer = self._done(call)
+            answer = self._result(call)
         except Conflict as exc:
             answer = exc.status, exc.body
         except (KeyError, ValueError, IndexError) as exc:
@@ -149,111 +158,125 @@
         if answer is not None:
             self._answer(call, *answer)
 
-    def _done(self, call: Call) -> tuple[int, object] | None:
+    def _result(self, call: Call) -> tuple[int, object] | None:
         query = call.query
         topic, number = query["topic"], int(query["part"])
-        part = self._part(topic, number)
+        partition = self._partition(topic, number)
         match call.method, call.path:
             case "POST", path if path == LOG_APPEND:
-                if topic in OWN_TOPICS:
+                if topic in READ_ONLY_TOPICS:
                     return 403, {"error": "topic is read-only"}
-                answer = part.append(query, bytes(call.body))
-                self._wake(part)
+                answer = partition.append(query, bytes(call.body))
+                self._wake_long_polls(partition)
                 return 200, answer
             case "POST", path if path == LOG_TRIM:
-                part.forget(int(query["before"]))
-                return 200, {"first": part.first}
+                partition.trim(int(query["before"]))
+                return 200, {"first": partition.first}
             case "GET", path if path == LOG_NEWEST:
-                return 200, part.newest_page(query.get("after", ""))
+                return 200, partition.newest_page(query.get("after", ""))
             case "GET", path if path == LOG_READ:
-                return self._read(call, part, query)
+                return self._read(call, partition, query)
         return 404, {"error": "no such call"}
 
-    def _part(self, topic: str, number: int) -> Partition:
-        if (topic, number) not in self._parts:
-            self._parts[topic, number] = Partition(topic.startswith(KEYED_TOPIC_PREFIX))
-        return self._parts[topic, number]
+    def _partition(self, topic: str, number: int) -> Partition:
+        if (topic, number) not in self._partitions:
+            self._partitions[topic, number] = Partition(
+                topic.startswith(KEYED_TOPIC_PREFIX)
+            )
+        return self._partitions[topic, number]
 
-    def _read(self, call: Call, part: Partition, query: dict[str, str]) -> tuple | None:
+    def _read(
+        self, call: Call, partition: Partition, query: dict[str, str]
+    ) -> tuple | None:
         start = int(query["from"])
-        if not part.first <= start <= part.end:
-            return 410, {"first": part.first}
+        if not partition.first <= start <= partition.end:
+            return 410, {"first": partition.first}
         size = int(query.get("max_kb", 1024)) * 1024
-        wait_s = min(MOST_WAIT_MS, int(query.get("wait_ms", 0))) / 1000
-        if start < part.end or not wait_s:
-            return 200, part.page(start, size)
-        reader = _Reader(call, part, start, size)
-        self._readers.append(reader)
-        reader.timeout = self.timers.after(wait_s, lambda: self._release([reader]))
+        wait_s = min(MAX_WAIT_MS, int(query.get("wait_ms", 0))) / 1000
+        if start < partition.end or not wait_s:
+            return 200, partition.page(start, size)
+        long_poll = _LongPoll(call, partition, start, size)
+        self._long_polls.append(long_poll)
+        long_poll.timeout = self.timers.after(
+            wait_s, lambda: self._answer_long_polls([long_poll])
+        )
         return None
 
-    def _wake(self, part: Partition) -> None:
-        self._release(
-            [one for one in self._readers if one.part is part and one.start < part.end]
+    def _wake_long_polls(self, partition: Partition) -> None:
+        self._answer_long_polls(
+            [
+                long_poll
+                for long_poll in self._long_polls
+                if long_poll.partition is partition and long_poll.start < partition.end
+            ]
         )
 
-    def _release(self, readers: list[_Reader]) -> None:
-        for reader in readers:
-            if reader in self._readers:
-                self._readers.remove(reader)
-                reader.timeout.cancel()
-                page = reader.part.page(reader.start, reader.most_bytes)
-                self._answer(reader.call, 200, page)
+    def _answer_long_polls(self, long_polls: list[_LongPoll]) -> None:
+        for long_poll in long_polls:
+            if long_poll in self._long_polls:
+                self._long_polls.remove(long_poll)
+                long_poll.timeout.cancel()
+                page = long_poll.partition.page(long_poll.start, long_poll.max_bytes)
+                self._answer(long_poll.call, 200, page)
 
     # Control calls of tests, the operator and the replicas.
 
-    def control(self, call: Call) -> bytes:
+    def on_control_call(self, call: Call) -> bytes:
         """Return the response to a control call."""
         match call.method, call.path.strip("/").split("/"):
             case "PUT", ["config"]:
                 return self._put(OPERATOR_TOPIC, CONFIG_KEY, bytes(call.body))
             case "PUT", ["servers", name]:
-                self._expire_later(name, call.query.get("ttl_ms"))
+                self._schedule_expiry(name, call.query.get("ttl_ms"))
                 return self._put(SERVERS_TOPIC, name, bytes(call.body))
             case "DELETE", ["servers", name]:
-                self._expire_later(name, None)
+                self._schedule_expiry(name, None)
                 return self._put(SERVERS_TOPIC, name, b"")
             case "POST", ["fault"]:
-                given = call.json
-                ips = tuple(given.pop("ips", ()))
-                self._faults = StoreFaults(**given, ips=ips)
-                return answer_bytes(200, asdict(self._faults))
+                fields = call.json
+                ips = tuple(fields.pop("ips", ()))
+                self._faults = StoreFaults(**fields, ips=ips)
+                return response_bytes(200, asdict(self._faults))
             case "POST", ["compact"]:
-                part = self._part(call.json["topic"], call.json.get("part", 0))
-                part.forget(part.end)
-                return answer_bytes(200, {"first": part.first})
+                partition = self._partition(
+                    call.json["topic"], call.json.get("part", 0)
+                )
+                partition.trim(partition.end)
+                return response_bytes(200, {"first": partition.first})
             case "POST", ["copy"]:
-                self._copy = deepcopy(self._parts)
-                return answer_bytes(200, {})
+                self._snapshot = deepcopy(self._partitions)
+                return response_bytes(200, {})
             case "POST", ["restore"]:
                 self._faults = StoreFaults(down=True)
                 self.timers.after(call.json.get("away_s", 0.0), self._restore)
-                return answer_bytes(200, {})
+                return response_bytes(200, {})
             case "GET", ["newest"]:
-                part = self._part(call.query["topic"], 0)
-                values = {key: json.loads(one[0]) for key, one in part.newest.items()}
-                return answer_bytes(200, values)
+                partition = self._partition(call.query["topic"], 0)
+                values = {
+                    key: json.loads(value[0]) for key, value in partition.newest.items()
+                }
+                return response_bytes(200, values)
             case "GET", ["calls"]:
                 rows = [[*key, count] for key, count in self._calls.items()]
-                return answer_bytes(200, rows)
-        return answer_bytes(404, {"error": "no such call"})
+                return response_bytes(200, rows)
+        return response_bytes(404, {"error": "no such call"})
 
     def _restore(self) -> None:
-        for reader in self._readers:
-            reader.timeout.cancel()
-            reader.call.wire.reset()
-        self._readers = []
-        self._parts = deepcopy(self._copy)
+        for long_poll in self._long_polls:
+            long_poll.timeout.cancel()
+            long_poll.call.conn.reset()
+        self._long_polls = []
+        self._partitions = deepcopy(self._snapshot)
         self._era += 1
         self._faults = StoreFaults()
 
     def _put(self, topic: str, key: str, value: bytes) -> bytes:
-        part = self._part(topic, 0)
-        part.add(keyed_record(key, value))
-        self._wake(part)
-        return answer_bytes(200, {"end": part.end})
+        partition = self._partition(topic, 0)
+        partition.add(keyed_record(key, value))
+        self._wake_long_polls(partition)
+        return response_bytes(200, {"end": partition.end})
 
-    def _expire_later(self, name: str, ttl_ms: str | None) -> None:
+    def _schedule_expiry(self, name: str, ttl_ms: str | None) -> None:
         if old := self._expiry.pop(name, None):
             old.cancel()
         if ttl_ms is not None:
--- a/tests/test_platform_fakes.py
+++ b/tests/test_platform_fakes.py
@@ -270,17 +270,17 @@
 
 def test_batch_reads_shared_parts_once_and_forgets_the_oldest():
     batch = Batch(0.01, 0.5, chunk=100, capacity=1000)
-    first = Job.of(generation(1, ("aa", 300), ("bb", 100)), 2)
+    first = Job.from_headers(generation(1, ("aa", 300), ("bb", 100)), 2)
     batch.add(first)
     assert [len(list(batch.step())) for _ in range(4)] == [0, 0, 0, 1]
-    batch.drop(first)
-    again = Job.of(generation(1, ("aa", 300), ("cc", 100)), 2)
+    batch.discard(first)
+    again = Job.from_headers(generation(1, ("aa", 300), ("cc", 100)), 2)
     batch.add(again)
-    assert again.to_read == 100
+    assert again.to_prefill == 100
     list(batch.step())
-    batch.drop(again)
+    batch.discard(again)
     for number in range(3):
-        batch.cache.keep("m", iter([(f"d{number}", 300)]), 0)
+        batch.cache.store("m", iter([(f"d{number}", 300)]), 0)
     assert [name for _, name, _ in batch.cache.rows] == ["cc", "d0", "d1", "d2"]
 
 
