--- a/tests/soak_seeds.py
+++ b/tests/soak_seeds.py
@@ -32,7 +32,7 @@
             "No stream was served after the faults: the stand-in engine stopped making "
             "tokens when it wrote to a connection that its caller had reset.",
             "stand-in: it does not write on a socket that is closed",
-            "test_engine_goes_on_when_callers_leave_in_the_middle_of_its_steps",
+            "test_engine_steps_continue_when_clients_reset_their_streams",
         )
         for seed in (1, 2, 4, 6, 103)
     ),
--- a/tests/test_platform_fakes.py
+++ b/tests/test_platform_fakes.py
@@ -46,7 +46,7 @@
 
 
 @pytest.fixture(autouse=True)
-def sound(lab):
+def clear_faults(lab):
     yield
     lab.set_store_faults()
     for name in lab.replicas:
@@ -87,9 +87,9 @@
     assert append(lab, OPERATOR_TOPIC, b"\1kv")[0] == 403
 
 
-def test_store_keeps_the_newest_of_each_key_when_records_are_forgotten(lab):
-    one, two = keyed_record("a", b"1"), keyed_record("b", b"2")
-    append(lab, STATUS_TOPIC, one, two, keyed_record("a", b""))
+def test_store_retains_newest_values_after_compaction(lab):
+    first, second = keyed_record("a", b"1"), keyed_record("b", b"2")
+    append(lab, STATUS_TOPIC, first, second, keyed_record("a", b""))
     lab.compact(STATUS_TOPIC)
     path = f"{LOG_NEWEST}?topic={STATUS_TOPIC}&part=0"
     page = json.loads(log_call(lab, "GET", path)[1])
@@ -101,7 +101,7 @@
     assert (status, json.loads(body)) == (410, {"first": 3})
 
 
-def test_store_loses_answers_of_what_it_did_for_the_given_callers_only(lab):
+def test_store_faults_apply_to_the_given_callers_only(lab):
     lab.set_store_faults(lost=True, ips=["127.0.0.9"])
     with pytest.raises(TimeoutError):
         append(lab, "lost", b"a", source="127.0.0.9", timeout_s=0.5)
@@ -153,20 +153,21 @@
     assert client.ask("/health", method="GET").headers[REPLICA_ID] == "app-0"
 
 
-def test_full_replica_refuses_and_drops_what_its_callers_left(lab):
+def test_full_replica_refuses_requests_and_cancels_abandoned_ones(lab):
     lab.set_faults("app-0", hang=True)
-    held = [lab.replica_client("app-0") for _ in range(3)]
-    names = [client.send("/safe/") for client in held]
+    clients = [lab.replica_client("app-0") for _ in range(3)]
+    names = [client.send("/safe/") for client in clients]
     wait_for(lambda: all(lab.runs(name) for name in names), "all requests arrive")
     refused = lab.replica_client("app-0").ask("/safe/")
     assert refused.status == 503 and NOT_EXECUTED in refused.headers
-    held[0].close()
+    clients[0].close()
     wait_for(lambda: lab.runs(names[0])[0]["cancelled"], "the closed one is cancelled")
     wait_for(lambda: lab.started_runs(names[2]), "the queued one starts")
-    held[1].close(reset=True)
-    held[2].close()
+    clients[1].close(reset=True)
+    clients[2].close()
     wait_for(
-        lambda: all(lab.runs(one)[0]["cancelled"] for one in names), "all are cancelled"
+        lambda: all(lab.runs(name)[0]["cancelled"] for name in names),
+        "all are cancelled",
     )
 
 
@@ -180,7 +181,7 @@
         {"unframed": "reset"},
     ],
 )
-def test_replica_runs_and_spoils_the_answer(lab, fault):
+def test_replica_executes_the_request_and_corrupts_the_response(lab, fault):
     lab.set_faults("app-0", times=1, **fault)
     client = lab.replica_client("app-0")
     name = client.send("/safe/")
@@ -190,7 +191,7 @@
     assert lab.replica_client("app-0").ask("/safe/").status == 200
 
 
-def test_replica_answers_unframed_grey_and_with_an_extra_answer(lab):
+def test_replica_faults_unframed_grey_extra_and_refuse(lab):
     lab.set_faults("app-0", unframed="close")
     answer = lab.replica_client("app-0").ask("/safe/")
     assert json.loads(answer.body)["id"] == answer.id
@@ -207,7 +208,7 @@
     assert lab.replica_client("app-0").ask("/safe/").status == 200
 
 
-def test_replica_answers_before_a_long_body_is_read(lab):
+def test_replica_responds_before_a_long_body_is_read(lab):
     lab.set_faults("app-0", early=True)
     body, client = bytes(100_000), lab.replica_client("app-0")
     head = f"POST /safe/ HTTP/1.1\r\nHost: a\r\n{REQUEST_ID}: early\r\n"
@@ -218,24 +219,26 @@
     assert lab.runs("early")[0]["body_sha256"] == sha256(body).hexdigest()
 
 
-def test_replica_lies_about_its_health_and_drops_idle_connections(lab):
+def test_replica_overrides_its_health_and_resets_idle_connections(lab):
     client = lab.replica_client("app-0")
     assert client.ask("/health", method="GET").status == 200
     lab.set_faults("app-0", health=503, hang=True, via="/r1/")
     assert client.ask("/health", method="GET").status == 503
     assert client.ask("/safe/r0/x").status == 200
-    held = lab.replica_client("app-0")
-    name = held.send("/safe/r1/x")
+    pending = lab.replica_client("app-0")
+    name = pending.send("/safe/r1/x")
     wait_for(lambda: lab.started_runs(name), "the request starts")
     lab.control(lab.replicas["app-0"], "POST", "/drop")
     name = client.send("/unsafe/r0/x")
     with pytest.raises(IncompleteResponse):
         client.answer()
     assert not lab.runs(name)
-    assert held.silent() and lab.replica_client("app-0").ask("/safe/r0/x").status == 200
+    assert (
+        pending.silent() and lab.replica_client("app-0").ask("/safe/r0/x").status == 200
+    )
 
 
-def test_engine_streams_resumes_and_tears(lab):
+def test_engine_streams_resumes_and_cuts(lab):
     headers = generation(20, ("aa", 500), ("bb", 300))
     client = lab.replica_client("scribe-0")
     client.send("/chat/", headers=headers)
@@ -247,13 +250,13 @@
     lab.set_faults("scribe-0", cut_after=3)
     client.send("/chat/", headers=headers)
     client.head()
-    got = []
+    received = []
     with pytest.raises(IncompleteResponse):
-        got.extend(event.id for event in client.events())
+        received.extend(event.id for event in client.events())
     assert lab.started_runs(client._id)[0]["outcome"] == "cut"
 
 
-def test_engine_drops_a_stream_at_its_deadline_and_when_the_caller_leaves(lab):
+def test_engine_cancels_a_stream_at_its_deadline_and_on_disconnect(lab):
     headers = generation(50_000, ("cc", 100))
     client = lab.replica_client("scribe-1")
     name = client.send("/chat/", headers=headers, deadline_ms=200)
@@ -268,23 +271,23 @@
     wait_for(lambda: lab.runs(name)[0]["cancelled"], "the stream is cancelled")
 
 
-def test_batch_reads_shared_parts_once_and_forgets_the_oldest():
+def test_batch_prefills_shared_parts_once_and_evicts_the_oldest():
     batch = Batch(0.01, 0.5, chunk=100, capacity=1000)
     first = Job.from_headers(generation(1, ("aa", 300), ("bb", 100)), 2)
     batch.add(first)
     assert [len(list(batch.step())) for _ in range(4)] == [0, 0, 0, 1]
     batch.discard(first)
-    again = Job.from_headers(generation(1, ("aa", 300), ("cc", 100)), 2)
-    batch.add(again)
-    assert again.to_prefill == 100
+    second = Job.from_headers(generation(1, ("aa", 300), ("cc", 100)), 2)
+    batch.add(second)
+    assert second.to_prefill == 100
     list(batch.step())
-    batch.discard(again)
+    batch.discard(second)
     for number in range(3):
         batch.cache.store("m", iter([(f"d{number}", 300)]), 0)
     assert [name for _, name, _ in batch.cache.rows] == ["cc", "d0", "d1", "d2"]
 
 
-def test_engine_fetches_what_another_keeps(lab):
+def test_engine_fetches_cached_parts_from_another_engine(lab):
     headers = generation(2, ("ab", 400), ("ba", 200))
     holder = lab.replicas["scribe-0"]
     lab.replica_client("scribe-0").ask("/chat/", headers=headers)
@@ -294,7 +297,7 @@
     assert {"ab", "ba"} <= {name for _, name, _, _ in json.loads(body)["held"]}
 
 
-def test_engine_goes_on_when_callers_leave_in_the_middle_of_its_steps():
+def test_engine_steps_continue_when_clients_reset_their_streams():
     """Clients reset their streams while the engine sends.
 
     A write to a socket that circuits had closed, but whose disconnect event was still
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -35,13 +35,13 @@
         yield lab
 
 
-def reads(lab):
+def read_count(lab):
     """Return how often routers have read the store's log."""
     rows = lab.control(lab.store, "GET", "/calls")
     return sum(count for path, _, count in rows if path == LOG_READ)
 
 
-def test_key_that_was_taken_away_is_refused_on_open_connections_too(lab):
+def test_revoked_key_is_refused_on_open_connections(lab):
     client = lab.client()
     assert client.ask(SAFE, key=KEY).status == 200
     lab.publish(configuration(3, tenants=NO_TENANT))
@@ -59,16 +59,16 @@
 
     A 503 would make the client retry in vain.
     """
-    begun, seen = reads(lab), []
-    while reads(lab) < begun + 6:
-        seen += [lab.ask("/none/").status, lab.ask(SAFE, key="no-key").status]
-    assert set(seen) <= {404, 401, 503}
+    reads_before, statuses = read_count(lab), []
+    while read_count(lab) < reads_before + 6:
+        statuses += [lab.ask("/none/").status, lab.ask(SAFE, key="no-key").status]
+    assert set(statuses) <= {404, 401, 503}
     # A few 503s are allowed: a router that is delayed on a busy host may consider its
     # configuration stale.
-    assert seen.count(503) <= len(seen) / 10
+    assert statuses.count(503) <= len(statuses) / 10
 
 
-def test_older_configuration_never_comes_back(lab):
+def test_older_configuration_is_ignored(lab):
     """Routers ignore a configuration that is older than the one in force.
 
     A key is revoked, an older version that still has it is published, and then the
@@ -77,24 +77,24 @@
     lab.publish(configuration(3, tenants=NO_TENANT))
     wait_for(lambda: lab.ask(SAFE).status == 401, "the revoked key is refused")
     lab.publish(configuration(2))
-    begun = reads(lab)
-    wait_for(lambda: reads(lab) > begun + 4, "the older version is read")
+    reads_before = read_count(lab)
+    wait_for(lambda: read_count(lab) > reads_before + 4, "the older version is read")
     for _ in range(5):
         assert lab.ask(SAFE).status in REFUSALS
     lab.compact(OPERATOR_TOPIC)
-    more = configuration(4, tenants=[*NO_TENANT, {"name": "t2", "api_keys": ["k2"]}])
-    lab.publish(more)
-    seen = []
+    newer = configuration(4, tenants=[*NO_TENANT, {"name": "t2", "api_keys": ["k2"]}])
+    lab.publish(newer)
+    statuses = []
 
     def in_force():
-        seen.append(lab.ask(SAFE).status)
+        statuses.append(lab.ask(SAFE).status)
         return lab.ask(SAFE, key="k2").status == 200
 
     wait_for(in_force, "version 4 is in force")
-    assert set(seen) <= REFUSALS
+    assert set(statuses) <= REFUSALS
 
 
-def test_keys_are_not_trusted_when_the_store_is_out_of_reach(lab):
+def test_keys_are_refused_when_the_store_is_unreachable(lab):
     """A key is revoked while the store doesn't answer.
 
     After the bound (``revoke_ms``) the router must refuse all keys with a 503 that
@@ -119,7 +119,7 @@
 
 
 @pytest.mark.parametrize("fault", [{"status": 503}, {"status": 429}, {"reset": True}])
-def test_router_that_the_store_turns_away_serves_until_the_bound(lab, fault):
+def test_router_refused_by_the_store_serves_until_the_bound(lab, fault):
     """The store refuses the calls of one router.
 
     The router serves from its last configuration until the bound, then refuses keys
@@ -139,7 +139,7 @@
     wait_for(lambda: lab.ask(SAFE).status == 200, "requests are served again")
 
 
-def test_router_that_starts_without_the_store_refuses_for_now(lab):
+def test_router_that_starts_without_the_store_answers_503(lab):
     """A router without a configuration answers 503 and isn't ready.
 
     A 404 or 401 would end the client's retries, and the load balancer must not send
@@ -158,7 +158,7 @@
 
 
 @pytest.mark.parametrize("state", [DRAINING, "gone"])
-def test_leaving_replica_gets_nothing_new(lab, state):
+def test_leaving_replica_gets_no_new_requests(lab, state):
     """A replica announces that it is draining, or its entry is removed.
 
     Once the router has read this, the replica must get no new requests, and its
@@ -188,7 +188,7 @@
     assert [event.id for event in client.events()] == list(range(1, 201))
 
 
-def test_list_that_lost_its_history_is_read_anew(lab):
+def test_compacted_server_list_is_read_again(lab):
     """Two replicas leave and one joins, and the store compacts these records away.
 
     The router must read the newest values again and drop the two replicas, which are
@@ -211,7 +211,7 @@
         assert lab.runs(lab.ask(UNSAFE).id)[0]["replica"] == "app-x"
 
 
-def test_sigterm_loses_nothing(lab):
+def test_sigterm_completes_or_refuses_every_request(lab):
     """A router gets SIGTERM while streams run and requests keep arriving.
 
     Requests arrive until the load balancer has removed the router. All must get a
@@ -222,28 +222,28 @@
     for number, client in enumerate(streams):
         client.send(CHAT, key=KEY, headers=generation(300, (f"s{number}", 50)))
         assert client.head().status == 200
-    asked, failed = [], []
+    answers, errors = [], []
 
-    def ask_on():
-        while lab.readiness_status("r0") == 200 or len(asked) < 50:
+    def send_requests():
+        while lab.readiness_status("r0") == 200 or len(answers) < 50:
             try:
-                asked.append(lab.ask(UNSAFE))
+                answers.append(lab.ask(UNSAFE))
             except Exception as exc:
-                failed.append(exc)
+                errors.append(exc)
                 return
 
     lab.ask(UNSAFE)
     lab.terminate("r0")
-    threads = [Thread(target=ask_on) for _ in range(4)]
+    threads = [Thread(target=send_requests) for _ in range(4)]
     for thread in threads:
         thread.start()
     for client in streams:
         assert [event.id for event in client.events()] == list(range(1, 151))
     for thread in threads:
         thread.join(30)
-    assert not failed
-    assert 200 in {answer.status for answer in asked}
-    for answer in asked:
+    assert not errors
+    assert 200 in {answer.status for answer in answers}
+    for answer in answers:
         assert answer.status == 200 or not lab.started_runs(answer.id)
     assert lab.routers["r0"].popen.wait(30) == 0
 
