--- a/tests/test_platform_fakes.py
+++ b/tests/test_platform_fakes.py
@@ -101,7 +101,7 @@
     assert (status, json.loads(body)) == (410, {"first": 3})
 
 
-def test_store_faults_apply_to_the_given_callers_only(lab):
+def test_store_faults_lose_refuse_and_reset_calls(lab):
     lab.set_store_faults(lost=True, ips=["127.0.0.9"])
     with pytest.raises(TimeoutError):
         append(lab, "lost", b"a", source="127.0.0.9", timeout_s=0.5)
