--- a/greengageflow/lab/_platform_batch.py
+++ b/greengageflow/lab/_platform_batch.py
@@ -1,6 +1,6 @@
-"""Batch and prompt cache of the platform engine's fake, without I/O.
+"""Batch and prefix cache of the fake platform engine, without I/O.
 
-Left out: preemption, pins, holds, moves and backups.
+Not modelled: preemption, and pinning, holding, migrating and backing up cache entries.
 """
 
 from collections import OrderedDict
@@ -14,9 +14,9 @@
     TOKEN_COUNT,
 )
 
-STAGE = {"stage": "prefill_decode"}
-NOTHING_MORE = (
-    STAGE
+STAGE_FIELD = {"stage": "prefill_decode"}
+REPORT_DEFAULTS = (
+    STAGE_FIELD
     | {"busy": False}
     | dict.fromkeys(("sequence", "handles", "pinned", "held", "next"), 0)
 )
@@ -28,26 +28,26 @@
 
     Args:
         model: Name of the model.
-        parts: Name and tokens of each part of the prompt, in order.
-        prompt: Tokens of the prompt.
-        wanted: Tokens to make, with those made elsewhere.
-        made: Tokens made; above 0 from the start where a stream goes on.
-        to_read: Tokens to prefill before the next one is made.
+        parts: Name and number of tokens of each part of the prompt, in order.
+        prompt: Number of prompt tokens.
+        wanted: Tokens to generate, including those generated before a resumption.
+        generated: Tokens generated so far; a resumed stream starts above 0.
+        to_prefill: Tokens to prefill before the next one is generated.
     """
 
     model: str
     parts: tuple[tuple[str, int], ...]
     prompt: int
     wanted: int
-    made: int = 0
-    to_read: int = 0
+    generated: int = 0
+    to_prefill: int = 0
 
     @classmethod
-    def of(cls, headers: Mapping[str, str], stride: int) -> "Job | None":
-        """Return the job of a request, None without a token count.
+    def from_headers(cls, headers: Mapping[str, str], stride: int) -> "Job | None":
+        """Return the job of a request; None if it has no token count.
 
         Raises:
-            ValueError: The headers make no sense.
+            ValueError: A header is malformed.
         """
         if TOKEN_COUNT not in headers:
             return None
@@ -55,17 +55,19 @@
         entries = filter(None, headers.get(PROMPT_PREFIX, "").split(","))
         pairs = (entry.split(":") for entry in entries)
         parts = tuple((name, int(tokens)) for name, tokens in pairs)
-        made = int(headers.get(LAST_EVENT_ID, 0)) * stride
-        return cls(headers.get(MODEL, ""), parts, prompt, wanted, min(made, wanted))
+        generated = int(headers.get(LAST_EVENT_ID, 0)) * stride
+        return cls(
+            headers.get(MODEL, ""), parts, prompt, wanted, min(generated, wanted)
+        )
 
     @property
-    def held(self) -> int:
-        """Tokens that it holds in memory, with those still to be read."""
-        return self.prompt + self.made
+    def reserved(self) -> int:
+        """Tokens that it reserves in the KV cache, including those still to prefill."""
+        return self.prompt + self.generated
 
 
-class PartCache:
-    """Prompt parts in limited memory; the least recently used go first."""
+class PrefixCache:
+    """Cache of prompt parts; evicts the least recently used parts."""
 
     def __init__(self, capacity: int) -> None:
         self.capacity = capacity
@@ -73,11 +75,11 @@
 
     @property
     def rows(self) -> list[tuple[str, str, int]]:
-        """Model, name and tokens of each part kept."""
+        """Model, name and number of tokens of each cached part."""
         return [(*key, tokens) for key, tokens in self._parts.items()]
 
-    def kept(self, job: Job) -> int:
-        """Return how many leading parts of a prompt are kept."""
+    def cached_prefix_length(self, job: Job) -> int:
+        """Return how many leading parts of a prompt are cached."""
         count = 0
         for name, _ in job.parts:
             if (job.model, name) not in self._parts:
@@ -85,67 +87,84 @@
             count += 1
         return count
 
-    def fetched(self, job: Job, found: Mapping[str, int]) -> Iterator[tuple[str, int]]:
-        """Yield the parts after the kept ones that another has, up to a gap."""
-        for name, _ in job.parts[self.kept(job) :]:
-            if name not in found:
+    def fetchable(
+        self, job: Job, remote_parts: Mapping[str, int]
+    ) -> Iterator[tuple[str, int]]:
+        """Yield the parts after the cached prefix that another replica has.
+
+        Ends at the first part that the other replica lacks.
+
+        Args:
+            job: Generation whose prompt is meant.
+            remote_parts: Number of tokens of each part that the other replica holds.
+        """
+        for name, _ in job.parts[self.cached_prefix_length(job) :]:
+            if name not in remote_parts:
                 return
-            yield name, found[name]
+            yield name, remote_parts[name]
 
-    def keep(self, model: str, parts: Iterator, used: int) -> None:
-        """Keep parts beside ``used`` tokens of running requests."""
+    def store(self, model: str, parts: Iterator, reserved: int) -> None:
+        """Cache parts, then evict until all fit beside ``reserved`` tokens.
+
+        Args:
+            model: Name of the model.
+            parts: Name and number of tokens of each part.
+            reserved: Tokens that running requests reserve.
+        """
         for name, tokens in parts:
             self._parts[model, name] = tokens
             self._parts.move_to_end((model, name))
-        while self._parts and sum(self._parts.values()) + used > self.capacity:
+        while self._parts and sum(self._parts.values()) + reserved > self.capacity:
             self._parts.popitem(last=False)
 
 
 class Batch:
-    """The running generations.
+    """Continuous batch of the running generations.
 
     Args:
-        step_s: Seconds of one step of a batch of one.
-        growth: Part by which each further request lengthens a step.
-        chunk: Tokens that one step prefills, over all requests.
-        capacity: Tokens that running requests and kept parts may hold.
+        step_s: Duration of a step with one generation, in seconds.
+        growth: Fraction of ``step_s`` that each further generation adds to a step.
+        chunk: Maximum number of tokens that a step prefills, over all generations.
+        capacity: Maximum number of tokens of generations and cached parts.
     """
 
     def __init__(self, step_s: float, growth: float, chunk: int, capacity: int) -> None:
         self._step_s, self._growth, self._chunk = step_s, growth, chunk
-        self.cache = PartCache(capacity)
+        self.cache = PrefixCache(capacity)
         self.jobs: list[Job] = []
 
     @property
-    def used(self) -> int:
-        """Tokens that cannot yield."""
-        return sum(job.held for job in self.jobs)
+    def reserved(self) -> int:
+        """Tokens that running generations reserve; they cannot be evicted."""
+        return sum(job.reserved for job in self.jobs)
 
     @property
     def step_s(self) -> float:
-        """Seconds that the next step takes."""
+        """Duration of the next step in seconds."""
         return self._step_s * (1 + self._growth * max(0, len(self.jobs) - 1))
 
     def add(self, job: Job) -> None:
-        """Let a generation run."""
-        kept = sum(tokens for _, tokens in job.parts[: self.cache.kept(job)])
-        job.to_read = max(0, job.prompt - kept) + job.made
+        """Add a generation; the tokens of its cached prefix need no prefill."""
+        cached_tokens = sum(
+            tokens for _, tokens in job.parts[: self.cache.cached_prefix_length(job)]
+        )
+        job.to_prefill = max(0, job.prompt - cached_tokens) + job.generated
         self.jobs.append(job)
 
-    def drop(self, job: Job) -> None:
-        """End a generation, done or not."""
+    def discard(self, job: Job) -> None:
+        """Remove a generation, complete or not."""
         if job in self.jobs:
             self.jobs.remove(job)
 
     def step(self) -> Iterator[Job]:
-        """Advance all; yield those that made a token."""
+        """Run one step; yield the generations that produced a token."""
         budget = self._chunk
         for job in list(self.jobs):
-            read = min(budget, job.to_read)
-            job.to_read -= read
-            budget -= read
-            if job.to_read == 0 and job in self.jobs:
-                if read or not job.made:
-                    self.cache.keep(job.model, job.parts, self.used)
-                job.made += 1
+            prefilled = min(budget, job.to_prefill)
+            job.to_prefill -= prefilled
+            budget -= prefilled
+            if job.to_prefill == 0 and job in self.jobs:
+                if prefilled or not job.generated:
+                    self.cache.store(job.model, job.parts, self.reserved)
+                job.generated += 1
                 yield job
--- a/greengageflow/lab/_platform_generations.py
+++ b/greengageflow/lab/_platform_generations.py
@@ -1,11 +1,11 @@
-"""Generations of a fake model engine: fetched prompts, steps and their streams."""
+"""Generations of the fake model engine: prefix transfer, steps and streams."""
 
 import json
 from typing import Protocol
 
 from greengageflow.lab._platform_batch import Batch, Job
 from greengageflow.lab._platform_faults import ReplicaFaults, Work
-from greengageflow.lab.platform_http import Call, Wire, head_bytes
+from greengageflow.lab.platform_http import Call, ServerConnection, head_bytes
 from greengageflow.net.http_messages import Failure, HttpRequest, Response
 from greengageflow.net.http_pool import HttpPool
 from greengageflow.net.timers import Timers
@@ -13,31 +13,31 @@
 
 
 class Replica(Protocol):
-    """What a generation needs of its replica."""
+    """Interface of the replica that generations use."""
 
     def headers(self, work: Work) -> dict[str, str]:
-        """Return the headers of the answer to a request."""
+        """Return the headers of the response to a request."""
 
     def end(self, work: Work, outcome: str) -> None:
-        """End a request with this outcome."""
+        """End a request with an outcome."""
 
     def finish(self, call: Call, data: bytes) -> None:
-        """Send the end of an answer."""
+        """Send the last bytes of a response."""
 
-    def follow(self, wire: Wire, faults: ReplicaFaults) -> None:
-        """Do what follows a whole answer."""
+    def after_response(self, conn: ServerConnection, faults: ReplicaFaults) -> None:
+        """Do what is due after a complete response."""
 
 
 class Generations:
-    """Works the generations of one replica off, step by step.
+    """Runs the generations of one replica step by step.
 
     Args:
         timers: Timer service.
-        pool: For what is fetched from other replicas.
-        batch: Steps and memory of the engine.
-        replica: Whose generations they are.
-        stride: Tokens of one stream event.
-        fetch_s: Seconds that one token takes from another replica.
+        pool: Connection pool for transfers from other replicas.
+        batch: Batch and prefix cache of the engine.
+        replica: Replica that the generations belong to.
+        stride: Tokens per stream event.
+        fetch_s: Transfer time of one token from another replica, in seconds.
     """
 
     def __init__(
@@ -59,28 +59,31 @@
         self._works: dict[Job, Work] = {}
         self._stepping = False
 
-    def begin(self, work: Work) -> None:
-        """Generate, with the parts of the prompt that another replica holds."""
+    def start(self, work: Work) -> None:
+        """Start a generation.
+
+        Cached prompt parts are fetched first from the replica that the request names.
+        """
         if KV_FETCH not in work.call.headers:
             self._generate(work)
             return
         ip, _, port = work.call.headers[KV_FETCH].partition(":")
-        ask = HttpRequest("GET", ip, int(port), KV_LIST)
-        self._pool.fetch(ask, lambda answer: self._fetched(work, answer))
+        request = HttpRequest("GET", ip, int(port), KV_LIST)
+        self._pool.fetch(request, lambda answer: self._on_cached_parts(work, answer))
 
-    def _fetched(self, work: Work, answer: Response | Failure) -> None:
-        job, found = work.job, {}
+    def _on_cached_parts(self, work: Work, answer: Response | Failure) -> None:
+        job, remote_parts = work.job, {}
         if isinstance(answer, Response) and answer.status == 200:
             rows = answer.json()["held"]
-            found = {name: n for _, name, n, model in rows if model == job.model}
-        parts = list(self._batch.cache.fetched(job, found))
+            remote_parts = {name: n for _, name, n, model in rows if model == job.model}
+        parts = list(self._batch.cache.fetchable(job, remote_parts))
         delay_s = sum(tokens for _, tokens in parts) * self._fetch_s
         self._timers.after(delay_s, lambda: self._generate(work, parts))
 
     def _generate(self, work: Work, parts: list | None = None) -> None:
         if work.run.ended is not None:
             return
-        self._batch.cache.keep(work.job.model, parts or [], self._batch.used)
+        self._batch.cache.store(work.job.model, parts or [], self._batch.reserved)
         self._batch.add(work.job)
         self._works[work.job] = work
         if not self._stepping:
@@ -90,38 +93,38 @@
     def _step(self) -> None:
         works = dict(self._works)
         for job in self._batch.step():
-            if job.made >= job.wanted or job.made % self._stride == 0:
-                self._push(works[job])
+            if job.generated >= job.wanted or job.generated % self._stride == 0:
+                self._send_event(works[job])
         self._stepping = bool(self._batch.jobs)
         if self._stepping:
             self._timers.after(self._batch.step_s, self._step)
 
-    def _push(self, work: Work) -> None:
-        job, wire = work.job, work.call.wire
-        number = -(-job.made // self._stride)
-        text = json.dumps({"run": work.run.id, "tokens": job.made})
+    def _send_event(self, work: Work) -> None:
+        job, conn = work.job, work.call.conn
+        number = -(-job.generated // self._stride)
+        text = json.dumps({"run": work.run.id, "tokens": job.generated})
         event = f"id: {number}\ndata: {text}\n\n".encode()
         if not work.head_sent:
             work.head_sent = True
             kind = {"Content-Type": "text/event-stream", "Transfer-Encoding": "chunked"}
-            wire.send(head_bytes(200, {**kind, **self._replica.headers(work)}))
+            conn.send(head_bytes(200, {**kind, **self._replica.headers(work)}))
         if work.events == work.faults.cut_after:
-            self.tear(work)
+            self.cut_stream(work)
             return
         work.events += 1
-        wire.send(b"%x\r\n%s\r\n" % (len(event), event))
-        if job.made >= job.wanted:
+        conn.send(b"%x\r\n%s\r\n" % (len(event), event))
+        if job.generated >= job.wanted:
             self._replica.end(work, "done")
             self._replica.finish(work.call, b"0\r\n\r\n")
-            self._replica.follow(wire, work.faults)
+            self._replica.after_response(conn, work.faults)
 
-    def tear(self, work: Work) -> None:
-        """Break a stream off in the middle of an event."""
-        work.call.wire.send(b"40\r\nid: %d\nda" % (work.events + 1))
+    def cut_stream(self, work: Work) -> None:
+        """Cut a stream in the middle of an event and close its connection."""
+        work.call.conn.send(b"40\r\nid: %d\nda" % (work.events + 1))
         self._replica.end(work, "cut")
-        work.call.wire.close()
+        work.call.conn.close()
 
-    def drop(self, work: Work) -> None:
-        """Forget a generation that has ended."""
-        self._batch.drop(work.job)
+    def discard(self, work: Work) -> None:
+        """Remove a generation that has ended."""
+        self._batch.discard(work.job)
         self._works.pop(work.job, None)
--- a/greengageflow/lab/platform_http.py
+++ b/greengageflow/lab/platform_http.py
@@ -1,6 +1,7 @@
-"""HTTP server of the platform's fakes: h11 reads, answers are written as raw bytes.
+"""HTTP server of the platform fakes: h11 parses, responses are written as raw bytes.
 
-``circuits.web`` cannot answer before a body is read, tear an answer or send two.
+``circuits.web`` cannot respond before a body has been read, truncate a response or
+send two responses to one request.
 """
 
 import json
@@ -23,10 +24,18 @@
 
 
 @dataclass(slots=True, eq=False)
-class Wire:
-    """One connection; a ``mute`` one swallows what is sent on it.
+class ServerConnection:
+    """One connection.
 
-    A ``dropped`` one is reset by what comes next on it.
+    Args:
+        listener: Listener that accepted it.
+        sock: Its socket.
+        ip: IP number of the client.
+        http: Parser of the current request.
+        call: Current request; None between requests.
+        mute: Whether to discard everything that is sent on it.
+        reset_on_data: Whether to reset it as soon as more data arrives.
+        open: Whether it is still open.
     """
 
     listener: "Listener"
@@ -35,37 +44,37 @@
     http: h11.Connection = field(default_factory=lambda: h11.Connection(h11.SERVER))
     call: "Call | None" = None
     mute: bool = False
-    dropped: bool = False
+    reset_on_data: bool = False
     open: bool = True
 
     def send(self, data: bytes) -> None:
-        """Send bytes as they are."""
-        # circuits closes a socket first and tells of it later; a write in between
-        # fails, and would end whatever loop of the fake made it.
+        """Send raw bytes."""
+        # circuits closes a socket before it fires the disconnect event. A write in
+        # between raises, which would end the timer loop that made it.
         if self.open and not self.mute and self.sock.fileno() >= 0:
             self.listener.server.write(self.sock, data)
 
     def close(self) -> None:
-        """Close once what was sent is out."""
+        """Close once the write buffer is empty."""
         if self.open:
             self.listener.server.close(self.sock)
 
     def reset(self) -> None:
-        """Reset at once; what was not sent yet is lost."""
+        """Reset at once and discard unsent data."""
         if self.open:
             self.listener.reset(self.sock)
 
 
 @dataclass(slots=True, eq=False)
 class Call:
-    """One request; ``headers`` has names in lower case, ``body`` grows as it comes."""
+    """One request; header names are in lower case, ``body`` grows as data arrives."""
 
-    wire: Wire
+    conn: ServerConnection
     method: str
     target: str
     headers: dict[str, str]
     body: bytearray = field(default_factory=bytearray)
-    whole: bool = False
+    complete: bool = False
     answered: bool = False
 
     @property
@@ -80,7 +89,7 @@
 
     @property
     def json(self) -> dict:
-        """The body as JSON; {} without a body.
+        """The body parsed as JSON; {} if it is empty.
 
         Raises:
             ValueError: The body is not JSON.
@@ -88,10 +97,10 @@
         return json.loads(bytes(self.body) or b"{}")
 
 
-def answer_bytes(
+def response_bytes(
     status: int, body: object = b"", headers: Mapping[str, str] | None = None
 ) -> bytes:
-    """Return a whole answer; a body that is not bytes goes as JSON."""
+    """Return a complete response; a body that is not bytes is encoded as JSON."""
     data = body if isinstance(body, bytes) else json.dumps(body).encode()
     kind = "application/octet-stream" if data is body else "application/json"
     lines = {"Content-Type": kind, "Content-Length": str(len(data)), **(headers or {})}
@@ -99,35 +108,35 @@
 
 
 def head_bytes(status: int, headers: Mapping[str, str]) -> bytes:
-    """Return the head of an answer."""
+    """Return the head of a response."""
     lines = "".join(f"{name}: {value}\r\n" for name, value in headers.items())
     return f"HTTP/1.1 {status} -\r\n{lines}\r\n".encode("latin-1")
 
 
 class Listener(BaseComponent):
-    """One listening port, its connections, and the requests read from them."""
+    """Accepts connections on one port and parses the requests."""
 
     def __init__(self, owner: "HttpFake", channel: str, bind: tuple[str, int]) -> None:
         super().__init__(channel=channel)
         self.owner = owner
-        self.wires: dict[socket, Wire] = {}
+        self.connections: dict[socket, ServerConnection] = {}
         self.server = TCPServer(bind, channel=channel, backlog=1024).register(self)
         self.address = (self.server.host, self.server.port)
 
     def stop(self) -> None:
-        """Close the port and all connections; connecting is refused from now on."""
+        """Close the port and all connections; new connections are refused."""
         self.server.close()
         self.server.unregister()
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         """Listen again at the same address."""
         bind, name = self.address, self.channel
         self.server = TCPServer(bind, channel=name, backlog=1024).register(self)
 
     def reset(self, sock: socket) -> None:
         """Reset a connection."""
-        # circuits shuts a socket down before it closes it; that would send an
-        # orderly end first, which a caller may take for the end of an answer.
+        # circuits shuts a socket down before it closes it. That would send a FIN
+        # first, which a client may take for the end of a response.
         sock.setsockopt(SOL_SOCKET, SO_LINGER, pack("ii", 1, 0))
         self.owner.poller.discard(sock)
         sock.close()
@@ -135,134 +144,141 @@
 
     @handler("connect")
     def _on_connect(self, sock: socket, ip: str, port: int) -> None:
-        wire = self.wires[sock] = Wire(self, sock, ip)
+        conn = self.connections[sock] = ServerConnection(self, sock, ip)
         if self.channel == DATA:
-            self.owner.connected(wire)
+            self.owner.on_connect(conn)
 
     @handler("disconnect")
     def _on_disconnect(self, sock: socket) -> None:
-        if wire := self.wires.pop(sock, None):
-            wire.open = False
+        if conn := self.connections.pop(sock, None):
+            conn.open = False
             if self.channel == DATA:
-                self.owner.gone(wire)
+                self.owner.on_disconnect(conn)
 
     @handler("read")
     def _on_read(self, sock: socket, data: bytes) -> None:
-        wire = self.wires.get(sock)
-        if wire and wire.dropped:
-            wire.reset()
-        elif wire:
-            wire.http.receive_data(data)
-            self._advance(wire)
-
-    def _events(self, wire: Wire) -> Iterator[h11.Event]:
-        while wire.open:
+        conn = self.connections.get(sock)
+        if conn and conn.reset_on_data:
+            conn.reset()
+        elif conn:
+            conn.http.receive_data(data)
+            self._parse(conn)
+
+    def _events(self, conn: ServerConnection) -> Iterator[h11.Event]:
+        while conn.open:
             try:
-                event = wire.http.next_event()
+                event = conn.http.next_event()
             except h11.RemoteProtocolError as exc:
-                wire.send(answer_bytes(400, {"error": str(exc)}))
-                wire.close()
+                conn.send(response_bytes(400, {"error": str(exc)}))
+                conn.close()
                 return
             if event is h11.NEED_DATA or event is h11.PAUSED:
                 return
             yield event
 
-    def _advance(self, wire: Wire) -> None:
-        for event in self._events(wire):
+    def _parse(self, conn: ServerConnection) -> None:
+        for event in self._events(conn):
             match event:
                 case h11.Request():
                     names = (
                         (n.decode(), v.decode("latin-1")) for n, v in event.headers
                     )
                     target = event.target.decode("latin-1")
-                    wire.call = Call(wire, event.method.decode(), target, dict(names))
+                    conn.call = Call(conn, event.method.decode(), target, dict(names))
                     if self.channel == DATA:
-                        self.owner.head_arrived(wire.call)
+                        self.owner.on_request_head(conn.call)
                 case h11.Data():
-                    wire.call.body += event.data
+                    conn.call.body += event.data
                 case h11.EndOfMessage():
-                    wire.call.whole = True
-                    self._arrived(wire.call)
+                    conn.call.complete = True
+                    self._on_request_complete(conn.call)
                 case _:
                     return
 
-    def _arrived(self, call: Call) -> None:
+    def _on_request_complete(self, call: Call) -> None:
         if call.answered:
-            self._renew(call.wire)
+            self._start_next_request(call.conn)
         elif self.channel == CONTROL:
             try:
-                answer = self.owner.control(call)
+                answer = self.owner.on_control_call(call)
             except (ValueError, TypeError, KeyError) as exc:
-                answer = answer_bytes(400, {"error": repr(exc)})
+                answer = response_bytes(400, {"error": repr(exc)})
             self.finish(call, answer)
         else:
-            self.owner.arrived(call)
+            self.owner.on_request(call)
 
     def finish(self, call: Call, data: bytes) -> None:
-        """Send the last bytes of an answer and read the next request."""
-        call.wire.send(data)
+        """Send the last bytes of a response and read the next request."""
+        call.conn.send(data)
         if not call.answered:
             call.answered = True
-            if call.whole:
-                self._renew(call.wire)
+            if call.complete:
+                self._start_next_request(call.conn)
 
-    def _renew(self, wire: Wire) -> None:
-        # h11 would have to see the answers too; a parser for each request spares
-        # that, and what was read too far goes to the next.
-        rest, _ = wire.http.trailing_data
-        wire.http = h11.Connection(h11.SERVER)
-        wire.call = None
-        if rest:
-            wire.http.receive_data(rest)
-            self._advance(wire)
+    def _start_next_request(self, conn: ServerConnection) -> None:
+        # Reusing an h11 parser would require passing the responses through it, so
+        # each request gets a new one, which starts with the surplus bytes.
+        surplus, _ = conn.http.trailing_data
+        conn.http = h11.Connection(h11.SERVER)
+        conn.call = None
+        if surplus:
+            conn.http.receive_data(surplus)
+            self._parse(conn)
 
 
 class HttpFake(BaseComponent):
-    """Base of the platform's fakes: a port for the product, one for the tests.
+    """Base class of the platform fakes: one port for the product, one for tests.
 
     Args:
         host: IP number to listen on.
         port: TCP port; 0 for any free one.
-        control_port: TCP port that no fault touches; 0 for any free one.
+        control_port: TCP port of the control calls, which faults don't affect; 0 for
+            any free one.
     """
 
     def __init__(self, host: str, port: int, control_port: int) -> None:
         super().__init__()
         self.timers = Timers().register(self)
         self.poller = EPoll().register(self)
-        self.data = Listener(self, DATA, (host, port)).register(self)
-        self.side = Listener(self, CONTROL, (host, control_port)).register(self)
+        self.data_listener = Listener(self, DATA, (host, port)).register(self)
+        self.control_listener = Listener(self, CONTROL, (host, control_port)).register(
+            self
+        )
 
-    def connected(self, wire: Wire) -> None:
-        """React to a new connection."""
+    def on_connect(self, conn: ServerConnection) -> None:
+        """Handle a new connection."""
 
-    def head_arrived(self, call: Call) -> None:
-        """React to a request whose body may still be on its way."""
+    def on_request_head(self, call: Call) -> None:
+        """Handle a request whose body may still be incomplete."""
 
-    def arrived(self, call: Call) -> None:
-        """Answer a whole request, now or later, by ``finish``."""
+    def on_request(self, call: Call) -> None:
+        """Handle a complete request; ``finish`` sends the response, now or later."""
         raise NotImplementedError
 
-    def control(self, call: Call) -> bytes:
-        """Answer a call of a test.
+    def on_control_call(self, call: Call) -> bytes:
+        """Return the response to a control call.
 
         Raises:
-            ValueError: The call makes no sense; so do TypeError and KeyError.
+            ValueError: The call is invalid.
+            TypeError: The call is invalid.
+            KeyError: The call is invalid.
         """
         raise NotImplementedError
 
-    def gone(self, wire: Wire) -> None:
-        """React to a connection that ended."""
+    def on_disconnect(self, conn: ServerConnection) -> None:
+        """Handle a closed connection."""
 
     def finish(self, call: Call, data: bytes) -> None:
-        """Send the last bytes of an answer."""
-        self.data.finish(call, data)
+        """Send the last bytes of a response."""
+        self.data_listener.finish(call, data)
 
     @handler("started")
     def _on_started(self, *_: object) -> None:
-        host, port = self.data.address
+        host, port = self.data_listener.address
         line = {"ready": True, "host": host, "port": port}
-        print(json.dumps({**line, CONTROL: self.side.address[1]}), flush=True)
+        print(
+            json.dumps({**line, CONTROL: self.control_listener.address[1]}), flush=True
+        )
 
     @handler("signal", channel="*", priority=10)
     def _on_signal(self, event, signo, frame) -> None:
