--- a/greengageflow/lab/__init__.py
+++ b/greengageflow/lab/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins, load and experiments on real processes; production needs none."""
+"""Stand-in services, load generators and experiments; not used in production."""
--- a/greengageflow/lab/_bare_answerer.py
+++ b/greengageflow/lab/_bare_answerer.py
@@ -1,4 +1,4 @@
-"""A bare ``circuits.web`` answerer, the reference of ``make bench``."""
+"""Minimal ``circuits.web`` server, the baseline of ``make bench``."""
 
 import json
 import sys
@@ -7,16 +7,16 @@
 
 
 class Root(Controller):
-    """Answers every path with the same small JSON document."""
+    """Serves the same small JSON document on every path."""
 
     def index(self, *_path: str, **_query: str) -> str:
-        """Answer a call."""
+        """Return the document."""
         self.response.headers["Content-Type"] = "application/json"
         return '{"service": "bare", "request_id": "", "effect": 0}'
 
 
 class Answerer(Server):
-    """The server; says where it listens on its first line."""
+    """The server; prints its address as a JSON line when ready."""
 
     def __init__(self) -> None:
         super().__init__(("127.0.0.1", 0), display_banner=False)
--- a/greengageflow/lab/_engine_batch.py
+++ b/greengageflow/lab/_engine_batch.py
@@ -1,4 +1,4 @@
-"""The engine stand-in's batch, without input or output."""
+"""Continuous batching of the engine stand-in, without I/O."""
 
 import json
 from collections import deque
@@ -17,7 +17,7 @@
 
 
 class State(StrEnum):
-    """Where an execution is."""
+    """State of an execution."""
 
     WAITING = "waiting"
     RUNNING = "running"
@@ -27,15 +27,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Work:
-    """What a completion request asks for.
+    """Parameters of a completion request.
 
     Args:
         request_id: The router's ``X-Request-Id``.
         key: The ``Idempotency-Key``.
         account: The ``X-Account`` header.
         prompt: Text of all messages.
-        tokens: Length of the answer.
-        finish_reason: ``stop``, or ``length`` when ``max_tokens`` bounds it.
+        tokens: Length of the completion.
+        finish_reason: ``stop``, or ``length`` if ``max_tokens`` limits the length.
     """
 
     request_id: str
@@ -47,22 +47,22 @@
 
     @property
     def prompt_tokens(self) -> int:
-        """Length of the prompt in tokens, roughly."""
+        """Approximate length of the prompt in tokens."""
         return max(1, len(self.prompt) // CHARS_PER_TOKEN)
 
 
 @dataclass(slots=True, eq=False)
 class Execution:
-    """One run of a completion.
+    """One execution of a completion request.
 
     Args:
         number: Order of arrival at this engine.
         engine: Name of the engine.
-        work: What is run.
-        ready_at: Time of the first piece at the earliest (monotonic seconds).
-        started: Arrival in unix seconds.
-        ended: End in unix seconds, or None.
-        produced: Pieces so far; a piece is a token.
+        work: Parameters of the request.
+        ready_at: End of the prefill, in monotonic seconds; no piece comes earlier.
+        started: Arrival time in Unix seconds.
+        ended: End time in Unix seconds, or None.
+        produced: Number of pieces so far; a piece is one token.
         resumed_from: Offsets from which it was resumed.
     """
 
@@ -83,24 +83,24 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether more pieces may come."""
+        """Whether the execution is waiting or running."""
         return self.state in (State.WAITING, State.RUNNING)
 
     def piece(self, seq: int) -> str:
-        """Return the text of one piece, which no other execution has."""
+        """Return the text of one piece, which differs between executions."""
         word = (self._base + seq * _WORD_STEP) & _WORD_MASK
-        # Text beyond ASCII and escaped characters show a relay that recodes.
+        # Non-ASCII and escaped characters reveal a relay that re-encodes the text.
         end = "é\n" if seq % 8 == 7 else " "
         return f"{word:08x}{end}"
 
     @property
     def text(self) -> str:
-        """The answer so far."""
+        """Text generated so far."""
         return "".join(map(self.piece, range(self.produced)))
 
     @property
     def usage(self) -> dict[str, int]:
-        """Tokens of prompt and answer."""
+        """Token counts of the prompt and the completion."""
         return {
             "prompt_tokens": self.work.prompt_tokens,
             "completion_tokens": self.produced,
@@ -108,7 +108,7 @@
 
     @property
     def wire(self) -> dict[str, object]:
-        """The execution as ``GET /executions`` tells it."""
+        """The execution as ``GET /executions`` reports it."""
         return {
             "number": self.number,
             "engine": self.engine,
@@ -127,12 +127,12 @@
 
 
 class Batch:
-    """Running executions, which advance together, and those that wait.
+    """Running executions, which advance in common steps, and the waiting queue.
 
     Args:
-        base_pace_s: Seconds a step takes.
-        per_request_pace_s: Seconds a step takes more for each running one.
-        limit: Most that run at once; 0 for no limit.
+        base_pace_s: Base duration of a step, in seconds.
+        per_request_pace_s: Additional step duration per running execution, in seconds.
+        limit: Maximum number of running executions; 0 for no limit.
     """
 
     def __init__(
@@ -146,26 +146,26 @@
 
     @property
     def running(self) -> int:
-        """Executions in the batch."""
+        """Number of executions in the batch."""
         return len(self._running)
 
     @property
     def waiting(self) -> int:
-        """Executions that wait for a place."""
+        """Number of executions in the waiting queue."""
         return len(self._waiting)
 
     @property
     def pace_s(self) -> float:
-        """Seconds that the next step takes."""
+        """Duration of the next step, in seconds."""
         return self._base_pace_s + self._per_request_pace_s * len(self._running)
 
     def add(self, execution: Execution) -> None:
-        """Admit an execution, first come first served."""
+        """Queue an execution; the queue is served in FIFO order."""
         self._waiting.append(execution)
         self._admit()
 
     def step(self, now: float, unix_now: float) -> Iterator[Execution]:
-        """Advance the batch by one piece; yield what advanced."""
+        """Generate one piece per running execution; yield those that advanced."""
         for execution in [one for one in self._running if one.ready_at <= now]:
             execution.produced += 1
             if execution.produced >= execution.work.tokens:
@@ -173,7 +173,7 @@
             yield execution
 
     def cancel(self, execution: Execution, unix_now: float) -> bool:
-        """Stop an execution; return whether it was open."""
+        """Cancel an execution; return False if it had already ended."""
         if not execution.is_open:
             return False
         self._end(execution, State.CANCELLED, unix_now)
@@ -197,7 +197,7 @@
     """Return the text of a request's messages.
 
     Raises:
-        TypeError: If they are no list of objects.
+        TypeError: ``messages`` is not a list.
     """
     if not isinstance(messages, list):
         raise TypeError("messages must be a list")
@@ -209,12 +209,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Lengths:
-    """Lognormal answer lengths, drawn from a seed and the request id.
+    """Lognormal completion lengths, determined by a seed and the request id.
 
     Args:
         seed: Seed of the engine.
         median: Median length in tokens.
-        sigma: Spread of the lengths.
+        sigma: Standard deviation of the logarithm of the length.
     """
 
     seed: int
@@ -222,10 +222,10 @@
     sigma: float
 
     def draw(self, body: dict, request_id: str) -> tuple[int, str]:
-        """Return an answer's tokens and finish reason.
+        """Return the number of tokens and the finish reason of a completion.
 
-        ``x_tokens`` of the request gives the count; else it is drawn and bounded by
-        ``max_tokens``.
+        The request's ``x_tokens`` sets the number; otherwise it is drawn at random and
+        limited by ``max_tokens``.
         """
         if "x_tokens" in body:
             return max(1, int(body["x_tokens"])), "stop"
--- a/greengageflow/lab/_engine_cache.py
+++ b/greengageflow/lab/_engine_cache.py
@@ -1,4 +1,4 @@
-"""The engine stand-in's prefix cache and the events that tell of it."""
+"""Prefix cache of the engine stand-in and its cache events."""
 
 from collections import OrderedDict
 from collections.abc import Iterator
@@ -14,13 +14,13 @@
 
 
 class PrefixCache:
-    """Prompt blocks in limited memory, the least recently used go first.
+    """LRU cache of prompt blocks.
 
-    A prefix is named by the first 16 hexadecimal digits of the SHA-256 of the
+    The name of a prefix is the first 16 hexadecimal digits of the SHA-256 of the
     prompt's first k blocks of ``BLOCK_CHARS`` characters.
 
     Args:
-        limit: Blocks that fit.
+        limit: Capacity in blocks.
     """
 
     def __init__(self, limit: int) -> None:
@@ -29,14 +29,14 @@
 
     @staticmethod
     def names(prompt: str) -> Iterator[str]:
-        """Yield the names of a prompt's prefixes, the shortest first."""
+        """Yield the names of a prompt's prefixes, shortest first."""
         digest = sha256()
         for end in range(BLOCK_CHARS, len(prompt) + 1, BLOCK_CHARS):
             digest.update(prompt[end - BLOCK_CHARS : end].encode())
             yield digest.hexdigest()[:16]
 
     def cached_tokens(self, prompt: str) -> int:
-        """Return how many leading tokens of a prompt are cached."""
+        """Return the number of leading prompt tokens that are cached."""
         count = 0
         for name in self.names(prompt):
             if name not in self._blocks:
@@ -45,7 +45,7 @@
         return count * BLOCK_CHARS // CHARS_PER_TOKEN
 
     def store(self, prompt: str) -> Iterator[tuple[str, str]]:
-        """Keep a prompt's blocks; yield (operation, prefix) of each change."""
+        """Cache a prompt's blocks; yield (operation, prefix) for each change."""
         for name in self.names(prompt):
             if name not in self._blocks:
                 yield STORED, name
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CacheEvent:
-    """A change of the prefix cache; readers see it from ``shown_at`` on."""
+    """A change of the prefix cache, visible to readers from ``shown_at`` on."""
 
     seq: int
     op: str
@@ -67,12 +67,12 @@
 
 
 class CacheEvents:
-    """Cache events as an engine publishes them: late, and some never.
+    """Published cache events: delayed, and some of them lost.
 
     Args:
         lag_s: Delay in seconds.
-        loss: Part of the events that is lost, 0 to 1.
-        seed: Seed that chooses the lost ones.
+        loss: Fraction of the events that is lost, 0 to 1.
+        seed: Seed for the choice of lost events.
     """
 
     def __init__(self, lag_s: float, loss: float, seed: int) -> None:
@@ -83,7 +83,7 @@
         self._next_seq = 0
 
     def add(self, changes: Iterator[tuple[str, str]], now: float) -> None:
-        """Publish changes of the cache; a lost one leaves a gap in ``seq``."""
+        """Publish cache changes; a lost event leaves a gap in ``seq``."""
         for op, prefix in changes:
             if self._random.random() >= self._loss:
                 event = CacheEvent(self._next_seq, op, prefix, now + self._lag_s)
@@ -91,7 +91,7 @@
             self._next_seq += 1
 
     def since(self, start: int, now: float) -> Iterator[dict[str, object]]:
-        """Yield what readers see from a sequence number on."""
+        """Yield the visible events from a sequence number on."""
         for one in self._events:
             if one.seq >= start and one.shown_at <= now:
                 yield {"seq": one.seq, "op": one.op, "prefix": one.prefix}
--- a/greengageflow/lab/_engine_orders.py
+++ b/greengageflow/lab/_engine_orders.py
@@ -1,4 +1,4 @@
-"""Orders to the engine stand-in, and its check of fencing numbers."""
+"""Orders to the engine stand-in, with a check of fencing tokens."""
 
 from dataclasses import asdict, dataclass
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceivedOrder:
-    """An order as it came and the status that it got; time in unix seconds."""
+    """A received order and its response status; ``time`` is in Unix seconds."""
 
     order: dict
     status: int
@@ -17,11 +17,11 @@
 
 
 class Orders:
-    """Every order that an engine got.
+    """All orders that an engine received.
 
     Args:
-        checks_fencing: Refuse an order with a lower fencing number than the
-            highest taken.
+        checks_fencing: Refuse an order whose fencing token is lower than the highest
+            accepted one.
     """
 
     def __init__(self, checks_fencing: bool) -> None:
@@ -31,18 +31,18 @@
 
     @property
     def wire(self) -> list[dict]:
-        """Every order as ``GET /orders`` tells it."""
+        """All orders as ``GET /orders`` reports them."""
         return [asdict(one) for one in self._orders]
 
     def take(self, order: dict, now: float) -> Reply:
-        """Take or refuse an order.
+        """Accept or refuse an order.
 
         Raises:
-            BadCallError: It is none.
+            BadCallError: The order is malformed.
         """
         fencing = order.get("fencing")
         if order.get("order") not in ORDERS or not isinstance(fencing, int):
-            raise BadCallError("an order is load or role, with a fencing number")
+            raise BadCallError("order must be load or role, with an integer fencing")
         old = self._checks_fencing and fencing < self._fencing
         status = 409 if old else 200
         self._orders.append(ReceivedOrder(order, status, now))
--- a/greengageflow/lab/_engine_wire.py
+++ b/greengageflow/lab/_engine_wire.py
@@ -1,4 +1,4 @@
-"""The engine stand-in's answers in the OpenAI style."""
+"""Responses of the engine stand-in in the OpenAI format."""
 
 import json
 
@@ -11,7 +11,7 @@
 
 def piece_event(execution: Execution, seq: int) -> bytes:
     """Return one piece as a server-sent event."""
-    # Written out because a piece is made some thousand times a second.
+    # Formatted by hand: thousands of pieces are created per second.
     last = seq == execution.work.tokens - 1
     reason = json.dumps(execution.work.finish_reason if last else None)
     usage = f', "usage": {json.dumps(execution.usage)}' if last else ""
@@ -31,11 +31,11 @@
 
 
 def whole_answer(execution: Execution, *, crossed: bool = False) -> dict[str, object]:
-    """Return the answer to a request that is not streamed.
+    """Return the response to a request without streaming.
 
     Args:
         execution: A finished execution.
-        crossed: Answer with another request's id and text.
+        crossed: Use another request's id and text.
     """
     content = CROSSED if crossed else execution.text
     choice = {
--- a/greengageflow/lab/_processes.py
+++ b/greengageflow/lab/_processes.py
@@ -1,4 +1,4 @@
-"""Child processes of experiments; the router itself starts none."""
+"""Child processes for experiments; the router itself starts none."""
 
 import json
 import os
@@ -21,10 +21,10 @@
 def wait_for(condition: Callable[[], Any], what: str, limit_s: float = LIMIT_S) -> Any:
     """Return the condition's first true value.
 
-    A condition that fails to connect counts as not yet true.
+    A failed connection or HTTP call in the condition counts as false.
 
     Raises:
-        TimeoutError: It did not become true within ``limit_s`` seconds.
+        TimeoutError: The condition did not become true within ``limit_s`` seconds.
     """
     end = time.monotonic() + limit_s
     while time.monotonic() < end:
@@ -32,12 +32,12 @@
             if value := condition():
                 return value
         time.sleep(0.02)
-    raise TimeoutError(f"not within {limit_s} s: {what}")
+    raise TimeoutError(f"timed out after {limit_s} s waiting for: {what}")
 
 
 @dataclass(slots=True)
 class Answer:
-    """Answer to a plain HTTP call; header names are in lower case."""
+    """Response to an HTTP call; header names are in lower case."""
 
     status: int
     headers: dict[str, str]
@@ -57,10 +57,10 @@
     headers: dict[str, str] | None = None,
     timeout_s: float = LIMIT_S,
 ) -> Answer:
-    """Make one blocking HTTP call with a JSON body on a connection of its own.
+    """Make one blocking HTTP call with a JSON body on a new connection.
 
     Raises:
-        OSError: The connection failed, also when it was cut before an answer.
+        OSError: The connection failed or was closed before a response.
     """
     conn = HTTPConnection(*address, timeout=timeout_s)
     data = None if body is None else json.dumps(body).encode()
@@ -75,7 +75,7 @@
 
 @dataclass(slots=True, eq=False)
 class Process:
-    """A child process that announced itself with a JSON line."""
+    """A child process that prints its address as a JSON line when ready."""
 
     popen: subprocess.Popen
     ready: dict[str, Any]
@@ -83,7 +83,7 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """IP number and port that it listens on."""
+        """IP address and port that the process listens on."""
         return self.ready["host"], self.ready["port"]
 
     @property
@@ -93,37 +93,37 @@
 
     @property
     def stderr(self) -> str:
-        """What it wrote to its standard error so far."""
+        """Standard error output so far."""
         self.errors.seek(0)
         return self.errors.read().decode(errors="replace")
 
     def call(self, method: str, path: str, body: Any = None, **options: Any) -> Answer:
-        """Make one HTTP call to it."""
+        """Make one HTTP call to the process."""
         return call(self.address, method, path, body, **options)
 
     def fault(self, **faults: Any) -> None:
-        """Set the faults of a stand-in; none clears them."""
+        """Replace the faults of a stand-in; without arguments, clear them."""
         assert self.call("POST", "/fault", faults).status == 200
 
     def kill(self) -> None:
-        """End it at once, as a failing host does."""
+        """Kill the process with SIGKILL, as a host failure would."""
         self.popen.kill()
         self.popen.wait()
 
     def pause(self) -> None:
-        """Freeze it."""
+        """Suspend the process with SIGSTOP."""
         self.popen.send_signal(signal.SIGSTOP)
 
     def go_on(self) -> None:
-        """Wake it."""
+        """Resume the process with SIGCONT."""
         self.popen.send_signal(signal.SIGCONT)
 
     def terminate(self) -> None:
-        """Tell it to stop and return at once."""
+        """Send SIGTERM without waiting."""
         self.popen.terminate()
 
     def stop(self, limit_s: float = LIMIT_S) -> int:
-        """End it with SIGTERM, and if need be by force; return its status."""
+        """Send SIGTERM, kill after ``limit_s`` seconds; return the exit status."""
         if self.popen.poll() is None:
             self.popen.send_signal(signal.SIGCONT)
             self.popen.terminate()
@@ -137,8 +137,8 @@
 
 
 def launch(module: str, *args: object) -> Process:
-    """Start ``python -m module args…``; ``await_ready`` takes its first line."""
-    errors = TemporaryFile()  # noqa: SIM115 (lives as long as the process)
+    """Start ``python -m module args…``; ``await_ready`` reads its first line."""
+    errors = TemporaryFile()  # noqa: SIM115 (open as long as the process)
     popen = subprocess.Popen(
         [sys.executable, "-m", module, *map(str, args)],
         cwd=ROOT,
@@ -151,15 +151,15 @@
 
 
 def await_ready(process: Process) -> Process:
-    """Wait until a launched process has said where it listens.
+    """Wait until a launched process has printed its address.
 
     Raises:
-        RuntimeError: It ended instead; the message has its standard error.
+        RuntimeError: The process exited; the message has its standard error.
     """
     line = process.popen.stdout.readline()
     if not line:
         process.popen.wait()
-        raise RuntimeError(f"{process.popen.args}: {process.stderr}")
+        raise RuntimeError(f"{process.popen.args} exited; stderr: {process.stderr}")
     process.ready = json.loads(line)
     return process
 
--- a/greengageflow/lab/_proxy_client.py
+++ b/greengageflow/lab/_proxy_client.py
@@ -1,4 +1,4 @@
-"""Client of the fault-injecting proxy's control port, for experiments."""
+"""Client for the control port of the fault-injecting proxy."""
 
 import json
 import socket
@@ -8,10 +8,10 @@
 
 
 class Proxy:
-    """Opens routes through the proxy and sets its rules.
+    """Opens routes through the proxy and sets fault rules.
 
     Args:
-        address: Where its control port listens.
+        address: Address of the control port.
     """
 
     def __init__(self, address: tuple[str, int]) -> None:
@@ -30,9 +30,9 @@
         listen: tuple[str, int] = ("127.0.0.1", 0),
         texts: dict[str, str] | None = None,
     ) -> tuple[str, int]:
-        """Open a route or move its target; return the address to connect to.
+        """Open a route or change its target; return the address to connect to.
 
-        In what goes to the target, ``texts`` are replaced by others of one length.
+        In data sent to the target, ``texts`` (old to new, equal length) are replaced.
         """
         given = {"name": name, "target": target, "listen": listen}
         return tuple(self._ask(op="route", **given, texts=texts or {})["listen"])
@@ -44,7 +44,7 @@
         listen: tuple[str, int],
         texts: dict[str, str],
     ) -> None:
-        """Relay datagrams, with texts in them replaced by others of the same length."""
+        """Relay datagrams and replace ``texts`` (old to new, equal length) in them."""
         self._ask(op="datagrams", name=name, target=target, listen=listen, texts=texts)
 
     def rules(self, *rules: dict) -> None:
@@ -52,10 +52,10 @@
         assert "links" in self._ask(op="rules", rules=rules)
 
     def refused(self) -> list[tuple[str, int, float]]:
-        """Return route, client's port and time of what no target took."""
+        """Return route, client port and time of connections refused by a target."""
         return [tuple(one) for one in self._ask(op="refused")["refused"]]
 
     def close(self) -> None:
-        """Leave the proxy."""
+        """Disconnect from the control port."""
         self._file.close()
         self._sock.close()
--- a/greengageflow/lab/_standin_faults.py
+++ b/greengageflow/lab/_standin_faults.py
@@ -1,4 +1,4 @@
-"""The faults that ``POST /fault`` sets on a stand-in."""
+"""Faults that ``POST /fault`` injects into a stand-in."""
 
 from dataclasses import dataclass, fields, replace
 
@@ -8,23 +8,23 @@
     """Faults of a stand-in, as set by ``POST /fault``; all off by default.
 
     Args:
-        down: Answer 503 and do nothing.
-        delay_s: Seconds to wait before the effect.
-        answer_delay_s: Seconds to wait between the effect and the answer.
+        down: Respond with 503 without executing the request.
+        delay_s: Delay before the request takes effect, in seconds.
+        answer_delay_s: Delay between the effect and the response, in seconds.
         lose_answers: Number of requests that take effect and whose connection is
-            then cut without an answer.
-        only: Operation that the four faults above are restricted to.
-        contains: Text that a request body must hold for them to apply.
-        skip: Number of matching requests to leave alone first.
+            then cut without a response.
+        only: Operation that the four faults above and ``backoff_s`` are restricted to.
+        contains: Text that a request body must contain for these faults to apply.
+        skip: Number of matching requests to handle normally first.
         cut_after: Engine: cut a stream after this many pieces.
         cut_times: Engine: number of streams that ``cut_after`` cuts.
         duplicate: Engine: send every piece twice.
         cross: Engine: send a piece of another request before each piece.
         late: Engine: send every piece again one step later.
-        stall: Engine: stop advancing.
+        stall: Engine: stop generating tokens.
         slow_start_s: Engine: seconds added before a request's first piece.
-        says_leaving: Say in each answer that it leaves.
-        backoff_s: Turn each request away and ask for so many seconds of backoff.
+        says_leaving: Announce in each response that the server is draining.
+        backoff_s: Respond with 503 and a ``Retry-After`` of this many seconds.
     """
 
     down: bool = False
@@ -45,15 +45,15 @@
     backoff_s: float = 0.0
 
     def lost(self) -> "Faults":
-        """Return the faults after one answer was lost."""
+        """Return the faults that remain after one response was dropped."""
         return replace(self, lose_answers=self.lose_answers - 1)
 
     def skipped(self) -> "Faults":
-        """Return the faults after one request was left alone."""
+        """Return the faults that remain after one request was skipped."""
         return replace(self, skip=self.skip - 1)
 
     def cut(self) -> "Faults":
-        """Return the faults after one stream was cut."""
+        """Return the faults that remain after one stream was cut."""
         left = self.cut_times - 1
         after = self.cut_after if left > 0 else None
         return replace(self, cut_times=left, cut_after=after)
--- a/greengageflow/lab/_standin_http.py
+++ b/greengageflow/lab/_standin_http.py
@@ -1,4 +1,4 @@
-"""What the stand-ins share: JSON over ``circuits.web`` and the faults."""
+"""Base of the stand-ins: JSON over ``circuits.web`` and fault injection."""
 
 import json
 import sys
@@ -23,18 +23,18 @@
 
 
 class BadCallError(Exception):
-    """The request of the caller makes no sense."""
+    """The request is malformed; answered with status 400."""
 
 
 @dataclass(frozen=True, slots=True, eq=False)
 class Call:
-    """One HTTP request that a stand-in has to answer.
+    """An HTTP request to a stand-in.
 
     Args:
         req: The request of ``circuits.web``.
         res: Its response.
         data: The request's body.
-        faulty: Whether the faults that can be restricted apply to it.
+        faulty: Whether the faults that can be restricted apply to this request.
     """
 
     req: Request
@@ -44,7 +44,7 @@
 
     @property
     def sock(self) -> socket:
-        """Connection that the request came on."""
+        """Connection on which the request arrived."""
         return self.req.sock
 
     @property
@@ -67,39 +67,41 @@
         """The body as a JSON object.
 
         Raises:
-            BadCallError: If it is none.
+            BadCallError: The body is not a JSON object.
         """
         try:
             value = json.loads(self.data or b"{}")
         except ValueError as exc:
-            raise BadCallError(f"not JSON: {exc}") from exc
+            raise BadCallError(f"request body is not JSON: {exc}") from exc
         if not isinstance(value, dict):
-            raise BadCallError("not a JSON object")
+            raise BadCallError("request body is not a JSON object")
         return value
 
     def header(self, name: str) -> str | None:
-        """Return a header, or None."""
+        """Return the value of a header, or None."""
         return self.req.headers.get(name)
 
     def number(self, name: str, default: float) -> float:
-        """Return a number of the query.
+        """Return a query parameter as a number.
 
         Raises:
-            BadCallError: If it is no number.
+            BadCallError: The value is not a finite number of at least 0.
         """
         text = parse_qs(self.req.qs or "").get(name, [str(default)])[0]
         try:
             value = float(text)
         except ValueError as exc:
-            raise BadCallError(f"{name} is no number") from exc
+            raise BadCallError(f"query parameter {name} is not a number") from exc
         if not isfinite(value) or value < 0:
-            raise BadCallError(f"{name} is out of range")
+            raise BadCallError(
+                f"query parameter {name} must be finite and not negative"
+            )
         return value
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """An answer: a JSON value, or bytes as they are."""
+    """A response; bytes are sent unchanged, other bodies as JSON."""
 
     status: int
     body: object
@@ -107,16 +109,16 @@
 
 
 class StandIn(BaseComponent):
-    """Base of the stand-ins: an HTTP server whose subclass answers ``Call``s.
+    """HTTP server whose subclasses answer each ``Call``.
 
     Args:
-        host: IP number to listen on.
+        host: IP address to listen on.
         port: TCP port; 0 for any free one.
     """
 
     channel = "web"
 
-    #: Paths that faults leave alone, because tests compare by them.
+    #: Paths exempt from faults, because tests read the ground truth there.
     control_paths: frozenset[str] = frozenset()
 
     def __init__(self, host: str = "127.0.0.1", port: int = 0) -> None:
@@ -129,21 +131,21 @@
         ).register(self)
 
     def answer(self, call: Call) -> Reply | None:
-        """Answer a call; None when ``reply`` or ``open_stream`` comes later."""
+        """Answer a call; None if ``reply`` or ``open_stream`` follows later."""
         raise NotImplementedError
 
     def operation(self, call: Call) -> str:
-        """Name what a call does, for faults that are restricted to it."""
+        """Return the operation name that the ``only`` fault is matched with."""
         return call.method.lower()
 
     def faults_changed(self) -> None:
-        """React to new faults."""
+        """Called after the faults were set."""
 
     def gone(self, sock: socket) -> None:
-        """React to a connection that closed."""
+        """Called after a connection closed."""
 
     def reply(self, call: Call, reply: Reply) -> None:
-        """Send an answer, unless a fault loses it."""
+        """Send a response, or cut the connection if a fault drops the response."""
         if call.faulty and self.faults.lose_answers > 0:
             self.faults = self.faults.lost()
             self.cut(call)
@@ -151,11 +153,11 @@
         self._write_reply(call, reply)
 
     def cut(self, call: Call) -> None:
-        """Close the connection of a call once what was written is out."""
+        """Close the connection of a call after its pending output was sent."""
         self.fire(close(call.sock))
 
     def open_stream(self, call: Call, content_type: str) -> None:
-        """Send the head of a streamed answer."""
+        """Send the head of a streamed response."""
         signs = "".join(f"{name}: {value}\r\n" for name, value in self._signs.items())
         end = signs + ("Connection: close\r\n" if call.res.close else "")
         head = (
@@ -165,19 +167,20 @@
         self._send(call.sock, head.encode())
 
     def push(self, call: Call, data: bytes) -> None:
-        """Send one piece of a streamed answer."""
+        """Send one chunk of a streamed response."""
         self._send(call.sock, b"%x\r\n%s\r\n" % (len(data), data))
 
     def end_stream(self, call: Call) -> None:
-        """End a streamed answer; the connection stays open for the next request."""
+        """End a streamed response; the connection stays open for the next request."""
         self._send(call.sock, b"0\r\n\r\n")
-        # Makes circuits.web forget the request and close when the caller asked to.
+        # Lets circuits.web drop the request, and close the connection if requested.
         self.fire(stream(call.res, None))
 
     def _send(self, sock: socket, data: bytes) -> None:
-        # Events would cost three dispatches a piece, and a piece could overtake
-        # the head, whose event fires another one. What the socket doesn't take
-        # goes to circuits' buffer, and then everything does until that is empty.
+        # Writes to the socket directly: events would cost three dispatches per chunk,
+        # and a chunk could overtake the head, whose event fires a second one. Data that
+        # the socket doesn't accept goes to circuits' buffer, as does all later data
+        # until that buffer is empty.
         sent = 0
         if sock.fileno() < 0:
             return
@@ -268,7 +271,7 @@
     def _on_request(self, event, req: Request, res: Response) -> bool:
         event.stop()
         self._start(self._marked(Call(req, res, req.body.read())))
-        # circuits.web answers by itself unless the value is a boolean.
+        # circuits.web sends its own response unless the handler returns a boolean.
         return True
 
     @handler("disconnect")
--- a/greengageflow/lab/_subnets.py
+++ b/greengageflow/lab/_subnets.py
@@ -1,4 +1,4 @@
-"""A loopback subnet for one lab alone, whatever else runs on the machine."""
+"""Loopback subnets, each reserved for one lab on the machine."""
 
 import os
 from socket import socket
@@ -11,19 +11,20 @@
 
 
 class Subnet:
-    """Addresses 127.x.y.1 to 127.x.y.249, held until ``close``.
+    """Addresses 127.x.y.1 to 127.x.y.249, reserved until ``close``.
 
-    The holder listens on an address of the subnet that no router uses: two labs that
-    share one would take each other's ports, and their routers each other's messages.
-    Since no other lab is there, routers may listen on the same two ports everywhere.
-    Those lie below the ports that the system gives to outgoing connections; a port
-    that was merely free a moment ago could go to one before its router listens.
+    The reservation is a listening socket on an address of the subnet that no router
+    uses. Labs in the same subnet would take each other's ports, and their routers would
+    receive each other's messages. Within a reserved subnet, all routers listen on the
+    same two fixed ports. These are below the ephemeral port range: a port chosen
+    because it is free could be assigned to an outgoing connection before its router
+    listens.
 
     Args:
-        first: Number of the subnet to try first; None for one by process id.
+        first: Number of the subnet to try first; None to derive it from the process id.
 
     Raises:
-        OSError: Every subnet is taken.
+        OSError: All subnets are in use.
     """
 
     def __init__(self, first: int | None = None) -> None:
@@ -38,12 +39,12 @@
                 continue
             return
         self._claim.close()
-        raise OSError("every loopback subnet of the labs is taken")
+        raise OSError("all loopback subnets for labs are in use")
 
     def host(self, number: int) -> str:
-        """Return the IP number of the ``number``-th host."""
+        """Return the IP address of the ``number``-th host."""
         return f"{self._base}.{number}"
 
     def close(self) -> None:
-        """Let others use it."""
+        """Release the subnet."""
         self._claim.close()
--- a/greengageflow/lab/fault_proxy.py
+++ b/greengageflow/lab/fault_proxy.py
@@ -1,24 +1,27 @@
-"""TCP and UDP proxy with faults, run as a process.
+"""Fault-injecting TCP and UDP proxy, run as a separate process.
 
 ``python -m greengageflow.lab.fault_proxy IP``
 
-It prints the address of its control port, which answers a JSON line with another:
+It prints the address of its control port. Each command is a JSON line and gets a JSON
+line as its response:
 
 - ``{"op": "route", "name", "target": [host, port], "listen": [host, port]}`` opens a
-  listener and names its address. A second call moves the target. In what goes to the
-  target, ``texts`` (old to new, of one length) are replaced, so that a router that
-  names its own address names the proxy's, and stays behind it.
-- ``{"op": "datagrams", "name", "target", "listen", "texts"}`` relays datagrams. The
-  texts are IP numbers there, and are replaced in their four bytes too.
-- ``{"op": "refused"}`` tells the connections whose target did not listen: route, port
-  of the client, and when (seconds, monotonic).
+  listener and returns its address. A repeated call changes the target. In data sent to
+  the target, ``texts`` (old to new, of equal length) are replaced: a router that
+  advertises its own address advertises the proxy's instead, so that its peers keep
+  using the proxy.
+- ``{"op": "datagrams", "name", "target", "listen", "texts"}`` relays datagrams. Here
+  the texts are IP addresses, which are also replaced in their 4-byte form.
+- ``{"op": "refused"}`` returns the connections whose target did not listen: route,
+  client port and time (monotonic seconds).
 - ``{"op": "rules", "rules": [...]}`` replaces all rules. A rule has ``do`` (an
-  ``Action``) and may have ``source`` (a client's IP number), ``route``, ``way``
-  (``up`` to the target or ``down``), ``delay_s``, and ``times``, the number of
-  connections it takes. The first that matches a connection decides. ``part`` is the
-  share of datagrams lost by ``lose``; ``delay`` holds them back, all others drop them.
+  ``Action``) and optionally ``source`` (the client's IP address), ``route``, ``way``
+  (``up`` to the target or ``down``), ``delay_s``, and ``times``, the maximum number of
+  connections it applies to. The first rule that matches a connection applies. ``part``
+  is the fraction of datagrams that ``lose`` drops; ``delay`` delays datagrams, and all
+  other actions drop them.
 
-The connection to the target comes from the client's own IP number.
+The connection to the target uses the client's IP address as its source address.
 """
 
 import json
@@ -42,19 +45,19 @@
 
 
 class Action(StrEnum):
-    """What a rule does."""
+    """Fault that a rule injects."""
 
-    CUT = "cut"  # reset it, old or new
-    FREEZE = "freeze"  # hold all bytes until the rule goes
-    DELAY = "delay"  # pass every byte later
-    HALF_OPEN = "half_open"  # accept, swallow, never answer, even afterwards
-    DROP_REPLY = "drop_reply"  # pass the request, reset at the answer's first byte
-    LOSE = "lose"  # datagrams only: a part of them
+    CUT = "cut"  # reset existing and new connections
+    FREEZE = "freeze"  # hold all bytes until the rule is removed
+    DELAY = "delay"  # forward all bytes after a delay
+    HALF_OPEN = "half_open"  # accept, discard, never respond, even without the rule
+    DROP_REPLY = "drop_reply"  # forward the request, reset at the response's first byte
+    LOSE = "lose"  # datagrams only: drop a fraction of them
 
 
 @dataclass(slots=True, eq=False)
 class Rule:
-    """What happens to the connections or datagrams that it takes."""
+    """Fault for the connections or datagrams that match."""
 
     do: Action
     source: str | None = None
@@ -66,7 +69,7 @@
     taken: set["Link"] = field(default_factory=set)
 
     def takes(self, link: "Link") -> bool:
-        """Whether it decides on a connection; counts it."""
+        """Whether the rule applies to a connection; counts the connection if so."""
         here = self.source in (None, link.source) and self.route in (None, link.route)
         spent = self.times is not None and len(self.taken) >= self.times
         if not here or (spent and link not in self.taken):
@@ -75,7 +78,7 @@
         return True
 
     def takes_datagram(self, relay: "Relay", source: str) -> bool:
-        """Whether it decides on a datagram."""
+        """Whether the rule applies to a datagram."""
         return self.route == relay.route and self.source in (None, source)
 
 
@@ -88,7 +91,7 @@
 
 @dataclass(eq=False)
 class Relay:
-    """Passes on the datagrams of one route."""
+    """Forwards the datagrams of one route."""
 
     route: str
     target: tuple[str, int]
@@ -97,7 +100,7 @@
     queue: deque[tuple[float, bytes]] = field(default_factory=deque)
 
     def read(self, rules: list[Rule], mask: int) -> None:
-        """Take one datagram and apply the first rule that matches."""
+        """Receive one datagram and apply the first rule that matches."""
         data, (source, _) = self.sock.recvfrom(CHUNK)
         data = replaced(data, self.texts)
         for old, new in self.texts.items():
@@ -114,7 +117,7 @@
         self.pass_on()
 
     def pass_on(self) -> None:
-        """Send on what is due."""
+        """Forward all datagrams that are due."""
         while self.queue and self.queue[0][0] <= time.monotonic():
             with suppress(OSError):
                 self.sock.sendto(self.queue.popleft()[1], self.target)
@@ -122,7 +125,7 @@
 
 @dataclass(slots=True, eq=False)
 class Flow:
-    """One direction of a connection; the queue holds (due, bytes)."""
+    """One direction of a connection; the queue holds (due time, bytes)."""
 
     way: str
     src: socket.socket
@@ -131,7 +134,7 @@
     ended: bool = False
 
     def write(self) -> None:
-        """Send on as much of the first piece as goes."""
+        """Forward as much of the first queued chunk as the socket accepts."""
         due, data = self.queue.popleft()
         sent = 0
         try:
@@ -156,18 +159,18 @@
     closed: bool = False
 
     def __post_init__(self) -> None:
-        """Make both directions."""
+        """Create the flows of both directions."""
         up = Flow("up", self.client, self.server)
         self.flows = up, Flow("down", self.server, self.client)
 
     def does(self, action: Action, flow: Flow) -> bool:
-        """Whether an action hits one direction."""
+        """Whether the current rule applies an action to one direction."""
         rule = self.rule
         return bool(rule) and rule.do is action and rule.way in (None, flow.way)
 
 
 class Proxy:
-    """All routes, and the rules for them."""
+    """All routes and rules of the proxy process."""
 
     def __init__(self) -> None:
         self._selector = DefaultSelector()
@@ -180,16 +183,17 @@
         self._refused: list[tuple[str, int, float]] = []
 
     def run(self, host: str) -> None:
-        """Print the control port's address and serve for ever."""
+        """Print the control port's address and serve until the process ends."""
         host, port = self._listen((host, 0), self._accept_control).getsockname()
         print(json.dumps({"ready": True, "host": host, "port": port}), flush=True)
         pause_s = None
         while True:
             for key, mask in self._selector.select(pause_s):
-                # An earlier one of this round may have closed this one.
+                # An earlier event of this round may have closed the socket.
                 if key.fileobj.fileno() >= 0:
                     key.data(mask)
-            # Taken first: what falls due during the updates must end the next wait.
+            # Read the clock before the updates: data that becomes due meanwhile must
+            # end the next wait.
             now = time.monotonic()
             for _, link in list(self._dues()):
                 self._update(link)
@@ -256,8 +260,8 @@
             server.bind((source, 0))
         self._judge(link)
         if not (link.dead or link.closed):
-            # A failure shows as an error of the first read or write: of the connecting,
-            # or, if that was told here already, of the want of a connection.
+            # A failed connect shows up at the first read or write: as the connect's
+            # error or, if connect_ex returned that already, as ENOTCONN.
             server.connect_ex(self._targets[name])
 
     def _judge(self, link: Link) -> None:
@@ -311,7 +315,7 @@
                 self._read(link, reading)
             if mask & EVENT_WRITE and not link.closed:
                 writing.write()
-            # No half-closing: HTTP and ZeroMQ never do it.
+            # Half-closed connections are not supported: HTTP and ZeroMQ don't use them.
             if any(flow.ended and not flow.queue for flow in link.flows):
                 self._close(link)
         except BlockingIOError:
@@ -332,7 +336,7 @@
             data = replaced(data, link.texts) if flow.way == "up" else data
             delay_s = link.rule.delay_s if link.does(Action.DELAY, flow) else 0
             due = time.monotonic() + delay_s
-            # What was delayed before must not be overtaken.
+            # Keep the byte order: never due before data that is already queued.
             last = flow.queue[-1][0] if flow.queue else 0
             flow.queue.append((max(due, last), data))
 
--- a/greengageflow/lab/lab.py
+++ b/greengageflow/lab/lab.py
@@ -1,7 +1,7 @@
 """A small fleet of real processes on loopback, for the demo, benches and tests.
 
-Every router has an address of its own (127.x.y.1, 127.x.y.2, …), from which its
-connections start too, so that a proxy between can tell routers apart.
+Each router has its own loopback address (127.x.y.1, 127.x.y.2, …), which is also the
+source address of its connections, so that a proxy can tell routers apart.
 """
 
 import json
@@ -26,33 +26,33 @@
 
 
 def key_of(account: str) -> str:
-    """Return the bearer key of an account of the lab."""
+    """Return the bearer key of a client account in the lab."""
     return f"key-{account}"
 
 
 @dataclass(frozen=True, slots=True)
 class LabPlan:
-    """What a lab is made of.
+    """Processes and settings of a lab.
 
     Args:
         routers: Number of routers.
         zones: Availability zones that routers and endpoints are spread over.
         engines: Number of model engines.
         services: Number of replicas of the plain service.
-        slots: Slots of each engine.
-        service_slots: Slots of each service replica.
-        accounts: Weight of each client account.
-        queue_limit: Most requests of an account that wait at one router.
-        model: Name of the model's pool.
-        service: Name of the service's pool.
+        slots: Concurrency slots of each engine.
+        service_slots: Concurrency slots of each service replica.
+        accounts: Weight of each client account, by name.
+        queue_limit: Maximum number of queued requests per client account and router.
+        model: Name of the model pool.
+        service: Name of the service pool.
         engine_options: Flags of the engine stand-in.
-        engine_fields: Further fields of each engine in the configuration.
+        engine_fields: Additional configuration fields of each engine.
         log_options: Flags of the log stand-in.
         service_options: Flags of the service stand-in.
-        policy: Policy of the configuration.
-        deadline_s: Deadline of both pools, in seconds.
-        timing: Timing of the routers' settings.
-        sharing: How the routers share slots; see ``RouterSettings``.
+        policy: The ``policy`` section of the configuration.
+        deadline_s: Request deadline in both pools, in seconds.
+        timing: Overrides for the ``timing`` section of the router settings.
+        sharing: How routers share slots; see ``RouterSettings``.
     """
 
     routers: int = 3
@@ -77,17 +77,17 @@
     sharing: str = "owned"
 
     def zone(self, number: int) -> str:
-        """Return the zone of the ``number``-th host."""
+        """Return the availability zone of the ``number``-th host."""
         return self.zones[number % len(self.zones)]
 
 
 class Lab:
-    """Starts and ends the processes of a plan; use it in a ``with`` block.
+    """Context manager that starts and stops the processes of a plan.
 
     Args:
-        plan: What to start.
-        route: Takes a name and an address and returns the address to use instead,
-            to put a proxy before ``log``, ``hosts``, each endpoint and the peer side
+        plan: Processes to start.
+        route: Maps a name and an address to the address to use instead. This puts a
+            proxy in front of ``log``, ``hosts``, each endpoint and the peer address
             of each router (``peer-r1``).
     """
 
@@ -112,7 +112,7 @@
         self._subnet = Subnet()
 
     def __enter__(self) -> "Lab":
-        """Start everything and wait until the configuration is in force."""
+        """Start all processes and wait until the configuration is in force."""
         try:
             self.start_platform()
             self.start_endpoints()
@@ -126,11 +126,11 @@
         return self
 
     def __exit__(self, kind: type[BaseException] | None, *_rest: object) -> None:
-        """End everything.
+        """Stop all processes.
 
         Raises:
-            RuntimeError: A router logged a fault of the program, which callers may
-                never notice: a message that fails is one that is lost.
+            RuntimeError: A router logged an internal error. Callers may not notice
+                one: a message whose handler fails looks like a lost message.
         """
         faults = [line for router in self.every_router for line in _faults(router)]
         self.close()
@@ -140,7 +140,7 @@
     # Platform and endpoints.
 
     def start_platform(self) -> None:
-        """Start log and host list."""
+        """Start the log and the host list."""
         log = self._launch_standin("log", self.plan.log_options)
         hosts = self._launch_standin("hosts", {})
         self.log, self.hosts = await_ready(log), await_ready(hosts)
@@ -193,7 +193,7 @@
         self.set_host_list(self.settings)
 
     def set_host_list(self, routers: Any, *, leaving: tuple[str, ...] = ()) -> None:
-        """State which hosts the platform lists."""
+        """Set the routers and endpoints in the platform's host list."""
         rows = [
             {
                 "host": host,
@@ -226,14 +226,14 @@
         return process
 
     def restart_router(self, host: str) -> Process:
-        """Start a router again, with nothing but its settings."""
+        """Start a new process for a router; only the settings are kept."""
         self.routers[host] = await_ready(self.launch_router(host))
         return self.routers[host]
 
     # Configuration.
 
     def config(self, **changes: Any) -> dict[str, Any]:
-        """Return the configuration of the plan in the form of schema 2."""
+        """Return the configuration of the plan in schema 2."""
         plan = self.plan
         accounts = [
             {
@@ -293,7 +293,7 @@
         return self.revision
 
     def wait_in_force(self, revision: int | None = None) -> None:
-        """Wait until every router has the revision and sees the others."""
+        """Wait until every router has the revision and lists all routers as members."""
         wanted = revision or self.revision
         hosts = set(self.routers)
         for host, router in self.routers.items():
@@ -305,7 +305,7 @@
     @staticmethod
     def _settled(router: Process, revision: int, hosts: set[str]) -> bool:
         if router.popen.poll() is not None:
-            raise RuntimeError(f"router ended: {router.stderr}")
+            raise RuntimeError(f"router exited; stderr: {router.stderr}")
         status = router.call("GET", "/status").json
         in_force = status["config"]["revision"] >= revision
         return in_force and hosts <= status["members"].keys()
@@ -315,7 +315,7 @@
         return self.routers[host].call("GET", "/status").json
 
     def close(self) -> None:
-        """End every process."""
+        """Kill all processes and free their resources."""
         processes = [
             *self.every_router,
             *self.engines.values(),
--- a/greengageflow/lab/poison.py
+++ b/greengageflow/lab/poison.py
@@ -1,4 +1,4 @@
-"""Requests that crash the stand-ins that run them."""
+"""Poison requests: they crash the stand-in that executes them."""
 
 import json
 import os
@@ -8,16 +8,16 @@
 RECORDS = "records: "
 
 CRASHED = 70
-"""Exit status of a process that ran a poison request."""
+"""Exit status of a process that executed a poison request."""
 
 
 def crash_if_poison(poison: bytes, body: bytes, records: Any = ()) -> None:
-    """End the process at once if the text of a poison request is in a body.
+    """Exit immediately if a request body contains the poison text.
 
     Args:
-        poison: The text; empty for none.
-        body: Body of a request.
-        records: What the process has seen, as JSON; left in its standard error.
+        poison: Text that marks a poison request; empty to disable.
+        body: Body of the request.
+        records: JSON-compatible data of the process, written to standard error.
     """
     if not poison or poison not in body:
         return
@@ -26,6 +26,6 @@
 
 
 def records_of(errors: str) -> list[Any]:
-    """Return what a process that crashed has left in its standard error."""
+    """Return the records in the standard error of a crashed process."""
     found = [line for line in errors.splitlines() if line.startswith(RECORDS)]
     return json.loads(found[-1].removeprefix(RECORDS)) if found else []
--- a/greengageflow/lab/standin.py
+++ b/greengageflow/lab/standin.py
@@ -1,4 +1,4 @@
-"""Program ``greengage-standin``: small fakes of the platform's services."""
+"""Command ``greengage-standin``: small fakes of the platform's services."""
 
 from collections.abc import Callable
 from inspect import signature
@@ -25,7 +25,7 @@
     def run(**options: object) -> None:
         kind(**options).run()
 
-    # fire reads the flags and the help from these two.
+    # fire takes the flags from the signature and the help from the docstring.
     init = signature(kind.__init__)
     options = [one for one in init.parameters.values() if one.name != "self"]
     run.__signature__ = init.replace(
@@ -36,7 +36,7 @@
 
 
 class Commands:
-    """Small fakes of the outside systems, each one process until SIGTERM.
+    """Small fakes of external systems; each runs in one process until SIGTERM.
 
     Example:
         greengage-standin log --port=9000
--- a/greengageflow/lab/standin_engine.py
+++ b/greengageflow/lab/standin_engine.py
@@ -1,4 +1,4 @@
-"""Stand-in for a model engine that batches continuously."""
+"""Stand-in for a model engine with continuous batching."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True, eq=False)
 class _Output:
-    """Where the pieces of an execution go."""
+    """Response that receives the pieces of an execution."""
 
     call: Call
     execution: Execution
@@ -41,32 +41,34 @@
 
 
 class EngineStandIn(StandIn):
-    """A model engine: it admits requests as they come and knows no priorities.
+    """A model engine that runs requests in order of arrival, without priorities.
 
     Example:
         greengage-standin engine --port 7200 --name e1 --resumes --max_batch 16
 
     Args:
-        host: IP number to listen on.
+        host: IP address to listen on.
         port: TCP port; 0 for any free one.
-        name: Name of the replica; its answers depend on it.
-        seed: Seed of the answers' lengths and of lost cache events.
-        base_pace_s: Seconds a step takes; a step gives each running request a token.
-        per_request_pace_s: Seconds a step takes more for each running request.
-        prefill_s_per_token: Seconds for each prompt token that is not cached.
-        max_batch: Most requests that run at once, the rest wait; 0 for no limit.
-        cache_blocks: Prompt blocks that fit into the prefix cache.
-        load_lag_s: Age that the load report may reach, in seconds.
+        name: Name of the replica; the generated text depends on it.
+        seed: Seed for completion lengths and lost cache events.
+        base_pace_s: Base duration of a step, in seconds; each step generates one token
+            per running request.
+        per_request_pace_s: Additional step duration per running request, in seconds.
+        prefill_s_per_token: Prefill time per uncached prompt token, in seconds.
+        max_batch: Maximum number of running requests, others wait; 0 for no limit.
+        cache_blocks: Capacity of the prefix cache in prompt blocks.
+        load_lag_s: Interval between updates of the load report, in seconds; 0 for an
+            up-to-date report on each request.
         event_lag_s: Delay of cache events, in seconds.
-        event_loss: Part of the cache events that is lost, 0 to 1.
-        median_tokens: Median answer length in tokens (lognormal).
-        sigma: Spread of the answer lengths (lognormal).
-        resumes: Keep the answers and resume cut streams.
-        resume_grace_s: Seconds that a cut stream runs on before it is cancelled,
-            when the engine resumes.
-        checks_fencing: Refuse orders with an old fencing number.
-        poison: The process crashes as it begins to run a request whose body has this
-            text in it; empty: none does.
+        event_loss: Fraction of the cache events that is lost, 0 to 1.
+        median_tokens: Median completion length in tokens (lognormal).
+        sigma: Standard deviation of the logarithm of the completion length.
+        resumes: Keep completions and resume cut streams.
+        resume_grace_s: Seconds that a cut stream continues to run before it is
+            cancelled, if the engine resumes streams.
+        checks_fencing: Refuse orders with a stale fencing token.
+        poison: Crash at the start of a request whose body contains this text; empty
+            for never.
     """
 
     control_paths = frozenset({"/executions"})
@@ -121,7 +123,7 @@
         return call.parts[-1]
 
     def answer(self, call: Call) -> Reply | None:
-        """Answer a completion, an order or a question."""
+        """Handle completions, cancellations, orders and reports."""
         match call.method, call.path:
             case "POST", "/v1/chat/completions":
                 return self._complete(call)
@@ -147,11 +149,11 @@
         return Reply(404, {"error": "no such path"})
 
     def faults_changed(self) -> None:
-        """Go on when a stall is over."""
+        """Resume stepping if a stall was cleared."""
         self._wake()
 
     def gone(self, sock: socket) -> None:
-        """Cancel what a closed connection was waiting for."""
+        """Cancel a closed connection's execution, after a grace period if resumable."""
         output = self._by_sock.pop(sock, None)
         if output is None:
             return
@@ -176,7 +178,7 @@
         start = call.header("X-Resume-From")
         if start is not None and self._resumes:
             if not start.isdecimal():
-                raise BadCallError("X-Resume-From is no number")
+                raise BadCallError("X-Resume-From must be a non-negative integer")
             return self._resume(call, request_id, int(start))
         crash_if_poison(self._poison, call.data)
         execution = self._execute(call, body, request_id)
@@ -236,7 +238,8 @@
         execution.resumed_from.append(start)
         old = self._outputs.pop(execution.number, None)
         if old is not None:
-            # The old connection may be half-open; two readers would share pieces.
+            # The old connection may be half-open; detach it so that the new one
+            # gets all pieces.
             self._by_sock.pop(old.call.sock, None)
             self.cut(old.call)
         output = _Output(call, execution, streamed=True, next_seq=start)
@@ -264,8 +267,8 @@
             output = self._outputs.get(execution.number)
             if output is not None:
                 self._deliver(output)
-        # From when this step was due, so that a late timer does not slow the batch;
-        # an overloaded engine makes up for one step at most.
+        # Schedules from this step's due time, so that a late timer does not slow the
+        # batch; an overloaded engine catches up by at most one step.
         self._plan_step(max(self._step_due, monotonic() - self._batch.pace_s))
 
     def _deliver(self, output: _Output) -> None:
@@ -281,7 +284,7 @@
             self.push(output.call, data)
         if self._cut_now(output):
             self.faults = self.faults.cut()
-            # The close may wait for what was written; no more may follow it.
+            # The close may wait for pending output; send nothing after it.
             del self._outputs[execution.number]
             self.cut(output.call)
         elif execution.state is State.DONE:
--- a/greengageflow/lab/standin_hosts.py
+++ b/greengageflow/lab/standin_hosts.py
@@ -4,15 +4,15 @@
 
 
 class HostsStandIn(StandIn):
-    """The host list; ``PUT /hosts`` sets what it shows after a lag.
+    """The host list; ``PUT /hosts`` replaces it after a delay.
 
     Example:
         greengage-standin hosts --port 7101 --lag_s 2
 
     Args:
-        host: IP number to listen on.
+        host: IP address to listen on.
         port: TCP port; 0 for any free one.
-        lag_s: Seconds until a change shows.
+        lag_s: Delay until a change is visible, in seconds.
     """
 
     def __init__(
@@ -27,7 +27,7 @@
         return "read" if call.method == "GET" else "write"
 
     def answer(self, call: Call) -> Reply:
-        """Show the list, or take a new one."""
+        """Return the list, or accept a new one."""
         if call.path != "/hosts":
             return Reply(404, {"error": "no such path"})
         if call.method == "GET":
--- a/greengageflow/lab/standin_log.py
+++ b/greengageflow/lab/standin_log.py
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """One kept record; ``time`` is in unix seconds."""
+    """A stored record; ``time`` is in Unix seconds."""
 
     offset: int
     time: float
@@ -24,7 +24,7 @@
 
     @property
     def wire(self) -> dict[str, object]:
-        """The record as readers get it."""
+        """The record as sent to readers."""
         return {"offset": self.offset, "time": self.time, "record": self.record}
 
 
@@ -60,7 +60,7 @@
             self.records.popleft()
 
     def read(self, start: int, limit: int) -> Iterator[Record]:
-        # Readers are mostly near the end, and a deque is quick from both ends.
+        # Most readers are near the end, which a deque reaches fast in reverse order.
         behind = max(0, self.next_offset - start)
         tail = list(islice(reversed(self.records), behind))
         return islice(reversed(tail), limit)
@@ -71,17 +71,17 @@
 
 
 class LogStandIn(StandIn):
-    """The log service: offsets, limited appends, limited retention, long polls.
+    """Log service with offsets, rate-limited appends, retention and long polling.
 
     Example:
         greengage-standin log --port 7100 --appends_per_s 300 --keep_s 900
 
     Args:
-        host: IP number to listen on.
+        host: IP address to listen on.
         port: TCP port; 0 for any free one.
-        appends_per_s: Appends a second over all streams, whatever their size.
-        keep_s: Seconds for which a record is kept.
-        keep_records: Most records that a stream keeps.
+        appends_per_s: Rate limit of appends over all streams, of any size.
+        keep_s: Retention time of a record, in seconds.
+        keep_records: Maximum number of records kept per stream.
     """
 
     control_paths = frozenset({"/stats"})
@@ -111,7 +111,7 @@
         return APPEND if call.method == "POST" else READ
 
     def answer(self, call: Call) -> Reply | None:
-        """Answer an append, a read, or a question for the statistics."""
+        """Handle an append, a read or a request for the statistics."""
         if call.path == "/stats":
             return Reply(200, self._stats)
         match call.method, call.parts:
@@ -122,12 +122,12 @@
         return Reply(404, {"error": "no such path"})
 
     def gone(self, sock) -> None:
-        """Forget the long polls of a closed connection."""
+        """Remove the long polls of a closed connection."""
         for stream in self._streams.values():
             stream.readers = [one for one in stream.readers if one.call.sock != sock]
 
     def faults_changed(self) -> None:
-        """Cut the long polls when the log goes down."""
+        """Cut the connections of all long polls if the log goes down."""
         if not self.faults.down or self.faults.only == APPEND:
             return
         for stream in self._streams.values():
@@ -149,7 +149,7 @@
     def _append(self, call: Call, name: str) -> Reply:
         values = call.json.get("records")
         if not isinstance(values, list) or not values:
-            raise BadCallError("records must be a list that is not empty")
+            raise BadCallError("records must be a non-empty list")
         if not self._admit():
             self._stats["refused"] += 1
             return Reply(429, {"error": "too many appends"}, {"Retry-After": "1"})
@@ -175,8 +175,7 @@
         self._stats["reads"] += 1
         stream = self._streams.get(name)
         if stream is None and wait_s > 0:
-            # Streams come into being with their first append, but a reader may
-            # wait for it.
+            # The first append creates a stream; a long poll may wait for it.
             stream = self._streams.setdefault(name, _Stream())
         if stream is None:
             stream = _Stream()
--- a/greengageflow/lab/standin_service.py
+++ b/greengageflow/lab/standin_service.py
@@ -1,4 +1,4 @@
-"""Stand-in for a plain service whose calls have effects."""
+"""Stand-in for a plain service whose calls have side effects."""
 
 from dataclasses import asdict, dataclass
 from hashlib import sha256
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Effect:
-    """One call that took effect; ``time`` is in unix seconds."""
+    """Record of an executed call; ``time`` is in Unix seconds."""
 
     number: int
     method: str
@@ -24,18 +24,18 @@
 
 
 class ServiceStandIn(StandIn):
-    """A service that records every effect and never drops a repeated key.
+    """Service that records every effect, without deduplicating idempotency keys.
 
     Example:
         greengage-standin service --port 7300 --latency_s 0.05
 
     Args:
-        host: IP number to listen on.
+        host: IP address to listen on.
         port: TCP port; 0 for any free one.
-        name: Name of the replica, given in each answer.
-        latency_s: Seconds between the effect and the answer.
-        poison: The process crashes as it begins to run a call whose body has this text
-            in it; empty: none does.
+        name: Name of the replica, included in each response.
+        latency_s: Delay between the effect and the response, in seconds.
+        poison: Crash at the start of a call whose body contains this text; empty for
+            never.
     """
 
     control_paths = frozenset({"/effects"})
@@ -56,11 +56,11 @@
         self._effects: list[Effect] = []
 
     def operation(self, call: Call) -> str:
-        """Return ``ask`` for a question by key, else the method in lower case."""
+        """Return ``ask`` for a lookup by key, else the method in lower case."""
         return "ask" if call.parts[:2] == ["effects", BY_KEY] else call.method.lower()
 
     def answer(self, call: Call) -> Reply | None:
-        """Take an effect, or tell of those taken."""
+        """Execute a call, or report the recorded effects."""
         match call.parts:
             case ["effects"]:
                 return Reply(200, {"effects": [asdict(one) for one in self._effects]})
--- a/greengageflow/lab/standin_weights.py
+++ b/greengageflow/lab/standin_weights.py
@@ -7,16 +7,16 @@
 
 
 class WeightsStandIn(StandIn):
-    """The weight store: the same bytes for the same model and version.
+    """Weight store that returns the same bytes for the same model and version.
 
     Example:
         greengage-standin weights --port 7102 --size 1000000
 
     Args:
-        host: IP number to listen on.
+        host: IP address to listen on.
         port: TCP port; 0 for any free one.
-        size: Bytes of each answer.
-        reads_per_s: Reads a second that it grants.
+        size: Size of each response in bytes.
+        reads_per_s: Rate limit of reads.
     """
 
     def __init__(
@@ -33,7 +33,7 @@
         self._next_at = monotonic()
 
     def answer(self, call: Call) -> Reply:
-        """Answer with the bytes, or 429 when asked too often."""
+        """Respond with the bytes, or with 429 above the rate limit."""
         match call.method, call.parts:
             case "GET", ["weights", model, version]:
                 return self._read(f"{model}/{version}")
--- a/tests/fleet_support.py
+++ b/tests/fleet_support.py
@@ -1,4 +1,4 @@
-"""What the tests of whole fleets share."""
+"""Helpers for tests with a fleet of routers."""
 
 from collections.abc import Iterable, Mapping
 from contextlib import contextmanager
@@ -17,13 +17,13 @@
 
 @contextmanager
 def proxied_lab(plan: LabPlan):
-    """A lab whose every connection but the callers' goes through a proxy."""
+    """A lab with a proxy on all connections except the callers'."""
     with fault_proxy() as proxy, Lab(plan, route=proxy.route) as lab:
         yield lab, proxy
 
 
 def split(lab: Lab, left: Iterable[str], right: Iterable[str], do="freeze"):
-    """Rules that cut the peer sides of two groups of routers from each other."""
+    """Return proxy rules that partition two groups of routers from each other."""
     left, right = list(left), list(right)
     pairs = [(a, b) for a in left for b in right]
     return [
@@ -45,10 +45,10 @@
 
 
 def wait_started(lab: Lab, more: int, engine: str | None = None) -> None:
-    """Wait until that many executions have begun from now on.
+    """Wait until ``more`` further executions have started.
 
-    Each must follow the one before in time; how long all take depends on the
-    machine, and says nothing about the fleet.
+    The time limit applies to each execution, not to all of them: the total time
+    depends on the machine's speed rather than on the fleet.
     """
 
     def begun() -> int:
@@ -63,10 +63,10 @@
 
 
 def wait_served(lab: Lab, account: str) -> None:
-    """Wait until every router's caller of that account gets an answer.
+    """Wait until every router serves a request of the client account.
 
-    A new owner first waits out grants of an earlier one, so that a request with a
-    short deadline is refused in a fleet that has only just begun.
+    A new owner first waits for grants of its predecessor to expire, so that a request
+    with a short deadline is refused in a fleet that has just started.
     """
     message = {"role": "user", "content": "served"}
     body = {"model": lab.plan.model, "messages": [message], "x_tokens": 1}
@@ -90,7 +90,7 @@
 
 
 def most_at_once(done: Iterable[Mapping[str, Any]]) -> dict[str, int]:
-    """Most executions that each engine had at the same time."""
+    """Return the peak number of concurrent executions of each engine."""
     moments = []
     for one in done:
         if one["started"] is not None:
@@ -110,10 +110,10 @@
 
 
 class BackgroundLoad:
-    """Runs loads on a thread of the test, until the end of the ``with`` block.
+    """Runs loads on a thread until the end of the ``with`` block.
 
-    A load of a fixed length may be over on a busy machine before the test comes to
-    the step that needs it; so ``duration_s`` is for tests that wait for the end.
+    On a busy machine, a load of fixed duration may end before the test reaches the step
+    that needs it; so ``duration_s`` is only for tests that wait for the load's end.
     """
 
     def __init__(
@@ -142,7 +142,7 @@
         return self._thread.is_alive()
 
     def stop(self) -> list[Result]:
-        """End the load and return its results."""
+        """Stop the load and return its results."""
         self._client.stop()
         return self.results()
 
@@ -153,6 +153,10 @@
 
 
 def assert_truthful(lab: Lab, results: list[Result]) -> None:
-    """Every answer is its own, whole or shown as cut, and "not run" is true."""
+    """Check every result against what the endpoints executed.
+
+    Each answer must belong to its request and be complete or reported as cut; a request
+    reported as not run must not have run.
+    """
     verdict = verify(results, executions(lab), effects(lab))
     assert verdict.faults == ()
--- a/tests/support.py
+++ b/tests/support.py
@@ -1,4 +1,4 @@
-"""Helpers of the integration tests."""
+"""Helpers for the integration tests."""
 
 import json
 from collections.abc import Iterator
@@ -29,7 +29,7 @@
 
 
 def sse_events(data: bytes) -> Iterator[Any]:
-    """Yield the events of a whole event stream; ``[DONE]`` comes as a string."""
+    """Yield the events of a complete event stream; ``[DONE]`` as a string."""
     for line in data.decode().split("\n\n"):
         if line.startswith("data: "):
             text = line[len("data: ") :]
@@ -38,7 +38,7 @@
 
 @contextmanager
 def running(module: str, *args: object) -> Iterator[Process]:
-    """Run a process for the length of a block."""
+    """Run a process for the duration of a ``with`` block."""
     process = start(module, *args)
     try:
         yield process
@@ -47,14 +47,14 @@
 
 
 def standin(kind: str, *args: object, **options: object):
-    """Run a stand-in for the length of a block; options become flags."""
+    """Run a stand-in for the duration of a ``with`` block; options become flags."""
     flags = (f"--{name}={value}" for name, value in options.items())
     return running("greengageflow.lab.standin", kind, *args, *flags)
 
 
 @contextmanager
 def fault_proxy(host: str = "127.0.0.1") -> Iterator[Proxy]:
-    """Run a fault-injecting proxy for the length of a block."""
+    """Run a fault-injecting proxy for the duration of a ``with`` block."""
     with running("greengageflow.lab.fault_proxy", host) as process:
         proxy = Proxy(process.address)
         try:
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,4 @@
-"""The lab keeps out of the way of other labs on the machine."""
+"""Labs that run at the same time on one machine do not share addresses or ports."""
 
 from contextlib import closing
 from socket import socket
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -23,10 +23,10 @@
 
 
 def test_log_append_whose_answer_is_lost_is_there_once():
-    """The caller sees a cut connection, not an answer.
+    """A lost response does not mean a lost append.
 
-    The append takes effect first and the connection is cut after, so that a
-    reader finds the record: a router must look before it writes again.
+    The append takes effect before the connection is cut, so that a reader finds the
+    record: a router must read the log before it retries.
     """
     with standin("log") as log:
         log.fault(lose_answers=1, only="append")
@@ -68,10 +68,10 @@
 
 
 def test_proxy_drops_a_reply_after_the_effect():
-    """The caller sees its connection reset although the service ran the call.
+    """The caller's connection is reset although the service executed the call.
 
-    The proxy passes the request and resets the connection at the answer's first
-    byte; another source address and the second connection are not touched.
+    The proxy forwards the request and resets the connection at the response's first
+    byte. The rule applies to one connection; the second one works.
     """
     with standin("service") as service, fault_proxy() as proxy:
         address = proxy.route("service", service.address)
@@ -83,10 +83,10 @@
 
 @pytest.mark.parametrize("action", ["freeze", "half_open"])
 def test_proxy_holds_bytes(action):
-    """The caller sees no answer until its own timeout.
+    """The caller gets no response until its own timeout.
 
-    A frozen connection's bytes arrive once the rule goes; a half-open one's never
-    do, so the service gets no call.
+    The bytes of a frozen connection arrive once the rule is removed; those of a
+    half-open connection never do, so the service gets no call.
     """
     with standin("service") as service, fault_proxy() as proxy:
         address = proxy.route("service", service.address)
@@ -104,7 +104,7 @@
 
 
 def test_proxy_cuts_what_is_open():
-    """The caller's stream ends without its last event, in the middle."""
+    """An open stream is cut before its last event, and the engine cancels it."""
     with standin("engine", base_pace_s=0.01) as engine, fault_proxy() as proxy:
         address = proxy.route("engine", engine.address)
         conn = HTTPConnection(*address, timeout=LIMIT_S)
@@ -126,10 +126,10 @@
 
 
 def test_engine_resumes_a_cut_stream_without_running_it_again():
-    """The caller's stream breaks off after five pieces, without its last event.
+    """The stream is cut after five pieces, without its last event.
 
-    The engine goes on for a while; a request to resume from piece 5 gets the rest
-    of the same execution. An id that it doesn't know is not run.
+    The engine continues for a grace period; a request to resume from piece 5 gets the
+    rest of the same execution. A resume with an unknown request id is not executed.
     """
     with standin("engine", base_pace_s=0.001, resumes=True) as engine:
         engine.fault(cut_after=5)
@@ -152,7 +152,7 @@
     ],
 )
 def test_engine_sends_wrong_pieces(fault, seqs):
-    """The caller gets pieces again, late, or of another request, then right ones."""
+    """The stream has repeated, late or foreign pieces besides the correct ones."""
     with standin("engine", base_pace_s=0.001) as engine:
         engine.fault(**{fault: True})
         *pieces, done = sse_events(chat(engine, "q1", x_tokens=3).data)
@@ -191,7 +191,7 @@
 
 @pytest.mark.parametrize(("checks", "status"), [(True, 409), (False, 200)])
 def test_engine_meets_an_old_fencing_number(checks, status):
-    """The giver of an old order is refused, but only by an engine that checks."""
+    """A stale order is refused, but only by an engine that checks fencing tokens."""
     with standin("engine", checks_fencing=checks) as engine:
         for fencing in (7, 7):
             order = {"order": "role", "fencing": fencing}
@@ -215,7 +215,7 @@
 
 
 def test_log_that_goes_down_cuts_its_readers():
-    """The reader that waits sees its connection cut, not an empty page at the end."""
+    """A long poll is cut at once instead of ending with an empty page."""
     path = "/streams/s/records"
     with standin("log") as log, ThreadPoolExecutor(1) as pool:
         read = pool.submit(log.call, "GET", f"{path}?from=0&wait_s=600")
@@ -233,7 +233,7 @@
 
 
 def test_faults_can_be_narrowed():
-    """Only the second append that holds the text fails; reads go on."""
+    """Only the second append that contains the text fails; reads still work."""
     with standin("log") as log:
         log.fault(down=True, only="append", contains="outcome", skip=1)
         texts = ["intent", "outcome", "outcome", "intent"]
