--- a/greengageflow/lab/_standin_faults.py
+++ b/greengageflow/lab/_standin_faults.py
@@ -44,19 +44,19 @@
     says_leaving: bool = False
     backoff_s: float = 0.0
 
-    def lost(self) -> "Faults":
+    def after_lost_answer(self) -> "Faults":
         """Return the faults that remain after one response was dropped."""
         return replace(self, lose_answers=self.lose_answers - 1)
 
-    def skipped(self) -> "Faults":
+    def after_skip(self) -> "Faults":
         """Return the faults that remain after one request was skipped."""
         return replace(self, skip=self.skip - 1)
 
-    def cut(self) -> "Faults":
+    def after_cut(self) -> "Faults":
         """Return the faults that remain after one stream was cut."""
-        left = self.cut_times - 1
-        after = self.cut_after if left > 0 else None
-        return replace(self, cut_times=left, cut_after=after)
+        remaining = self.cut_times - 1
+        after = self.cut_after if remaining > 0 else None
+        return replace(self, cut_times=remaining, cut_after=after)
 
 
-FAULT_NAMES = frozenset(item.name for item in fields(Faults))
+FAULT_NAMES = frozenset(fault.name for fault in fields(Faults))
--- a/greengageflow/lab/_standin_http.py
+++ b/greengageflow/lab/_standin_http.py
@@ -138,16 +138,16 @@
         """Return the operation name that the ``only`` fault is matched with."""
         return call.method.lower()
 
-    def faults_changed(self) -> None:
+    def on_faults_changed(self) -> None:
         """Called after the faults were set."""
 
-    def gone(self, sock: socket) -> None:
+    def on_disconnect(self, sock: socket) -> None:
         """Called after a connection closed."""
 
     def reply(self, call: Call, reply: Reply) -> None:
         """Send a response, or cut the connection if a fault drops the response."""
         if call.faulty and self.faults.lose_answers > 0:
-            self.faults = self.faults.lost()
+            self.faults = self.faults.after_lost_answer()
             self.cut(call)
             return
         self._write_reply(call, reply)
@@ -158,11 +158,13 @@
 
     def open_stream(self, call: Call, content_type: str) -> None:
         """Send the head of a streamed response."""
-        signs = "".join(f"{name}: {value}\r\n" for name, value in self._signs.items())
-        end = signs + ("Connection: close\r\n" if call.res.close else "")
+        common_lines = "".join(
+            f"{name}: {value}\r\n" for name, value in self._common_headers.items()
+        )
+        extra_lines = common_lines + ("Connection: close\r\n" if call.res.close else "")
         head = (
             f"HTTP/1.1 200 OK\r\nContent-Type: {content_type}\r\n"
-            f"Transfer-Encoding: chunked\r\n{end}\r\n"
+            f"Transfer-Encoding: chunked\r\n{extra_lines}\r\n"
         )
         self._send(call.sock, head.encode())
 
@@ -199,7 +201,7 @@
         if call.sock.fileno() < 0:
             return
         call.res.status = reply.status
-        headers = {**reply.headers, **self._signs}
+        headers = {**reply.headers, **self._common_headers}
         for name, value in headers.items():
             call.res.headers[name] = value
         if isinstance(reply.body, bytes):
@@ -211,10 +213,10 @@
         self.fire(response(call.res))
 
     @property
-    def _signs(self) -> dict[str, str]:
+    def _common_headers(self) -> dict[str, str]:
         return {SERVER_LEAVING: "1"} if self.faults.says_leaving else {}
 
-    def _applies(self, call: Call) -> bool:
+    def _matches_faults(self, call: Call) -> bool:
         faults = self.faults
         if call.path == "/fault" or call.path in self.control_paths:
             return False
@@ -222,7 +224,7 @@
             return False
         return faults.contains.encode() in call.data
 
-    def _guarded(self, call: Call, work: Callable[[Call], Reply | None]) -> None:
+    def _run_and_reply(self, call: Call, work: Callable[[Call], Reply | None]) -> None:
         try:
             reply = work(call)
         except BadCallError as exc:
@@ -237,17 +239,17 @@
 
     def _set_faults(self, call: Call) -> Reply:
         if call.method == "POST":
-            wanted = call.json
-            if unknown := wanted.keys() - FAULT_NAMES:
+            faults_set = call.json
+            if unknown := faults_set.keys() - FAULT_NAMES:
                 raise BadCallError(f"unknown faults: {sorted(unknown)}")
-            self.faults = Faults(**wanted)
-            self.faults_changed()
+            self.faults = Faults(**faults_set)
+            self.on_faults_changed()
         return Reply(200, asdict(self.faults))
 
-    def _start(self, call: Call) -> None:
+    def _handle_call(self, call: Call) -> None:
         faults = self.faults
         if call.path == "/fault":
-            self._guarded(call, self._set_faults)
+            self._run_and_reply(call, self._set_faults)
         elif call.faulty and faults.down:
             reply = Reply(503, {"error": "down"}, {"Retry-After": "1"})
             self._write_reply(call, reply)
@@ -255,28 +257,30 @@
             headers = {"Retry-After": str(faults.backoff_s)}
             self._write_reply(call, Reply(503, {"error": "busy"}, headers))
         elif call.faulty and faults.delay_s > 0:
-            self.timers.after(faults.delay_s, lambda: self._guarded(call, self.answer))
+            self.timers.after(
+                faults.delay_s, lambda: self._run_and_reply(call, self.answer)
+            )
         else:
-            self._guarded(call, self.answer)
+            self._run_and_reply(call, self.answer)
 
-    def _marked(self, call: Call) -> Call:
-        if not self._applies(call):
+    def _with_fault_flag(self, call: Call) -> Call:
+        if not self._matches_faults(call):
             return call
         if self.faults.skip > 0:
-            self.faults = self.faults.skipped()
+            self.faults = self.faults.after_skip()
             return call
         return replace(call, faulty=True)
 
     @handler("request", priority=10)
     def _on_request(self, event, req: Request, res: Response) -> bool:
         event.stop()
-        self._start(self._marked(Call(req, res, req.body.read())))
+        self._handle_call(self._with_fault_flag(Call(req, res, req.body.read())))
         # circuits.web sends its own response unless the handler returns a boolean.
         return True
 
     @handler("disconnect")
     def _on_disconnect(self, sock: socket) -> None:
-        self.gone(sock)
+        self.on_disconnect(sock)
 
     @handler("ready")
     def _on_ready(self, server, bind) -> None:
--- a/greengageflow/lab/standin_engine.py
+++ b/greengageflow/lab/standin_engine.py
@@ -148,11 +148,11 @@
                 )
         return Reply(404, {"error": "no such path"})
 
-    def faults_changed(self) -> None:
+    def on_faults_changed(self) -> None:
         """Resume stepping if a stall was cleared."""
         self._wake()
 
-    def gone(self, sock: socket) -> None:
+    def on_disconnect(self, sock: socket) -> None:
         """Cancel a closed connection's execution, after a grace period if resumable."""
         output = self._by_sock.pop(sock, None)
         if output is None:
@@ -184,7 +184,7 @@
         execution = self._execute(call, body, request_id)
         output = _Output(call, execution, streamed)
         if call.faulty and streamed and self.faults.lose_answers > 0:
-            self.faults = self.faults.lost()
+            self.faults = self.faults.after_lost_answer()
             self.cut(call)
         else:
             self._attach(output)
@@ -283,7 +283,7 @@
         if data:
             self.push(output.call, data)
         if self._cut_now(output):
-            self.faults = self.faults.cut()
+            self.faults = self.faults.after_cut()
             # The close may wait for pending output; send nothing after it.
             del self._outputs[execution.number]
             self.cut(output.call)
--- a/greengageflow/lab/standin_log.py
+++ b/greengageflow/lab/standin_log.py
@@ -121,12 +121,12 @@
                 return self._read(call, name)
         return Reply(404, {"error": "no such path"})
 
-    def gone(self, sock) -> None:
+    def on_disconnect(self, sock) -> None:
         """Remove the long polls of a closed connection."""
         for stream in self._streams.values():
             stream.readers = [one for one in stream.readers if one.call.sock != sock]
 
-    def faults_changed(self) -> None:
+    def on_faults_changed(self) -> None:
         """Cut the connections of all long polls if the log goes down."""
         if not self.faults.down or self.faults.only == APPEND:
             return
