--- a/greengageflow/lab/_engine_batch.py
+++ b/greengageflow/lab/_engine_batch.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Work:
+class CompletionRequest:
     """Parameters of a completion request.
 
     Args:
@@ -68,18 +68,18 @@
 
     number: int
     engine: str
-    work: Work
+    request: CompletionRequest
     ready_at: float
     started: float
     ended: float | None = None
     state: State = State.WAITING
     produced: int = 0
     resumed_from: list[int] = field(default_factory=list)
-    _base: int = 0
+    _text_seed: int = 0
 
     def __post_init__(self) -> None:
-        name = f"{self.engine}/{self.work.request_id}/{self.number}"
-        self._base = crc32(name.encode())
+        name = f"{self.engine}/{self.request.request_id}/{self.number}"
+        self._text_seed = crc32(name.encode())
 
     @property
     def is_open(self) -> bool:
@@ -88,10 +88,10 @@
 
     def piece(self, seq: int) -> str:
         """Return the text of one piece, which differs between executions."""
-        word = (self._base + seq * _WORD_STEP) & _WORD_MASK
+        digits = (self._text_seed + seq * _WORD_STEP) & _WORD_MASK
         # Non-ASCII and escaped characters reveal a relay that re-encodes the text.
-        end = "é\n" if seq % 8 == 7 else " "
-        return f"{word:08x}{end}"
+        suffix = "é\n" if seq % 8 == 7 else " "
+        return f"{digits:08x}{suffix}"
 
     @property
     def text(self) -> str:
@@ -102,7 +102,7 @@
     def usage(self) -> dict[str, int]:
         """Token counts of the prompt and the completion."""
         return {
-            "prompt_tokens": self.work.prompt_tokens,
+            "prompt_tokens": self.request.prompt_tokens,
             "completion_tokens": self.produced,
         }
 
@@ -112,12 +112,12 @@
         return {
             "number": self.number,
             "engine": self.engine,
-            "request_id": self.work.request_id,
-            "key": self.work.key,
-            "account": self.work.account,
-            "prompt_sha256": sha256(self.work.prompt.encode()).hexdigest(),
+            "request_id": self.request.request_id,
+            "key": self.request.key,
+            "account": self.request.account,
+            "prompt_sha256": sha256(self.request.prompt.encode()).hexdigest(),
             "pieces": self.produced,
-            "tokens": self.work.tokens,
+            "tokens": self.request.tokens,
             "text": self.text,
             "state": self.state.value,
             "started": self.started,
@@ -166,9 +166,11 @@
 
     def step(self, now: float, unix_now: float) -> Iterator[Execution]:
         """Generate one piece per running execution; yield those that advanced."""
-        for execution in [one for one in self._running if one.ready_at <= now]:
+        for execution in [
+            candidate for candidate in self._running if candidate.ready_at <= now
+        ]:
             execution.produced += 1
-            if execution.produced >= execution.work.tokens:
+            if execution.produced >= execution.request.tokens:
                 self._end(execution, State.DONE, unix_now)
             yield execution
 
@@ -186,8 +188,8 @@
             self._running.append(execution)
 
     def _end(self, execution: Execution, state: State, unix_now: float) -> None:
-        source = self._waiting if execution.state is State.WAITING else self._running
-        source.remove(execution)
+        queue = self._waiting if execution.state is State.WAITING else self._running
+        queue.remove(execution)
         execution.state = state
         execution.ended = unix_now
         self._admit()
@@ -230,8 +232,8 @@
         if "x_tokens" in body:
             return max(1, int(body["x_tokens"])), "stop"
         random = Random(f"{self.seed}/{request_id}")
-        drawn = random.lognormvariate(log(self.median), self.sigma)
-        most = body.get("max_tokens")
-        if most is not None and drawn > most:
-            return max(1, int(most)), "length"
-        return max(1, int(drawn)), "stop"
+        length = random.lognormvariate(log(self.median), self.sigma)
+        max_tokens = body.get("max_tokens")
+        if max_tokens is not None and length > max_tokens:
+            return max(1, int(max_tokens)), "length"
+        return max(1, int(length)), "stop"
--- a/greengageflow/lab/_engine_cache.py
+++ b/greengageflow/lab/_engine_cache.py
@@ -23,12 +23,12 @@
         limit: Capacity in blocks.
     """
 
-    def __init__(self, limit: int) -> None:
-        self._limit = limit
+    def __init__(self, capacity: int) -> None:
+        self._capacity = capacity
         self._blocks: OrderedDict[str, None] = OrderedDict()
 
     @staticmethod
-    def names(prompt: str) -> Iterator[str]:
+    def prefix_names(prompt: str) -> Iterator[str]:
         """Yield the names of a prompt's prefixes, shortest first."""
         digest = sha256()
         for end in range(BLOCK_CHARS, len(prompt) + 1, BLOCK_CHARS):
@@ -38,7 +38,7 @@
     def cached_tokens(self, prompt: str) -> int:
         """Return the number of leading prompt tokens that are cached."""
         count = 0
-        for name in self.names(prompt):
+        for name in self.prefix_names(prompt):
             if name not in self._blocks:
                 break
             count += 1
@@ -46,24 +46,24 @@
 
     def store(self, prompt: str) -> Iterator[tuple[str, str]]:
         """Cache a prompt's blocks; yield (operation, prefix) for each change."""
-        for name in self.names(prompt):
+        for name in self.prefix_names(prompt):
             if name not in self._blocks:
                 yield STORED, name
             self._blocks[name] = None
             self._blocks.move_to_end(name)
-        while len(self._blocks) > self._limit:
+        while len(self._blocks) > self._capacity:
             name, _ = self._blocks.popitem(last=False)
             yield EVICTED, name
 
 
 @dataclass(frozen=True, slots=True)
 class CacheEvent:
-    """A change of the prefix cache, visible to readers from ``shown_at`` on."""
+    """A change of the prefix cache, visible to readers from ``visible_at`` on."""
 
     seq: int
     op: str
     prefix: str
-    shown_at: float
+    visible_at: float
 
 
 class CacheEvents:
@@ -92,6 +92,6 @@
 
     def since(self, start: int, now: float) -> Iterator[dict[str, object]]:
         """Yield the visible events from a sequence number on."""
-        for one in self._events:
-            if one.seq >= start and one.shown_at <= now:
-                yield {"seq": one.seq, "op": one.op, "prefix": one.prefix}
+        for event in self._events:
+            if event.seq >= start and event.visible_at <= now:
+                yield {"seq": event.seq, "op": event.op, "prefix": event.prefix}
--- a/greengageflow/lab/_engine_orders.py
+++ b/greengageflow/lab/_engine_orders.py
@@ -26,7 +26,7 @@
 
     def __init__(self, checks_fencing: bool) -> None:
         self._checks_fencing = checks_fencing
-        self._fencing = -1
+        self._highest_fencing = -1
         self._orders: list[ReceivedOrder] = []
 
     @property
@@ -34,7 +34,7 @@
         """All orders as ``GET /orders`` reports them."""
         return [asdict(one) for one in self._orders]
 
-    def take(self, order: dict, now: float) -> Reply:
+    def receive(self, order: dict, now: float) -> Reply:
         """Accept or refuse an order.
 
         Raises:
@@ -43,9 +43,9 @@
         fencing = order.get("fencing")
         if order.get("order") not in ORDERS or not isinstance(fencing, int):
             raise BadCallError("order must be load or role, with an integer fencing")
-        old = self._checks_fencing and fencing < self._fencing
-        status = 409 if old else 200
+        stale = self._checks_fencing and fencing < self._highest_fencing
+        status = 409 if stale else 200
         self._orders.append(ReceivedOrder(order, status, now))
-        if not old:
-            self._fencing = max(self._fencing, fencing)
-        return Reply(status, {"taken": not old, "fencing": self._fencing})
+        if not stale:
+            self._highest_fencing = max(self._highest_fencing, fencing)
+        return Reply(status, {"taken": not stale, "fencing": self._highest_fencing})
--- a/greengageflow/lab/standin_engine.py
+++ b/greengageflow/lab/standin_engine.py
@@ -7,20 +7,20 @@
 
 from greengageflow.lab._engine_batch import (
     Batch,
+    CompletionRequest,
     Execution,
     Lengths,
     State,
-    Work,
     prompt_text,
 )
 from greengageflow.lab._engine_cache import CacheEvents, PrefixCache
 from greengageflow.lab._engine_orders import Orders
 from greengageflow.lab._engine_wire import (
-    ANOTHER,
     DONE,
+    OTHER_REQUEST_ID,
+    completion_response,
     crossed_event,
     piece_event,
-    whole_answer,
 )
 from greengageflow.lab._standin_http import BadCallError, Call, Reply, StandIn
 from greengageflow.lab.poison import crash_if_poison
@@ -36,8 +36,8 @@
     execution: Execution
     streamed: bool
     next_seq: int = 0
-    sent: int = 0
-    last: bytes = b""
+    sent_pieces: int = 0
+    last_piece: bytes = b""
 
 
 class EngineStandIn(StandIn):
@@ -106,15 +106,15 @@
         self._batch = Batch(base_pace_s, per_request_pace_s, max_batch)
         self._prefixes = PrefixCache(cache_blocks)
         self._executions: list[Execution] = []
-        self._latest: dict[str, Execution] = {}
+        self._latest_by_request: dict[str, Execution] = {}
         self._outputs: dict[int, _Output] = {}
-        self._by_sock: dict[socket, _Output] = {}
+        self._outputs_by_sock: dict[socket, _Output] = {}
         self._events = CacheEvents(event_lag_s, event_loss, seed)
         self._orders = Orders(checks_fencing)
         self._leaving = False
         self._stepping = False
-        self._step_due = 0.0
-        self._report = self._load()
+        self._step_due_at = 0.0
+        self._report = self._current_load()
         if load_lag_s > 0:
             self.timers.every(load_lag_s, self._refresh_report)
 
@@ -130,13 +130,15 @@
             case "POST", "/cancel":
                 return self._cancel(call)
             case "GET", "/load":
-                return Reply(200, self._report if self._load_lag_s else self._load())
+                return Reply(
+                    200, self._report if self._load_lag_s else self._current_load()
+                )
             case "GET", "/cache-events":
                 start = int(call.number("from", 0))
                 events = list(self._events.since(start, monotonic()))
                 return Reply(200, {"events": events})
             case "POST", "/orders":
-                return self._orders.take(call.json, time())
+                return self._orders.receive(call.json, time())
             case "GET", "/orders":
                 return Reply(200, {"orders": self._orders.wire})
             case "POST", "/leaving":
@@ -144,28 +146,31 @@
                 return Reply(200, {"leaving": self._leaving})
             case "GET", "/executions":
                 return Reply(
-                    200, {"executions": [one.wire for one in self._executions]}
+                    200,
+                    {"executions": [execution.wire for execution in self._executions]},
                 )
         return Reply(404, {"error": "no such path"})
 
     def on_faults_changed(self) -> None:
         """Resume stepping if a stall was cleared."""
-        self._wake()
+        self._start_stepping()
 
     def on_disconnect(self, sock: socket) -> None:
         """Cancel a closed connection's execution, after a grace period if resumable."""
-        output = self._by_sock.pop(sock, None)
+        output = self._outputs_by_sock.pop(sock, None)
         if output is None:
             return
         execution = output.execution
         if self._outputs.get(execution.number) is output:
             del self._outputs[execution.number]
         if self._resumes:
-            self.timers.after(self._resume_grace_s, lambda: self._give_up(execution))
+            self.timers.after(
+                self._resume_grace_s, lambda: self._cancel_if_detached(execution)
+            )
         else:
             self._batch.cancel(execution, time())
 
-    def _give_up(self, execution: Execution) -> None:
+    def _cancel_if_detached(self, execution: Execution) -> None:
         if execution.number not in self._outputs:
             self._batch.cancel(execution, time())
 
@@ -188,31 +193,33 @@
             self.cut(call)
         else:
             self._attach(output)
-        self._wake()
+        self._start_stepping()
         return None
 
     def _execute(self, call: Call, body: dict, request_id: str) -> Execution:
-        work = self._work(call, body, request_id)
-        cached = self._prefixes.cached_tokens(work.prompt)
-        uncached = max(0, work.prompt_tokens - cached)
+        request = self._parse_request(call, body, request_id)
+        cached = self._prefixes.cached_tokens(request.prompt)
+        uncached = max(0, request.prompt_tokens - cached)
         prefill_s = uncached * self._prefill_s_per_token + self.faults.slow_start_s
         execution = Execution(
             number=len(self._executions),
             engine=self._name,
-            work=work,
+            request=request,
             ready_at=monotonic() + prefill_s,
             started=time(),
         )
-        self._events.add(self._prefixes.store(work.prompt), monotonic())
+        self._events.add(self._prefixes.store(request.prompt), monotonic())
         self._executions.append(execution)
-        self._latest[request_id] = execution
+        self._latest_by_request[request_id] = execution
         self._batch.add(execution)
         return execution
 
-    def _work(self, call: Call, body: dict, request_id: str) -> Work:
+    def _parse_request(
+        self, call: Call, body: dict, request_id: str
+    ) -> CompletionRequest:
         try:
             tokens, reason = self._lengths.draw(body, request_id)
-            return Work(
+            return CompletionRequest(
                 request_id=request_id,
                 key=call.header("Idempotency-Key"),
                 account=call.header("X-Account"),
@@ -225,22 +232,22 @@
 
     def _attach(self, output: _Output) -> None:
         self._outputs[output.execution.number] = output
-        self._by_sock[output.call.sock] = output
+        self._outputs_by_sock[output.call.sock] = output
         if output.streamed:
             self.open_stream(output.call, EVENT_STREAM)
 
     def _resume(self, call: Call, request_id: str, start: int) -> Reply | None:
-        execution = self._latest.get(request_id)
+        execution = self._latest_by_request.get(request_id)
         if execution is None:
             return Reply(404, {"error": "unknown request"})
-        if execution.state is State.CANCELLED or start > execution.work.tokens:
+        if execution.state is State.CANCELLED or start > execution.request.tokens:
             return Reply(410, {"error": "nothing to resume"})
         execution.resumed_from.append(start)
         old = self._outputs.pop(execution.number, None)
         if old is not None:
             # The old connection may be half-open; detach it so that the new one
             # gets all pieces.
-            self._by_sock.pop(old.call.sock, None)
+            self._outputs_by_sock.pop(old.call.sock, None)
             self.cut(old.call)
         output = _Output(call, execution, streamed=True, next_seq=start)
         self._attach(output)
@@ -249,15 +256,15 @@
 
     # Steps
 
-    def _wake(self) -> None:
+    def _start_stepping(self) -> None:
         if not self._stepping:
-            self._plan_step(monotonic())
+            self._schedule_step(monotonic())
 
-    def _plan_step(self, since: float) -> None:
+    def _schedule_step(self, base_time: float) -> None:
         self._stepping = bool(self._batch.running) and not self.faults.stall
         if self._stepping:
-            self._step_due = since + self._batch.pace_s
-            self.timers.after(max(0.0, self._step_due - monotonic()), self._step)
+            self._step_due_at = base_time + self._batch.pace_s
+            self.timers.after(max(0.0, self._step_due_at - monotonic()), self._step)
 
     def _step(self) -> None:
         if self.faults.stall:
@@ -269,20 +276,20 @@
                 self._deliver(output)
         # Schedules from this step's due time, so that a late timer does not slow the
         # batch; an overloaded engine catches up by at most one step.
-        self._plan_step(max(self._step_due, monotonic() - self._batch.pace_s))
+        self._schedule_step(max(self._step_due_at, monotonic() - self._batch.pace_s))
 
     def _deliver(self, output: _Output) -> None:
         execution = output.execution
         if not output.streamed:
             if execution.state is State.DONE:
                 self._detach(output)
-                whole = whole_answer(execution, crossed=self.faults.cross)
-                self.reply(output.call, Reply(200, whole))
+                response = completion_response(execution, crossed=self.faults.cross)
+                self.reply(output.call, Reply(200, response))
             return
-        data = b"".join(self._due(output))
+        data = b"".join(self._pending_events(output))
         if data:
             self.push(output.call, data)
-        if self._cut_now(output):
+        if self._reached_cut(output):
             self.faults = self.faults.after_cut()
             # The close may wait for pending output; send nothing after it.
             del self._outputs[execution.number]
@@ -294,35 +301,39 @@
 
     def _detach(self, output: _Output) -> None:
         self._outputs.pop(output.execution.number, None)
-        self._by_sock.pop(output.call.sock, None)
+        self._outputs_by_sock.pop(output.call.sock, None)
 
-    def _cut_now(self, output: _Output) -> bool:
+    def _reached_cut(self, output: _Output) -> bool:
         after = self.faults.cut_after
-        return after is not None and output.sent >= after
+        return after is not None and output.sent_pieces >= after
 
-    def _due(self, output: _Output) -> Iterator[bytes]:
+    def _pending_events(self, output: _Output) -> Iterator[bytes]:
         while output.next_seq < output.execution.produced:
-            if self._cut_now(output):
+            if self._reached_cut(output):
                 return
             piece = piece_event(output.execution, output.next_seq)
             if self.faults.cross:
-                yield crossed_event(self._another(output), output.next_seq)
+                yield crossed_event(self._other_request_id(output), output.next_seq)
             yield piece
             if self.faults.duplicate:
                 yield piece
-            if self.faults.late and output.last:
-                yield output.last
-            output.last = piece
+            if self.faults.late and output.last_piece:
+                yield output.last_piece
+            output.last_piece = piece
             output.next_seq += 1
-            output.sent += 1
-
-    def _another(self, output: _Output) -> str:
-        mine = output.execution.work.request_id
-        others = (one for one in reversed(self._latest) if one != mine)
-        return next(others, ANOTHER)
+            output.sent_pieces += 1
+
+    def _other_request_id(self, output: _Output) -> str:
+        own_id = output.execution.request.request_id
+        others = (
+            other_id
+            for other_id in reversed(self._latest_by_request)
+            if other_id != own_id
+        )
+        return next(others, OTHER_REQUEST_ID)
 
     def _cancel(self, call: Call) -> Reply:
-        execution = self._latest.get(str(call.json.get("id")))
+        execution = self._latest_by_request.get(str(call.json.get("id")))
         if execution is None:
             return Reply(404, {"error": "unknown request"})
         cancelled = self._batch.cancel(execution, time())
@@ -334,7 +345,7 @@
 
     # Reports and orders
 
-    def _load(self) -> dict[str, object]:
+    def _current_load(self) -> dict[str, object]:
         return {
             "running": self._batch.running,
             "waiting": self._batch.waiting,
@@ -344,4 +355,4 @@
         }
 
     def _refresh_report(self) -> None:
-        self._report = self._load()
+        self._report = self._current_load()
