--- a/greengageflow/lab/_bare_answerer.py
+++ b/greengageflow/lab/_bare_answerer.py
@@ -15,7 +15,7 @@
         return '{"service": "bare", "request_id": "", "effect": 0}'
 
 
-class Answerer(Server):
+class BareServer(Server):
     """The server; prints its address as a JSON line when ready."""
 
     def __init__(self) -> None:
@@ -26,4 +26,4 @@
 
 
 if __name__ == "__main__":
-    sys.exit(Answerer().run())
+    sys.exit(BareServer().run())
--- a/greengageflow/lab/_soak_fleet.py
+++ b/greengageflow/lab/_soak_fleet.py
@@ -14,7 +14,7 @@
     configuration,
     route,
 )
-from greengageflow.lab.poison import records_of
+from greengageflow.lab.poison import parse_crash_records
 from greengageflow.lab.soak_checks import (
     BUDGET_RATIO,
     BUDGET_SLACK,
@@ -154,7 +154,7 @@
 
     def take_crashed(self, name: str) -> None:
         """Keep what came to a replica that has crashed, by what it left."""
-        rows = records_of(self.replicas[name].stderr)
+        rows = parse_crash_records(self.replicas[name].stderr)
         self.facts.rows.extend({**row, "replica": name} for row in rows)
 
     def take_refused(self) -> None:
--- a/greengageflow/lab/platform_lab.py
+++ b/greengageflow/lab/platform_lab.py
@@ -28,7 +28,7 @@
 )
 from greengageflow.lab._subnets import Subnet
 from greengageflow.lab.platform_client import PlatformAnswer, PlatformClient
-from greengageflow.lab.poison import CRASHED
+from greengageflow.lab.poison import CRASH_EXIT_STATUS
 from greengageflow.platform.names import (
     IDEMPOTENT,
     MODEL,
@@ -246,7 +246,9 @@
     def crashed_replicas(self) -> list[str]:
         """Names of the replicas that crashed on a poison request."""
         processes = self.replicas.items()
-        return [name for name, process in processes if process.popen.poll() == CRASHED]
+        return [
+            name for name, process in processes if process.popen.poll() == CRASH_EXIT_STATUS
+        ]
 
     def start_routers(self) -> None:
         """Start the shape's routers; return once all of them are ready."""
--- a/greengageflow/lab/poison.py
+++ b/greengageflow/lab/poison.py
@@ -5,9 +5,9 @@
 import sys
 from typing import Any
 
-RECORDS = "records: "
+RECORDS_PREFIX = "records: "
 
-CRASHED = 70
+CRASH_EXIT_STATUS = 70
 """Exit status of a process that executed a poison request."""
 
 
@@ -21,11 +21,17 @@
     """
     if not poison or poison not in body:
         return
-    print(RECORDS + json.dumps(records), file=sys.stderr, flush=True)
-    os._exit(CRASHED)
+    print(RECORDS_PREFIX + json.dumps(records), file=sys.stderr, flush=True)
+    os._exit(CRASH_EXIT_STATUS)
 
 
-def records_of(errors: str) -> list[Any]:
+def parse_crash_records(errors: str) -> list[Any]:
     """Return the records in the standard error of a crashed process."""
-    found = [line for line in errors.splitlines() if line.startswith(RECORDS)]
-    return json.loads(found[-1].removeprefix(RECORDS)) if found else []
+    record_lines = [
+        line for line in errors.splitlines() if line.startswith(RECORDS_PREFIX)
+    ]
+    return (
+        json.loads(record_lines[-1].removeprefix(RECORDS_PREFIX))
+        if record_lines
+        else []
+    )
--- a/greengageflow/lab/standin.py
+++ b/greengageflow/lab/standin.py
@@ -26,10 +26,17 @@
         kind(**options).run()
 
     # fire takes the flags from the signature and the help from the docstring.
-    init = signature(kind.__init__)
-    options = [one for one in init.parameters.values() if one.name != "self"]
-    run.__signature__ = init.replace(
-        parameters=[one.replace(kind=one.KEYWORD_ONLY) for one in options],
+    init_signature = signature(kind.__init__)
+    flag_parameters = [
+        parameter
+        for parameter in init_signature.parameters.values()
+        if parameter.name != "self"
+    ]
+    run.__signature__ = init_signature.replace(
+        parameters=[
+            parameter.replace(kind=parameter.KEYWORD_ONLY)
+            for parameter in flag_parameters
+        ],
     )
     run.__doc__ = kind.__doc__
     return run
--- a/greengageflow/lab/standin_hosts.py
+++ b/greengageflow/lab/standin_hosts.py
@@ -20,7 +20,7 @@
     ) -> None:
         super().__init__(host, port)
         self._lag_s = lag_s
-        self._shown: list[dict] = []
+        self._visible_hosts: list[dict] = []
 
     def operation(self, call: Call) -> str:
         """Return ``read`` or ``write``."""
@@ -31,15 +31,15 @@
         if call.path != "/hosts":
             return Reply(404, {"error": "no such path"})
         if call.method == "GET":
-            return Reply(200, {"hosts": self._shown})
+            return Reply(200, {"hosts": self._visible_hosts})
         hosts = call.json.get("hosts")
         if not isinstance(hosts, list):
             raise BadCallError("hosts must be a list")
         if self._lag_s > 0:
-            self.timers.after(self._lag_s, lambda: self._show(hosts))
+            self.timers.after(self._lag_s, lambda: self._publish(hosts))
         else:
-            self._show(hosts)
+            self._publish(hosts)
         return Reply(200, {"count": len(hosts)})
 
-    def _show(self, hosts: list[dict]) -> None:
-        self._shown = hosts
+    def _publish(self, hosts: list[dict]) -> None:
+        self._visible_hosts = hosts
--- a/greengageflow/lab/standin_log.py
+++ b/greengageflow/lab/standin_log.py
@@ -53,9 +53,9 @@
             self.next_offset += 1
         return first
 
-    def forget(self, before: float, most: int) -> None:
+    def trim(self, before: float, max_records: int) -> None:
         while self.records and (
-            self.records[0].time < before or len(self.records) > most
+            self.records[0].time < before or len(self.records) > max_records
         ):
             self.records.popleft()
 
@@ -96,11 +96,11 @@
         keep_records: int = 1_000_000,
     ) -> None:
         super().__init__(host, port)
-        self._rate = appends_per_s
+        self._appends_per_s = appends_per_s
         self._keep_s = keep_s
         self._keep_records = keep_records
         self._tokens = appends_per_s
-        self._refilled = monotonic()
+        self._refilled_at = monotonic()
         self._streams: dict[str, _Stream] = {}
         self._stats = dict.fromkeys(
             ("appends", "records", "bytes", "refused", "reads"), 0
@@ -124,7 +124,9 @@
     def on_disconnect(self, sock) -> None:
         """Remove the long polls of a closed connection."""
         for stream in self._streams.values():
-            stream.readers = [one for one in stream.readers if one.call.sock != sock]
+            stream.readers = [
+                reader for reader in stream.readers if reader.call.sock != sock
+            ]
 
     def on_faults_changed(self) -> None:
         """Cut the connections of all long polls if the log goes down."""
@@ -136,11 +138,11 @@
                 reader.timeout.cancel()
                 self.cut(reader.call)
 
-    def _admit(self) -> bool:
+    def _take_token(self) -> bool:
         now = monotonic()
-        grown = self._tokens + (now - self._refilled) * self._rate
-        self._tokens = min(max(1.0, self._rate), grown)
-        self._refilled = now
+        refilled = self._tokens + (now - self._refilled_at) * self._appends_per_s
+        self._tokens = min(max(1.0, self._appends_per_s), refilled)
+        self._refilled_at = now
         if self._tokens < 1:
             return False
         self._tokens -= 1
@@ -150,7 +152,7 @@
         values = call.json.get("records")
         if not isinstance(values, list) or not values:
             raise BadCallError("records must be a non-empty list")
-        if not self._admit():
+        if not self._take_token():
             self._stats["refused"] += 1
             return Reply(429, {"error": "too many appends"}, {"Retry-After": "1"})
         stream = self._streams.setdefault(name, _Stream())
@@ -158,10 +160,10 @@
         self._stats["appends"] += 1
         self._stats["records"] += len(values)
         self._stats["bytes"] += len(call.data)
-        self._wake(stream)
+        self._answer_readers(stream)
         return Reply(200, {"first_offset": first, "count": len(values)})
 
-    def _wake(self, stream: _Stream) -> None:
+    def _answer_readers(self, stream: _Stream) -> None:
         readers, stream.readers = stream.readers, []
         for reader in readers:
             if reader.timeout is not None:
@@ -183,17 +185,19 @@
         if start < stream.next_offset or wait_s <= 0:
             return self._page(stream, reader)
         stream.readers.append(reader)
-        reader.timeout = self.timers.after(wait_s, lambda: self._up(stream, reader))
+        reader.timeout = self.timers.after(
+            wait_s, lambda: self._on_poll_timeout(stream, reader)
+        )
         return None
 
-    def _up(self, stream: _Stream, reader: _Reader) -> None:
+    def _on_poll_timeout(self, stream: _Stream, reader: _Reader) -> None:
         if reader in stream.readers:
             stream.readers.remove(reader)
             self.reply(reader.call, self._page(stream, reader))
 
     def _page(self, stream: _Stream, reader: _Reader) -> Reply:
-        stream.forget(time() - self._keep_s, self._keep_records)
+        stream.trim(time() - self._keep_s, self._keep_records)
         if reader.start < stream.first_offset:
             return Reply(410, {"error": "forgotten", **stream.bounds})
-        records = [one.wire for one in stream.read(reader.start, reader.limit)]
+        records = [record.wire for record in stream.read(reader.start, reader.limit)]
         return Reply(200, {"records": records, **stream.bounds})
--- a/greengageflow/lab/standin_service.py
+++ b/greengageflow/lab/standin_service.py
@@ -63,11 +63,13 @@
         """Execute a call, or report the recorded effects."""
         match call.parts:
             case ["effects"]:
-                return Reply(200, {"effects": [asdict(one) for one in self._effects]})
+                return Reply(
+                    200, {"effects": [asdict(effect) for effect in self._effects]}
+                )
             case ["effects", "by-key", key]:
-                return self._by_key(key)
+                return self._find_effect(key)
         crash_if_poison(self._poison, call.data)
-        effect = self._take(call)
+        effect = self._execute(call)
         reply = Reply(
             200,
             {
@@ -83,7 +85,7 @@
         self.timers.after(self._latency_s, lambda: self.reply(call, reply))
         return None
 
-    def _take(self, call: Call) -> Effect:
+    def _execute(self, call: Call) -> Effect:
         effect = Effect(
             number=len(self._effects),
             method=call.method,
@@ -96,7 +98,7 @@
         self._effects.append(effect)
         return effect
 
-    def _by_key(self, key: str) -> Reply:
+    def _find_effect(self, key: str) -> Reply:
         for effect in self._effects:
             if effect.key == key:
                 return Reply(200, asdict(effect))
--- a/greengageflow/lab/standin_weights.py
+++ b/greengageflow/lab/standin_weights.py
@@ -30,7 +30,7 @@
         super().__init__(host, port)
         self._size = size
         self._interval_s = 1 / reads_per_s
-        self._next_at = monotonic()
+        self._next_read_at = monotonic()
 
     def answer(self, call: Call) -> Reply:
         """Respond with the bytes, or with 429 above the rate limit."""
@@ -41,10 +41,10 @@
 
     def _read(self, name: str) -> Reply:
         now = monotonic()
-        if now < self._next_at:
-            after = f"{self._next_at - now:.3f}"
-            return Reply(429, {"error": "too many reads"}, {"Retry-After": after})
-        self._next_at = now + self._interval_s
+        if now < self._next_read_at:
+            retry_after = f"{self._next_read_at - now:.3f}"
+            return Reply(429, {"error": "too many reads"}, {"Retry-After": retry_after})
+        self._next_read_at = now + self._interval_s
         digest = sha256(name.encode()).digest()
         copies = self._size // len(digest) + 1
         return Reply(200, (digest * copies)[: self._size])
--- a/tests/test_poison_requests.py
+++ b/tests/test_poison_requests.py
@@ -13,7 +13,7 @@
     PlatformShape,
     generation,
 )
-from greengageflow.lab.poison import CRASHED
+from greengageflow.lab.poison import CRASH_EXIT_STATUS
 from greengageflow.net.decision_events import DecisionEvent
 from greengageflow.platform.names import QUARANTINE_TOPIC
 from tests.support import call, wait_for
@@ -138,7 +138,10 @@
         )
         for number in range(2 * REPLICAS):
             own_call(lab, kind, f"r{number % 3 + 1}", POISON, f"key-{number}")
-        crashed = [endpoint.popen.poll() == CRASHED for endpoint in endpoints.values()]
+        crashed = [
+            endpoint.popen.poll() == CRASH_EXIT_STATUS
+            for endpoint in endpoints.values()
+        ]
         assert sum(crashed) <= MAX_CRASHES
         refused = own_call(lab, kind, "r1", POISON, "one-more")
         assert refused.status == 503
@@ -147,5 +150,8 @@
         if kind == "service":
             ran = own_call(lab, kind, "r1", POISON, "key-0").json["error"]["ran"]
             assert ran == "unknown", "the first one with this key was sent"
-        after = [endpoint.popen.poll() == CRASHED for endpoint in endpoints.values()]
+        after = [
+            endpoint.popen.poll() == CRASH_EXIT_STATUS
+            for endpoint in endpoints.values()
+        ]
         assert after == crashed
