--- a/greengageflow/lab/_proxy_client.py
+++ b/greengageflow/lab/_proxy_client.py
@@ -18,7 +18,7 @@
         self._sock = socket.create_connection(address, timeout=LIMIT_S)
         self._file = self._sock.makefile("rw")
 
-    def _ask(self, **command: Any) -> dict:
+    def _send_command(self, **command: Any) -> dict:
         self._file.write(json.dumps(command) + "\n")
         self._file.flush()
         return json.loads(self._file.readline())
@@ -34,8 +34,10 @@
 
         In data sent to the target, ``texts`` (old to new, equal length) are replaced.
         """
-        given = {"name": name, "target": target, "listen": listen}
-        return tuple(self._ask(op="route", **given, texts=texts or {})["listen"])
+        options = {"name": name, "target": target, "listen": listen}
+        return tuple(
+            self._send_command(op="route", **options, texts=texts or {})["listen"]
+        )
 
     def datagrams(
         self,
@@ -45,15 +47,17 @@
         texts: dict[str, str],
     ) -> None:
         """Relay datagrams and replace ``texts`` (old to new, equal length) in them."""
-        self._ask(op="datagrams", name=name, target=target, listen=listen, texts=texts)
+        self._send_command(
+            op="datagrams", name=name, target=target, listen=listen, texts=texts
+        )
 
     def rules(self, *rules: dict) -> None:
         """Replace all rules, such as ``{"do": "cut", "source": "127.0.0.2"}``."""
-        assert "links" in self._ask(op="rules", rules=rules)
+        assert "links" in self._send_command(op="rules", rules=rules)
 
     def refused(self) -> list[tuple[str, int, float]]:
         """Return route, client port and time of connections refused by a target."""
-        return [tuple(one) for one in self._ask(op="refused")["refused"]]
+        return [tuple(row) for row in self._send_command(op="refused")["refused"]]
 
     def close(self) -> None:
         """Disconnect from the control port."""
--- a/greengageflow/lab/fault_proxy.py
+++ b/greengageflow/lab/fault_proxy.py
@@ -39,9 +39,9 @@
 from random import random
 from selectors import EVENT_READ, EVENT_WRITE, DefaultSelector
 
-CHUNK = 65_536
-MOST_QUEUED = 64
-RESET = struct.pack("ii", 1, 0)
+RECV_BYTES = 65_536
+MAX_QUEUED_CHUNKS = 64
+LINGER_RESET = struct.pack("ii", 1, 0)
 
 
 class Action(StrEnum):
@@ -68,21 +68,24 @@
     part: float = 1.0
     taken: set["Link"] = field(default_factory=set)
 
-    def takes(self, link: "Link") -> bool:
+    def matches(self, link: "Link") -> bool:
         """Whether the rule applies to a connection; counts the connection if so."""
-        here = self.source in (None, link.source) and self.route in (None, link.route)
-        spent = self.times is not None and len(self.taken) >= self.times
-        if not here or (spent and link not in self.taken):
+        in_scope = self.source in (None, link.source) and self.route in (
+            None,
+            link.route,
+        )
+        exhausted = self.times is not None and len(self.taken) >= self.times
+        if not in_scope or (exhausted and link not in self.taken):
             return False
         self.taken.add(link)
         return True
 
-    def takes_datagram(self, relay: "Relay", source: str) -> bool:
+    def matches_datagram(self, relay: "Relay", source: str) -> bool:
         """Whether the rule applies to a datagram."""
         return self.route == relay.route and self.source in (None, source)
 
 
-def replaced(data: bytes, texts: dict[str, str]) -> bytes:
+def replace_texts(data: bytes, texts: dict[str, str]) -> bytes:
     """Return the bytes with each text replaced."""
     for old, new in texts.items():
         data = data.replace(old.encode(), new.encode())
@@ -101,11 +104,13 @@
 
     def read(self, rules: list[Rule], mask: int) -> None:
         """Receive one datagram and apply the first rule that matches."""
-        data, (source, _) = self.sock.recvfrom(CHUNK)
-        data = replaced(data, self.texts)
+        data, (source, _) = self.sock.recvfrom(RECV_BYTES)
+        data = replace_texts(data, self.texts)
         for old, new in self.texts.items():
             data = data.replace(socket.inet_aton(old), socket.inet_aton(new))
-        rule = next((one for one in rules if one.takes_datagram(self, source)), None)
+        rule = next(
+            (rule for rule in rules if rule.matches_datagram(self, source)), None
+        )
         now = time.monotonic()
         match rule:
             case None:
@@ -114,9 +119,9 @@
                 self.queue.append((now + rule.delay_s, data))
             case Rule(do=Action.LOSE) if random() >= rule.part:
                 self.queue.append((now, data))
-        self.pass_on()
+        self.forward_due()
 
-    def pass_on(self) -> None:
+    def forward_due(self) -> None:
         """Forward all datagrams that are due."""
         while self.queue and self.queue[0][0] <= time.monotonic():
             with suppress(OSError):
@@ -131,7 +136,7 @@
     src: socket.socket
     dst: socket.socket
     queue: deque[tuple[float, bytes]] = field(default_factory=deque)
-    ended: bool = False
+    at_eof: bool = False
 
     def write(self) -> None:
         """Forward as much of the first queued chunk as the socket accepts."""
@@ -155,7 +160,7 @@
     server: socket.socket
     texts: dict[str, str]
     rule: Rule | None = None
-    dead: bool = False
+    half_open: bool = False
     closed: bool = False
 
     def __post_init__(self) -> None:
@@ -163,7 +168,7 @@
         up = Flow("up", self.client, self.server)
         self.flows = up, Flow("down", self.server, self.client)
 
-    def does(self, action: Action, flow: Flow) -> bool:
+    def applies(self, action: Action, flow: Flow) -> bool:
         """Whether the current rule applies an action to one direction."""
         rule = self.rule
         return bool(rule) and rule.do is action and rule.way in (None, flow.way)
@@ -186,65 +191,65 @@
         """Print the control port's address and serve until the process ends."""
         host, port = self._listen((host, 0), self._accept_control).getsockname()
         print(json.dumps({"ready": True, "host": host, "port": port}), flush=True)
-        pause_s = None
+        wait_s = None
         while True:
-            for key, mask in self._selector.select(pause_s):
+            for key, mask in self._selector.select(wait_s):
                 # An earlier event of this round may have closed the socket.
                 if key.fileobj.fileno() >= 0:
                     key.data(mask)
             # Read the clock before the updates: data that becomes due meanwhile must
             # end the next wait.
             now = time.monotonic()
-            for _, link in list(self._dues()):
+            for _, link in list(self._due_times()):
                 self._update(link)
             for relay in self._relays:
-                relay.pass_on()
-            pause_s = self._pause(now)
+                relay.forward_due()
+            wait_s = self._next_wait_s(now)
 
-    def _listen(self, address: tuple[str, int], call: Callable) -> socket.socket:
+    def _listen(self, address: tuple[str, int], callback: Callable) -> socket.socket:
         sock = socket.create_server(address, backlog=512)
-        self._selector.register(sock, EVENT_READ, partial(call, sock))
+        self._selector.register(sock, EVENT_READ, partial(callback, sock))
         return sock
 
     def _accept_control(self, listener: socket.socket, mask: int) -> None:
         conn, _ = listener.accept()
-        call = partial(self._command, conn, conn.makefile("rw"))
-        self._selector.register(conn, EVENT_READ, call)
+        callback = partial(self._on_control_readable, conn, conn.makefile("rw"))
+        self._selector.register(conn, EVENT_READ, callback)
 
-    def _command(self, conn: socket.socket, file, mask: int) -> None:
+    def _on_control_readable(self, conn: socket.socket, file, mask: int) -> None:
         if line := file.readline():
-            file.write(json.dumps(self._obey(json.loads(line))) + "\n")
+            file.write(json.dumps(self._execute_command(json.loads(line))) + "\n")
             file.flush()
         else:
             self._selector.unregister(conn)
             conn.close()
 
-    def _obey(self, command: dict) -> dict:
+    def _execute_command(self, command: dict) -> dict:
         match command:
             case {"op": "route", "name": name, "target": target, **options}:
                 self._targets[name] = tuple(target)
                 self._texts[name] = options.get("texts", {})
                 if name not in self._listeners:
                     address = tuple(options.get("listen", ("127.0.0.1", 0)))
-                    call = partial(self._accept, name)
-                    self._listeners[name] = self._listen(address, call)
+                    callback = partial(self._accept, name)
+                    self._listeners[name] = self._listen(address, callback)
                 return {"listen": self._listeners[name].getsockname()}
             case {"op": "datagrams", "name": name, "target": target, **options}:
                 sock = socket.socket(type=socket.SOCK_DGRAM)
                 sock.bind(tuple(options["listen"]))
                 relay = Relay(name, tuple(target), sock, options["texts"])
                 self._relays.append(relay)
-                call = partial(relay.read, self._rules)
-                self._selector.register(sock, EVENT_READ, call)
+                callback = partial(relay.read, self._rules)
+                self._selector.register(sock, EVENT_READ, callback)
                 return {"listen": sock.getsockname()}
             case {"op": "refused"}:
                 return {"refused": self._refused}
             case {"op": "rules", "rules": rules}:
                 self._rules[:] = [
-                    Rule(**{**one, "do": Action(one["do"])}) for one in rules
+                    Rule(**{**fields, "do": Action(fields["do"])}) for fields in rules
                 ]
                 for link in list(self._links):
-                    self._judge(link)
+                    self._apply_rules(link)
                 return {"links": len(self._links)}
         return {"error": "unknown command"}
 
@@ -258,19 +263,19 @@
         self._links.add(link)
         with suppress(OSError):
             server.bind((source, 0))
-        self._judge(link)
-        if not (link.dead or link.closed):
+        self._apply_rules(link)
+        if not (link.half_open or link.closed):
             # A failed connect shows up at the first read or write: as the connect's
             # error or, if connect_ex returned that already, as ENOTCONN.
             server.connect_ex(self._targets[name])
 
-    def _judge(self, link: Link) -> None:
-        link.rule = next((one for one in self._rules if one.takes(link)), None)
+    def _apply_rules(self, link: Link) -> None:
+        link.rule = next((rule for rule in self._rules if rule.matches(link)), None)
         if link.rule and link.rule.do is Action.CUT:
             self._close(link, reset=True)
         elif link.rule and link.rule.do is Action.HALF_OPEN:
-            link.dead = True
-            self._watch(link, link.server, 0)
+            link.half_open = True
+            self._set_interest(link, link.server, 0)
             link.server.close()
         self._update(link)
 
@@ -278,37 +283,37 @@
         link.closed = True
         self._links.discard(link)
         for sock in (link.client, link.server):
-            self._watch(link, sock, 0)
+            self._set_interest(link, sock, 0)
             if reset and sock.fileno() >= 0:
-                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
             sock.close()
 
-    def _watch(self, link: Link, sock: socket.socket, mask: int) -> None:
-        known = sock.fileno() >= 0 and self._selector.get_map().get(sock)
-        if known and not mask:
+    def _set_interest(self, link: Link, sock: socket.socket, mask: int) -> None:
+        registered = sock.fileno() >= 0 and self._selector.get_map().get(sock)
+        if registered and not mask:
             self._selector.unregister(sock)
-        elif known and known.events != mask:
-            self._selector.modify(sock, mask, known.data)
-        elif mask and not known:
-            self._selector.register(sock, mask, partial(self._serve, link, sock))
+        elif registered and registered.events != mask:
+            self._selector.modify(sock, mask, registered.data)
+        elif mask and not registered:
+            self._selector.register(sock, mask, partial(self._on_ready, link, sock))
 
     def _update(self, link: Link) -> None:
         if link.closed:
             return
-        if link.dead:
-            self._watch(link, link.client, EVENT_READ)
+        if link.half_open:
+            self._set_interest(link, link.client, EVENT_READ)
             return
         now = time.monotonic()
         for reading, writing in (link.flows, link.flows[::-1]):
-            held = link.does(Action.FREEZE, reading)
-            full = len(reading.queue) >= MOST_QUEUED
-            mask = 0 if reading.ended or full or held else EVENT_READ
+            frozen = link.applies(Action.FREEZE, reading)
+            full = len(reading.queue) >= MAX_QUEUED_CHUNKS
+            mask = 0 if reading.at_eof or full or frozen else EVENT_READ
             due = writing.queue and writing.queue[0][0] <= now
-            if due and not link.does(Action.FREEZE, writing):
+            if due and not link.applies(Action.FREEZE, writing):
                 mask |= EVENT_WRITE
-            self._watch(link, reading.src, mask)
+            self._set_interest(link, reading.src, mask)
 
-    def _serve(self, link: Link, sock: socket.socket, mask: int) -> None:
+    def _on_ready(self, link: Link, sock: socket.socket, mask: int) -> None:
         reading, writing = link.flows if sock is link.client else link.flows[::-1]
         try:
             if mask & EVENT_READ:
@@ -316,7 +321,7 @@
             if mask & EVENT_WRITE and not link.closed:
                 writing.write()
             # Half-closed connections are not supported: HTTP and ZeroMQ don't use them.
-            if any(flow.ended and not flow.queue for flow in link.flows):
+            if any(flow.at_eof and not flow.queue for flow in link.flows):
                 self._close(link)
         except BlockingIOError:
             pass
@@ -327,30 +332,30 @@
         self._update(link)
 
     def _read(self, link: Link, flow: Flow) -> None:
-        data = flow.src.recv(CHUNK)
+        data = flow.src.recv(RECV_BYTES)
         if not data:
-            flow.ended = True
-        elif flow.way == "down" and link.does(Action.DROP_REPLY, flow):
+            flow.at_eof = True
+        elif flow.way == "down" and link.applies(Action.DROP_REPLY, flow):
             self._close(link, reset=True)
-        elif not link.dead:
-            data = replaced(data, link.texts) if flow.way == "up" else data
-            delay_s = link.rule.delay_s if link.does(Action.DELAY, flow) else 0
+        elif not link.half_open:
+            data = replace_texts(data, link.texts) if flow.way == "up" else data
+            delay_s = link.rule.delay_s if link.applies(Action.DELAY, flow) else 0
             due = time.monotonic() + delay_s
             # Keep the byte order: never due before data that is already queued.
             last = flow.queue[-1][0] if flow.queue else 0
             flow.queue.append((max(due, last), data))
 
-    def _dues(self) -> Iterator[tuple[float, Link]]:
+    def _due_times(self) -> Iterator[tuple[float, Link]]:
         for link in self._links:
             for flow in link.flows:
-                if flow.queue and not link.does(Action.FREEZE, flow):
+                if flow.queue and not link.applies(Action.FREEZE, flow):
                     yield flow.queue[0][0], link
 
-    def _pause(self, now: float) -> float | None:
-        dues = [due for due, _ in self._dues()]
-        dues += [relay.queue[0][0] for relay in self._relays if relay.queue]
-        first = min((due for due in dues if due > now), default=None)
-        return None if first is None else max(0.0, first - time.monotonic())
+    def _next_wait_s(self, now: float) -> float | None:
+        due_times = [due for due, _ in self._due_times()]
+        due_times += [relay.queue[0][0] for relay in self._relays if relay.queue]
+        next_due = min((due for due in due_times if due > now), default=None)
+        return None if next_due is None else max(0.0, next_due - time.monotonic())
 
 
 if __name__ == "__main__":
