--- a/greengageflow/lab/_fleet_load.py
+++ b/greengageflow/lab/_fleet_load.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from greengageflow.lab._proxy_client import Proxy
-from greengageflow.lab.lab import Lab, LabPlan, key_of
+from greengageflow.lab.lab import Lab, LabPlan, account_api_key
 from greengageflow.lab.load_plan import ChatLoad, Load, LoadPlan, ServiceLoad
 from greengageflow.lab.measures import Window
 
@@ -138,7 +138,7 @@
         yield _chats(plan, account, rate_per_s=2.0, median_tokens=12.0, sigma=0.8)
     yield ServiceLoad(
         account=OFFICE,
-        key=key_of(OFFICE),
+        key=account_api_key(OFFICE),
         rate_per_s=3.0,
         service=plan.service,
         path="dispatch/visit",
@@ -150,7 +150,7 @@
     defaults = {"median_tokens": 60.0, "sigma": 1.0, "most_tokens": 1000}
     return ChatLoad(
         account=account,
-        key=key_of(account),
+        key=account_api_key(account),
         model=plan.model,
         **{**defaults, **options},
     )
--- a/greengageflow/lab/_overload_fleet.py
+++ b/greengageflow/lab/_overload_fleet.py
@@ -252,7 +252,7 @@
             process.popen.wait()
             if process.popen.stdout:
                 process.popen.stdout.close()
-            process.errors.close()
+            process.stderr_file.close()
         self._dir.cleanup()
         self._subnet.close()
 
--- a/greengageflow/lab/_processes.py
+++ b/greengageflow/lab/_processes.py
@@ -15,28 +15,30 @@
 from typing import IO, Any
 
 ROOT = Path(__file__).resolve().parents[2]
-LIMIT_S = 30.0
+TIMEOUT_S = 30.0
 
 
-def wait_for(condition: Callable[[], Any], what: str, limit_s: float = LIMIT_S) -> Any:
+def wait_for(
+    condition: Callable[[], Any], what: str, timeout_s: float = TIMEOUT_S
+) -> Any:
     """Return the condition's first true value.
 
     A failed connection or HTTP call in the condition counts as false.
 
     Raises:
-        TimeoutError: The condition did not become true within ``limit_s`` seconds.
+        TimeoutError: The condition did not become true within ``timeout_s`` seconds.
     """
-    end = time.monotonic() + limit_s
+    end = time.monotonic() + timeout_s
     while time.monotonic() < end:
         with suppress(OSError, HTTPException):
             if value := condition():
                 return value
         time.sleep(0.02)
-    raise TimeoutError(f"timed out after {limit_s} s waiting for: {what}")
+    raise TimeoutError(f"timed out after {timeout_s} s waiting for: {what}")
 
 
 @dataclass(slots=True)
-class Answer:
+class HttpResponse:
     """Response to an HTTP call; header names are in lower case."""
 
     status: int
@@ -55,8 +57,8 @@
     path: str,
     body: Any = None,
     headers: dict[str, str] | None = None,
-    timeout_s: float = LIMIT_S,
-) -> Answer:
+    timeout_s: float = TIMEOUT_S,
+) -> HttpResponse:
     """Make one blocking HTTP call with a JSON body on a new connection.
 
     Raises:
@@ -67,8 +69,8 @@
     try:
         conn.request(method, path, data, headers or {})
         res = conn.getresponse()
-        names = {name.lower(): value for name, value in res.getheaders()}
-        return Answer(res.status, names, res.read())
+        lower_headers = {name.lower(): value for name, value in res.getheaders()}
+        return HttpResponse(res.status, lower_headers, res.read())
     finally:
         conn.close()
 
@@ -79,7 +81,7 @@
 
     popen: subprocess.Popen
     ready: dict[str, Any]
-    errors: IO[bytes] = field(repr=False)
+    stderr_file: IO[bytes] = field(repr=False)
 
     @property
     def address(self) -> tuple[str, int]:
@@ -94,10 +96,12 @@
     @property
     def stderr(self) -> str:
         """Standard error output so far."""
-        self.errors.seek(0)
-        return self.errors.read().decode(errors="replace")
+        self.stderr_file.seek(0)
+        return self.stderr_file.read().decode(errors="replace")
 
-    def call(self, method: str, path: str, body: Any = None, **options: Any) -> Answer:
+    def call(
+        self, method: str, path: str, body: Any = None, **options: Any
+    ) -> HttpResponse:
         """Make one HTTP call to the process."""
         return call(self.address, method, path, body, **options)
 
@@ -114,7 +118,7 @@
         """Suspend the process with SIGSTOP."""
         self.popen.send_signal(signal.SIGSTOP)
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         """Resume the process with SIGCONT."""
         self.popen.send_signal(signal.SIGCONT)
 
@@ -122,13 +126,13 @@
         """Send SIGTERM without waiting."""
         self.popen.terminate()
 
-    def stop(self, limit_s: float = LIMIT_S) -> int:
-        """Send SIGTERM, kill after ``limit_s`` seconds; return the exit status."""
+    def stop(self, timeout_s: float = TIMEOUT_S) -> int:
+        """Send SIGTERM, kill after ``timeout_s`` seconds; return the exit status."""
         if self.popen.poll() is None:
             self.popen.send_signal(signal.SIGCONT)
             self.popen.terminate()
         try:
-            return self.popen.wait(limit_s)
+            return self.popen.wait(timeout_s)
         except subprocess.TimeoutExpired:
             self.kill()
             return self.popen.returncode
@@ -138,16 +142,16 @@
 
 def launch(module: str, *args: object) -> Process:
     """Start ``python -m module args…``; ``await_ready`` reads its first line."""
-    errors = TemporaryFile()  # noqa: SIM115 (open as long as the process)
+    stderr_file = TemporaryFile()  # noqa: SIM115 (open as long as the process)
     popen = subprocess.Popen(
         [sys.executable, "-m", module, *map(str, args)],
         cwd=ROOT,
         env={**os.environ, "PYTHONPATH": str(ROOT)},
         stdin=subprocess.DEVNULL,
         stdout=subprocess.PIPE,
-        stderr=errors,
+        stderr=stderr_file,
     )
-    return Process(popen, {}, errors)
+    return Process(popen, {}, stderr_file)
 
 
 def await_ready(process: Process) -> Process:
--- a/greengageflow/lab/_proxy_client.py
+++ b/greengageflow/lab/_proxy_client.py
@@ -4,7 +4,7 @@
 import socket
 from typing import Any
 
-from greengageflow.lab._processes import LIMIT_S
+from greengageflow.lab._processes import TIMEOUT_S
 
 
 class Proxy:
@@ -15,7 +15,7 @@
     """
 
     def __init__(self, address: tuple[str, int]) -> None:
-        self._sock = socket.create_connection(address, timeout=LIMIT_S)
+        self._sock = socket.create_connection(address, timeout=TIMEOUT_S)
         self._file = self._sock.makefile("rw")
 
     def _send_command(self, **command: Any) -> dict:
--- a/greengageflow/lab/_slopes_stream.py
+++ b/greengageflow/lab/_slopes_stream.py
@@ -4,7 +4,7 @@
 
 from greengageflow.lab._slopes_world import Experiment
 from greengageflow.lab.bench_latency import bench_plan, usage_of
-from greengageflow.lab.lab import Lab, key_of
+from greengageflow.lab.lab import Lab, account_api_key
 from greengageflow.lab.load import LoadClient
 from greengageflow.lab.load_plan import ChatLoad, LoadPlan
 
@@ -17,7 +17,7 @@
         router = lab.routers["r1"]
         load = ChatLoad(
             account="acme",
-            key=key_of("acme"),
+            key=account_api_key("acme"),
             model=lab.plan.model,
             outstanding=streams,
             median_tokens=400,
--- a/greengageflow/lab/_soak_steps.py
+++ b/greengageflow/lab/_soak_steps.py
@@ -241,7 +241,7 @@
             self._frozen.add(step.target)
             process.pause()
             yield step.for_s
-            process.go_on()
+            process.resume()
             self._frozen.discard(step.target)
 
     def _replace(self, place: str, for_s: float) -> Iterator[float]:
--- a/greengageflow/lab/_subnets.py
+++ b/greengageflow/lab/_subnets.py
@@ -3,11 +3,11 @@
 import os
 from socket import socket
 
-SUBNETS = 200 * 250
+SUBNET_COUNT = 200 * 250
 CALLER_PORT = 7300
 PEER_PORT = 7400
-_CLAIM_PORT = 7200
-_CLAIM_HOST = 250
+_RESERVATION_PORT = 7200
+_RESERVATION_HOST = 250
 
 
 class Subnet:
@@ -28,17 +28,19 @@
     """
 
     def __init__(self, first: int | None = None) -> None:
-        self._claim = socket()
+        self._reservation = socket()
         start = os.getpid() if first is None else first
-        for number in range(start, start + SUBNETS):
+        for number in range(start, start + SUBNET_COUNT):
             self._base = f"127.{16 + number % 200}.{number // 200 % 250}"
             try:
-                self._claim.bind((self.host(_CLAIM_HOST), _CLAIM_PORT))
-                self._claim.listen(1)
+                self._reservation.bind(
+                    (self.host(_RESERVATION_HOST), _RESERVATION_PORT)
+                )
+                self._reservation.listen(1)
             except OSError:
                 continue
             return
-        self._claim.close()
+        self._reservation.close()
         raise OSError("all loopback subnets for labs are in use")
 
     def host(self, number: int) -> str:
@@ -47,4 +49,4 @@
 
     def close(self) -> None:
         """Release the subnet."""
-        self._claim.close()
+        self._reservation.close()
--- a/greengageflow/lab/bench_demo.py
+++ b/greengageflow/lab/bench_demo.py
@@ -3,7 +3,7 @@
 import json
 from time import time
 
-from greengageflow.lab.lab import Lab, LabPlan, key_of
+from greengageflow.lab.lab import Lab, LabPlan, account_api_key
 from greengageflow.lab.load import LoadClient
 from greengageflow.lab.load_check import verify
 from greengageflow.lab.load_plan import ChatLoad, LoadPlan, Result, ServiceLoad
@@ -40,28 +40,28 @@
     loads = (
         ChatLoad(
             account="estates",
-            key=key_of("estates"),
+            key=account_api_key("estates"),
             outstanding=16,
             model=model,
             routers=(0,),
         ),
         ChatLoad(
             account="villas",
-            key=key_of("villas"),
+            key=account_api_key("villas"),
             outstanding=16,
             model=model,
             stream=True,
         ),
         ChatLoad(
             account="phones",
-            key=key_of("phones"),
+            key=account_api_key("phones"),
             rate_per_s=3,
             model=model,
             stream=False,
         ),
         ServiceLoad(
             account="office",
-            key=key_of("office"),
+            key=account_api_key("office"),
             rate_per_s=2,
             service=service,
             path="dispatch/visit",
--- a/greengageflow/lab/bench_latency.py
+++ b/greengageflow/lab/bench_latency.py
@@ -10,7 +10,7 @@
 from time import sleep
 
 from greengageflow.lab._processes import Process, start
-from greengageflow.lab.lab import Lab, LabPlan, key_of
+from greengageflow.lab.lab import Lab, LabPlan, account_api_key
 from greengageflow.lab.load import LoadClient
 from greengageflow.lab.load_plan import ChatLoad, LoadPlan, Result, ServiceLoad
 from greengageflow.lab.measures import Window, percentile
@@ -70,7 +70,7 @@
 def _calls(rate: float = 0.0, outstanding: int = 0) -> ServiceLoad:
     return ServiceLoad(
         account="acme",
-        key=key_of("acme"),
+        key=account_api_key("acme"),
         service="rounds",
         path="notes",
         rate_per_s=rate,
@@ -121,7 +121,7 @@
     router = lab.routers["r1"]
     load = ChatLoad(
         account="acme",
-        key=key_of("acme"),
+        key=account_api_key("acme"),
         model=lab.plan.model,
         outstanding=STREAMS,
         median_tokens=200,
--- a/greengageflow/lab/bench_sixty.py
+++ b/greengageflow/lab/bench_sixty.py
@@ -10,7 +10,7 @@
 from greengageflow.lab._slopes_requests import entry_backlog
 from greengageflow.lab._slopes_shares import SharesWorld
 from greengageflow.lab.bench_latency import usage_of
-from greengageflow.lab.lab import Lab, LabPlan, key_of
+from greengageflow.lab.lab import Lab, LabPlan, account_api_key
 from greengageflow.lab.load import LoadClient
 from greengageflow.lab.load_plan import ChatLoad, LoadPlan
 from greengageflow.lab.slopes import load, save
@@ -45,7 +45,7 @@
         waits = number < BACKLOGGED
         return ChatLoad(
             account=ACCOUNTS[number],
-            key=key_of(ACCOUNTS[number]),
+            key=account_api_key(ACCOUNTS[number]),
             model=lab.plan.model,
             median_tokens=40,
             sigma=0.5,
--- a/greengageflow/lab/lab.py
+++ b/greengageflow/lab/lab.py
@@ -25,7 +25,7 @@
 Address = tuple[str, int]
 
 
-def key_of(account: str) -> str:
+def account_api_key(account: str) -> str:
     """Return the bearer key of a client account in the lab."""
     return f"key-{account}"
 
@@ -104,7 +104,7 @@
         self.engines: dict[str, Process] = {}
         self.services: dict[str, Process] = {}
         self.routers: dict[str, Process] = {}
-        self.every_router: list[Process] = []
+        self.launched_routers: list[Process] = []
         self.settings: dict[str, dict[str, Any]] = {}
         self.endpoint_addresses: dict[str, Address] = {}
         self.revision = 0
@@ -132,10 +132,14 @@
             RuntimeError: A router logged an internal error. Callers may not notice
                 one: a message whose handler fails looks like a lost message.
         """
-        faults = [line for router in self.every_router for line in _faults(router)]
+        internal_errors = [
+            line
+            for router in self.launched_routers
+            for line in _internal_errors(router)
+        ]
         self.close()
-        if faults and kind is None:
-            raise RuntimeError("\n".join(faults))
+        if internal_errors and kind is None:
+            raise RuntimeError("\n".join(internal_errors))
 
     # Platform and endpoints.
 
@@ -167,8 +171,8 @@
 
     def prepare_routers(self) -> None:
         """Choose the routers' addresses and write their settings."""
-        log = _address(self._route("log", self.log.address))
-        hosts = _address(self._route("hosts", self.hosts.address))
+        log = _address_fields(self._route("log", self.log.address))
+        hosts = _address_fields(self._route("hosts", self.hosts.address))
         for number in range(1, self.plan.routers + 1):
             ip = self._subnet.host(number)
             peer = ip, PEER_PORT
@@ -178,7 +182,7 @@
                 "ip": ip,
                 "caller_port": CALLER_PORT,
                 "peer_port": PEER_PORT,
-                "peer_advertise": _address(self._route(f"peer-r{number}", peer)),
+                "peer_advertise": _address_fields(self._route(f"peer-r{number}", peer)),
                 "log": log,
                 "host_list": hosts,
                 "timing": {"probe_interval_s": 0.5, **self.plan.timing},
@@ -208,8 +212,8 @@
             state = "leaving" if name in leaving else "live"
             row = {"host": name, "state": state, "kind": "endpoint", "ip": ip}
             rows.append({**row, "port": port, "zone": ""})
-        answer = self.hosts.call("PUT", "/hosts", {"hosts": rows})
-        assert answer.status == 200, answer.data
+        response = self.hosts.call("PUT", "/hosts", {"hosts": rows})
+        assert response.status == 200, response.data
 
     def start_routers(self) -> None:
         """Start all routers and wait until they listen."""
@@ -222,7 +226,7 @@
         path = Path(self._dir.name, f"{host}.json")
         path.write_text(json.dumps(self.settings[host]))
         process = launch("greengageflow.daemon.router", f"--settings={path}")
-        self.every_router.append(process)
+        self.launched_routers.append(process)
         return process
 
     def restart_router(self, host: str) -> Process:
@@ -239,7 +243,7 @@
             {
                 "name": name,
                 "share": {"weight": weight, "queue_limit": plan.queue_limit},
-                "key_hashes": [sha256(key_of(name).encode()).hexdigest()],
+                "key_hashes": [sha256(account_api_key(name).encode()).hexdigest()],
             }
             for name, weight in plan.accounts.items()
         ]
@@ -287,23 +291,25 @@
     def _append(self, record: dict[str, Any]) -> int:
         record = {**record, "replaces": self.revision, "author": "lab"}
         body = {"records": [record]}
-        answer = self.log.call("POST", "/streams/config/records", body)
-        assert answer.status == 200, answer.data
+        response = self.log.call("POST", "/streams/config/records", body)
+        assert response.status == 200, response.data
         self.revision += 1
         return self.revision
 
     def wait_in_force(self, revision: int | None = None) -> None:
         """Wait until every router has the revision and lists all routers as members."""
-        wanted = revision or self.revision
+        target_revision = revision or self.revision
         hosts = set(self.routers)
         for host, router in self.routers.items():
             wait_for(
-                lambda router=router: self._settled(router, wanted, hosts),
-                f"{host} at revision {wanted} with {len(hosts)} members",
+                lambda router=router: self._has_converged(
+                    router, target_revision, hosts
+                ),
+                f"{host} at revision {target_revision} with {len(hosts)} members",
             )
 
     @staticmethod
-    def _settled(router: Process, revision: int, hosts: set[str]) -> bool:
+    def _has_converged(router: Process, revision: int, hosts: set[str]) -> bool:
         if router.popen.poll() is not None:
             raise RuntimeError(f"router exited; stderr: {router.stderr}")
         status = router.call("GET", "/status").json
@@ -317,7 +323,7 @@
     def close(self) -> None:
         """Kill all processes and free their resources."""
         processes = [
-            *self.every_router,
+            *self.launched_routers,
             *self.engines.values(),
             *self.services.values(),
             *filter(None, (self.log, self.hosts)),
@@ -328,15 +334,15 @@
         for process in processes:
             process.popen.wait()
             process.popen.stdout.close()
-            process.errors.close()
+            process.stderr_file.close()
         self._subnet.close()
         self._dir.cleanup()
 
 
-def _faults(router: Process) -> list[str]:
+def _internal_errors(router: Process) -> list[str]:
     lines = router.stderr.splitlines()
     return [line for line in lines if Event.INTERNAL.number in line]
 
 
-def _address(address: Address) -> dict[str, Any]:
+def _address_fields(address: Address) -> dict[str, Any]:
     return {"ip": address[0], "port": address[1]}
--- a/greengageflow/lab/platform_client.py
+++ b/greengageflow/lab/platform_client.py
@@ -9,7 +9,7 @@
 
 import h11
 
-from greengageflow.lab._processes import LIMIT_S
+from greengageflow.lab._processes import TIMEOUT_S
 from greengageflow.platform.names import CREDENTIAL, DEADLINE_MS, REQUEST_ID
 
 DEFAULT_DEADLINE_MS = 20_000
@@ -47,7 +47,7 @@
 
     def __init__(self, address: tuple[str, int], source: str | None = None) -> None:
         local = (source, 0) if source else None
-        self.sock = create_connection(address, LIMIT_S, local)
+        self.sock = create_connection(address, TIMEOUT_S, local)
         self._http = h11.Connection(h11.CLIENT)
         self._id = ""
         self._rest = b""
@@ -142,7 +142,7 @@
         except BlockingIOError:
             return True
         finally:
-            self.sock.settimeout(LIMIT_S)
+            self.sock.settimeout(TIMEOUT_S)
 
     def close(self, *, reset: bool = False) -> None:
         """Close the connection, also in the middle of a response.
--- a/greengageflow/lab/platform_lab.py
+++ b/greengageflow/lab/platform_lab.py
@@ -312,7 +312,7 @@
             process.popen.wait()
             if process.popen.stdout:
                 process.popen.stdout.close()
-            process.errors.close()
+            process.stderr_file.close()
         self._dir.cleanup()
         self.subnet.close()
 
--- a/tests/fleet_support.py
+++ b/tests/fleet_support.py
@@ -6,7 +6,7 @@
 from threading import Thread
 from typing import Any
 
-from greengageflow.lab.lab import Lab, LabPlan, key_of
+from greengageflow.lab.lab import Lab, LabPlan, account_api_key
 from greengageflow.lab.load import LoadClient
 from greengageflow.lab.load_check import verify
 from greengageflow.lab.load_plan import ChatLoad, LoadPlan, Result
@@ -70,7 +70,7 @@
     """
     message = {"role": "user", "content": "served"}
     body = {"model": lab.plan.model, "messages": [message], "x_tokens": 1}
-    headers = {"Authorization": f"Bearer {key_of(account)}"}
+    headers = {"Authorization": f"Bearer {account_api_key(account)}"}
     path = "/v1/chat/completions"
     for host, router in lab.routers.items():
         wait_for(
@@ -106,7 +106,9 @@
 
 def chats(account: str, **options: Any) -> ChatLoad:
     defaults = {"model": "scribe", "median_tokens": 60, "most_tokens": 400}
-    return ChatLoad(account=account, key=key_of(account), **{**defaults, **options})
+    return ChatLoad(
+        account=account, key=account_api_key(account), **{**defaults, **options}
+    )
 
 
 class BackgroundLoad:
--- a/tests/support.py
+++ b/tests/support.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from greengageflow.lab._processes import (
-    LIMIT_S,
+    TIMEOUT_S,
     Process,
     call,
     start,
@@ -15,7 +15,7 @@
 from greengageflow.lab._proxy_client import Proxy
 
 __all__ = [
-    "LIMIT_S",
+    "TIMEOUT_S",
     "Process",
     "Proxy",
     "call",
--- a/tests/test_action_faults.py
+++ b/tests/test_action_faults.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from greengageflow.lab.lab import Lab, LabPlan, key_of
+from greengageflow.lab.lab import Lab, LabPlan, account_api_key
 from tests.support import fault_proxy, wait_for
 
 PLAN = LabPlan(engines=1, services=2, deadline_s=20.0)
@@ -37,7 +37,7 @@
 
 def dispatch(lab, host, key, body=None, **headers):
     request_headers = {
-        "Authorization": f"Bearer {key_of('acme')}",
+        "Authorization": f"Bearer {account_api_key('acme')}",
         "Idempotency-Key": key,
     }
     return lab.routers[host].call(
@@ -206,7 +206,7 @@
             lab.log.fault()
             response = dispatch(lab, "r2", "k-frozen", **{"X-Deadline-S": "8"})
             assert error(response)["ran"] == "unknown"
-            lab.routers["r1"].go_on()
+            lab.routers["r1"].resume()
             assert error(first_attempt.result())["ran"] == "no"
         wait_for(
             lambda: logged_records(lab, "release", "k-frozen"), "release in the log"
--- a/tests/test_answer_faults.py
+++ b/tests/test_answer_faults.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from greengageflow.lab.lab import Lab, LabPlan, key_of
+from greengageflow.lab.lab import Lab, LabPlan, account_api_key
 from tests.fleet_support import (
     BackgroundLoad,
     assert_truthful,
@@ -101,7 +101,7 @@
     lines = [
         "POST /v1/chat/completions HTTP/1.1",
         "Host: router",
-        f"Authorization: Bearer {key_of('bolt')}",
+        f"Authorization: Bearer {account_api_key('bolt')}",
         "Content-Type: application/json",
         f"Content-Length: {len(data)}",
         *(f"{name}: {value}" for name, value in headers.items()),
@@ -152,7 +152,10 @@
     fault(lab, cross=True)
     message = {"role": "user", "content": "crossed"}
     body = {"model": "scribe", "messages": [message], "x_tokens": 20}
-    headers = {"Authorization": f"Bearer {key_of('acme')}", "X-Deadline-S": "4"}
+    headers = {
+        "Authorization": f"Bearer {account_api_key('acme')}",
+        "X-Deadline-S": "4",
+    }
 
     def send_chat(_number):
         return lab.routers["r1"].call(
--- a/tests/test_config_race.py
+++ b/tests/test_config_race.py
@@ -130,6 +130,6 @@
             "r1 has the new revision",
         )
     assert lab.log.call("GET", f"{STREAM}?from={next_offset}").status == 410
-    lab.routers["r2"].go_on()
+    lab.routers["r2"].resume()
     in_force(lab, lab.revision)
     assert lab.status("r2")["config"]["complete"]
--- a/tests/test_double_faults.py
+++ b/tests/test_double_faults.py
@@ -2,7 +2,7 @@
 
 from concurrent.futures import ThreadPoolExecutor
 
-from greengageflow.lab.lab import LabPlan, key_of
+from greengageflow.lab.lab import LabPlan, account_api_key
 from greengageflow.lab.load_plan import ServiceLoad
 from tests.fleet_support import (
     ENGINE,
@@ -36,7 +36,7 @@
 def actions(account, **options):
     return ServiceLoad(
         account=account,
-        key=key_of(account),
+        key=account_api_key(account),
         service="rounds",
         path="dispatch/visit",
         protected=True,
@@ -46,7 +46,7 @@
 
 def dispatch(lab, host, key):
     request_headers = {
-        "Authorization": f"Bearer {key_of('bolt')}",
+        "Authorization": f"Bearer {account_api_key('bolt')}",
         "Idempotency-Key": key,
     }
     return lab.routers[host].call("POST", ACTION, {"villa": 7}, headers=request_headers)
@@ -148,7 +148,7 @@
             other_answers = list(
                 threads.map(lambda key: dispatch(lab, "r4", key), keys)
             )
-            lab.routers["r1"].go_on()
+            lab.routers["r1"].resume()
             answers = [future.result() for future in futures]
         wait_for_views(lab, set(lab.routers))
         assert repeated_keys(lab) == set()
--- a/tests/test_endpoint_signs.py
+++ b/tests/test_endpoint_signs.py
@@ -7,7 +7,7 @@
 import pytest
 
 from greengageflow.events import Event
-from greengageflow.lab.lab import Lab, LabPlan, key_of
+from greengageflow.lab.lab import Lab, LabPlan, account_api_key
 from greengageflow.lab.platform_lab import (
     CHAT,
     NON_RESUMABLE_CHAT,
@@ -113,7 +113,7 @@
 
 
 def call_product(lab, kind, number, router="r1"):
-    headers = {"Authorization": f"Bearer {key_of('acme')}"}
+    headers = {"Authorization": f"Bearer {account_api_key('acme')}"}
     message = {"role": "user", "content": f"{kind} {number}"}
     body = {"messages": [message], "x_tokens": 3, "stream": True, "model": "scribe"}
     path = "/v1/chat/completions"
--- a/tests/test_flood_faults.py
+++ b/tests/test_flood_faults.py
@@ -1,6 +1,6 @@
 """One account floods one router; real processes."""
 
-from greengageflow.lab.lab import Lab, LabPlan, key_of
+from greengageflow.lab.lab import Lab, LabPlan, account_api_key
 from tests.fleet_support import (
     ENGINE,
     BackgroundLoad,
@@ -49,7 +49,7 @@
 def ask(lab):
     body = {"model": "scribe", "x_tokens": 30}
     body["messages"] = [{"role": "user", "content": "flood"}]
-    headers = {"Authorization": f"Bearer {key_of('flood')}"}
+    headers = {"Authorization": f"Bearer {account_api_key('flood')}"}
     return lab.routers["r1"].call("POST", "/v1/chat/completions", body, headers=headers)
 
 
--- a/tests/test_left_the_queue.py
+++ b/tests/test_left_the_queue.py
@@ -3,7 +3,7 @@
 import json
 from socket import create_connection
 
-from greengageflow.lab.lab import Lab, LabPlan, key_of
+from greengageflow.lab.lab import Lab, LabPlan, account_api_key
 from tests.fleet_support import executions, wait_served
 from tests.support import wait_for
 
@@ -18,7 +18,7 @@
     body = json.dumps({**doc, "x_tokens": tokens}).encode()
     head = (
         "POST /v1/chat/completions HTTP/1.1\r\nHost: r1\r\n"
-        f"Authorization: Bearer {key_of('acme')}\r\n"
+        f"Authorization: Bearer {account_api_key('acme')}\r\n"
         f"Content-Type: application/json\r\nContent-Length: {len(body)}\r\n\r\n"
     )
     sock = create_connection(lab.routers["r1"].address)
--- a/tests/test_order_faults.py
+++ b/tests/test_order_faults.py
@@ -223,7 +223,7 @@
         new_owner = wait_for_other_owner(lab, host)
         wait_for_result(lab, new_owner, second, "done")
         assert result(lab, new_owner, first) == "unknown"
-        lab.routers[host].go_on()
+        lab.routers[host].resume()
         wait_for(
             lambda: len(logged_records(lab, "done", first)) > 1,
             "the old owner's result",
@@ -245,7 +245,7 @@
         new_owner = wait_for_other_owner(lab, host)
         wait_for_result(lab, new_owner, second, "done")
         assert result(lab, new_owner, first) == "done"
-        lab.routers[host].go_on()
+        lab.routers[host].resume()
         wait_for(lambda: owner(lab) == host, "the old owner owns e1 again")
         third = order(lab, "3")
         wait_for_result(lab, host, third, "done")
@@ -274,7 +274,7 @@
         proxy.rules()
         wait_for(lambda: len(received_orders(lab, first)) == 2, "the delayed request")
         assert [item[2] for item in received_orders(lab)] == [200, 200, 409]
-        lab.routers[host].go_on()
+        lab.routers[host].resume()
 
 
 @pytest.mark.parametrize("kind", PLANS)
--- a/tests/test_partition_faults.py
+++ b/tests/test_partition_faults.py
@@ -140,7 +140,7 @@
         lab.routers["r1"].pause()
         remaining = set(lab.routers) - {"r1"}
         wait_for(lambda: members(lab, "r2") == remaining, "r1 dead at r2")
-        lab.routers["r1"].go_on()
+        lab.routers["r1"].resume()
         for host in lab.routers:
             wait_for(lambda h=host: members(lab, h) == set(lab.routers), "one view")
         wait_started(lab, 100)
--- a/tests/test_platform_answers.py
+++ b/tests/test_platform_answers.py
@@ -204,7 +204,7 @@
     engine = lab.replicas["scribe-0"]
     engine.pause()
     sleep(2 * STALL_TIMEOUT_S)
-    engine.go_on()
+    engine.resume()
     seen.extend(events)
     assert [event.id for event in seen] == list(range(1, 301))
     assert [run["outcome"] for run in lab.started_runs(name)] == ["done"]
@@ -225,6 +225,6 @@
         engine = lab.replicas[run["replica"]]
         engine.pause()
         sleep(2 * STALL_TIMEOUT_S)
-        engine.go_on()
+        engine.resume()
         seen.extend(events)
         assert [event.id for event in seen] == list(range(1, 301))
--- a/tests/test_poison_requests.py
+++ b/tests/test_poison_requests.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from greengageflow.lab.lab import Lab, LabPlan, key_of
+from greengageflow.lab.lab import Lab, LabPlan, account_api_key
 from greengageflow.lab.platform_client import IncompleteResponse
 from greengageflow.lab.platform_lab import (
     CHAT,
@@ -116,7 +116,7 @@
 
 
 def own_call(lab, kind, router, text, key=""):
-    headers = {"Authorization": f"Bearer {key_of('acme')}"}
+    headers = {"Authorization": f"Bearer {account_api_key('acme')}"}
     path = "/v1/chat/completions"
     if kind == "service":
         path, headers["Idempotency-Key"] = "/services/rounds/visit", key
--- a/tests/test_quarantine_store.py
+++ b/tests/test_quarantine_store.py
@@ -127,7 +127,7 @@
     assert world.received[0].age_s > QUARANTINE_S
 
 
-def key_of(number):
+def account_api_key(number):
     return number.to_bytes(FINGERPRINT_BYTES, "big").hex()
 
 
@@ -139,10 +139,10 @@
     expired_value = json.dumps(
         {"crashed": ["e1", "e2"], "cleared": [], "at_ms": 0}
     ).encode()
-    items = [item(key_of(number), valid_value) for number in range(20)]
-    world = World(reader=True, items=[*items, item(key_of(90), expired_value)])
+    items = [item(account_api_key(number), valid_value) for number in range(20)]
+    world = World(reader=True, items=[*items, item(account_api_key(90), expired_value)])
     world.run(3)
-    assert world.written == [(key_of(90), b"")]
+    assert world.written == [(account_api_key(90), b"")]
 
 
 def test_records_on_later_pages_are_read():
@@ -151,7 +151,8 @@
     other.quarantine_request()
     _, valid_value = other.written[0]
     world = World(
-        reader=True, items=[item(key_of(number), valid_value) for number in range(7)]
+        reader=True,
+        items=[item(account_api_key(number), valid_value) for number in range(7)],
     )
     world.page = 3
     world.run(3)
--- a/tests/test_stale_retries.py
+++ b/tests/test_stale_retries.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from greengageflow.lab.lab import Lab, LabPlan, key_of
+from greengageflow.lab.lab import Lab, LabPlan, account_api_key
 from greengageflow.lab.platform_client import IncompleteResponse
 from greengageflow.lab.platform_lab import (
     CHAT,
@@ -82,7 +82,7 @@
     plan = LabPlan(routers=1, engines=1, services=1, policy={"retry_ratio": 0})
     with Lab(plan) as lab:
         address, service = lab.routers["r1"].address, lab.services["s1"]
-        headers = {"Authorization": f"Bearer {key_of('acme')}"}
+        headers = {"Authorization": f"Bearer {account_api_key('acme')}"}
 
         def visit():
             try:
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tests.support import LIMIT_S, call, fault_proxy, sse_events, standin, wait_for
+from tests.support import TIMEOUT_S, call, fault_proxy, sse_events, standin, wait_for
 
 CHAT = "/v1/chat/completions"
 
@@ -107,7 +107,7 @@
     """An open stream is cut before its last event, and the engine cancels it."""
     with standin("engine", base_pace_s=0.01) as engine, fault_proxy() as proxy:
         address = proxy.route("engine", engine.address)
-        conn = HTTPConnection(*address, timeout=LIMIT_S)
+        conn = HTTPConnection(*address, timeout=TIMEOUT_S)
         body = {"messages": [], "stream": True, "x_tokens": 100_000}
         conn.request("POST", CHAT, json.dumps(body))
         res = conn.getresponse()
@@ -166,7 +166,7 @@
         engine.fault(stall=True)
         conns = []
         for request_id in ("q1", "q2"):
-            conn = HTTPConnection(*engine.address, timeout=LIMIT_S)
+            conn = HTTPConnection(*engine.address, timeout=TIMEOUT_S)
             conn.request("POST", CHAT, '{"messages": []}', {"X-Request-Id": request_id})
             conns.append(conn)
             wait_for(lambda: len(executions(engine)) == len(conns), "execution")
--- a/tests/test_stop_faults.py
+++ b/tests/test_stop_faults.py
@@ -3,7 +3,7 @@
 from concurrent.futures import ThreadPoolExecutor
 from http.client import HTTPConnection
 
-from greengageflow.lab.lab import LabPlan, key_of
+from greengageflow.lab.lab import LabPlan, account_api_key
 from greengageflow.lab.load_plan import ServiceLoad
 from tests.fleet_support import (
     ENGINE,
@@ -34,7 +34,7 @@
 
 
 def headers(account, **more):
-    return {"Authorization": f"Bearer {key_of(account)}", **more}
+    return {"Authorization": f"Bearer {account_api_key(account)}", **more}
 
 
 def send_long_chat(lab, host):
@@ -157,7 +157,7 @@
     """
     actions = ServiceLoad(
         account="acme",
-        key=key_of("acme"),
+        key=account_api_key("acme"),
         service="rounds",
         path="dispatch/visit",
         rate_per_s=5,
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from greengageflow.lab._processes import ROOT
-from greengageflow.lab.lab import Lab, LabPlan, key_of
+from greengageflow.lab.lab import Lab, LabPlan, account_api_key
 from tests.support import wait_for
 
 TRACE = "4bf92f3577b34da6a3ce929d0e0e4736"
@@ -38,7 +38,7 @@
         body = {"model": "scribe", "x_tokens": 5, "stream": True}
         body["messages"] = [{"role": "user", "content": "hello"}]
         headers = {
-            "Authorization": f"Bearer {key_of('acme')}",
+            "Authorization": f"Bearer {account_api_key('acme')}",
             "traceparent": f"00-{TRACE}-{CALLER}-01",
         }
         answer = lab.routers["r1"].call(
