--- a/tests/fleet_support.py
+++ b/tests/fleet_support.py
@@ -22,7 +22,7 @@
         yield lab, proxy
 
 
-def split(lab: Lab, left: Iterable[str], right: Iterable[str], do="freeze"):
+def partition_rules(lab: Lab, left: Iterable[str], right: Iterable[str], do="freeze"):
     """Return proxy rules that partition two groups of routers from each other."""
     left, right = list(left), list(right)
     pairs = [(a, b) for a in left for b in right]
@@ -38,27 +38,29 @@
 
 def executions(lab: Lab) -> list[dict[str, Any]]:
     return [
-        {**one, "engine": name}
+        {**execution, "engine": name}
         for name, engine in lab.engines.items()
-        for one in engine.call("GET", "/executions").json["executions"]
+        for execution in engine.call("GET", "/executions").json["executions"]
     ]
 
 
-def wait_started(lab: Lab, more: int, engine: str | None = None) -> None:
-    """Wait until ``more`` further executions have started.
+def wait_started(lab: Lab, count: int, engine: str | None = None) -> None:
+    """Wait until ``count`` further executions have started.
 
     The time limit applies to each execution, not to all of them: the total time
     depends on the machine's speed rather than on the fleet.
     """
 
-    def begun() -> int:
-        return sum(engine in (None, one["engine"]) for one in executions(lab))
+    def started_count() -> int:
+        return sum(
+            engine in (None, execution["engine"]) for execution in executions(lab)
+        )
 
-    before = begun()
-    for number in range(1, more + 1):
+    initial_count = started_count()
+    for number in range(1, count + 1):
         wait_for(
-            lambda n=number: begun() >= before + n,
-            f"new work, {number} of {more}, {engine or 'anywhere'}",
+            lambda n=number: started_count() >= initial_count + n,
+            f"new work, {number} of {count}, {engine or 'anywhere'}",
         )
 
 
@@ -83,25 +85,27 @@
 
 def effects(lab: Lab) -> list[dict[str, Any]]:
     return [
-        one
+        effect
         for service in lab.services.values()
-        for one in service.call("GET", "/effects").json["effects"]
+        for effect in service.call("GET", "/effects").json["effects"]
     ]
 
 
-def most_at_once(done: Iterable[Mapping[str, Any]]) -> dict[str, int]:
+def peak_concurrency(observed: Iterable[Mapping[str, Any]]) -> dict[str, int]:
     """Return the peak number of concurrent executions of each engine."""
-    moments = []
-    for one in done:
-        if one["started"] is not None:
-            moments.append((one["started"], 1, one["engine"]))
-            moments.append((one["ended"] or float("inf"), -1, one["engine"]))
+    concurrency_changes = []
+    for execution in observed:
+        if execution["started"] is not None:
+            concurrency_changes.append((execution["started"], 1, execution["engine"]))
+            concurrency_changes.append(
+                (execution["ended"] or float("inf"), -1, execution["engine"])
+            )
     running: dict[str, int] = {}
-    most: dict[str, int] = {}
-    for _, change, engine in sorted(moments):
+    peak: dict[str, int] = {}
+    for _, change, engine in sorted(concurrency_changes):
         running[engine] = running.get(engine, 0) + change
-        most[engine] = max(most.get(engine, 0), running[engine])
-    return most
+        peak[engine] = max(peak.get(engine, 0), running[engine])
+    return peak
 
 
 def chats(account: str, **options: Any) -> ChatLoad:
@@ -154,7 +158,7 @@
         return self._results
 
 
-def assert_truthful(lab: Lab, results: list[Result]) -> None:
+def assert_results_consistent(lab: Lab, results: list[Result]) -> None:
     """Check every result against what the endpoints executed.
 
     Each answer must belong to its request and be complete or reported as cut; a request
--- a/tests/test_answer_faults.py
+++ b/tests/test_answer_faults.py
@@ -11,10 +11,10 @@
 from greengageflow.lab.lab import Lab, LabPlan, account_api_key
 from tests.fleet_support import (
     BackgroundLoad,
-    assert_truthful,
+    assert_results_consistent,
     chats,
     executions,
-    most_at_once,
+    peak_concurrency,
     wait_served,
     wait_started,
 )
@@ -68,7 +68,7 @@
     load = BackgroundLoad(lab, chats("acme", outstanding=40), duration_s=2)
     while load.running:
         yield min(running(lab))
-    assert_truthful(lab, load.results())
+    assert_results_consistent(lab, load.results())
 
 
 def assert_all_slots_usable(lab):
@@ -79,7 +79,7 @@
     wait_for(lambda: SLOTS in list(all_running(lab)), "every slot in use", 60)
     # Ignore earlier executions: an engine detects a closed connection with a delay.
     recent = [run for run in executions(lab) if run["started"] >= since]
-    assert max(most_at_once(recent).values()) <= SLOTS
+    assert max(peak_concurrency(recent).values()) <= SLOTS
 
 
 def run_load(lab, **options):
@@ -87,7 +87,7 @@
     before = len(executions(lab))
     load = chats("acme", outstanding=16, **options)
     results = BackgroundLoad(lab, load, duration_s=2).results()
-    assert_truthful(lab, results)
+    assert_results_consistent(lab, results)
     assert results
     assert len(executions(lab)) > before
     return results
--- a/tests/test_double_faults.py
+++ b/tests/test_double_faults.py
@@ -7,14 +7,14 @@
 from tests.fleet_support import (
     ENGINE,
     BackgroundLoad,
-    assert_truthful,
+    assert_results_consistent,
     chats,
     effects,
     executions,
     members,
-    most_at_once,
+    partition_rules,
+    peak_concurrency,
     proxied_lab,
-    split,
     wait_started,
 )
 from tests.support import wait_for
@@ -74,7 +74,7 @@
     both = chats("acme", outstanding=20), actions("acme", rate_per_s=5)
     with proxied_lab(PLAN) as (lab, proxy), BackgroundLoad(lab, *both) as load:
         wait_for(lambda: len(executions(lab)) > 30, "load runs")
-        proxy.rules(*split(lab, LEFT_SIDE, RIGHT_SIDE))
+        proxy.rules(*partition_rules(lab, LEFT_SIDE, RIGHT_SIDE))
         lab.log.fault(down=True)
         wait_for_views(lab, LEFT_SIDE, RIGHT_SIDE)
         both = ("r1", "r3")
@@ -96,10 +96,10 @@
         wait_for_views(lab, set(lab.routers))
         wait_started(lab, 100)
         results = load.stop()
-        assert_truthful(lab, results)
+        assert_results_consistent(lab, results)
         assert all(result.complete for result in results if result.kind == "chat")
         assert repeated_keys(lab) == set()
-        assert max(most_at_once(executions(lab)).values()) <= SLOTS
+        assert max(peak_concurrency(executions(lab)).values()) <= SLOTS
 
 
 def test_router_killed_during_partition():
@@ -111,7 +111,7 @@
     chat = chats("acme", outstanding=30)
     with proxied_lab(PLAN) as (lab, proxy), BackgroundLoad(lab, chat) as load:
         wait_for(lambda: len(executions(lab)) > 30, "load runs")
-        proxy.rules(*split(lab, LEFT_SIDE, RIGHT_SIDE))
+        proxy.rules(*partition_rules(lab, LEFT_SIDE, RIGHT_SIDE))
         wait_for_views(lab, LEFT_SIDE, RIGHT_SIDE)
         killed_address = lab.routers["r3"].address
         lab.routers["r3"].kill()
@@ -122,11 +122,11 @@
         wait_for_views(lab, set(lab.routers))
         wait_started(lab, 100)
         results = load.stop()
-        assert_truthful(lab, results)
+        assert_results_consistent(lab, results)
         assert all(
             result.complete for result in results if result.router != killed_address
         )
-        assert max(most_at_once(executions(lab)).values()) <= SLOTS
+        assert max(peak_concurrency(executions(lab)).values()) <= SLOTS
 
 
 def test_frozen_writer_does_not_repeat_actions():
@@ -182,7 +182,7 @@
     )
     with proxied_lab(PLAN) as (lab, proxy), BackgroundLoad(lab, *both) as load:
         wait_for(lambda: len(executions(lab)) > 30, "load runs")
-        proxy.rules(*split(lab, LEFT_SIDE, RIGHT_SIDE))
+        proxy.rules(*partition_rules(lab, LEFT_SIDE, RIGHT_SIDE))
         wait_for_views(lab, LEFT_SIDE, RIGHT_SIDE)
         count_before = len(executions(lab))
         wait_for(lambda: len(executions(lab)) > count_before + 150, "both sides serve")
@@ -191,6 +191,6 @@
         wait_for(lambda: both_accounts_served(lab), "both accounts are served")
         wait_started(lab, 100)
         results = load.stop()
-        assert_truthful(lab, results)
+        assert_results_consistent(lab, results)
         assert all(result.complete for result in results)
-        assert max(most_at_once(executions(lab)).values()) <= SLOTS
+        assert max(peak_concurrency(executions(lab)).values()) <= SLOTS
--- a/tests/test_flood_faults.py
+++ b/tests/test_flood_faults.py
@@ -4,10 +4,10 @@
 from tests.fleet_support import (
     ENGINE,
     BackgroundLoad,
-    assert_truthful,
+    assert_results_consistent,
     chats,
     executions,
-    most_at_once,
+    peak_concurrency,
     wait_started,
 )
 from tests.support import wait_for
@@ -81,8 +81,8 @@
         wait_started(lab, 250)
         results = load.stop()
         done = executions(lab)
-        assert_truthful(lab, results)
-        assert max(most_at_once(done).values()) <= SLOTS
+        assert_results_consistent(lab, results)
+        assert max(peak_concurrency(done).values()) <= SLOTS
         by_id = {execution["request_id"]: execution["started"] for execution in done}
         floods = {result.request_id for result in results if result.account == "flood"}
         starts = [by_id[request_id] for request_id in floods & by_id.keys()]
--- a/tests/test_leaving_faults.py
+++ b/tests/test_leaving_faults.py
@@ -9,7 +9,7 @@
 from tests.fleet_support import (
     ENGINE,
     BackgroundLoad,
-    assert_truthful,
+    assert_results_consistent,
     chats,
     executions,
     wait_started,
@@ -104,7 +104,7 @@
         publish(lab, generation=2)
         wait_for_requests(lab, "e1")
         results = load.stop()
-        assert_truthful(lab, results)
+        assert_results_consistent(lab, results)
         assert all(result.complete for result in results)
         assert {execution["state"] for execution in executions(lab)} == {"done"}
 
@@ -125,7 +125,7 @@
         publish(lab, generation=2)
         wait_for_requests(lab, "e1", 40)
         assert not is_marked_leaving(lab, "r1")
-        assert_truthful(lab, load.stop())
+        assert_results_consistent(lab, load.stop())
 
 
 def test_outdated_load_report_does_not_mark_the_next_generation():
@@ -149,7 +149,7 @@
         assert not is_marked_leaving(lab, "r1")
         leave_by_load_report(lab)
         wait_for_leaving_mark(lab)
-        assert_truthful(lab, load.stop())
+        assert_results_consistent(lab, load.stop())
 
 
 def test_leaving_report_read_by_one_router_holds_for_later_owners():
@@ -192,4 +192,4 @@
                 for execution in executions(lab)
                 if execution["engine"] == "e1" and execution["started"] > marked_at
             ]
-            assert_truthful(lab, load.stop())
+            assert_results_consistent(lab, load.stop())
--- a/tests/test_partition_faults.py
+++ b/tests/test_partition_faults.py
@@ -6,13 +6,13 @@
 from tests.fleet_support import (
     ENGINE,
     BackgroundLoad,
-    assert_truthful,
+    assert_results_consistent,
     chats,
     executions,
     members,
-    most_at_once,
+    partition_rules,
+    peak_concurrency,
     proxied_lab,
-    split,
     wait_started,
 )
 from tests.support import wait_for
@@ -59,7 +59,7 @@
     chat_loads = [chats(account, outstanding=20) for account in ("acme", "bolt")]
     with proxied_lab(PLAN) as (lab, proxy), BackgroundLoad(lab, *chat_loads) as load:
         for _ in range(2):
-            proxy.rules(*split(lab, *sides))
+            proxy.rules(*partition_rules(lab, *sides))
             for side in sides:
                 for host in side:
                     wait_for(lambda h=host, s=side: members(lab, h) == s, "split view")
@@ -71,9 +71,9 @@
         wait_started(lab, 100)
         results = load.stop()
         done = executions(lab)
-        assert_truthful(lab, results)
+        assert_results_consistent(lab, results)
         assert all(result.complete for result in results)
-        assert max(most_at_once(done).values()) <= SLOTS
+        assert max(peak_concurrency(done).values()) <= SLOTS
 
 
 def test_slots_of_a_killed_router_return_when_the_platform_drops_it():
@@ -99,8 +99,8 @@
         wait_for(all_slots_busy, "every slot in use")
         wait_started(lab, 100)
         results = load.stop()
-        assert_truthful(lab, results)
-        assert max(most_at_once(executions(lab)).values()) <= SLOTS
+        assert_results_consistent(lab, results)
+        assert max(peak_concurrency(executions(lab)).values()) <= SLOTS
 
 
 def test_a_router_killed_under_load_cuts_only_its_own_callers():
@@ -121,11 +121,11 @@
         wait_for(lambda: members(lab, "r2") == remaining, "r1 dead at r2")
         wait_started(lab, 150)
         results = load.stop()
-        assert_truthful(lab, results)
+        assert_results_consistent(lab, results)
         others = [result for result in results if result.router != victim]
         assert others
         assert all(result.complete for result in others)
-        assert max(most_at_once(executions(lab)).values()) <= SLOTS
+        assert max(peak_concurrency(executions(lab)).values()) <= SLOTS
 
 
 def test_a_frozen_router_rejoins():
@@ -145,6 +145,6 @@
             wait_for(lambda h=host: members(lab, h) == set(lab.routers), "one view")
         wait_started(lab, 100)
         results = load.stop()
-        assert_truthful(lab, results)
+        assert_results_consistent(lab, results)
         assert all(result.complete for result in results)
-        assert max(most_at_once(executions(lab)).values()) <= SLOTS
+        assert max(peak_concurrency(executions(lab)).values()) <= SLOTS
--- a/tests/test_stop_faults.py
+++ b/tests/test_stop_faults.py
@@ -8,12 +8,12 @@
 from tests.fleet_support import (
     ENGINE,
     BackgroundLoad,
-    assert_truthful,
+    assert_results_consistent,
     chats,
     effects,
     executions,
     members,
-    most_at_once,
+    peak_concurrency,
     proxied_lab,
     wait_started,
 )
@@ -178,7 +178,7 @@
         wait_started(lab, 100)
         results = load.stop()
         done = executions(lab)
-        assert_truthful(lab, results)
+        assert_results_consistent(lab, results)
         assert not [result for result in results if result.text and not result.complete]
         refused = [
             result for result in results if result.status and not result.complete
@@ -190,4 +190,4 @@
             execution for execution in done if execution["tokens"] != LONG_TOKENS
         )
         assert {execution["request_id"] for execution in background} <= completed
-        assert max(most_at_once(done).values()) <= SLOTS
+        assert max(peak_concurrency(done).values()) <= SLOTS
