--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -19,10 +19,10 @@
 
 
 def states(engine):
-    return [one["state"] for one in executions(engine)]
+    return [execution["state"] for execution in executions(engine)]
 
 
-def test_log_append_whose_answer_is_lost_is_there_once():
+def test_log_keeps_an_append_whose_response_is_lost():
     """A lost response does not mean a lost append.
 
     The append takes effect before the connection is cut, so that a reader finds the
@@ -33,26 +33,26 @@
         with pytest.raises(RemoteDisconnected):
             log.call("POST", "/streams/s/records", {"records": [{"n": 1}]})
         page = log.call("GET", "/streams/s/records?from=0").json
-        assert [one["record"] for one in page["records"]] == [{"n": 1}]
+        assert [record["record"] for record in page["records"]] == [{"n": 1}]
         again = log.call("POST", "/streams/s/records", {"records": [2, 3]})
         assert again.json == {"first_offset": 1, "count": 2}
 
 
-def test_engine_streams_what_it_records():
+def test_engine_streams_the_recorded_text():
     with standin("engine", name="e1", base_pace_s=0.001) as engine:
         body = {"messages": [{"content": "hi"}], "stream": True, "x_tokens": 20}
         res = engine.call("POST", CHAT, body, headers={"X-Request-Id": "q1"})
         *pieces, last, done = sse_events(res.data)
         assert done == "[DONE]"
         assert last["choices"][0]["finish_reason"] == "stop"
-        assert [one["seq"] for one in [*pieces, last]] == list(range(20))
-        texts = (one["choices"][0]["delta"]["content"] for one in [*pieces, last])
+        assert [piece["seq"] for piece in [*pieces, last]] == list(range(20))
+        texts = (piece["choices"][0]["delta"]["content"] for piece in [*pieces, last])
         (execution,) = executions(engine)
         assert execution["text"] == "".join(texts)
         assert (execution["request_id"], execution["state"]) == ("q1", "done")
 
 
-def test_service_records_every_effect_even_of_one_key():
+def test_service_records_each_call_with_a_repeated_key():
     with standin("service") as service:
         for _ in range(2):
             res = service.call("POST", "/pay", {}, headers={"Idempotency-Key": "k"})
@@ -67,7 +67,7 @@
         assert wait_for(lambda: hosts.popen.poll() is not None, "end")
 
 
-def test_proxy_drops_a_reply_after_the_effect():
+def test_proxy_drops_the_response_after_the_effect():
     """The caller's connection is reset although the service executed the call.
 
     The proxy forwards the request and resets the connection at the response's first
@@ -103,7 +103,7 @@
         wait_for(lambda: effects() == expected, "the frozen call's effect")
 
 
-def test_proxy_cuts_what_is_open():
+def test_proxy_cuts_open_connections():
     """An open stream is cut before its last event, and the engine cancels it."""
     with standin("engine", base_pace_s=0.01) as engine, fault_proxy() as proxy:
         address = proxy.route("engine", engine.address)
@@ -125,7 +125,7 @@
     return engine.call("POST", CHAT, body, headers=headers)
 
 
-def test_engine_resumes_a_cut_stream_without_running_it_again():
+def test_engine_resumes_a_cut_stream_without_a_second_execution():
     """The stream is cut after five pieces, without its last event.
 
     The engine continues for a grace period; a request to resume from piece 5 gets the
@@ -137,7 +137,7 @@
             chat(engine, "q1")
         first = list(sse_events(cut.value.partial))
         rest = list(sse_events(chat(engine, "q1", {"X-Resume-From": "5"}).data))
-        assert [one["seq"] for one in [*first, *rest[:-1]]] == list(range(20))
+        assert [piece["seq"] for piece in [*first, *rest[:-1]]] == list(range(20))
         (execution,) = executions(engine)
         assert execution["resumed_from"] == [5]
         assert chat(engine, "q2", {"X-Resume-From": "5"}).status == 404
@@ -156,9 +156,9 @@
     with standin("engine", base_pace_s=0.001) as engine:
         engine.fault(**{fault: True})
         *pieces, done = sse_events(chat(engine, "q1", x_tokens=3).data)
-        assert [one["seq"] for one in pieces] == seqs
-        others = [one for one in pieces if one["id"] != "q1"]
-        assert len(others) == (3 if fault == "cross" else 0)
+        assert [piece["seq"] for piece in pieces] == seqs
+        foreign_pieces = [piece for piece in pieces if piece["id"] != "q1"]
+        assert len(foreign_pieces) == (3 if fault == "cross" else 0)
 
 
 def test_engine_queues_beyond_its_batch_and_cancels():
@@ -179,28 +179,28 @@
         conns[0].close()
 
 
-def test_engine_caches_prefixes_and_tells_of_it():
+def test_engine_publishes_events_of_its_prefix_cache():
     prompt = [{"content": "x" * 600}]
     with standin("engine", event_lag_s=0, event_loss=0, cache_blocks=2) as engine:
         chat(engine, "q1", messages=prompt, x_tokens=1)
         chat(engine, "q2", messages=[{"content": "y" * 300}], x_tokens=1)
         events = engine.call("GET", "/cache-events?from=0").json["events"]
-        assert [one["op"] for one in events] == ["stored"] * 3 + ["evicted"]
+        assert [event["op"] for event in events] == ["stored"] * 3 + ["evicted"]
         assert events[3]["prefix"] == events[0]["prefix"]
 
 
 @pytest.mark.parametrize(("checks", "status"), [(True, 409), (False, 200)])
-def test_engine_meets_an_old_fencing_number(checks, status):
+def test_engine_refuses_a_stale_fencing_token_only_if_it_checks(checks, status):
     """A stale order is refused, but only by an engine that checks fencing tokens."""
     with standin("engine", checks_fencing=checks) as engine:
         for fencing in (7, 7):
             order = {"order": "role", "fencing": fencing}
             assert engine.call("POST", "/orders", order).status == 200
-        old = engine.call("POST", "/orders", {"order": "role", "fencing": 6})
-        assert old.status == status
+        stale = engine.call("POST", "/orders", {"order": "role", "fencing": 6})
+        assert stale.status == status
 
 
-def test_log_limits_forgets_and_wakes_readers():
+def test_log_limits_appends_trims_records_and_wakes_readers():
     records = "/streams/s/records"
     with standin("log", appends_per_s=2, keep_records=1) as log:
         with ThreadPoolExecutor(1) as pool:
@@ -210,11 +210,11 @@
         assert log.call("POST", records, {"records": ["b"]}).status == 200
         refused = log.call("POST", records, {"records": ["c"]})
         assert (refused.status, refused.headers["retry-after"]) == (429, "1")
-        gone = log.call("GET", f"{records}?from=0")
-        assert (gone.status, gone.json["first_offset"]) == (410, 1)
+        trimmed = log.call("GET", f"{records}?from=0")
+        assert (trimmed.status, trimmed.json["first_offset"]) == (410, 1)
 
 
-def test_log_that_goes_down_cuts_its_readers():
+def test_log_that_goes_down_cuts_long_polls():
     """A long poll is cut at once instead of ending with an empty page."""
     path = "/streams/s/records"
     with standin("log") as log, ThreadPoolExecutor(1) as pool:
@@ -226,19 +226,19 @@
         assert log.call("GET", path).status == 503
 
 
-def test_weights_are_the_same_and_limited():
+def test_weight_store_limits_reads():
     with standin("weights", size=100, reads_per_s=0.01) as weights:
         assert len(weights.call("GET", "/weights/m/v1").data) == 100
         assert weights.call("GET", "/weights/m/v1").status == 429
 
 
-def test_faults_can_be_narrowed():
+def test_faults_can_be_restricted():
     """Only the second append that contains the text fails; reads still work."""
     with standin("log") as log:
         log.fault(down=True, only="append", contains="outcome", skip=1)
         texts = ["intent", "outcome", "outcome", "intent"]
         path = "/streams/s/records"
-        sent = [log.call("POST", path, {"records": [one]}) for one in texts]
-        assert [one.status for one in sent] == [200, 200, 503, 200]
+        responses = [log.call("POST", path, {"records": [text]}) for text in texts]
+        assert [response.status for response in responses] == [200, 200, 503, 200]
         assert log.call("GET", path).json["next_offset"] == 3
         assert log.call("POST", "/fault", {"dwon": 1}).status == 400
