--- a/greengageflow/lab/_engine_orders.py
+++ b/greengageflow/lab/_engine_orders.py
@@ -32,7 +32,7 @@
     @property
     def wire(self) -> list[dict]:
         """All orders as ``GET /orders`` reports them."""
-        return [asdict(one) for one in self._orders]
+        return [asdict(order) for order in self._orders]
 
     def receive(self, order: dict, now: float) -> Reply:
         """Accept or refuse an order.
--- a/greengageflow/lab/standin_engine.py
+++ b/greengageflow/lab/standin_engine.py
@@ -243,12 +243,12 @@
         if execution.state is State.CANCELLED or start > execution.request.tokens:
             return Reply(410, {"error": "nothing to resume"})
         execution.resumed_from.append(start)
-        old = self._outputs.pop(execution.number, None)
-        if old is not None:
+        previous_output = self._outputs.pop(execution.number, None)
+        if previous_output is not None:
             # The old connection may be half-open; detach it so that the new one
             # gets all pieces.
-            self._outputs_by_sock.pop(old.call.sock, None)
-            self.cut(old.call)
+            self._outputs_by_sock.pop(previous_output.call.sock, None)
+            self.cut(previous_output.call)
         output = _Output(call, execution, streamed=True, next_seq=start)
         self._attach(output)
         self._deliver(output)
