--- a/greengageflow/lab/platform_lab.py
+++ b/greengageflow/lab/platform_lab.py
@@ -247,7 +247,9 @@
         """Names of the replicas that crashed on a poison request."""
         processes = self.replicas.items()
         return [
-            name for name, process in processes if process.popen.poll() == CRASH_EXIT_STATUS
+            name
+            for name, process in processes
+            if process.popen.poll() == CRASH_EXIT_STATUS
         ]
 
     def start_routers(self) -> None:
