--- a/greengageflow/lab/_engine_batch.py
+++ b/greengageflow/lab/_engine_batch.py
@@ -1,4 +1,4 @@
-"""The engine stand-in's batch, without input or output."""
+"""Continuous batching of the engine stand-in, without I/O."""
 
 import json
 from collections import deque
@@ -17,7 +17,7 @@
 
 
 class State(StrEnum):
-    """Where an execution is."""
+    """State of an execution."""
 
     WAITING = "waiting"
     RUNNING = "running"
@@ -26,16 +26,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Work:
-    """What a completion request asks for.
+class CompletionRequest:
+    """Parameters of a completion request.
 
     Args:
         request_id: The router's ``X-Request-Id``.
         key: The ``Idempotency-Key``.
         account: The ``X-Account`` header.
         prompt: Text of all messages.
-        tokens: Length of the answer.
-        finish_reason: ``stop``, or ``length`` when ``max_tokens`` bounds it.
+        tokens: Length of the completion.
+        finish_reason: ``stop``, or ``length`` if ``max_tokens`` limits the length.
     """
 
     request_id: str
@@ -47,77 +47,77 @@
 
     @property
     def prompt_tokens(self) -> int:
-        """Length of the prompt in tokens, roughly."""
+        """Approximate length of the prompt in tokens."""
         return max(1, len(self.prompt) // CHARS_PER_TOKEN)
 
 
 @dataclass(slots=True, eq=False)
 class Execution:
-    """One run of a completion.
+    """One execution of a completion request.
 
     Args:
         number: Order of arrival at this engine.
         engine: Name of the engine.
-        work: What is run.
-        ready_at: Time of the first piece at the earliest (monotonic seconds).
-        started: Arrival in unix seconds.
-        ended: End in unix seconds, or None.
-        produced: Pieces so far; a piece is a token.
+        work: Parameters of the request.
+        ready_at: End of the prefill, in monotonic seconds; no piece comes earlier.
+        started: Arrival time in Unix seconds.
+        ended: End time in Unix seconds, or None.
+        produced: Number of pieces so far; a piece is one token.
         resumed_from: Offsets from which it was resumed.
     """
 
     number: int
     engine: str
-    work: Work
+    request: CompletionRequest
     ready_at: float
     started: float
     ended: float | None = None
     state: State = State.WAITING
     produced: int = 0
     resumed_from: list[int] = field(default_factory=list)
-    _base: int = 0
+    _text_seed: int = 0
 
     def __post_init__(self) -> None:
-        name = f"{self.engine}/{self.work.request_id}/{self.number}"
-        self._base = crc32(name.encode())
+        name = f"{self.engine}/{self.request.request_id}/{self.number}"
+        self._text_seed = crc32(name.encode())
 
     @property
     def is_open(self) -> bool:
-        """Whether more pieces may come."""
+        """Whether the execution is waiting or running."""
         return self.state in (State.WAITING, State.RUNNING)
 
     def piece(self, seq: int) -> str:
-        """Return the text of one piece, which no other execution has."""
-        word = (self._base + seq * _WORD_STEP) & _WORD_MASK
-        # Text beyond ASCII and escaped characters show a relay that recodes.
-        end = "é\n" if seq % 8 == 7 else " "
-        return f"{word:08x}{end}"
+        """Return the text of one piece, which differs between executions."""
+        digits = (self._text_seed + seq * _WORD_STEP) & _WORD_MASK
+        # Non-ASCII and escaped characters reveal a relay that re-encodes the text.
+        suffix = "é\n" if seq % 8 == 7 else " "
+        return f"{digits:08x}{suffix}"
 
     @property
     def text(self) -> str:
-        """The answer so far."""
+        """Text generated so far."""
         return "".join(map(self.piece, range(self.produced)))
 
     @property
     def usage(self) -> dict[str, int]:
-        """Tokens of prompt and answer."""
+        """Token counts of the prompt and the completion."""
         return {
-            "prompt_tokens": self.work.prompt_tokens,
+            "prompt_tokens": self.request.prompt_tokens,
             "completion_tokens": self.produced,
         }
 
     @property
     def wire(self) -> dict[str, object]:
-        """The execution as ``GET /executions`` tells it."""
+        """The execution as ``GET /executions`` reports it."""
         return {
             "number": self.number,
             "engine": self.engine,
-            "request_id": self.work.request_id,
-            "key": self.work.key,
-            "account": self.work.account,
-            "prompt_sha256": sha256(self.work.prompt.encode()).hexdigest(),
+            "request_id": self.request.request_id,
+            "key": self.request.key,
+            "account": self.request.account,
+            "prompt_sha256": sha256(self.request.prompt.encode()).hexdigest(),
             "pieces": self.produced,
-            "tokens": self.work.tokens,
+            "tokens": self.request.tokens,
             "text": self.text,
             "state": self.state.value,
             "started": self.started,
@@ -127,12 +127,12 @@
 
 
 class Batch:
-    """Running executions, which advance together, and those that wait.
+    """Running executions, which advance in common steps, and the waiting queue.
 
     Args:
-        base_pace_s: Seconds a step takes.
-        per_request_pace_s: Seconds a step takes more for each running one.
-        limit: Most that run at once; 0 for no limit.
+        base_pace_s: Base duration of a step, in seconds.
+        per_request_pace_s: Additional step duration per running execution, in seconds.
+        limit: Maximum number of running executions; 0 for no limit.
     """
 
     def __init__(
@@ -146,34 +146,36 @@
 
     @property
     def running(self) -> int:
-        """Executions in the batch."""
+        """Number of executions in the batch."""
         return len(self._running)
 
     @property
     def waiting(self) -> int:
-        """Executions that wait for a place."""
+        """Number of executions in the waiting queue."""
         return len(self._waiting)
 
     @property
     def pace_s(self) -> float:
-        """Seconds that the next step takes."""
+        """Duration of the next step, in seconds."""
         return self._base_pace_s + self._per_request_pace_s * len(self._running)
 
     def add(self, execution: Execution) -> None:
-        """Admit an execution, first come first served."""
+        """Queue an execution; the queue is served in FIFO order."""
         self._waiting.append(execution)
         self._admit()
 
     def step(self, now: float, unix_now: float) -> Iterator[Execution]:
-        """Advance the batch by one piece; yield what advanced."""
-        for execution in [one for one in self._running if one.ready_at <= now]:
+        """Generate one piece per running execution; yield those that advanced."""
+        for execution in [
+            candidate for candidate in self._running if candidate.ready_at <= now
+        ]:
             execution.produced += 1
-            if execution.produced >= execution.work.tokens:
+            if execution.produced >= execution.request.tokens:
                 self._end(execution, State.DONE, unix_now)
             yield execution
 
     def cancel(self, execution: Execution, unix_now: float) -> bool:
-        """Stop an execution; return whether it was open."""
+        """Cancel an execution; return False if it had already ended."""
         if not execution.is_open:
             return False
         self._end(execution, State.CANCELLED, unix_now)
@@ -186,8 +188,8 @@
             self._running.append(execution)
 
     def _end(self, execution: Execution, state: State, unix_now: float) -> None:
-        source = self._waiting if execution.state is State.WAITING else self._running
-        source.remove(execution)
+        queue = self._waiting if execution.state is State.WAITING else self._running
+        queue.remove(execution)
         execution.state = state
         execution.ended = unix_now
         self._admit()
@@ -197,7 +199,7 @@
     """Return the text of a request's messages.
 
     Raises:
-        TypeError: If they are no list of objects.
+        TypeError: ``messages`` is not a list.
     """
     if not isinstance(messages, list):
         raise TypeError("messages must be a list")
@@ -209,12 +211,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Lengths:
-    """Lognormal answer lengths, drawn from a seed and the request id.
+    """Lognormal completion lengths, determined by a seed and the request id.
 
     Args:
         seed: Seed of the engine.
         median: Median length in tokens.
-        sigma: Spread of the lengths.
+        sigma: Standard deviation of the logarithm of the length.
     """
 
     seed: int
@@ -222,16 +224,16 @@
     sigma: float
 
     def draw(self, body: dict, request_id: str) -> tuple[int, str]:
-        """Return an answer's tokens and finish reason.
+        """Return the number of tokens and the finish reason of a completion.
 
-        ``x_tokens`` of the request gives the count; else it is drawn and bounded by
-        ``max_tokens``.
+        The request's ``x_tokens`` sets the number; otherwise it is drawn at random and
+        limited by ``max_tokens``.
         """
         if "x_tokens" in body:
             return max(1, int(body["x_tokens"])), "stop"
         random = Random(f"{self.seed}/{request_id}")
-        drawn = random.lognormvariate(log(self.median), self.sigma)
-        most = body.get("max_tokens")
-        if most is not None and drawn > most:
-            return max(1, int(most)), "length"
-        return max(1, int(drawn)), "stop"
+        length = random.lognormvariate(log(self.median), self.sigma)
+        max_tokens = body.get("max_tokens")
+        if max_tokens is not None and length > max_tokens:
+            return max(1, int(max_tokens)), "length"
+        return max(1, int(length)), "stop"
--- a/greengageflow/lab/_standin_http.py
+++ b/greengageflow/lab/_standin_http.py
@@ -1,4 +1,4 @@
-"""What the stand-ins share: JSON over ``circuits.web`` and the faults."""
+"""Base of the stand-ins: JSON over ``circuits.web`` and fault injection."""
 
 import json
 import sys
@@ -23,18 +23,18 @@
 
 
 class BadCallError(Exception):
-    """The request of the caller makes no sense."""
+    """The request is malformed; answered with status 400."""
 
 
 @dataclass(frozen=True, slots=True, eq=False)
 class Call:
-    """One HTTP request that a stand-in has to answer.
+    """An HTTP request to a stand-in.
 
     Args:
         req: The request of ``circuits.web``.
         res: Its response.
         data: The request's body.
-        faulty: Whether the faults that can be restricted apply to it.
+        faulty: Whether the faults that can be restricted apply to this request.
     """
 
     req: Request
@@ -44,7 +44,7 @@
 
     @property
     def sock(self) -> socket:
-        """Connection that the request came on."""
+        """Connection on which the request arrived."""
         return self.req.sock
 
     @property
@@ -67,39 +67,41 @@
         """The body as a JSON object.
 
         Raises:
-            BadCallError: If it is none.
+            BadCallError: The body is not a JSON object.
         """
         try:
             value = json.loads(self.data or b"{}")
         except ValueError as exc:
-            raise BadCallError(f"not JSON: {exc}") from exc
+            raise BadCallError(f"request body is not JSON: {exc}") from exc
         if not isinstance(value, dict):
-            raise BadCallError("not a JSON object")
+            raise BadCallError("request body is not a JSON object")
         return value
 
     def header(self, name: str) -> str | None:
-        """Return a header, or None."""
+        """Return the value of a header, or None."""
         return self.req.headers.get(name)
 
     def number(self, name: str, default: float) -> float:
-        """Return a number of the query.
+        """Return a query parameter as a number.
 
         Raises:
-            BadCallError: If it is no number.
+            BadCallError: The value is not a finite number of at least 0.
         """
         text = parse_qs(self.req.qs or "").get(name, [str(default)])[0]
         try:
             value = float(text)
         except ValueError as exc:
-            raise BadCallError(f"{name} is no number") from exc
+            raise BadCallError(f"query parameter {name} is not a number") from exc
         if not isfinite(value) or value < 0:
-            raise BadCallError(f"{name} is out of range")
+            raise BadCallError(
+                f"query parameter {name} must be finite and not negative"
+            )
         return value
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """An answer: a JSON value, or bytes as they are."""
+    """A response; bytes are sent unchanged, other bodies as JSON."""
 
     status: int
     body: object
@@ -107,16 +109,16 @@
 
 
 class StandIn(BaseComponent):
-    """Base of the stand-ins: an HTTP server whose subclass answers ``Call``s.
+    """HTTP server whose subclasses answer each ``Call``.
 
     Args:
-        host: IP number to listen on.
+        host: IP address to listen on.
         port: TCP port; 0 for any free one.
     """
 
     channel = "web"
 
-    #: Paths that faults leave alone, because tests compare by them.
+    #: Paths exempt from faults, because tests read the ground truth there.
     control_paths: frozenset[str] = frozenset()
 
     def __init__(self, host: str = "127.0.0.1", port: int = 0) -> None:
@@ -129,55 +131,58 @@
         ).register(self)
 
     def answer(self, call: Call) -> Reply | None:
-        """Answer a call; None when ``reply`` or ``open_stream`` comes later."""
+        """Answer a call; None if ``reply`` or ``open_stream`` follows later."""
         raise NotImplementedError
 
     def operation(self, call: Call) -> str:
-        """Name what a call does, for faults that are restricted to it."""
+        """Return the operation name that the ``only`` fault is matched with."""
         return call.method.lower()
 
-    def faults_changed(self) -> None:
-        """React to new faults."""
+    def on_faults_changed(self) -> None:
+        """Called after the faults were set."""
 
-    def gone(self, sock: socket) -> None:
-        """React to a connection that closed."""
+    def on_disconnect(self, sock: socket) -> None:
+        """Called after a connection closed."""
 
     def reply(self, call: Call, reply: Reply) -> None:
-        """Send an answer, unless a fault loses it."""
+        """Send a response, or cut the connection if a fault drops the response."""
         if call.faulty and self.faults.lose_answers > 0:
-            self.faults = self.faults.lost()
+            self.faults = self.faults.after_lost_answer()
             self.cut(call)
             return
         self._write_reply(call, reply)
 
     def cut(self, call: Call) -> None:
-        """Close the connection of a call once what was written is out."""
+        """Close the connection of a call after its pending output was sent."""
         self.fire(close(call.sock))
 
     def open_stream(self, call: Call, content_type: str) -> None:
-        """Send the head of a streamed answer."""
-        signs = "".join(f"{name}: {value}\r\n" for name, value in self._signs.items())
-        end = signs + ("Connection: close\r\n" if call.res.close else "")
+        """Send the head of a streamed response."""
+        common_lines = "".join(
+            f"{name}: {value}\r\n" for name, value in self._common_headers.items()
+        )
+        extra_lines = common_lines + ("Connection: close\r\n" if call.res.close else "")
         head = (
             f"HTTP/1.1 200 OK\r\nContent-Type: {content_type}\r\n"
-            f"Transfer-Encoding: chunked\r\n{end}\r\n"
+            f"Transfer-Encoding: chunked\r\n{extra_lines}\r\n"
         )
         self._send(call.sock, head.encode())
 
     def push(self, call: Call, data: bytes) -> None:
-        """Send one piece of a streamed answer."""
+        """Send one chunk of a streamed response."""
         self._send(call.sock, b"%x\r\n%s\r\n" % (len(data), data))
 
     def end_stream(self, call: Call) -> None:
-        """End a streamed answer; the connection stays open for the next request."""
+        """End a streamed response; the connection stays open for the next request."""
         self._send(call.sock, b"0\r\n\r\n")
-        # Makes circuits.web forget the request and close when the caller asked to.
+        # Lets circuits.web drop the request, and close the connection if requested.
         self.fire(stream(call.res, None))
 
     def _send(self, sock: socket, data: bytes) -> None:
-        # Events would cost three dispatches a piece, and a piece could overtake
-        # the head, whose event fires another one. What the socket doesn't take
-        # goes to circuits' buffer, and then everything does until that is empty.
+        # Writes to the socket directly: events would cost three dispatches per chunk,
+        # and a chunk could overtake the head, whose event fires a second one. Data that
+        # the socket doesn't accept goes to circuits' buffer, as does all later data
+        # until that buffer is empty.
         sent = 0
         if sock.fileno() < 0:
             return
@@ -196,7 +201,7 @@
         if call.sock.fileno() < 0:
             return
         call.res.status = reply.status
-        headers = {**reply.headers, **self._signs}
+        headers = {**reply.headers, **self._common_headers}
         for name, value in headers.items():
             call.res.headers[name] = value
         if isinstance(reply.body, bytes):
@@ -208,10 +213,10 @@
         self.fire(response(call.res))
 
     @property
-    def _signs(self) -> dict[str, str]:
+    def _common_headers(self) -> dict[str, str]:
         return {SERVER_LEAVING: "1"} if self.faults.says_leaving else {}
 
-    def _applies(self, call: Call) -> bool:
+    def _matches_faults(self, call: Call) -> bool:
         faults = self.faults
         if call.path == "/fault" or call.path in self.control_paths:
             return False
@@ -219,7 +224,7 @@
             return False
         return faults.contains.encode() in call.data
 
-    def _guarded(self, call: Call, work: Callable[[Call], Reply | None]) -> None:
+    def _run_and_reply(self, call: Call, work: Callable[[Call], Reply | None]) -> None:
         try:
             reply = work(call)
         except BadCallError as exc:
@@ -234,17 +239,17 @@
 
     def _set_faults(self, call: Call) -> Reply:
         if call.method == "POST":
-            wanted = call.json
-            if unknown := wanted.keys() - FAULT_NAMES:
+            faults_set = call.json
+            if unknown := faults_set.keys() - FAULT_NAMES:
                 raise BadCallError(f"unknown faults: {sorted(unknown)}")
-            self.faults = Faults(**wanted)
-            self.faults_changed()
+            self.faults = Faults(**faults_set)
+            self.on_faults_changed()
         return Reply(200, asdict(self.faults))
 
-    def _start(self, call: Call) -> None:
+    def _handle_call(self, call: Call) -> None:
         faults = self.faults
         if call.path == "/fault":
-            self._guarded(call, self._set_faults)
+            self._run_and_reply(call, self._set_faults)
         elif call.faulty and faults.down:
             reply = Reply(503, {"error": "down"}, {"Retry-After": "1"})
             self._write_reply(call, reply)
@@ -252,28 +257,30 @@
             headers = {"Retry-After": str(faults.backoff_s)}
             self._write_reply(call, Reply(503, {"error": "busy"}, headers))
         elif call.faulty and faults.delay_s > 0:
-            self.timers.after(faults.delay_s, lambda: self._guarded(call, self.answer))
+            self.timers.after(
+                faults.delay_s, lambda: self._run_and_reply(call, self.answer)
+            )
         else:
-            self._guarded(call, self.answer)
+            self._run_and_reply(call, self.answer)
 
-    def _marked(self, call: Call) -> Call:
-        if not self._applies(call):
+    def _with_fault_flag(self, call: Call) -> Call:
+        if not self._matches_faults(call):
             return call
         if self.faults.skip > 0:
-            self.faults = self.faults.skipped()
+            self.faults = self.faults.after_skip()
             return call
         return replace(call, faulty=True)
 
     @handler("request", priority=10)
     def _on_request(self, event, req: Request, res: Response) -> bool:
         event.stop()
-        self._start(self._marked(Call(req, res, req.body.read())))
-        # circuits.web answers by itself unless the value is a boolean.
+        self._handle_call(self._with_fault_flag(Call(req, res, req.body.read())))
+        # circuits.web sends its own response unless the handler returns a boolean.
         return True
 
     @handler("disconnect")
     def _on_disconnect(self, sock: socket) -> None:
-        self.gone(sock)
+        self.on_disconnect(sock)
 
     @handler("ready")
     def _on_ready(self, server, bind) -> None:
--- a/greengageflow/lab/_subnets.py
+++ b/greengageflow/lab/_subnets.py
@@ -1,49 +1,52 @@
-"""A loopback subnet for one lab alone, whatever else runs on the machine."""
+"""Loopback subnets, each reserved for one lab on the machine."""
 
 import os
 from socket import socket
 
-SUBNETS = 200 * 250
+SUBNET_COUNT = 200 * 250
 CALLER_PORT = 7300
 PEER_PORT = 7400
-_CLAIM_PORT = 7200
-_CLAIM_HOST = 250
+_RESERVATION_PORT = 7200
+_RESERVATION_HOST = 250
 
 
 class Subnet:
-    """Addresses 127.x.y.1 to 127.x.y.249, held until ``close``.
+    """Addresses 127.x.y.1 to 127.x.y.249, reserved until ``close``.
 
-    The holder listens on an address of the subnet that no router uses: two labs that
-    share one would take each other's ports, and their routers each other's messages.
-    Since no other lab is there, routers may listen on the same two ports everywhere.
-    Those lie below the ports that the system gives to outgoing connections; a port
-    that was merely free a moment ago could go to one before its router listens.
+    The reservation is a listening socket on an address of the subnet that no router
+    uses. Labs in the same subnet would take each other's ports, and their routers would
+    receive each other's messages. Within a reserved subnet, all routers listen on the
+    same two fixed ports. These are below the ephemeral port range: a port chosen
+    because it is free could be assigned to an outgoing connection before its router
+    listens.
 
     Args:
-        first: Number of the subnet to try first; None for one by process id.
+        first: Number of the subnet to try first; None to derive it from the process id.
 
     Raises:
-        OSError: Every subnet is taken.
+        OSError: All subnets are in use.
     """
 
     def __init__(self, first: int | None = None) -> None:
-        self._claim = socket()
+        self._reservation = socket()
         start = os.getpid() if first is None else first
-        for number in range(start, start + SUBNETS):
+        for number in range(start, start + SUBNET_COUNT):
             self._base = f"127.{16 + number % 200}.{number // 200 % 250}"
             try:
-                self._claim.bind((self.host(_CLAIM_HOST), _CLAIM_PORT))
-                self._claim.listen(1)
+                self._reservation.bind(
+                    (self.host(_RESERVATION_HOST), _RESERVATION_PORT)
+                )
+                self._reservation.listen(1)
             except OSError:
                 continue
             return
-        self._claim.close()
-        raise OSError("every loopback subnet of the labs is taken")
+        self._reservation.close()
+        raise OSError("all loopback subnets for labs are in use")
 
     def host(self, number: int) -> str:
-        """Return the IP number of the ``number``-th host."""
+        """Return the IP address of the ``number``-th host."""
         return f"{self._base}.{number}"
 
     def close(self) -> None:
-        """Let others use it."""
-        self._claim.close()
+        """Release the subnet."""
+        self._reservation.close()
--- a/greengageflow/lab/poison.py
+++ b/greengageflow/lab/poison.py
@@ -1,31 +1,37 @@
-"""Requests that crash the stand-ins that run them."""
+"""Poison requests: they crash the stand-in that executes them."""
 
 import json
 import os
 import sys
 from typing import Any
 
-RECORDS = "records: "
+RECORDS_PREFIX = "records: "
 
-CRASHED = 70
-"""Exit status of a process that ran a poison request."""
+CRASH_EXIT_STATUS = 70
+"""Exit status of a process that executed a poison request."""
 
 
 def crash_if_poison(poison: bytes, body: bytes, records: Any = ()) -> None:
-    """End the process at once if the text of a poison request is in a body.
+    """Exit immediately if a request body contains the poison text.
 
     Args:
-        poison: The text; empty for none.
-        body: Body of a request.
-        records: What the process has seen, as JSON; left in its standard error.
+        poison: Text that marks a poison request; empty to disable.
+        body: Body of the request.
+        records: JSON-compatible data of the process, written to standard error.
     """
     if not poison or poison not in body:
         return
-    print(RECORDS + json.dumps(records), file=sys.stderr, flush=True)
-    os._exit(CRASHED)
-
-
-def records_of(errors: str) -> list[Any]:
-    """Return what a process that crashed has left in its standard error."""
-    found = [line for line in errors.splitlines() if line.startswith(RECORDS)]
-    return json.loads(found[-1].removeprefix(RECORDS)) if found else []
+    print(RECORDS_PREFIX + json.dumps(records), file=sys.stderr, flush=True)
+    os._exit(CRASH_EXIT_STATUS)
+
+
+def parse_crash_records(errors: str) -> list[Any]:
+    """Return the records in the standard error of a crashed process."""
+    record_lines = [
+        line for line in errors.splitlines() if line.startswith(RECORDS_PREFIX)
+    ]
+    return (
+        json.loads(record_lines[-1].removeprefix(RECORDS_PREFIX))
+        if record_lines
+        else []
+    )
--- a/greengageflow/lab/standin.py
+++ b/greengageflow/lab/standin.py
@@ -1,4 +1,4 @@
-"""Program ``greengage-standin``: small fakes of the platform's services."""
+"""Command ``greengage-standin``: small fakes of the platform's services."""
 
 from collections.abc import Callable
 from inspect import signature
@@ -25,18 +25,25 @@
     def run(**options: object) -> None:
         kind(**options).run()
 
-    # fire reads the flags and the help from these two.
-    init = signature(kind.__init__)
-    options = [one for one in init.parameters.values() if one.name != "self"]
-    run.__signature__ = init.replace(
-        parameters=[one.replace(kind=one.KEYWORD_ONLY) for one in options],
+    # fire takes the flags from the signature and the help from the docstring.
+    init_signature = signature(kind.__init__)
+    flag_parameters = [
+        parameter
+        for parameter in init_signature.parameters.values()
+        if parameter.name != "self"
+    ]
+    run.__signature__ = init_signature.replace(
+        parameters=[
+            parameter.replace(kind=parameter.KEYWORD_ONLY)
+            for parameter in flag_parameters
+        ],
     )
     run.__doc__ = kind.__doc__
     return run
 
 
 class Commands:
-    """Small fakes of the outside systems, each one process until SIGTERM.
+    """Small fakes of external systems; each runs in one process until SIGTERM.
 
     Example:
         greengage-standin log --port=9000
--- a/greengageflow/lab/standin_engine.py
+++ b/greengageflow/lab/standin_engine.py
@@ -1,4 +1,4 @@
-"""Stand-in for a model engine that batches continuously."""
+"""Stand-in for a model engine with continuous batching."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -7,20 +7,20 @@
 
 from greengageflow.lab._engine_batch import (
     Batch,
+    CompletionRequest,
     Execution,
     Lengths,
     State,
-    Work,
     prompt_text,
 )
 from greengageflow.lab._engine_cache import CacheEvents, PrefixCache
 from greengageflow.lab._engine_orders import Orders
 from greengageflow.lab._engine_wire import (
-    ANOTHER,
     DONE,
+    OTHER_REQUEST_ID,
+    completion_response,
     crossed_event,
     piece_event,
-    whole_answer,
 )
 from greengageflow.lab._standin_http import BadCallError, Call, Reply, StandIn
 from greengageflow.lab.poison import crash_if_poison
@@ -30,43 +30,45 @@
 
 @dataclass(slots=True, eq=False)
 class _Output:
-    """Where the pieces of an execution go."""
+    """Response that receives the pieces of an execution."""
 
     call: Call
     execution: Execution
     streamed: bool
     next_seq: int = 0
-    sent: int = 0
-    last: bytes = b""
+    sent_pieces: int = 0
+    last_piece: bytes = b""
 
 
 class EngineStandIn(StandIn):
-    """A model engine: it admits requests as they come and knows no priorities.
+    """A model engine that runs requests in order of arrival, without priorities.
 
     Example:
         greengage-standin engine --port 7200 --name e1 --resumes --max_batch 16
 
     Args:
-        host: IP number to listen on.
+        host: IP address to listen on.
         port: TCP port; 0 for any free one.
-        name: Name of the replica; its answers depend on it.
-        seed: Seed of the answers' lengths and of lost cache events.
-        base_pace_s: Seconds a step takes; a step gives each running request a token.
-        per_request_pace_s: Seconds a step takes more for each running request.
-        prefill_s_per_token: Seconds for each prompt token that is not cached.
-        max_batch: Most requests that run at once, the rest wait; 0 for no limit.
-        cache_blocks: Prompt blocks that fit into the prefix cache.
-        load_lag_s: Age that the load report may reach, in seconds.
+        name: Name of the replica; the generated text depends on it.
+        seed: Seed for completion lengths and lost cache events.
+        base_pace_s: Base duration of a step, in seconds; each step generates one token
+            per running request.
+        per_request_pace_s: Additional step duration per running request, in seconds.
+        prefill_s_per_token: Prefill time per uncached prompt token, in seconds.
+        max_batch: Maximum number of running requests, others wait; 0 for no limit.
+        cache_blocks: Capacity of the prefix cache in prompt blocks.
+        load_lag_s: Interval between updates of the load report, in seconds; 0 for an
+            up-to-date report on each request.
         event_lag_s: Delay of cache events, in seconds.
-        event_loss: Part of the cache events that is lost, 0 to 1.
-        median_tokens: Median answer length in tokens (lognormal).
-        sigma: Spread of the answer lengths (lognormal).
-        resumes: Keep the answers and resume cut streams.
-        resume_grace_s: Seconds that a cut stream runs on before it is cancelled,
-            when the engine resumes.
-        checks_fencing: Refuse orders with an old fencing number.
-        poison: The process crashes as it begins to run a request whose body has this
-            text in it; empty: none does.
+        event_loss: Fraction of the cache events that is lost, 0 to 1.
+        median_tokens: Median completion length in tokens (lognormal).
+        sigma: Standard deviation of the logarithm of the completion length.
+        resumes: Keep completions and resume cut streams.
+        resume_grace_s: Seconds that a cut stream continues to run before it is
+            cancelled, if the engine resumes streams.
+        checks_fencing: Refuse orders with a stale fencing token.
+        poison: Crash at the start of a request whose body contains this text; empty
+            for never.
     """
 
     control_paths = frozenset({"/executions"})
@@ -104,15 +106,15 @@
         self._batch = Batch(base_pace_s, per_request_pace_s, max_batch)
         self._prefixes = PrefixCache(cache_blocks)
         self._executions: list[Execution] = []
-        self._latest: dict[str, Execution] = {}
+        self._latest_by_request: dict[str, Execution] = {}
         self._outputs: dict[int, _Output] = {}
-        self._by_sock: dict[socket, _Output] = {}
+        self._outputs_by_sock: dict[socket, _Output] = {}
         self._events = CacheEvents(event_lag_s, event_loss, seed)
         self._orders = Orders(checks_fencing)
         self._leaving = False
         self._stepping = False
-        self._step_due = 0.0
-        self._report = self._load()
+        self._step_due_at = 0.0
+        self._report = self._current_load()
         if load_lag_s > 0:
             self.timers.every(load_lag_s, self._refresh_report)
 
@@ -121,20 +123,22 @@
         return call.parts[-1]
 
     def answer(self, call: Call) -> Reply | None:
-        """Answer a completion, an order or a question."""
+        """Handle completions, cancellations, orders and reports."""
         match call.method, call.path:
             case "POST", "/v1/chat/completions":
                 return self._complete(call)
             case "POST", "/cancel":
                 return self._cancel(call)
             case "GET", "/load":
-                return Reply(200, self._report if self._load_lag_s else self._load())
+                return Reply(
+                    200, self._report if self._load_lag_s else self._current_load()
+                )
             case "GET", "/cache-events":
                 start = int(call.number("from", 0))
                 events = list(self._events.since(start, monotonic()))
                 return Reply(200, {"events": events})
             case "POST", "/orders":
-                return self._orders.take(call.json, time())
+                return self._orders.receive(call.json, time())
             case "GET", "/orders":
                 return Reply(200, {"orders": self._orders.wire})
             case "POST", "/leaving":
@@ -142,28 +146,31 @@
                 return Reply(200, {"leaving": self._leaving})
             case "GET", "/executions":
                 return Reply(
-                    200, {"executions": [one.wire for one in self._executions]}
+                    200,
+                    {"executions": [execution.wire for execution in self._executions]},
                 )
         return Reply(404, {"error": "no such path"})
 
-    def faults_changed(self) -> None:
-        """Go on when a stall is over."""
-        self._wake()
+    def on_faults_changed(self) -> None:
+        """Resume stepping if a stall was cleared."""
+        self._start_stepping()
 
-    def gone(self, sock: socket) -> None:
-        """Cancel what a closed connection was waiting for."""
-        output = self._by_sock.pop(sock, None)
+    def on_disconnect(self, sock: socket) -> None:
+        """Cancel a closed connection's execution, after a grace period if resumable."""
+        output = self._outputs_by_sock.pop(sock, None)
         if output is None:
             return
         execution = output.execution
         if self._outputs.get(execution.number) is output:
             del self._outputs[execution.number]
         if self._resumes:
-            self.timers.after(self._resume_grace_s, lambda: self._give_up(execution))
+            self.timers.after(
+                self._resume_grace_s, lambda: self._cancel_if_detached(execution)
+            )
         else:
             self._batch.cancel(execution, time())
 
-    def _give_up(self, execution: Execution) -> None:
+    def _cancel_if_detached(self, execution: Execution) -> None:
         if execution.number not in self._outputs:
             self._batch.cancel(execution, time())
 
@@ -176,41 +183,43 @@
         start = call.header("X-Resume-From")
         if start is not None and self._resumes:
             if not start.isdecimal():
-                raise BadCallError("X-Resume-From is no number")
+                raise BadCallError("X-Resume-From must be a non-negative integer")
             return self._resume(call, request_id, int(start))
         crash_if_poison(self._poison, call.data)
         execution = self._execute(call, body, request_id)
         output = _Output(call, execution, streamed)
         if call.faulty and streamed and self.faults.lose_answers > 0:
-            self.faults = self.faults.lost()
+            self.faults = self.faults.after_lost_answer()
             self.cut(call)
         else:
             self._attach(output)
-        self._wake()
+        self._start_stepping()
         return None
 
     def _execute(self, call: Call, body: dict, request_id: str) -> Execution:
-        work = self._work(call, body, request_id)
-        cached = self._prefixes.cached_tokens(work.prompt)
-        uncached = max(0, work.prompt_tokens - cached)
+        request = self._parse_request(call, body, request_id)
+        cached = self._prefixes.cached_tokens(request.prompt)
+        uncached = max(0, request.prompt_tokens - cached)
         prefill_s = uncached * self._prefill_s_per_token + self.faults.slow_start_s
         execution = Execution(
             number=len(self._executions),
             engine=self._name,
-            work=work,
+            request=request,
             ready_at=monotonic() + prefill_s,
             started=time(),
         )
-        self._events.add(self._prefixes.store(work.prompt), monotonic())
+        self._events.add(self._prefixes.store(request.prompt), monotonic())
         self._executions.append(execution)
-        self._latest[request_id] = execution
+        self._latest_by_request[request_id] = execution
         self._batch.add(execution)
         return execution
 
-    def _work(self, call: Call, body: dict, request_id: str) -> Work:
+    def _parse_request(
+        self, call: Call, body: dict, request_id: str
+    ) -> CompletionRequest:
         try:
             tokens, reason = self._lengths.draw(body, request_id)
-            return Work(
+            return CompletionRequest(
                 request_id=request_id,
                 key=call.header("Idempotency-Key"),
                 account=call.header("X-Account"),
@@ -223,22 +232,23 @@
 
     def _attach(self, output: _Output) -> None:
         self._outputs[output.execution.number] = output
-        self._by_sock[output.call.sock] = output
+        self._outputs_by_sock[output.call.sock] = output
         if output.streamed:
             self.open_stream(output.call, EVENT_STREAM)
 
     def _resume(self, call: Call, request_id: str, start: int) -> Reply | None:
-        execution = self._latest.get(request_id)
+        execution = self._latest_by_request.get(request_id)
         if execution is None:
             return Reply(404, {"error": "unknown request"})
-        if execution.state is State.CANCELLED or start > execution.work.tokens:
+        if execution.state is State.CANCELLED or start > execution.request.tokens:
             return Reply(410, {"error": "nothing to resume"})
         execution.resumed_from.append(start)
-        old = self._outputs.pop(execution.number, None)
-        if old is not None:
-            # The old connection may be half-open; two readers would share pieces.
-            self._by_sock.pop(old.call.sock, None)
-            self.cut(old.call)
+        previous_output = self._outputs.pop(execution.number, None)
+        if previous_output is not None:
+            # The old connection may be half-open; detach it so that the new one
+            # gets all pieces.
+            self._outputs_by_sock.pop(previous_output.call.sock, None)
+            self.cut(previous_output.call)
         output = _Output(call, execution, streamed=True, next_seq=start)
         self._attach(output)
         self._deliver(output)
@@ -246,15 +256,15 @@
 
     # Steps
 
-    def _wake(self) -> None:
+    def _start_stepping(self) -> None:
         if not self._stepping:
-            self._plan_step(monotonic())
+            self._schedule_step(monotonic())
 
-    def _plan_step(self, since: float) -> None:
+    def _schedule_step(self, base_time: float) -> None:
         self._stepping = bool(self._batch.running) and not self.faults.stall
         if self._stepping:
-            self._step_due = since + self._batch.pace_s
-            self.timers.after(max(0.0, self._step_due - monotonic()), self._step)
+            self._step_due_at = base_time + self._batch.pace_s
+            self.timers.after(max(0.0, self._step_due_at - monotonic()), self._step)
 
     def _step(self) -> None:
         if self.faults.stall:
@@ -264,24 +274,24 @@
             output = self._outputs.get(execution.number)
             if output is not None:
                 self._deliver(output)
-        # From when this step was due, so that a late timer does not slow the batch;
-        # an overloaded engine makes up for one step at most.
-        self._plan_step(max(self._step_due, monotonic() - self._batch.pace_s))
+        # Schedules from this step's due time, so that a late timer does not slow the
+        # batch; an overloaded engine catches up by at most one step.
+        self._schedule_step(max(self._step_due_at, monotonic() - self._batch.pace_s))
 
     def _deliver(self, output: _Output) -> None:
         execution = output.execution
         if not output.streamed:
             if execution.state is State.DONE:
                 self._detach(output)
-                whole = whole_answer(execution, crossed=self.faults.cross)
-                self.reply(output.call, Reply(200, whole))
+                response = completion_response(execution, crossed=self.faults.cross)
+                self.reply(output.call, Reply(200, response))
             return
-        data = b"".join(self._due(output))
+        data = b"".join(self._pending_events(output))
         if data:
             self.push(output.call, data)
-        if self._cut_now(output):
-            self.faults = self.faults.cut()
-            # The close may wait for what was written; no more may follow it.
+        if self._reached_cut(output):
+            self.faults = self.faults.after_cut()
+            # The close may wait for pending output; send nothing after it.
             del self._outputs[execution.number]
             self.cut(output.call)
         elif execution.state is State.DONE:
@@ -291,35 +301,39 @@
 
     def _detach(self, output: _Output) -> None:
         self._outputs.pop(output.execution.number, None)
-        self._by_sock.pop(output.call.sock, None)
+        self._outputs_by_sock.pop(output.call.sock, None)
 
-    def _cut_now(self, output: _Output) -> bool:
+    def _reached_cut(self, output: _Output) -> bool:
         after = self.faults.cut_after
-        return after is not None and output.sent >= after
+        return after is not None and output.sent_pieces >= after
 
-    def _due(self, output: _Output) -> Iterator[bytes]:
+    def _pending_events(self, output: _Output) -> Iterator[bytes]:
         while output.next_seq < output.execution.produced:
-            if self._cut_now(output):
+            if self._reached_cut(output):
                 return
             piece = piece_event(output.execution, output.next_seq)
             if self.faults.cross:
-                yield crossed_event(self._another(output), output.next_seq)
+                yield crossed_event(self._other_request_id(output), output.next_seq)
             yield piece
             if self.faults.duplicate:
                 yield piece
-            if self.faults.late and output.last:
-                yield output.last
-            output.last = piece
+            if self.faults.late and output.last_piece:
+                yield output.last_piece
+            output.last_piece = piece
             output.next_seq += 1
-            output.sent += 1
-
-    def _another(self, output: _Output) -> str:
-        mine = output.execution.work.request_id
-        others = (one for one in reversed(self._latest) if one != mine)
-        return next(others, ANOTHER)
+            output.sent_pieces += 1
+
+    def _other_request_id(self, output: _Output) -> str:
+        own_id = output.execution.request.request_id
+        others = (
+            other_id
+            for other_id in reversed(self._latest_by_request)
+            if other_id != own_id
+        )
+        return next(others, OTHER_REQUEST_ID)
 
     def _cancel(self, call: Call) -> Reply:
-        execution = self._latest.get(str(call.json.get("id")))
+        execution = self._latest_by_request.get(str(call.json.get("id")))
         if execution is None:
             return Reply(404, {"error": "unknown request"})
         cancelled = self._batch.cancel(execution, time())
@@ -331,7 +345,7 @@
 
     # Reports and orders
 
-    def _load(self) -> dict[str, object]:
+    def _current_load(self) -> dict[str, object]:
         return {
             "running": self._batch.running,
             "waiting": self._batch.waiting,
@@ -341,4 +355,4 @@
         }
 
     def _refresh_report(self) -> None:
-        self._report = self._load()
+        self._report = self._current_load()
--- a/greengageflow/lab/standin_log.py
+++ b/greengageflow/lab/standin_log.py
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """One kept record; ``time`` is in unix seconds."""
+    """A stored record; ``time`` is in Unix seconds."""
 
     offset: int
     time: float
@@ -24,7 +24,7 @@
 
     @property
     def wire(self) -> dict[str, object]:
-        """The record as readers get it."""
+        """The record as sent to readers."""
         return {"offset": self.offset, "time": self.time, "record": self.record}
 
 
@@ -53,14 +53,14 @@
             self.next_offset += 1
         return first
 
-    def forget(self, before: float, most: int) -> None:
+    def trim(self, before: float, max_records: int) -> None:
         while self.records and (
-            self.records[0].time < before or len(self.records) > most
+            self.records[0].time < before or len(self.records) > max_records
         ):
             self.records.popleft()
 
     def read(self, start: int, limit: int) -> Iterator[Record]:
-        # Readers are mostly near the end, and a deque is quick from both ends.
+        # Most readers are near the end, which a deque reaches fast in reverse order.
         behind = max(0, self.next_offset - start)
         tail = list(islice(reversed(self.records), behind))
         return islice(reversed(tail), limit)
@@ -71,17 +71,17 @@
 
 
 class LogStandIn(StandIn):
-    """The log service: offsets, limited appends, limited retention, long polls.
+    """Log service with offsets, rate-limited appends, retention and long polling.
 
     Example:
         greengage-standin log --port 7100 --appends_per_s 300 --keep_s 900
 
     Args:
-        host: IP number to listen on.
+        host: IP address to listen on.
         port: TCP port; 0 for any free one.
-        appends_per_s: Appends a second over all streams, whatever their size.
-        keep_s: Seconds for which a record is kept.
-        keep_records: Most records that a stream keeps.
+        appends_per_s: Rate limit of appends over all streams, of any size.
+        keep_s: Retention time of a record, in seconds.
+        keep_records: Maximum number of records kept per stream.
     """
 
     control_paths = frozenset({"/stats"})
@@ -96,11 +96,11 @@
         keep_records: int = 1_000_000,
     ) -> None:
         super().__init__(host, port)
-        self._rate = appends_per_s
+        self._appends_per_s = appends_per_s
         self._keep_s = keep_s
         self._keep_records = keep_records
         self._tokens = appends_per_s
-        self._refilled = monotonic()
+        self._refilled_at = monotonic()
         self._streams: dict[str, _Stream] = {}
         self._stats = dict.fromkeys(
             ("appends", "records", "bytes", "refused", "reads"), 0
@@ -111,7 +111,7 @@
         return APPEND if call.method == "POST" else READ
 
     def answer(self, call: Call) -> Reply | None:
-        """Answer an append, a read, or a question for the statistics."""
+        """Handle an append, a read or a request for the statistics."""
         if call.path == "/stats":
             return Reply(200, self._stats)
         match call.method, call.parts:
@@ -121,13 +121,15 @@
                 return self._read(call, name)
         return Reply(404, {"error": "no such path"})
 
-    def gone(self, sock) -> None:
-        """Forget the long polls of a closed connection."""
+    def on_disconnect(self, sock) -> None:
+        """Remove the long polls of a closed connection."""
         for stream in self._streams.values():
-            stream.readers = [one for one in stream.readers if one.call.sock != sock]
+            stream.readers = [
+                reader for reader in stream.readers if reader.call.sock != sock
+            ]
 
-    def faults_changed(self) -> None:
-        """Cut the long polls when the log goes down."""
+    def on_faults_changed(self) -> None:
+        """Cut the connections of all long polls if the log goes down."""
         if not self.faults.down or self.faults.only == APPEND:
             return
         for stream in self._streams.values():
@@ -136,11 +138,11 @@
                 reader.timeout.cancel()
                 self.cut(reader.call)
 
-    def _admit(self) -> bool:
+    def _take_token(self) -> bool:
         now = monotonic()
-        grown = self._tokens + (now - self._refilled) * self._rate
-        self._tokens = min(max(1.0, self._rate), grown)
-        self._refilled = now
+        refilled = self._tokens + (now - self._refilled_at) * self._appends_per_s
+        self._tokens = min(max(1.0, self._appends_per_s), refilled)
+        self._refilled_at = now
         if self._tokens < 1:
             return False
         self._tokens -= 1
@@ -149,8 +151,8 @@
     def _append(self, call: Call, name: str) -> Reply:
         values = call.json.get("records")
         if not isinstance(values, list) or not values:
-            raise BadCallError("records must be a list that is not empty")
-        if not self._admit():
+            raise BadCallError("records must be a non-empty list")
+        if not self._take_token():
             self._stats["refused"] += 1
             return Reply(429, {"error": "too many appends"}, {"Retry-After": "1"})
         stream = self._streams.setdefault(name, _Stream())
@@ -158,10 +160,10 @@
         self._stats["appends"] += 1
         self._stats["records"] += len(values)
         self._stats["bytes"] += len(call.data)
-        self._wake(stream)
+        self._answer_readers(stream)
         return Reply(200, {"first_offset": first, "count": len(values)})
 
-    def _wake(self, stream: _Stream) -> None:
+    def _answer_readers(self, stream: _Stream) -> None:
         readers, stream.readers = stream.readers, []
         for reader in readers:
             if reader.timeout is not None:
@@ -175,8 +177,7 @@
         self._stats["reads"] += 1
         stream = self._streams.get(name)
         if stream is None and wait_s > 0:
-            # Streams come into being with their first append, but a reader may
-            # wait for it.
+            # The first append creates a stream; a long poll may wait for it.
             stream = self._streams.setdefault(name, _Stream())
         if stream is None:
             stream = _Stream()
@@ -184,17 +185,19 @@
         if start < stream.next_offset or wait_s <= 0:
             return self._page(stream, reader)
         stream.readers.append(reader)
-        reader.timeout = self.timers.after(wait_s, lambda: self._up(stream, reader))
+        reader.timeout = self.timers.after(
+            wait_s, lambda: self._on_poll_timeout(stream, reader)
+        )
         return None
 
-    def _up(self, stream: _Stream, reader: _Reader) -> None:
+    def _on_poll_timeout(self, stream: _Stream, reader: _Reader) -> None:
         if reader in stream.readers:
             stream.readers.remove(reader)
             self.reply(reader.call, self._page(stream, reader))
 
     def _page(self, stream: _Stream, reader: _Reader) -> Reply:
-        stream.forget(time() - self._keep_s, self._keep_records)
+        stream.trim(time() - self._keep_s, self._keep_records)
         if reader.start < stream.first_offset:
             return Reply(410, {"error": "forgotten", **stream.bounds})
-        records = [one.wire for one in stream.read(reader.start, reader.limit)]
+        records = [record.wire for record in stream.read(reader.start, reader.limit)]
         return Reply(200, {"records": records, **stream.bounds})
--- a/greengageflow/lab/standin_service.py
+++ b/greengageflow/lab/standin_service.py
@@ -1,4 +1,4 @@
-"""Stand-in for a plain service whose calls have effects."""
+"""Stand-in for a plain service whose calls have side effects."""
 
 from dataclasses import asdict, dataclass
 from hashlib import sha256
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Effect:
-    """One call that took effect; ``time`` is in unix seconds."""
+    """Record of an executed call; ``time`` is in Unix seconds."""
 
     number: int
     method: str
@@ -24,18 +24,18 @@
 
 
 class ServiceStandIn(StandIn):
-    """A service that records every effect and never drops a repeated key.
+    """Service that records every effect, without deduplicating idempotency keys.
 
     Example:
         greengage-standin service --port 7300 --latency_s 0.05
 
     Args:
-        host: IP number to listen on.
+        host: IP address to listen on.
         port: TCP port; 0 for any free one.
-        name: Name of the replica, given in each answer.
-        latency_s: Seconds between the effect and the answer.
-        poison: The process crashes as it begins to run a call whose body has this text
-            in it; empty: none does.
+        name: Name of the replica, included in each response.
+        latency_s: Delay between the effect and the response, in seconds.
+        poison: Crash at the start of a call whose body contains this text; empty for
+            never.
     """
 
     control_paths = frozenset({"/effects"})
@@ -56,18 +56,20 @@
         self._effects: list[Effect] = []
 
     def operation(self, call: Call) -> str:
-        """Return ``ask`` for a question by key, else the method in lower case."""
+        """Return ``ask`` for a lookup by key, else the method in lower case."""
         return "ask" if call.parts[:2] == ["effects", BY_KEY] else call.method.lower()
 
     def answer(self, call: Call) -> Reply | None:
-        """Take an effect, or tell of those taken."""
+        """Execute a call, or report the recorded effects."""
         match call.parts:
             case ["effects"]:
-                return Reply(200, {"effects": [asdict(one) for one in self._effects]})
+                return Reply(
+                    200, {"effects": [asdict(effect) for effect in self._effects]}
+                )
             case ["effects", "by-key", key]:
-                return self._by_key(key)
+                return self._find_effect(key)
         crash_if_poison(self._poison, call.data)
-        effect = self._take(call)
+        effect = self._execute(call)
         reply = Reply(
             200,
             {
@@ -83,7 +85,7 @@
         self.timers.after(self._latency_s, lambda: self.reply(call, reply))
         return None
 
-    def _take(self, call: Call) -> Effect:
+    def _execute(self, call: Call) -> Effect:
         effect = Effect(
             number=len(self._effects),
             method=call.method,
@@ -96,7 +98,7 @@
         self._effects.append(effect)
         return effect
 
-    def _by_key(self, key: str) -> Reply:
+    def _find_effect(self, key: str) -> Reply:
         for effect in self._effects:
             if effect.key == key:
                 return Reply(200, asdict(effect))
--- a/greengageflow/lab/standin_weights.py
+++ b/greengageflow/lab/standin_weights.py
@@ -7,16 +7,16 @@
 
 
 class WeightsStandIn(StandIn):
-    """The weight store: the same bytes for the same model and version.
+    """Weight store that returns the same bytes for the same model and version.
 
     Example:
         greengage-standin weights --port 7102 --size 1000000
 
     Args:
-        host: IP number to listen on.
+        host: IP address to listen on.
         port: TCP port; 0 for any free one.
-        size: Bytes of each answer.
-        reads_per_s: Reads a second that it grants.
+        size: Size of each response in bytes.
+        reads_per_s: Rate limit of reads.
     """
 
     def __init__(
@@ -30,10 +30,10 @@
         super().__init__(host, port)
         self._size = size
         self._interval_s = 1 / reads_per_s
-        self._next_at = monotonic()
+        self._next_read_at = monotonic()
 
     def answer(self, call: Call) -> Reply:
-        """Answer with the bytes, or 429 when asked too often."""
+        """Respond with the bytes, or with 429 above the rate limit."""
         match call.method, call.parts:
             case "GET", ["weights", model, version]:
                 return self._read(f"{model}/{version}")
@@ -41,10 +41,10 @@
 
     def _read(self, name: str) -> Reply:
         now = monotonic()
-        if now < self._next_at:
-            after = f"{self._next_at - now:.3f}"
-            return Reply(429, {"error": "too many reads"}, {"Retry-After": after})
-        self._next_at = now + self._interval_s
+        if now < self._next_read_at:
+            retry_after = f"{self._next_read_at - now:.3f}"
+            return Reply(429, {"error": "too many reads"}, {"Retry-After": retry_after})
+        self._next_read_at = now + self._interval_s
         digest = sha256(name.encode()).digest()
         copies = self._size // len(digest) + 1
         return Reply(200, (digest * copies)[: self._size])
--- a/tests/fleet_support.py
+++ b/tests/fleet_support.py
@@ -1,4 +1,4 @@
-"""What the tests of whole fleets share."""
+"""Helpers for tests with a fleet of routers."""
 
 from collections.abc import Iterable, Mapping
 from contextlib import contextmanager
@@ -6,7 +6,7 @@
 from threading import Thread
 from typing import Any
 
-from greengageflow.lab.lab import Lab, LabPlan, key_of
+from greengageflow.lab.lab import Lab, LabPlan, account_api_key
 from greengageflow.lab.load import LoadClient
 from greengageflow.lab.load_check import verify
 from greengageflow.lab.load_plan import ChatLoad, LoadPlan, Result
@@ -17,13 +17,13 @@
 
 @contextmanager
 def proxied_lab(plan: LabPlan):
-    """A lab whose every connection but the callers' goes through a proxy."""
+    """A lab with a proxy on all connections except the callers'."""
     with fault_proxy() as proxy, Lab(plan, route=proxy.route) as lab:
         yield lab, proxy
 
 
-def split(lab: Lab, left: Iterable[str], right: Iterable[str], do="freeze"):
-    """Rules that cut the peer sides of two groups of routers from each other."""
+def partition_rules(lab: Lab, left: Iterable[str], right: Iterable[str], do="freeze"):
+    """Return proxy rules that partition two groups of routers from each other."""
     left, right = list(left), list(right)
     pairs = [(a, b) for a in left for b in right]
     return [
@@ -38,39 +38,41 @@
 
 def executions(lab: Lab) -> list[dict[str, Any]]:
     return [
-        {**one, "engine": name}
+        {**execution, "engine": name}
         for name, engine in lab.engines.items()
-        for one in engine.call("GET", "/executions").json["executions"]
+        for execution in engine.call("GET", "/executions").json["executions"]
     ]
 
 
-def wait_started(lab: Lab, more: int, engine: str | None = None) -> None:
-    """Wait until that many executions have begun from now on.
+def wait_started(lab: Lab, count: int, engine: str | None = None) -> None:
+    """Wait until ``count`` further executions have started.
 
-    Each must follow the one before in time; how long all take depends on the
-    machine, and says nothing about the fleet.
+    The time limit applies to each execution, not to all of them: the total time
+    depends on the machine's speed rather than on the fleet.
     """
 
-    def begun() -> int:
-        return sum(engine in (None, one["engine"]) for one in executions(lab))
+    def started_count() -> int:
+        return sum(
+            engine in (None, execution["engine"]) for execution in executions(lab)
+        )
 
-    before = begun()
-    for number in range(1, more + 1):
+    initial_count = started_count()
+    for number in range(1, count + 1):
         wait_for(
-            lambda n=number: begun() >= before + n,
-            f"new work, {number} of {more}, {engine or 'anywhere'}",
+            lambda n=number: started_count() >= initial_count + n,
+            f"new work, {number} of {count}, {engine or 'anywhere'}",
         )
 
 
 def wait_served(lab: Lab, account: str) -> None:
-    """Wait until every router's caller of that account gets an answer.
+    """Wait until every router serves a request of the client account.
 
-    A new owner first waits out grants of an earlier one, so that a request with a
-    short deadline is refused in a fleet that has only just begun.
+    A new owner first waits for grants of its predecessor to expire, so that a request
+    with a short deadline is refused in a fleet that has just started.
     """
     message = {"role": "user", "content": "served"}
     body = {"model": lab.plan.model, "messages": [message], "x_tokens": 1}
-    headers = {"Authorization": f"Bearer {key_of(account)}"}
+    headers = {"Authorization": f"Bearer {account_api_key(account)}"}
     path = "/v1/chat/completions"
     for host, router in lab.routers.items():
         wait_for(
@@ -83,37 +85,41 @@
 
 def effects(lab: Lab) -> list[dict[str, Any]]:
     return [
-        one
+        effect
         for service in lab.services.values()
-        for one in service.call("GET", "/effects").json["effects"]
+        for effect in service.call("GET", "/effects").json["effects"]
     ]
 
 
-def most_at_once(done: Iterable[Mapping[str, Any]]) -> dict[str, int]:
-    """Most executions that each engine had at the same time."""
-    moments = []
-    for one in done:
-        if one["started"] is not None:
-            moments.append((one["started"], 1, one["engine"]))
-            moments.append((one["ended"] or float("inf"), -1, one["engine"]))
+def peak_concurrency(observed: Iterable[Mapping[str, Any]]) -> dict[str, int]:
+    """Return the peak number of concurrent executions of each engine."""
+    concurrency_changes = []
+    for execution in observed:
+        if execution["started"] is not None:
+            concurrency_changes.append((execution["started"], 1, execution["engine"]))
+            concurrency_changes.append(
+                (execution["ended"] or float("inf"), -1, execution["engine"])
+            )
     running: dict[str, int] = {}
-    most: dict[str, int] = {}
-    for _, change, engine in sorted(moments):
+    peak: dict[str, int] = {}
+    for _, change, engine in sorted(concurrency_changes):
         running[engine] = running.get(engine, 0) + change
-        most[engine] = max(most.get(engine, 0), running[engine])
-    return most
+        peak[engine] = max(peak.get(engine, 0), running[engine])
+    return peak
 
 
 def chats(account: str, **options: Any) -> ChatLoad:
     defaults = {"model": "scribe", "median_tokens": 60, "most_tokens": 400}
-    return ChatLoad(account=account, key=key_of(account), **{**defaults, **options})
+    return ChatLoad(
+        account=account, key=account_api_key(account), **{**defaults, **options}
+    )
 
 
 class BackgroundLoad:
-    """Runs loads on a thread of the test, until the end of the ``with`` block.
+    """Runs loads on a thread until the end of the ``with`` block.
 
-    A load of a fixed length may be over on a busy machine before the test comes to
-    the step that needs it; so ``duration_s`` is for tests that wait for the end.
+    On a busy machine, a load of fixed duration may end before the test reaches the step
+    that needs it; so ``duration_s`` is only for tests that wait for the load's end.
     """
 
     def __init__(
@@ -142,7 +148,7 @@
         return self._thread.is_alive()
 
     def stop(self) -> list[Result]:
-        """End the load and return its results."""
+        """Stop the load and return its results."""
         self._client.stop()
         return self.results()
 
@@ -152,7 +158,11 @@
         return self._results
 
 
-def assert_truthful(lab: Lab, results: list[Result]) -> None:
-    """Every answer is its own, whole or shown as cut, and "not run" is true."""
+def assert_results_consistent(lab: Lab, results: list[Result]) -> None:
+    """Check every result against what the endpoints executed.
+
+    Each answer must belong to its request and be complete or reported as cut; a request
+    reported as not run must not have run.
+    """
     verdict = verify(results, executions(lab), effects(lab))
     assert verdict.faults == ()
--- a/tests/test_answer_faults.py
+++ b/tests/test_answer_faults.py
@@ -8,13 +8,13 @@
 
 import pytest
 
-from greengageflow.lab.lab import Lab, LabPlan, key_of
+from greengageflow.lab.lab import Lab, LabPlan, account_api_key
 from tests.fleet_support import (
     BackgroundLoad,
-    assert_truthful,
+    assert_results_consistent,
     chats,
     executions,
-    most_at_once,
+    peak_concurrency,
     wait_served,
     wait_started,
 )
@@ -68,7 +68,7 @@
     load = BackgroundLoad(lab, chats("acme", outstanding=40), duration_s=2)
     while load.running:
         yield min(running(lab))
-    assert_truthful(lab, load.results())
+    assert_results_consistent(lab, load.results())
 
 
 def assert_all_slots_usable(lab):
@@ -79,7 +79,7 @@
     wait_for(lambda: SLOTS in list(all_running(lab)), "every slot in use", 60)
     # Ignore earlier executions: an engine detects a closed connection with a delay.
     recent = [run for run in executions(lab) if run["started"] >= since]
-    assert max(most_at_once(recent).values()) <= SLOTS
+    assert max(peak_concurrency(recent).values()) <= SLOTS
 
 
 def run_load(lab, **options):
@@ -87,7 +87,7 @@
     before = len(executions(lab))
     load = chats("acme", outstanding=16, **options)
     results = BackgroundLoad(lab, load, duration_s=2).results()
-    assert_truthful(lab, results)
+    assert_results_consistent(lab, results)
     assert results
     assert len(executions(lab)) > before
     return results
@@ -101,7 +101,7 @@
     lines = [
         "POST /v1/chat/completions HTTP/1.1",
         "Host: router",
-        f"Authorization: Bearer {key_of('bolt')}",
+        f"Authorization: Bearer {account_api_key('bolt')}",
         "Content-Type: application/json",
         f"Content-Length: {len(data)}",
         *(f"{name}: {value}" for name, value in headers.items()),
@@ -152,7 +152,10 @@
     fault(lab, cross=True)
     message = {"role": "user", "content": "crossed"}
     body = {"model": "scribe", "messages": [message], "x_tokens": 20}
-    headers = {"Authorization": f"Bearer {key_of('acme')}", "X-Deadline-S": "4"}
+    headers = {
+        "Authorization": f"Bearer {account_api_key('acme')}",
+        "X-Deadline-S": "4",
+    }
 
     def send_chat(_number):
         return lab.routers["r1"].call(
--- a/tests/test_double_faults.py
+++ b/tests/test_double_faults.py
@@ -2,19 +2,19 @@
 
 from concurrent.futures import ThreadPoolExecutor
 
-from greengageflow.lab.lab import LabPlan, key_of
+from greengageflow.lab.lab import LabPlan, account_api_key
 from greengageflow.lab.load_plan import ServiceLoad
 from tests.fleet_support import (
     ENGINE,
     BackgroundLoad,
-    assert_truthful,
+    assert_results_consistent,
     chats,
     effects,
     executions,
     members,
-    most_at_once,
+    partition_rules,
+    peak_concurrency,
     proxied_lab,
-    split,
     wait_started,
 )
 from tests.support import wait_for
@@ -36,7 +36,7 @@
 def actions(account, **options):
     return ServiceLoad(
         account=account,
-        key=key_of(account),
+        key=account_api_key(account),
         service="rounds",
         path="dispatch/visit",
         protected=True,
@@ -46,7 +46,7 @@
 
 def dispatch(lab, host, key):
     request_headers = {
-        "Authorization": f"Bearer {key_of('bolt')}",
+        "Authorization": f"Bearer {account_api_key('bolt')}",
         "Idempotency-Key": key,
     }
     return lab.routers[host].call("POST", ACTION, {"villa": 7}, headers=request_headers)
@@ -74,7 +74,7 @@
     both = chats("acme", outstanding=20), actions("acme", rate_per_s=5)
     with proxied_lab(PLAN) as (lab, proxy), BackgroundLoad(lab, *both) as load:
         wait_for(lambda: len(executions(lab)) > 30, "load runs")
-        proxy.rules(*split(lab, LEFT_SIDE, RIGHT_SIDE))
+        proxy.rules(*partition_rules(lab, LEFT_SIDE, RIGHT_SIDE))
         lab.log.fault(down=True)
         wait_for_views(lab, LEFT_SIDE, RIGHT_SIDE)
         both = ("r1", "r3")
@@ -96,10 +96,10 @@
         wait_for_views(lab, set(lab.routers))
         wait_started(lab, 100)
         results = load.stop()
-        assert_truthful(lab, results)
+        assert_results_consistent(lab, results)
         assert all(result.complete for result in results if result.kind == "chat")
         assert repeated_keys(lab) == set()
-        assert max(most_at_once(executions(lab)).values()) <= SLOTS
+        assert max(peak_concurrency(executions(lab)).values()) <= SLOTS
 
 
 def test_router_killed_during_partition():
@@ -111,7 +111,7 @@
     chat = chats("acme", outstanding=30)
     with proxied_lab(PLAN) as (lab, proxy), BackgroundLoad(lab, chat) as load:
         wait_for(lambda: len(executions(lab)) > 30, "load runs")
-        proxy.rules(*split(lab, LEFT_SIDE, RIGHT_SIDE))
+        proxy.rules(*partition_rules(lab, LEFT_SIDE, RIGHT_SIDE))
         wait_for_views(lab, LEFT_SIDE, RIGHT_SIDE)
         killed_address = lab.routers["r3"].address
         lab.routers["r3"].kill()
@@ -122,11 +122,11 @@
         wait_for_views(lab, set(lab.routers))
         wait_started(lab, 100)
         results = load.stop()
-        assert_truthful(lab, results)
+        assert_results_consistent(lab, results)
         assert all(
             result.complete for result in results if result.router != killed_address
         )
-        assert max(most_at_once(executions(lab)).values()) <= SLOTS
+        assert max(peak_concurrency(executions(lab)).values()) <= SLOTS
 
 
 def test_frozen_writer_does_not_repeat_actions():
@@ -148,7 +148,7 @@
             other_answers = list(
                 threads.map(lambda key: dispatch(lab, "r4", key), keys)
             )
-            lab.routers["r1"].go_on()
+            lab.routers["r1"].resume()
             answers = [future.result() for future in futures]
         wait_for_views(lab, set(lab.routers))
         assert repeated_keys(lab) == set()
@@ -182,7 +182,7 @@
     )
     with proxied_lab(PLAN) as (lab, proxy), BackgroundLoad(lab, *both) as load:
         wait_for(lambda: len(executions(lab)) > 30, "load runs")
-        proxy.rules(*split(lab, LEFT_SIDE, RIGHT_SIDE))
+        proxy.rules(*partition_rules(lab, LEFT_SIDE, RIGHT_SIDE))
         wait_for_views(lab, LEFT_SIDE, RIGHT_SIDE)
         count_before = len(executions(lab))
         wait_for(lambda: len(executions(lab)) > count_before + 150, "both sides serve")
@@ -191,6 +191,6 @@
         wait_for(lambda: both_accounts_served(lab), "both accounts are served")
         wait_started(lab, 100)
         results = load.stop()
-        assert_truthful(lab, results)
+        assert_results_consistent(lab, results)
         assert all(result.complete for result in results)
-        assert max(most_at_once(executions(lab)).values()) <= SLOTS
+        assert max(peak_concurrency(executions(lab)).values()) <= SLOTS
--- a/tests/test_stop_faults.py
+++ b/tests/test_stop_faults.py
@@ -3,17 +3,17 @@
 from concurrent.futures import ThreadPoolExecutor
 from http.client import HTTPConnection
 
-from greengageflow.lab.lab import LabPlan, key_of
+from greengageflow.lab.lab import LabPlan, account_api_key
 from greengageflow.lab.load_plan import ServiceLoad
 from tests.fleet_support import (
     ENGINE,
     BackgroundLoad,
-    assert_truthful,
+    assert_results_consistent,
     chats,
     effects,
     executions,
     members,
-    most_at_once,
+    peak_concurrency,
     proxied_lab,
     wait_started,
 )
@@ -34,7 +34,7 @@
 
 
 def headers(account, **more):
-    return {"Authorization": f"Bearer {key_of(account)}", **more}
+    return {"Authorization": f"Bearer {account_api_key(account)}", **more}
 
 
 def send_long_chat(lab, host):
@@ -157,7 +157,7 @@
     """
     actions = ServiceLoad(
         account="acme",
-        key=key_of("acme"),
+        key=account_api_key("acme"),
         service="rounds",
         path="dispatch/visit",
         rate_per_s=5,
@@ -178,7 +178,7 @@
         wait_started(lab, 100)
         results = load.stop()
         done = executions(lab)
-        assert_truthful(lab, results)
+        assert_results_consistent(lab, results)
         assert not [result for result in results if result.text and not result.complete]
         refused = [
             result for result in results if result.status and not result.complete
@@ -190,4 +190,4 @@
             execution for execution in done if execution["tokens"] != LONG_TOKENS
         )
         assert {execution["request_id"] for execution in background} <= completed
-        assert max(most_at_once(done).values()) <= SLOTS
+        assert max(peak_concurrency(done).values()) <= SLOTS
