--- a/greengageflow/lab/_overload_callers.py
+++ b/greengageflow/lab/_overload_callers.py
@@ -1,7 +1,8 @@
-"""Callers of the overload experiment, one process: ``… PLAN_FILE ROWS_FILE``.
+"""Load generator of the overload experiment: ``… PLAN_FILE ROWS_FILE``.
 
-They come by a Poisson process whatever happens to those before them. Times are counted
-from when a caller was due, so that a slow caller process hides no wait.
+This is an open-loop generator: requests arrive by a Poisson process, independent of
+earlier answers. Latencies are measured from the time a request was due, so a slow
+generator process doesn't hide queueing time.
 """
 
 import json
@@ -36,19 +37,19 @@
 
 @dataclass(frozen=True, slots=True)
 class CallPlan:
-    """What the callers do.
+    """Settings of the load generator.
 
     Args:
-        addresses: Routers, asked in turn.
-        keys: Keys of the accounts, used by lot.
-        path: What is asked for.
-        host: Host name in the requests.
-        deadline_ms: What each caller allows.
-        prompt: Prompt tokens; 0 for a plain request.
-        wanted: Tokens to generate.
-        phases: Seconds and requests a second, one after the other.
+        addresses: Routers, used round-robin.
+        keys: API keys of the client accounts, one chosen at random per request.
+        path: Request path.
+        host: Value of the ``Host`` header.
+        deadline_ms: Deadline sent with each request, in milliseconds.
+        prompt: Prompt tokens per request; 0 for a plain request.
+        wanted: Tokens to generate per request.
+        phases: Length in seconds and requests per second of consecutive phases.
         start: Monotonic time of the first phase.
-        seed: Seed of the lots.
+        seed: Seed of the random number generators.
     """
 
     addresses: list[tuple[str, int]]
@@ -63,7 +64,7 @@
     seed: int = 1
 
     def arrivals(self, random: Random) -> Iterator[float]:
-        """Yield when callers are due, in seconds from the start."""
+        """Yield arrival times of requests, in seconds from the start."""
         begin = 0.0
         for seconds, rate in self.phases:
             now = begin + random.expovariate(rate)
@@ -74,24 +75,24 @@
 
     @property
     def seconds(self) -> float:
-        """Length of all phases."""
+        """Total length of all phases."""
         return sum(seconds for seconds, _ in self.phases)
 
 
 @dataclass(slots=True)
 class CallRow:
-    """What became of one attempt; times in seconds from the start of the plan.
+    """Result of one attempt; times are in seconds from the start of the plan.
 
     Args:
-        id: Its id.
-        again: It comes after a refusal.
-        due: When it was to be sent.
-        sent: When it was sent.
-        status: Status of the answer; 0 without one.
-        first: When the first event of a stream came, or a plain answer was whole.
-        ended: When it was over.
-        whole: The answer came whole.
-        retry_after: Seconds after which the caller was told to come back.
+        id: Request id.
+        again: The attempt is a retry after a refusal.
+        due: Scheduled send time.
+        sent: Actual send time.
+        status: HTTP status of the answer; 0 if there was none.
+        first: Time of the first event of a stream, or of the end of a plain answer.
+        ended: Time at which the attempt ended.
+        whole: The answer was received completely.
+        retry_after: Value of ``Retry-After``, in seconds.
     """
 
     id: str
@@ -129,7 +130,7 @@
 
 
 class Callers(BaseComponent):
-    """Sends what the plan says and stops when everything has ended."""
+    """Sends the planned requests and stops after the last deadline has passed."""
 
     def __init__(self, plan: CallPlan) -> None:
         super().__init__()
@@ -192,7 +193,7 @@
         self._pool.open(request, _Attempt(self, row))
 
     def ended(self, row: CallRow) -> None:
-        """Note the end of an attempt; a refused caller comes back, once."""
+        """Record the end of an attempt and schedule one retry after a refusal."""
         row.ended = self.now
         if not self._plan.prompt:
             row.first = row.ended
@@ -203,7 +204,7 @@
 
 
 def main() -> None:
-    """Run the plan in one file and write the rows to another."""
+    """Read the plan file, send its requests and write the rows file."""
     given: dict[str, Any] = json.loads(Path(sys.argv[1]).read_text())
     given["addresses"] = [tuple(one) for one in given["addresses"]]
     callers = Callers(CallPlan(**given))
--- a/greengageflow/lab/_overload_fleet.py
+++ b/greengageflow/lab/_overload_fleet.py
@@ -1,4 +1,4 @@
-"""Gateways before stand-in endpoints of known capacity, for ``bench_overload``."""
+"""Starts gateways and stand-in endpoints for ``bench_overload``."""
 
 import json
 import os
@@ -40,16 +40,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoints:
-    """The endpoints and the work of one request.
+    """Stand-in endpoints and the work of one request.
 
     Args:
         kind: ``plain`` or ``engine``.
         count: Number of endpoints.
-        slots: Requests that each runs at once.
-        work_ms: Milliseconds that a plain request runs, or that an engine's step of a
-            batch of one takes.
-        prompt: Prompt tokens of a generation.
-        wanted: Tokens that it makes.
+        slots: Concurrent requests per endpoint.
+        work_ms: Run time of a plain request, or of an engine step with a batch of one,
+            in milliseconds.
+        prompt: Prompt tokens per request.
+        wanted: Tokens to generate per request.
     """
 
     kind: str
@@ -63,7 +63,7 @@
 
     @property
     def capacity(self) -> float:
-        """Requests a second that all of them finish at most, by their parameters."""
+        """Maximum throughput of all endpoints in requests per second, calculated."""
         if self.kind == "plain":
             return self.count * self.slots * 1000 / self.work_ms
         step_ms = self.work_ms * (1 + self.GROWTH * (self.slots - 1))
@@ -71,7 +71,7 @@
 
     @property
     def flags(self) -> dict[str, Any]:
-        """Flags of a stand-in."""
+        """Command-line flags of a stand-in endpoint."""
         common = {"service": SERVICE, "slots": self.slots, "queue": 2 * self.slots}
         if self.kind == "plain":
             return {**common, "work_ms": self.work_ms}
@@ -79,7 +79,7 @@
 
 
 def configuration(endpoints: Endpoints) -> dict[str, Any]:
-    """Return a configuration of one route and a few accounts."""
+    """Return a configuration with one route and ``ACCOUNTS`` client accounts."""
     engine = endpoints.kind == "engine"
     route = {
         "name": SERVICE,
@@ -116,15 +116,15 @@
 
 
 def keys() -> list[str]:
-    """Return one key of each account."""
+    """Return one API key for each client account."""
     return [f"key-{number}" for number in range(ACCOUNTS)]
 
 
 class OverloadFleet:
-    """Starts and ends the processes; use it in a ``with`` block.
+    """Starts and stops the processes of an overload run, as a context manager.
 
     Args:
-        endpoints: What stands behind the gateways.
+        endpoints: Endpoints behind the gateways.
         gateways: Number of gateways.
     """
 
@@ -214,21 +214,21 @@
         return Path(self._dir.name, f"{name}.err")
 
     def log_of(self, name: str) -> Path:
-        """Return the file that gets a gateway's standard output."""
+        """Return the file to which a gateway's standard output is written."""
         return Path(self._dir.name, f"{name}.log")
 
     @property
     def folder(self) -> Path:
-        """Folder of the run, removed at its end."""
+        """Temporary directory of the run, removed by ``close``."""
         return Path(self._dir.name)
 
     @property
     def addresses(self) -> list[tuple[str, int]]:
-        """Where callers connect."""
+        """Addresses at which the gateways accept requests."""
         return [(self._ip(number), CALLERS_PORT) for number in range(self._count)]
 
     def metrics(self) -> dict[str, float]:
-        """Return the sums of the gateways' metrics, without histograms' parts."""
+        """Return metrics summed over gateways, without buckets and creation times."""
         sums: dict[str, float] = {}
         for number in range(self._count):
             for name, value in _samples(self._ip(number)):
@@ -236,7 +236,7 @@
         return sums
 
     def runs(self) -> list[dict[str, Any]]:
-        """Return all requests that came to the endpoints."""
+        """Return all requests that the endpoints received."""
         rows = []
         for process in self.replicas.values():
             address = process.ready["host"], process.ready["control"]
@@ -244,7 +244,7 @@
         return rows
 
     def close(self) -> None:
-        """End everything."""
+        """Stop all processes and remove the temporary directory."""
         mine = [*self.routers.values(), *self.replicas.values()]
         for process in (*mine, *filter(None, [self._store])):
             with suppress(ProcessLookupError):
--- a/greengageflow/lab/_overload_sums.py
+++ b/greengageflow/lab/_overload_sums.py
@@ -1,4 +1,4 @@
-"""What callers saw of an overload, by second and by phase."""
+"""Summarizes the results of an overload run as the callers saw them."""
 
 from collections.abc import Iterable, Iterator, Mapping, Sequence
 from dataclasses import dataclass
@@ -8,7 +8,7 @@
 from greengageflow.lab.measures import percentile
 
 SETTLE_S = 2.0
-"""Beginning of each phase that its means leave out, in seconds."""
+"""Warm-up time at the start of each phase, excluded from its means, in seconds."""
 
 BIN_S = 0.5
 CALM_BINS = 6
@@ -17,13 +17,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Span:
-    """One phase of the load.
+    """One phase of constant load.
 
     Args:
-        name: Its load in parts of the capacity, as text.
-        begin: Seconds from the start.
-        end: Seconds from the start.
-        rate: Requests a second that were asked for.
+        name: Load as a multiple of the capacity, as text.
+        begin: Start of the phase, in seconds from the start of the run.
+        end: End of the phase, in seconds from the start of the run.
+        rate: Offered load in requests per second.
     """
 
     name: str
@@ -33,12 +33,13 @@
 
 
 class OverloadSums:
-    """Sums of what became of all attempts.
+    """Outcome rates and queue waits of all attempts.
 
     Args:
         rows: All attempts.
-        begun: Seconds from the start at which endpoints began with them, by id.
-        target_s: Time within which an answer is in time, in seconds.
+        begun: When endpoints started to execute requests, in seconds from the start
+            of the run, by request id.
+        target_s: Latency target for an answer, in seconds.
     """
 
     def __init__(
@@ -60,9 +61,10 @@
         return "in_time" if row.first - row.due <= self._target_s else "late"
 
     def between(self, begin: float, end: float) -> dict[str, float]:
-        """Return rates a second and waits between two times.
+        """Return rates per second and wait percentiles for a time interval.
 
-        Answers count when they end, arrivals and waits when the caller is due.
+        Answers are assigned by the time they end; arrivals and waits by the time the
+        request was due.
         """
         seconds = end - begin
         came = [row for row in self._rows if begin <= row.due < end]
@@ -86,13 +88,13 @@
         return 1000 * percentile(took, 0.95) if took else 0.0
 
     def seconds(self, length: float) -> Iterator[dict[str, float]]:
-        """Yield each whole second."""
+        """Yield the summary of each whole second of a run."""
         for second in range(int(length)):
             row = {"second": float(second), **self.between(second, second + 1)}
             yield {name: round(value, 2) for name, value in row.items()}
 
     def phase(self, span: Span) -> dict[str, Any]:
-        """Return the means of a phase without its beginning."""
+        """Return the means of a phase, excluding its warm-up time."""
         means = self.between(span.begin + SETTLE_S, span.end)
         return {"load": span.name, "asked": round(span.rate, 2)} | {
             name: round(value, 2) for name, value in means.items()
@@ -100,24 +102,29 @@
 
     @property
     def unanswered(self) -> int:
-        """Attempts that ended without a whole answer."""
+        """Number of attempts that failed or got an incomplete answer."""
         return sum(self._outcome(row) == "failed" for row in self._rows)
 
     def normal_s(self, quiet: Span) -> float:
-        """Return the wait up to which waits are normal: p95 of a quiet phase, doubled.
+        """Return the longest queue wait that counts as normal, in seconds.
+
+        This is twice the p95 wait of an unloaded phase plus a fixed slack.
 
         Args:
-            quiet: A phase before the load.
+            quiet: A phase before the overload.
         """
         quiet_ms = self.between(quiet.begin + SETTLE_S, quiet.end)["wait_p95_ms"]
         return NORMAL_FACTOR * quiet_ms / 1000 + NORMAL_SLACK_S
 
     def recovery_s(self, after: Span, normal_s: float) -> float | None:
-        """Return the seconds until waits are normal for 3 s; None if they never are.
+        """Return the seconds until the p95 wait stays normal for 3 s.
 
         Args:
-            after: The phase after the load.
-            normal_s: The p95 of waits up to which they are normal.
+            after: The phase after the overload.
+            normal_s: Highest p95 wait that counts as normal, in seconds.
+
+        Returns:
+            Seconds from the start of the phase, or None if waits stay above normal.
         """
         calm = 0
         for number in range(int((after.end - after.begin) / BIN_S)):
--- a/greengageflow/lab/bench_overload.py
+++ b/greengageflow/lab/bench_overload.py
@@ -1,4 +1,4 @@
-"""Overload and recovery of gateways before stand-in endpoints of known capacity."""
+"""Measures overload and recovery of gateways with stand-in endpoints."""
 
 import json
 import os
@@ -41,13 +41,13 @@
     "failed/s": "failed",
     "wait p50, ms": "wait_p50_ms",
     "wait p95, ms": "wait_p95_ms",
-    "back after a refusal/s": "again",
+    "retries after a refusal/s": "again",
 }
 
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """What processes and pages say at one moment."""
+    """CPU usage, metrics and log sizes at one point in time."""
 
     at: float
     usage: dict[str, Usage]
@@ -62,21 +62,21 @@
     work_ms: float = 0.0,
     out: str = "overload",
 ) -> dict[str, Any]:
-    """Load gateways with 0.5, 1, 2, 4 and 0.5 times what the endpoints give.
+    """Run gateways at 0.5, 1, 2, 4 and 0.5 times the capacity of the endpoints.
 
     Args:
         kind: ``plain`` or ``engine``.
         gateways: Number of gateways.
-        work_ms: Milliseconds of a plain request, or of an engine's step; 0 for the
-            usual ones.
-        out: Path of the JSON and the SVG file, without their endings.
+        work_ms: Run time of a plain request, or of an engine step, in milliseconds;
+            0 for the default.
+        out: Path of the JSON and the SVG file, without extension.
 
     Returns:
-        What is written to the JSON file.
+        The content of the JSON file.
 
     Raises:
-        KeyError: Unknown kind.
-        RuntimeError: The callers' process failed.
+        KeyError: ``kind`` is unknown.
+        RuntimeError: The load generator exited with an error.
     """
     endpoints = KINDS[kind]
     if work_ms:
@@ -138,7 +138,7 @@
     try:
         samples = list(_samples(fleet, client, start, spans))
         if client.wait(CLIENT_END_S):
-            raise RuntimeError("the callers' process failed")
+            raise RuntimeError("load generator exited with an error")
     finally:
         client.kill()
         client.wait()
@@ -149,7 +149,7 @@
 def _samples(
     fleet: OverloadFleet, client: Popen, start: float, spans: list[Span]
 ) -> Iterator[Sample]:
-    """Yield one sample at the beginning of each phase and at the end of the last."""
+    """Yield a sample at the start of each phase and at the end of the last one."""
     for at in (*(span.begin for span in spans), spans[-1].end):
         sleep(max(0.0, start + at - monotonic()))
         processes = {**fleet.routers, **fleet.replicas}
@@ -187,7 +187,7 @@
 
 
 def _cost(before: Sample, after: Sample) -> dict[str, Any]:
-    """Return what processes, pages and logs took a second between two samples."""
+    """Return CPU use, log rates and counter increases between two samples."""
     seconds = after.at - before.at
     counts = {
         name: round(value - before.metrics.get(name, 0.0))
--- a/greengageflow/lab/bench_policy.py
+++ b/greengageflow/lab/bench_policy.py
@@ -1,4 +1,4 @@
-"""Plays the decision core against simulated engines, with and without a mechanism."""
+"""Ablation benchmark of scheduling and placement with simulated engines."""
 
 from collections.abc import Callable, Iterator, Mapping
 from concurrent.futures import ProcessPoolExecutor
@@ -83,7 +83,7 @@
     "first-by": _set(service_scheduler, FIRST_EVENT_TARGET_FRACTION=inf),
     "queue": _set(service_scheduler, QUEUE_TARGET_FRACTION=0.1),
 }
-"""What can be left out, by name."""
+"""Functions that disable a mechanism, by name."""
 
 
 def _play(without: str, sheet: str, seed: int) -> tuple[Figures, Course]:
@@ -96,12 +96,12 @@
 def play_seeds(
     sheet: str, seeds: range, without: str = ""
 ) -> list[tuple[Figures, Course]]:
-    """Return figures and course of each seed's day, in order.
+    """Simulate one day per seed and return figures and time series, in order.
 
     Args:
         sheet: Name of a deployment.
         seeds: Seeds.
-        without: Mechanism that is left out.
+        without: Mechanism to disable; empty for none.
     """
     job = partial(_play, without, sheet)
     with ProcessPoolExecutor(PROCESSES) as pool:
@@ -109,13 +109,13 @@
 
 
 def run_policy(sheet: str, seeds: range, without: tuple[str, ...], out: str) -> None:
-    """Print a table of all mechanisms beside one without each, and draw the days.
+    """Print the figures with all mechanisms and the effect of disabling each.
 
     Args:
         sheet: Name of a deployment.
         seeds: Seeds.
-        without: Names of mechanisms.
-        out: SVG file; empty: none.
+        without: Mechanisms to disable, one at a time.
+        out: SVG file for the time series; empty for none.
     """
     base = play_seeds(sheet, seeds)
     courses = {"all": _mean_course([course for _, course in base])}
@@ -131,7 +131,10 @@
 
 
 def _table(columns: Mapping[str, list[Figures]]) -> Iterator[str]:
-    """Yield lines: means and spread, and for others the paired difference."""
+    """Yield lines with means, and for other columns the mean paired difference.
+
+    Each mean is followed by its standard error.
+    """
     base = columns["all"]
     others = [name for name in columns if name != "all"]
     yield " ".join([f"{'':17}", f"{'all':>15}", *(f"{n:>17}" for n in others)])
--- a/greengageflow/lab/policy_engine.py
+++ b/greengageflow/lab/policy_engine.py
@@ -1,4 +1,4 @@
-"""A model engine in simulated time: it reads, makes tokens in steps, keeps prefixes."""
+"""Simulated inference engine: chunked prefill, batched decoding and a prefix cache."""
 
 from collections import OrderedDict
 from collections.abc import Callable, Iterator
@@ -8,23 +8,23 @@
 from greengageflow.lab.policy_load import Asked, Sheet
 
 CHUNK = 2048
-"""Prompt tokens that one step reads at most."""
+"""Maximum number of prompt tokens processed in a step."""
 PAIR_S = 5.25e-10
-"""Seconds for a token read with one token before it (attention)."""
+"""Attention time per pair of a prefilled token and an earlier token, in seconds."""
 
 
 @dataclass(slots=True, eq=False)
 class EngineRun:
-    """A request at an engine.
+    """State of a request at an engine.
 
     Args:
         asked: The request.
-        to_read: Prompt tokens that are left to read.
-        ready_at: Time from which it may be read, after a fetch.
-        decodes_at: Time of its first event, once it is read.
-        made: Tokens made.
+        to_read: Prompt tokens that still need prefill.
+        ready_at: Earliest start of prefill, after a fetch has finished.
+        decodes_at: Start of decoding; None until prefill is complete.
+        made: Generated tokens.
         last_event_at: Time of the last event.
-        worst_gap_s: Longest pause between two events, in seconds.
+        worst_gap_s: Longest gap between two events, in seconds.
     """
 
     asked: Asked
@@ -37,14 +37,14 @@
 
 
 class PolicyEngine:
-    """One engine.
+    """One simulated engine.
 
     Args:
-        name: Its id.
+        name: Id of the engine.
         zone: Availability zone.
-        sheet: What it can do.
-        on_first: Hears of a first event.
-        on_end: Hears of a run that is done.
+        sheet: Performance parameters.
+        on_first: Called at the first event of a run.
+        on_end: Called when a run has finished.
     """
 
     def __init__(
@@ -69,15 +69,15 @@
 
     @property
     def kept(self) -> tuple[PromptPart, ...]:
-        """All that it keeps, the least recently used first."""
+        """Cached prompt parts, least recently used first."""
         return tuple(PromptPart(name, n) for name, n in self._cache.items())
 
     def keeps(self, part: str) -> bool:
-        """Whether it keeps a prompt part."""
+        """Whether a prompt part is in the cache."""
         return part in self._cache
 
     def put(self, now: float, run: EngineRun, source: "PolicyEngine | None") -> None:
-        """Take a request, and shared parts that another engine keeps."""
+        """Queue a request; fetch its shared part if only ``source`` has it cached."""
         shared = run.asked.prompt.parts[0]
         if source is not None and source.keeps(shared.id) and not self.keeps(shared.id):
             begin = max(now, self._link_free_at, source._link_free_at)
@@ -89,20 +89,20 @@
         self.queue.append(run)
 
     def drop(self, run: EngineRun) -> None:
-        """End a request whose caller has left."""
+        """Cancel a request whose caller has disconnected."""
         for runs in (self.queue, self.runs):
             if run in runs:
                 runs.remove(run)
 
     def crash(self) -> list[EngineRun]:
-        """Lose all, and return what was cut."""
+        """Drop all requests and the cache, and return the requests."""
         cut = self.queue + self.runs
         self.queue, self.runs = [], []
         self._cache.clear()
         return cut
 
     def step(self, now: float) -> float | None:
-        """Do one step; return its length in seconds, or None when nothing is to do."""
+        """Run one step and return its duration in seconds, or None if idle."""
         self._admit(now)
         if not self.runs:
             return None
--- a/greengageflow/lab/policy_load.py
+++ b/greengageflow/lab/policy_load.py
@@ -1,4 +1,4 @@
-"""Load and troubles of a simulated day, drawn from a seed."""
+"""Generates the load and the faults of a simulated day from a seed."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -8,26 +8,32 @@
 from greengageflow.core.forward_request import Prompt, PromptPart
 
 DAY_S = 40.0
-"""Seconds for which requests come."""
+"""Time in which requests arrive, in seconds."""
 ACCOUNT_SKEW = 1.4
 THING_SKEW = 0.3
-"""Exponents by which the n-th account, or shared part, is asked for less often."""
+"""Zipf exponents of the popularity of accounts and of shared prompt parts."""
 HOME_ZONE_PART = 0.4
-"""Part of an account's requests that come from its own zone."""
+"""Fraction of an account's requests that come from its home zone."""
 ZONE_WEIGHTS = (1.0, 0.6, 0.8)
-"""How the other requests spread over zones."""
+"""Weights of the zones for the other requests."""
 
 
 @dataclass(frozen=True, slots=True)
 class Length:
-    """Tokens, lognormally spread round a mean."""
+    """Log-normal distribution of a token count.
+
+    Args:
+        mean: Mean before the limit is applied.
+        spread: Standard deviation divided by the mean.
+        most: Upper limit.
+    """
 
     mean: float
     spread: float
     most: float
 
     def draw(self, random: Random) -> int:
-        """Return a length, 1 or more."""
+        """Return a random token count of at least 1."""
         sigma = sqrt(log(1 + self.spread**2))
         drawn = random.lognormvariate(log(self.mean) - sigma**2 / 2, sigma)
         return max(1, int(min(drawn, self.most)))
@@ -38,17 +44,17 @@
     """One kind of request.
 
     Args:
-        name: Its name.
-        per_s: Requests a second of the whole fleet on a usual day.
-        worth: Of an answer in time.
-        late_worth: Of a later one.
-        target_s: Time within which the first event is in time, in seconds.
-        deadline_s: Time for which a caller waits in all, in seconds.
-        gap_s: Longest pause between events that is in time, in seconds.
-        things: How many shared prompt parts there are.
-        shared: Length of a shared part.
-        own: Length of the rest.
-        out: Length of the answer.
+        name: Name of the kind.
+        per_s: Requests per second to the whole fleet, without faults.
+        worth: Worth of an answer in time.
+        late_worth: Worth of a late answer.
+        target_s: Target time to the first event, in seconds.
+        deadline_s: Deadline for the whole answer, in seconds.
+        gap_s: Longest allowed gap between events, in seconds.
+        things: Number of shared prompt parts.
+        shared: Token count of a shared prompt part.
+        own: Token count of the rest of the prompt.
+        out: Token count of the answer.
     """
 
     name: str
@@ -66,22 +72,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Sheet:
-    """A deployment that is played.
+    """A simulated deployment.
 
     Args:
         kinds: Kinds of request.
-        engines: Engines, spread evenly over the zones.
+        engines: Number of engines, spread evenly over the zones.
         zones: Availability zones.
-        accounts: Client accounts, a few of them large.
-        slots: Requests that an engine runs at once.
-        memory: Tokens that fit into its memory.
-        read_per_s: Prompt tokens that it reads in a second, at most.
-        step_s: Seconds of a step, with nothing to read.
-        slot_s: Seconds by which each running request lengthens a step.
-        stride: Tokens in an event.
-        fixed_s: Seconds from the prompt's last token to the first event.
-        fetch_s: Seconds that a fetched token takes on the link.
-        tokens_per_s: Work of all engines that accounts share evenly.
+        accounts: Number of client accounts; a few of them send most requests.
+        slots: Maximum batch size of an engine.
+        memory: KV cache capacity of an engine, in tokens.
+        read_per_s: Maximum prefill rate of an engine, in tokens per second.
+        step_s: Base duration of a step without prefill, in seconds.
+        slot_s: Additional step duration per decoding request, in seconds.
+        stride: Tokens per event.
+        fixed_s: Time from the end of prefill to the first event, in seconds.
+        fetch_s: Link time per token fetched from another engine, in seconds.
+        tokens_per_s: Capacity of all engines, divided by fair share over accounts.
     """
 
     kinds: tuple[Kind, ...]
@@ -198,7 +204,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Asked:
-    """A request of a caller."""
+    """A request of a simulated caller."""
 
     id: str
     at: float
@@ -212,15 +218,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Trouble:
-    """Something that happens.
+    """A fault or a change of load.
 
     Args:
         kind: ``burst``, ``hot_account``, ``hot_key``, ``leave``, ``crash``, ``slow``,
-            ``grey`` or ``forget`` (all hosts start anew and know nothing).
-        at: Begin, in seconds.
-        to: End, in seconds.
-        x: How strong.
-        index: Which account or engine.
+            ``grey`` (an engine fails a fraction of its requests) or ``forget`` (all
+            hosts restart without state).
+        at: Start time, in seconds.
+        to: End time, in seconds.
+        x: Severity: a factor, or a fraction of requests.
+        index: Index of the affected account or engine.
     """
 
     kind: str
@@ -230,12 +237,12 @@
     index: int = 0
 
     def holds(self, now: float) -> bool:
-        """Whether it goes on."""
+        """Whether the fault is active."""
         return self.at <= now < self.to
 
 
 def draw_troubles(random: Random, sheet: Sheet) -> tuple[Trouble, ...]:
-    """Return the troubles of a heavy day: some of each, at any time."""
+    """Return the faults of a day: at least one of each kind, at random times."""
 
     def one(kind: str, low: float, high: float, x: float, most: int) -> Trouble:
         at = random.uniform(0.5, DAY_S - 8)
@@ -254,7 +261,7 @@
 
 
 class _Things:
-    """The shared parts of one kind."""
+    """Shared prompt parts of one kind of request."""
 
     def __init__(self, random: Random, kind: Kind) -> None:
         self.parts = [
@@ -272,7 +279,7 @@
 def draw_load(
     random: Random, sheet: Sheet, troubles: tuple[Trouble, ...]
 ) -> Iterator[Asked]:
-    """Yield the requests of a day, in order of time."""
+    """Yield the requests of a day in order of arrival."""
     accounts = [f"account{n}" for n in range(sheet.accounts)]
     homes = [random.choice(sheet.zones) for _ in accounts]
     things = {kind.name: _Things(random, kind) for kind in sheet.kinds}
--- a/greengageflow/lab/policy_play.py
+++ b/greengageflow/lab/policy_play.py
@@ -1,4 +1,4 @@
-"""Plays a day of requests through the decision core, in simulated time."""
+"""Simulates a day of requests with the real scheduling and placement code."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
@@ -27,34 +27,34 @@
 
 SERVICE = "model"
 WAY_S = 0.001
-"""Seconds of one way within a zone."""
+"""One-way network delay within a zone, in seconds."""
 AWAY_S = 0.0009
-"""Seconds that a way to another zone takes more, as the users' zones are apart."""
+"""Additional one-way delay between zones, from the users' topology, in seconds."""
 TICK_S = 0.05
 ROUND_S = 0.25
-"""Seconds between two ticks and two rounds of a gateway."""
+"""Intervals of queue processing and of fleet totals at a gateway, in seconds."""
 START_S = 1.0
-"""Seconds until hosts that were lost together take requests again."""
+"""Time until hosts accept requests after all of them restarted, in seconds."""
 RELIST_S = 1.5
-"""Seconds after which the list drops an engine that crashed."""
+"""Time until a crashed engine is removed from the endpoint list, in seconds."""
 ASKED_S = 0.3
-"""Seconds after which a placer that begins has heard from engines."""
+"""Time until a restarted placer has queried the engines' caches, in seconds."""
 RETRIES = 1
 ANSWER_TOKEN_BYTES = 60
-"""Bytes of an answer for each token, with the framing of its event."""
+"""Bytes of an answer per token, including event framing."""
 
 
 @dataclass(slots=True)
 class Row:
-    """What became of a request.
+    """Outcome of a request.
 
     Args:
         asked: The request.
         end: ``in_time``, ``late``, ``refused``, ``failed`` or ``left``.
-        tries: How often it was sent again by its caller.
-        first_s: Seconds from the first try to the first event.
-        paused: A pause between events was too long.
-        away_bytes: Bytes that crossed zones.
+        tries: Number of retries by the caller.
+        first_s: Time from the first attempt to the first event, in seconds.
+        paused: A gap between events exceeded the limit.
+        away_bytes: Bytes sent between zones.
     """
 
     asked: Asked
@@ -75,13 +75,13 @@
 
 @dataclass(slots=True)
 class Played:
-    """A day that was played.
+    """Results of a simulated day.
 
     Args:
         rows: All requests.
-        troubles: What happened.
-        read_again: Shared tokens read although an engine had read them.
-        fetched: Tokens moved between engines.
+        troubles: Faults of the day.
+        read_again: Shared tokens prefilled again after an engine had processed them.
+        fetched: Tokens fetched from other engines.
     """
 
     rows: list[Row] = field(default_factory=list)
@@ -91,12 +91,12 @@
 
 
 class Play:
-    """One day with one seed.
+    """Simulation of one day.
 
     Args:
-        sheet: The deployment.
-        seed: Of load and troubles.
-        troubles: What happens; None: drawn.
+        sheet: Simulated deployment.
+        seed: Seed of load and faults.
+        troubles: Faults; None to draw them from the seed.
     """
 
     def __init__(
@@ -122,7 +122,7 @@
         self._book = self._new_book()
 
     def run(self) -> Played:
-        """Play the day, and return what became of all."""
+        """Run the simulation and return the results."""
         for asked in self._load:
             self._at(asked.at, lambda a=asked: self._arrive(Row(a)))
         for trouble in self._troubles:
@@ -134,7 +134,7 @@
             call()
         return self._played
 
-    # Time.
+    # Event queue.
 
     def _at(self, time: float, call: Callable[[], None]) -> None:
         heappush(self._heap, (time, next(self._order), call))
@@ -147,7 +147,7 @@
 
         self._at(pace_s, turn)
 
-    # The fleet.
+    # Dispatcher and endpoint list.
 
     def _new_book(self) -> ServiceDispatcher:
         book = ServiceDispatcher(
@@ -329,7 +329,7 @@
         in_time = tried.row.first_s <= kind.target_s and not tried.row.paused
         self._finish(tried, "in_time" if in_time else "late")
 
-    # Troubles.
+    # Faults.
 
     def _begin(self, trouble: Trouble) -> None:
         name = list(self._engines)[trouble.index % len(self._engines)]
@@ -354,7 +354,7 @@
         self._at(self._now + RELIST_S, lambda: list(self._listed.drop(engine.name)))
 
     def _forget(self) -> None:
-        """Let all hosts start anew: streams are cut, and nothing is known."""
+        """Restart all hosts: open streams fail and the dispatcher loses its state."""
         for tried in list(self._tries.values()):
             self._stop(tried, "failed")
         self._book = self._new_book()
@@ -362,7 +362,7 @@
         self._at(self._down_until + ASKED_S, self._ask_engines)
 
     def _ask_engines(self) -> None:
-        """Let a placer that has just begun hear what engines keep."""
+        """Report the engines' cached prompt parts to a restarted dispatcher."""
         for name, engine in self._engines.items():
             listed = self._listed.get(name)
             if listed is not None:
--- a/greengageflow/lab/policy_sums.py
+++ b/greengageflow/lab/policy_sums.py
@@ -1,4 +1,4 @@
-"""What a played day was worth, and what was lost to what."""
+"""Scores a simulated day: earned worth, its losses and costs."""
 
 from collections import defaultdict
 from collections.abc import Callable, Hashable, Iterable
@@ -10,31 +10,31 @@
 from greengageflow.lab.policy_play import Played, Row
 
 WINDOW_S = 4.0
-"""Seconds over which an account's share is counted."""
+"""Length of the windows in which fair shares of accounts are computed, in seconds."""
 SECONDS = 2.0
-"""Length of the windows of which the two worst count."""
+"""Length of the time slices of which the two worst enter the score, in seconds."""
 SHARE_WEIGHTS = {"day": 0.45, "accounts": 0.3, "seconds": 0.15, "kind": 0.1}
 READ_AGAIN_PRICE = 8e-5
 FETCH_PRICE = 2.3e-5
 AWAY_PRICE = 4.7e-6
-"""Worth of a shared token read again, of a token moved, of a byte between zones."""
+"""Costs per recomputed shared token, per fetched token and per cross-zone byte."""
 
 
 @dataclass(slots=True)
 class Credit:
-    """Worth that was owed, and that was earned."""
+    """Worth of requests within the fair share, and the part of it that was earned."""
 
     owed: float = 0.0
     earned: float = 0.0
 
     @property
     def part(self) -> float:
-        """The part that was earned."""
+        """Earned fraction of the owed worth, 0 to 1."""
         return self.earned / self.owed if self.owed else 1.0
 
 
 def sums_of(played: Played, sheet: Sheet) -> dict[str, float]:
-    """Return the figures of one day; parts of worth are 0 to 1."""
+    """Return the figures of one day; fractions of worth are 0 to 1."""
     rows = [row for row in played.rows if row.end != "left"]
     credits = list(_credits(rows, sheet))
     owed = sum(credit.owed for _, credit in credits)
@@ -71,7 +71,7 @@
 
 
 def seconds_of(played: Played, sheet: Sheet) -> list[tuple[float, float]]:
-    """Return the part of worth earned by second of the day."""
+    """Return the earned fraction of worth by time slice, as (start, fraction)."""
     rows = [row for row in played.rows if row.end != "left"]
     credits = list(_credits(rows, sheet))
     found = _by(credits, lambda row: int(row.asked.at // SECONDS))
@@ -79,10 +79,10 @@
 
 
 def _credits(rows: Iterable[Row], sheet: Sheet) -> Iterable[tuple[Row, Credit]]:
-    """Yield what each request is owed and earns.
+    """Yield the worth that each request is owed and earns.
 
-    In each window an account is owed its max-min share of what the engines do; what
-    it asks beyond is neither owed nor earned.
+    In each window an account is owed its max-min fair share of the engines' capacity.
+    Demand above that share is neither owed nor earned.
     """
     windows: dict[int, dict[str, list[Row]]] = defaultdict(lambda: defaultdict(list))
     for row in rows:
