--- a/greengageflow/lab/bench_policy.py
+++ b/greengageflow/lab/bench_policy.py
@@ -14,34 +14,34 @@
     service_scheduler,
 )
 from greengageflow.lab._slopes_svg import draw
-from greengageflow.lab.policy_load import SHEETS
-from greengageflow.lab.policy_play import Play
-from greengageflow.lab.policy_sums import seconds_of, sums_of
+from greengageflow.lab.policy_load import DEPLOYMENTS
+from greengageflow.lab.policy_play import Simulation
+from greengageflow.lab.policy_sums import score_day, worth_by_time
 
 PROCESSES = 6
 
 Figures = Mapping[str, float]
-Course = list[tuple[float, float]]
+TimeSeries = list[tuple[float, float]]
 
 
-def _set(module: object, **values: object) -> Callable[[], None]:
-    def change() -> None:
+def _set_constants(module: object, **values: object) -> Callable[[], None]:
+    def patch() -> None:
         for name, value in values.items():
             if not hasattr(module, name):
                 raise AttributeError(f"{module} has no {name}")
             setattr(module, name, value)
 
-    return change
+    return patch
 
 
 def _no_fixed_time() -> None:
     fit = prefill_model.PrefillModel._fit
 
-    def without(model: prefill_model.PrefillModel) -> None:
+    def patched(model: prefill_model.PrefillModel) -> None:
         fit(model)
         model.fixed_s = 0.0
 
-    prefill_model.PrefillModel._fit = without
+    prefill_model.PrefillModel._fit = patched
 
 
 def _no_mirror() -> None:
@@ -53,49 +53,51 @@
 
 
 def _no_stated_shares() -> None:
-    service_dispatcher.ServiceDispatcher._fair_share_capacity = lambda _book, done: max(
-        done, 50_000.0
+    service_dispatcher.ServiceDispatcher._fair_share_capacity = (
+        lambda _dispatcher, done: max(done, 50_000.0)
     )
 
 
 def _no_fetch() -> None:
     choose = endpoint_choice.EndpointChooser.choose
 
-    def without(*args: object, **options: object) -> object:
+    def patched(*args: object, **options: object) -> object:
         return choose(*args, **(options | {"transfers": False}))
 
-    endpoint_choice.EndpointChooser.choose = without
+    endpoint_choice.EndpointChooser.choose = patched
 
 
 MECHANISMS: Mapping[str, Callable[[], None]] = {
     "fixed-time": _no_fixed_time,
-    "zones": _set(endpoint_choice, CROSS_ZONE_PENALTY_S=0.0),
-    "homes": _set(endpoint_choice, HOME_BONUS_S=0.0),
+    "zones": _set_constants(endpoint_choice, CROSS_ZONE_PENALTY_S=0.0),
+    "homes": _set_constants(endpoint_choice, HOME_BONUS_S=0.0),
     "fetch": _no_fetch,
-    "copy-price": _set(endpoint_choice, COPY_COST_FRACTION=0.0),
+    "copy-price": _set_constants(endpoint_choice, COPY_COST_FRACTION=0.0),
     "mirror": _no_mirror,
     "asking": _no_asking,
     "stated-shares": _no_stated_shares,
-    "levels": _set(service_dispatcher, FAIR_SHARE_TOLERANCE=inf),
-    "slack": _set(
+    "levels": _set_constants(service_dispatcher, FAIR_SHARE_TOLERANCE=inf),
+    "slack": _set_constants(
         service_scheduler, SPARE_WAIT_TARGET_FRACTION=inf, SPARE_FILL_FRACTION=1.0
     ),
-    "first-by": _set(service_scheduler, FIRST_EVENT_TARGET_FRACTION=inf),
-    "queue": _set(service_scheduler, QUEUE_TARGET_FRACTION=0.1),
+    "first-by": _set_constants(service_scheduler, FIRST_EVENT_TARGET_FRACTION=inf),
+    "queue": _set_constants(service_scheduler, QUEUE_TARGET_FRACTION=0.1),
 }
 """Functions that disable a mechanism, by name."""
 
 
-def _play(without: str, sheet: str, seed: int) -> tuple[Figures, Course]:
+def _simulate(without: str, sheet: str, seed: int) -> tuple[Figures, TimeSeries]:
     if without:
         MECHANISMS[without]()
-    played = Play(SHEETS[sheet], seed).run()
-    return sums_of(played, SHEETS[sheet]), seconds_of(played, SHEETS[sheet])
+    result = Simulation(DEPLOYMENTS[sheet], seed).run()
+    return score_day(result, DEPLOYMENTS[sheet]), worth_by_time(
+        result, DEPLOYMENTS[sheet]
+    )
 
 
-def play_seeds(
+def simulate_seeds(
     sheet: str, seeds: range, without: str = ""
-) -> list[tuple[Figures, Course]]:
+) -> list[tuple[Figures, TimeSeries]]:
     """Simulate one day per seed and return figures and time series, in order.
 
     Args:
@@ -103,7 +105,7 @@
         seeds: Seeds.
         without: Mechanism to disable; empty for none.
     """
-    job = partial(_play, without, sheet)
+    job = partial(_simulate, without, sheet)
     with ProcessPoolExecutor(PROCESSES) as pool:
         return list(pool.map(job, seeds))
 
@@ -117,16 +119,16 @@
         without: Mechanisms to disable, one at a time.
         out: SVG file for the time series; empty for none.
     """
-    base = play_seeds(sheet, seeds)
-    courses = {"all": _mean_course([course for _, course in base])}
+    base = simulate_seeds(sheet, seeds)
+    time_series = {"all": _mean_series([series for _, series in base])}
     columns = {"all": [figures for figures, _ in base]}
     for name in without:
-        days = play_seeds(sheet, seeds, name)
+        days = simulate_seeds(sheet, seeds, name)
         columns[f"no {name}"] = [figures for figures, _ in days]
-        courses[f"no {name}"] = _mean_course([course for _, course in days])
+        time_series[f"no {name}"] = _mean_series([series for _, series in days])
     print("\n".join(_table(columns)))
     if out:
-        panels = {name: {"points": points} for name, points in courses.items()}
+        panels = {name: {"points": points} for name, points in time_series.items()}
         Path(out).write_text(draw(panels))
 
 
@@ -139,22 +141,22 @@
     others = [name for name in columns if name != "all"]
     yield " ".join([f"{'':17}", f"{'all':>15}", *(f"{n:>17}" for n in others)])
     for figure in base[0]:
-        of_base = [day.get(figure, 0.0) for day in base]
-        cells = [f"{fmean(of_base):7.3f} +-{_spread(of_base):5.3f}"]
+        base_values = [day.get(figure, 0.0) for day in base]
+        cells = [f"{fmean(base_values):7.3f} +-{_standard_error(base_values):5.3f}"]
         for name in others:
-            pairs = zip(columns[name], of_base, strict=True)
+            pairs = zip(columns[name], base_values, strict=True)
             differences = [day.get(figure, 0.0) - before for day, before in pairs]
-            mean, spread = fmean(differences), _spread(differences)
-            cells.append(f"{mean:+8.3f} +-{spread:5.3f}")
+            mean, error = fmean(differences), _standard_error(differences)
+            cells.append(f"{mean:+8.3f} +-{error:5.3f}")
         yield " ".join([f"{figure:17}", *cells])
 
 
-def _spread(values: list[float]) -> float:
+def _standard_error(values: list[float]) -> float:
     """Return the standard error of the mean."""
     return stdev(values) / len(values) ** 0.5 if len(values) > 1 else 0.0
 
 
-def _mean_course(courses: list[Course]) -> Course:
-    seconds = sorted({second for course in courses for second, _ in course})
-    by_second = [dict(course) for course in courses]
+def _mean_series(time_series: list[TimeSeries]) -> TimeSeries:
+    seconds = sorted({second for series in time_series for second, _ in series})
+    by_second = [dict(series) for series in time_series]
     return [(s, fmean(c[s] for c in by_second if s in c)) for s in seconds]
--- a/greengageflow/lab/policy_play.py
+++ b/greengageflow/lab/policy_play.py
@@ -18,352 +18,398 @@
 from greengageflow.lab.policy_engine import EngineRun, PolicyEngine
 from greengageflow.lab.policy_load import (
     DAY_S,
-    Asked,
-    Sheet,
-    Trouble,
+    Deployment,
+    Fault,
+    SimulatedRequest,
+    draw_faults,
     draw_load,
-    draw_troubles,
 )
 
 SERVICE = "model"
-WAY_S = 0.001
+ONE_WAY_DELAY_S = 0.001
 """One-way network delay within a zone, in seconds."""
-AWAY_S = 0.0009
+CROSS_ZONE_EXTRA_DELAY_S = 0.0009
 """Additional one-way delay between zones, from the users' topology, in seconds."""
-TICK_S = 0.05
-ROUND_S = 0.25
+PUMP_INTERVAL_S = 0.05
+TOTALS_INTERVAL_S = 0.25
 """Intervals of queue processing and of fleet totals at a gateway, in seconds."""
-START_S = 1.0
+RESTART_DELAY_S = 1.0
 """Time until hosts accept requests after all of them restarted, in seconds."""
-RELIST_S = 1.5
+CRASH_REMOVAL_DELAY_S = 1.5
 """Time until a crashed engine is removed from the endpoint list, in seconds."""
-ASKED_S = 0.3
+CACHE_QUERY_DELAY_S = 0.3
 """Time until a restarted placer has queried the engines' caches, in seconds."""
-RETRIES = 1
+MAX_CALLER_RETRIES = 1
 ANSWER_TOKEN_BYTES = 60
 """Bytes of an answer per token, including event framing."""
 
 
 @dataclass(slots=True)
-class Row:
+class RequestOutcome:
     """Outcome of a request.
 
     Args:
-        asked: The request.
+        request: The request.
         end: ``in_time``, ``late``, ``refused``, ``failed`` or ``left``.
-        tries: Number of retries by the caller.
-        first_s: Time from the first attempt to the first event, in seconds.
-        paused: A gap between events exceeded the limit.
-        away_bytes: Bytes sent between zones.
+        retries: Number of retries by the caller.
+        first_event_s: Time from the first attempt to the first event, in seconds.
+        gap_exceeded: A gap between events exceeded the limit.
+        cross_zone_bytes: Bytes sent between zones.
     """
 
-    asked: Asked
+    request: SimulatedRequest
     end: str = ""
-    tries: int = 0
-    first_s: float | None = None
-    paused: bool = False
-    away_bytes: int = 0
+    retries: int = 0
+    first_event_s: float | None = None
+    gap_exceeded: bool = False
+    cross_zone_bytes: int = 0
 
 
 @dataclass(slots=True, eq=False)
-class _Try:
-    row: Row
+class _Attempt:
+    row: RequestOutcome
     id: str
     endpoint: ListedEndpoint | None = None
     run: EngineRun | None = None
 
 
 @dataclass(slots=True)
-class Played:
+class SimulationResult:
     """Results of a simulated day.
 
     Args:
         rows: All requests.
-        troubles: Faults of the day.
-        read_again: Shared tokens prefilled again after an engine had processed them.
-        fetched: Tokens fetched from other engines.
+        faults: Faults of the day.
+        recomputed_tokens: Shared tokens prefilled although an engine had done so.
+        fetched_tokens: Tokens fetched from other engines.
     """
 
-    rows: list[Row] = field(default_factory=list)
-    troubles: tuple[Trouble, ...] = ()
-    read_again: int = 0
-    fetched: int = 0
+    rows: list[RequestOutcome] = field(default_factory=list)
+    faults: tuple[Fault, ...] = ()
+    recomputed_tokens: int = 0
+    fetched_tokens: int = 0
 
 
-class Play:
+class Simulation:
     """Simulation of one day.
 
     Args:
-        sheet: Simulated deployment.
+        deployment: Simulated deployment.
         seed: Seed of load and faults.
-        troubles: Faults; None to draw them from the seed.
+        faults: Faults; None to draw them from the seed.
     """
 
     def __init__(
-        self, sheet: Sheet, seed: int, troubles: tuple[Trouble, ...] | None = None
+        self, deployment: Deployment, seed: int, faults: tuple[Fault, ...] | None = None
     ) -> None:
         random = Random(seed)
         self._random = Random(seed + 1)
-        self._sheet = sheet
-        drawn = draw_troubles(random, sheet)
-        self._troubles = drawn if troubles is None else troubles
-        self._load = list(draw_load(random, sheet, self._troubles))
-        self._played = Played(troubles=self._troubles)
+        self._deployment = deployment
+        drawn = draw_faults(random, deployment)
+        self._faults = drawn if faults is None else faults
+        self._load = list(draw_load(random, deployment, self._faults))
+        self._result = SimulationResult(faults=self._faults)
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
-        self._order = count()
+        self._sequence = count()
         self._now = 0.0
-        self._tries: dict[str, _Try] = {}
-        self._read: set[str] = set()
-        self._down_until = 0.0
+        self._attempts: dict[str, _Attempt] = {}
+        self._prefilled_parts: set[str] = set()
+        self._hosts_down_until = 0.0
         self._engines: dict[str, PolicyEngine] = {}
-        self._listed = EndpointList()
-        for number in range(sheet.engines):
-            self._add_engine(f"e{number}", sheet.zones[number % len(sheet.zones)])
-        self._book = self._new_book()
+        self._endpoint_list = EndpointList()
+        for number in range(deployment.engines):
+            self._add_engine(
+                f"e{number}", deployment.zones[number % len(deployment.zones)]
+            )
+        self._dispatcher = self._new_dispatcher()
 
-    def run(self) -> Played:
+    def run(self) -> SimulationResult:
         """Run the simulation and return the results."""
-        for asked in self._load:
-            self._at(asked.at, lambda a=asked: self._arrive(Row(a)))
-        for trouble in self._troubles:
-            self._at(trouble.at, lambda t=trouble: self._begin(t))
-        self._every(TICK_S, lambda: self._carry_out(self._book.pump(self._now)))
-        self._every(ROUND_S, self._round)
+        for request in self._load:
+            self._schedule(
+                request.at,
+                lambda request=request: self._on_arrival(RequestOutcome(request)),
+            )
+        for fault in self._faults:
+            self._schedule(fault.at, lambda fault=fault: self._start_fault(fault))
+        self._schedule_every(
+            PUMP_INTERVAL_S, lambda: self._apply(self._dispatcher.pump(self._now))
+        )
+        self._schedule_every(TOTALS_INTERVAL_S, self._report_totals)
         while self._heap:
-            self._now, _, call = heappop(self._heap)
-            call()
-        return self._played
+            self._now, _, action = heappop(self._heap)
+            action()
+        return self._result
 
     # Event queue.
 
-    def _at(self, time: float, call: Callable[[], None]) -> None:
-        heappush(self._heap, (time, next(self._order), call))
+    def _schedule(self, time: float, action: Callable[[], None]) -> None:
+        heappush(self._heap, (time, next(self._sequence), action))
 
-    def _every(self, pace_s: float, call: Callable[[], None]) -> None:
-        def turn() -> None:
-            call()
+    def _schedule_every(self, interval_s: float, action: Callable[[], None]) -> None:
+        def run_and_reschedule() -> None:
+            action()
             if self._now < DAY_S + 20:
-                self._at(self._now + pace_s, turn)
+                self._schedule(self._now + interval_s, run_and_reschedule)
 
-        self._at(pace_s, turn)
+        self._schedule(interval_s, run_and_reschedule)
 
     # Dispatcher and endpoint list.
 
-    def _new_book(self) -> ServiceDispatcher:
-        book = ServiceDispatcher(
-            self._listed, self._sheet.zones[0], lambda: FleetRetryBudget(0.2, 58, 10.0)
+    def _new_dispatcher(self) -> ServiceDispatcher:
+        dispatcher = ServiceDispatcher(
+            self._endpoint_list,
+            self._deployment.zones[0],
+            lambda: FleetRetryBudget(0.2, 58, 10.0),
         )
         service = Service(
-            SERVICE, self._sheet.slots, self._sheet.memory, transfers=True
+            SERVICE,
+            self._deployment.slots,
+            self._deployment.memory_tokens,
+            transfers=True,
         )
-        book.on_routing(
+        dispatcher.on_routing(
             Routing(
-                1, services={SERVICE: service}, tokens_per_s=self._sheet.tokens_per_s
+                1,
+                services={SERVICE: service},
+                tokens_per_s=self._deployment.tokens_per_s,
             )
         )
-        book.set_owned_engines(frozenset(self._listed.ids()))
-        return book
+        dispatcher.set_owned_engines(frozenset(self._endpoint_list.ids()))
+        return dispatcher
 
-    def _round(self) -> None:
-        self._book.set_owned_engines(frozenset(self._listed.ids()))
-        self._carry_out(self._book.on_totals(self._now, FleetTotals(hosts=8)))
+    def _report_totals(self) -> None:
+        self._dispatcher.set_owned_engines(frozenset(self._endpoint_list.ids()))
+        self._apply(self._dispatcher.on_totals(self._now, FleetTotals(hosts=8)))
 
     def _add_engine(self, name: str, zone: str) -> None:
         self._engines[name] = PolicyEngine(
-            name, zone, self._sheet, self._on_first, self._on_end
+            name, zone, self._deployment, self._on_first, self._on_end
         )
-        entry = ListedEndpoint(name, SERVICE, "127.0.0.1", 9, zone, self._sheet.slots)
-        list(self._listed.put(entry))
+        entry = ListedEndpoint(
+            name, SERVICE, "127.0.0.1", 9, zone, self._deployment.slots
+        )
+        list(self._endpoint_list.put(entry))
 
     # Callers.
 
-    def _arrive(self, row: Row) -> None:
-        asked = row.asked
-        if self._now < self._down_until:
-            self._at(self._down_until, lambda: self._arrive(row))
+    def _on_arrival(self, row: RequestOutcome) -> None:
+        request = row.request
+        if self._now < self._hosts_down_until:
+            self._schedule(self._hosts_down_until, lambda: self._on_arrival(row))
             return
-        if not row.tries:
-            self._played.rows.append(row)
-        request = f"{asked.id}/{row.tries}"
-        tried = self._tries[request] = _Try(row, request)
-        give_up = (
-            self._now + service_scheduler.QUEUE_TARGET_FRACTION * asked.kind.target_s
+        if not row.retries:
+            self._result.rows.append(row)
+        attempt_id = f"{request.id}/{row.retries}"
+        attempt = self._attempts[attempt_id] = _Attempt(row, attempt_id)
+        queue_deadline = (
+            self._now + service_scheduler.QUEUE_TARGET_FRACTION * request.kind.target_s
         )
-        end_at = asked.at + asked.kind.deadline_s
+        deadline_at = request.at + request.kind.deadline_s
         queued_request = QueuedRequest(
-            request,
-            asked.account,
-            asked.prompt.work,
+            attempt_id,
+            request.account,
+            request.prompt.work,
             0,
             self._now,
-            asked.at + asked.kind.target_s,
-            min(give_up, end_at),
+            request.at + request.kind.target_s,
+            min(queue_deadline, deadline_at),
+        )
+        job = Job(
+            queued_request, request.kind.target_s, request.prompt, zone=request.zone
         )
-        job = Job(queued_request, asked.kind.target_s, asked.prompt, zone=asked.zone)
-        self._at(end_at, lambda: self._stop(tried, "failed"))
-        if asked.leaves_after_s is not None:
-            self._at(asked.at + asked.leaves_after_s, lambda: self._stop(tried, "left"))
-        self._carry_out(self._book.submit(self._now, SERVICE, job, asked.account))
+        self._schedule(deadline_at, lambda: self._abort(attempt, "failed"))
+        if request.disconnects_after_s is not None:
+            self._schedule(
+                request.at + request.disconnects_after_s,
+                lambda: self._abort(attempt, "left"),
+            )
+        self._apply(self._dispatcher.submit(self._now, SERVICE, job, request.account))
 
-    def _carry_out(self, decisions: Iterable[Decision]) -> None:
+    def _apply(self, decisions: Iterable[Decision]) -> None:
         for decision in decisions:
-            tried = self._tries.get(decision.request)
-            if tried is None:
+            attempt = self._attempts.get(decision.request)
+            if attempt is None:
                 continue
             if isinstance(decision, StartJob):
-                self._send(tried, decision.choice)
+                self._send(attempt, decision.choice)
             else:
-                self._refuse(tried, decision.retry_after_s)
-
-    def _refuse(self, tried: _Try, wait_s: float) -> None:
-        row = tried.row
-        del self._tries[tried.id]
-        left_s = row.asked.at + row.asked.kind.deadline_s - self._now
-        if row.tries < RETRIES and row.asked.leaves_after_s is None:
-            row.tries += 1
-            self._at(self._now + min(wait_s, left_s / 3), lambda: self._arrive(row))
+                self._refuse(attempt, decision.retry_after_s)
+
+    def _refuse(self, attempt: _Attempt, wait_s: float) -> None:
+        row = attempt.row
+        del self._attempts[attempt.id]
+        left_s = row.request.at + row.request.kind.deadline_s - self._now
+        if row.retries < MAX_CALLER_RETRIES and row.request.disconnects_after_s is None:
+            row.retries += 1
+            self._schedule(
+                self._now + min(wait_s, left_s / 3), lambda: self._on_arrival(row)
+            )
         else:
             row.end = "refused"
 
-    def _finish(self, tried: _Try, end: str) -> None:
-        if self._tries.pop(tried.id, None) is None:
+    def _finish(self, attempt: _Attempt, end: str) -> None:
+        if self._attempts.pop(attempt.id, None) is None:
             return
-        tried.row.end = end
-        if tried.endpoint is not None:
-            self._book.on_request_released(tried.id, tried.endpoint)
-        self._carry_out(self._book.on_request_end(self._now, SERVICE, tried.id))
+        attempt.row.end = end
+        if attempt.endpoint is not None:
+            self._dispatcher.on_request_released(attempt.id, attempt.endpoint)
+        self._apply(self._dispatcher.on_request_end(self._now, SERVICE, attempt.id))
 
-    def _stop(self, tried: _Try, end: str) -> None:
-        if tried.id in self._tries:
-            if tried.run is not None and tried.endpoint.id in self._engines:
-                self._engines[tried.endpoint.id].drop(tried.run)
-            self._finish(tried, end)
+    def _abort(self, attempt: _Attempt, end: str) -> None:
+        if attempt.id in self._attempts:
+            if attempt.run is not None and attempt.endpoint.id in self._engines:
+                self._engines[attempt.endpoint.id].cancel(attempt.run)
+            self._finish(attempt, end)
 
     # Engines.
 
-    def _send(self, tried: _Try, choice: Choice) -> None:
-        asked = tried.row.asked
-        tried.endpoint = choice.endpoint
-        self._book.on_request_sent(self._now, tried.id, choice, asked.prompt)
-        way_s = WAY_S
-        if choice.endpoint.zone != asked.zone:
-            way_s += AWAY_S
-            tried.row.away_bytes += (
-                asked.prompt.tokens_in + ANSWER_TOKEN_BYTES * asked.out
+    def _send(self, attempt: _Attempt, choice: Choice) -> None:
+        request = attempt.row.request
+        attempt.endpoint = choice.endpoint
+        self._dispatcher.on_request_sent(self._now, attempt.id, choice, request.prompt)
+        delay_s = ONE_WAY_DELAY_S
+        if choice.endpoint.zone != request.zone:
+            delay_s += CROSS_ZONE_EXTRA_DELAY_S
+            attempt.row.cross_zone_bytes += (
+                request.prompt.tokens_in + ANSWER_TOKEN_BYTES * request.out
             )
-        self._at(self._now + way_s, lambda: self._reach(tried, choice))
+        self._schedule(
+            self._now + delay_s, lambda: self._on_request_delivered(attempt, choice)
+        )
 
-    def _reach(self, tried: _Try, choice: Choice) -> None:
-        if tried.id not in self._tries:
+    def _on_request_delivered(self, attempt: _Attempt, choice: Choice) -> None:
+        if attempt.id not in self._attempts:
             return
         engine = self._engines.get(choice.endpoint.id)
-        asked = tried.row.asked
+        request = attempt.row.request
         if engine is None:
-            self._book.on_no_answer(self._now, choice.endpoint)
-            self._book.on_request_released(tried.id, choice.endpoint)
-            again = self._book.choose_retry_endpoint(
-                self._now, SERVICE, asked.prompt, {choice.endpoint.id}
+            self._dispatcher.on_no_answer(self._now, choice.endpoint)
+            self._dispatcher.on_request_released(attempt.id, choice.endpoint)
+            retry_choice = self._dispatcher.choose_retry_endpoint(
+                self._now, SERVICE, request.prompt, {choice.endpoint.id}
             )
-            if again is None or not self._book.take_retry(self._now, SERVICE):
-                self._finish(tried, "failed")
+            if retry_choice is None or not self._dispatcher.take_retry(
+                self._now, SERVICE
+            ):
+                self._finish(attempt, "failed")
             else:
-                self._send(tried, again)
+                self._send(attempt, retry_choice)
             return
         source = choice.fetch_from and self._engines.get(choice.fetch_from.id)
-        shared = asked.prompt.parts[0]
-        fetches = source is not None and source.keeps(shared.id)
-        if not engine.keeps(shared.id) and not fetches and shared.id in self._read:
-            self._played.read_again += shared.tokens
-        self._read.add(shared.id)
-        tried.run = EngineRun(asked)
-        before = engine.fetched
-        engine.put(self._now, tried.run, source)
-        self._played.fetched += engine.fetched - before
+        shared = request.prompt.parts[0]
+        fetches = source is not None and source.has_cached(shared.id)
+        if (
+            not engine.has_cached(shared.id)
+            and not fetches
+            and shared.id in self._prefilled_parts
+        ):
+            self._result.recomputed_tokens += shared.tokens
+        self._prefilled_parts.add(shared.id)
+        attempt.run = EngineRun(request)
+        fetched_before = engine.fetched_tokens
+        engine.submit(self._now, attempt.run, source)
+        self._result.fetched_tokens += engine.fetched_tokens - fetched_before
         if not engine.busy:
             engine.busy = True
-            self._at(self._now, lambda: self._step(engine))
+            self._schedule(self._now, lambda: self._step(engine))
 
     def _step(self, engine: PolicyEngine) -> None:
-        took_s = engine.step(self._now)
-        if took_s is None:
+        duration_s = engine.step(self._now)
+        if duration_s is None:
             engine.busy = False
         else:
-            self._at(self._now + took_s, lambda: self._step(engine))
+            self._schedule(self._now + duration_s, lambda: self._step(engine))
 
-    def _try_of(self, run: EngineRun) -> _Try | None:
-        for tries in (0, 1):
-            tried = self._tries.get(f"{run.asked.id}/{tries}")
-            if tried is not None and tried.run is run:
-                return tried
+    def _attempt_of(self, run: EngineRun) -> _Attempt | None:
+        for retries in (0, 1):
+            attempt = self._attempts.get(f"{run.request.id}/{retries}")
+            if attempt is not None and attempt.run is run:
+                return attempt
         return None
 
     def _on_first(self, engine: PolicyEngine, run: EngineRun, at: float) -> None:
-        self._at(at + WAY_S, lambda: self._first_event(engine, run))
+        self._schedule(at + ONE_WAY_DELAY_S, lambda: self._on_answer_start(engine, run))
 
-    def _first_event(self, engine: PolicyEngine, run: EngineRun) -> None:
-        tried = self._try_of(run)
-        if tried is None:
+    def _on_answer_start(self, engine: PolicyEngine, run: EngineRun) -> None:
+        attempt = self._attempt_of(run)
+        if attempt is None:
             return
-        if self._random.random() < self._grey(engine):
-            self._book.on_answer(tried.endpoint, False)
-            self._stop(tried, "failed")
+        if self._random.random() < self._failure_probability(engine):
+            self._dispatcher.on_answer(attempt.endpoint, False)
+            self._abort(attempt, "failed")
             return
-        tried.row.first_s = self._now - run.asked.at
-        self._book.on_first_event(self._now, tried.id, tried.endpoint)
-        self._carry_out(self._book.pump(self._now))
+        attempt.row.first_event_s = self._now - run.request.at
+        self._dispatcher.on_first_event(self._now, attempt.id, attempt.endpoint)
+        self._apply(self._dispatcher.pump(self._now))
 
-    def _grey(self, engine: PolicyEngine) -> float:
+    def _failure_probability(self, engine: PolicyEngine) -> float:
         index = list(self._engines).index(engine.name)
-        on = (t for t in self._troubles if t.kind == "grey" and t.holds(self._now))
-        return max((t.x for t in on if t.index == index), default=0.0)
+        active = (
+            t for t in self._faults if t.kind == "grey" and t.is_active(self._now)
+        )
+        return max((t.severity for t in active if t.index == index), default=0.0)
 
     def _on_end(self, _engine: PolicyEngine, run: EngineRun, at: float) -> None:
-        self._at(at + WAY_S, lambda: self._end(run))
+        self._schedule(at + ONE_WAY_DELAY_S, lambda: self._on_answer_end(run))
 
-    def _end(self, run: EngineRun) -> None:
-        tried = self._try_of(run)
-        if tried is None:
+    def _on_answer_end(self, run: EngineRun) -> None:
+        attempt = self._attempt_of(run)
+        if attempt is None:
             return
-        kind = run.asked.kind
-        tried.row.paused = run.worst_gap_s > kind.gap_s
-        in_time = tried.row.first_s <= kind.target_s and not tried.row.paused
-        self._finish(tried, "in_time" if in_time else "late")
+        kind = run.request.kind
+        attempt.row.gap_exceeded = run.max_gap_s > kind.gap_s
+        in_time = (
+            attempt.row.first_event_s <= kind.target_s and not attempt.row.gap_exceeded
+        )
+        self._finish(attempt, "in_time" if in_time else "late")
 
     # Faults.
 
-    def _begin(self, trouble: Trouble) -> None:
-        name = list(self._engines)[trouble.index % len(self._engines)]
+    def _start_fault(self, fault: Fault) -> None:
+        name = list(self._engines)[fault.index % len(self._engines)]
         engine = self._engines[name]
-        match trouble.kind:
+        match fault.kind:
             case "crash":
                 self._crash(engine)
-                self._at(trouble.to, lambda: self._add_engine(f"{name}+", engine.zone))
+                self._schedule(
+                    fault.until, lambda: self._add_engine(f"{name}+", engine.zone)
+                )
             case "slow":
-                engine.slow = trouble.x
-                self._at(trouble.to, lambda: setattr(engine, "slow", 1.0))
+                engine.step_slowdown = fault.severity
+                self._schedule(
+                    fault.until, lambda: setattr(engine, "step_slowdown", 1.0)
+                )
             case "forget":
-                self._forget()
+                self._restart_hosts()
 
     def _crash(self, engine: PolicyEngine) -> None:
         del self._engines[engine.name]
         for run in engine.crash():
-            tried = self._try_of(run)
-            if tried is not None:
-                self._book.on_no_answer(self._now, tried.endpoint)
-                self._finish(tried, "failed")
-        self._at(self._now + RELIST_S, lambda: list(self._listed.drop(engine.name)))
+            attempt = self._attempt_of(run)
+            if attempt is not None:
+                self._dispatcher.on_no_answer(self._now, attempt.endpoint)
+                self._finish(attempt, "failed")
+        self._schedule(
+            self._now + CRASH_REMOVAL_DELAY_S,
+            lambda: list(self._endpoint_list.drop(engine.name)),
+        )
 
-    def _forget(self) -> None:
+    def _restart_hosts(self) -> None:
         """Restart all hosts: open streams fail and the dispatcher loses its state."""
-        for tried in list(self._tries.values()):
-            self._stop(tried, "failed")
-        self._book = self._new_book()
-        self._down_until = self._now + START_S
-        self._at(self._down_until + ASKED_S, self._ask_engines)
+        for attempt in list(self._attempts.values()):
+            self._abort(attempt, "failed")
+        self._dispatcher = self._new_dispatcher()
+        self._hosts_down_until = self._now + RESTART_DELAY_S
+        self._schedule(
+            self._hosts_down_until + CACHE_QUERY_DELAY_S, self._report_cached_parts
+        )
 
-    def _ask_engines(self) -> None:
+    def _report_cached_parts(self) -> None:
         """Report the engines' cached prompt parts to a restarted dispatcher."""
         for name, engine in self._engines.items():
-            listed = self._listed.get(name)
-            if listed is not None:
-                self._book.on_cached_parts(self._now, listed, engine.kept)
+            endpoint = self._endpoint_list.get(name)
+            if endpoint is not None:
+                self._dispatcher.on_cached_parts(
+                    self._now, endpoint, engine.cached_parts
+                )
--- a/greengageflow/lab/policy_sums.py
+++ b/greengageflow/lab/policy_sums.py
@@ -6,17 +6,17 @@
 from statistics import fmean
 
 from greengageflow.core.max_min import max_min_shares
-from greengageflow.lab.policy_load import Sheet
-from greengageflow.lab.policy_play import Played, Row
+from greengageflow.lab.policy_load import Deployment
+from greengageflow.lab.policy_play import RequestOutcome, SimulationResult
 
-WINDOW_S = 4.0
+SHARE_WINDOW_S = 4.0
 """Length of the windows in which fair shares of accounts are computed, in seconds."""
-SECONDS = 2.0
+TIME_SLICE_S = 2.0
 """Length of the time slices of which the two worst enter the score, in seconds."""
-SHARE_WEIGHTS = {"day": 0.45, "accounts": 0.3, "seconds": 0.15, "kind": 0.1}
-READ_AGAIN_PRICE = 8e-5
-FETCH_PRICE = 2.3e-5
-AWAY_PRICE = 4.7e-6
+SCORE_WEIGHTS = {"day": 0.45, "accounts": 0.3, "seconds": 0.15, "kind": 0.1}
+RECOMPUTED_TOKEN_COST = 8e-5
+FETCHED_TOKEN_COST = 2.3e-5
+CROSS_ZONE_BYTE_COST = 4.7e-6
 """Costs per recomputed shared token, per fetched token and per cross-zone byte."""
 
 
@@ -28,98 +28,113 @@
     earned: float = 0.0
 
     @property
-    def part(self) -> float:
+    def fraction(self) -> float:
         """Earned fraction of the owed worth, 0 to 1."""
         return self.earned / self.owed if self.owed else 1.0
 
 
-def sums_of(played: Played, sheet: Sheet) -> dict[str, float]:
+def score_day(result: SimulationResult, deployment: Deployment) -> dict[str, float]:
     """Return the figures of one day; fractions of worth are 0 to 1."""
-    rows = [row for row in played.rows if row.end != "left"]
-    credits = list(_credits(rows, sheet))
+    rows = [row for row in result.rows if row.end != "left"]
+    credits = list(_credits(rows, deployment))
     owed = sum(credit.owed for _, credit in credits)
-    day = _total(credit for _, credit in credits).part
-    by_second = _by(credits, lambda row: int(row.asked.at // SECONDS))
-    by_account = _by(credits, lambda row: row.asked.account)
-    by_kind = _by(credits, lambda row: row.asked.kind.name)
-    parts = {
+    day = _total(credit for _, credit in credits).fraction
+    by_second = _group_credits(credits, lambda row: int(row.request.at // TIME_SLICE_S))
+    by_account = _group_credits(credits, lambda row: row.request.account)
+    by_kind = _group_credits(credits, lambda row: row.request.kind.name)
+    scores = {
         "day": day,
-        "seconds": fmean(sorted(c.part for c in by_second.values())[:2]),
-        "accounts": fmean(sorted(c.part for c in by_account.values())[:2]),
-        "kind": min(c.part for c in by_kind.values()),
+        "seconds": fmean(sorted(c.fraction for c in by_second.values())[:2]),
+        "accounts": fmean(sorted(c.fraction for c in by_account.values())[:2]),
+        "kind": min(c.fraction for c in by_kind.values()),
     }
-    prices = {
-        "read again": played.read_again * READ_AGAIN_PRICE / owed,
-        "moved": played.fetched * FETCH_PRICE / owed,
-        "away": sum(row.away_bytes for row in rows) * AWAY_PRICE / owed,
+    costs = {
+        "read again": result.recomputed_tokens * RECOMPUTED_TOKEN_COST / owed,
+        "moved": result.fetched_tokens * FETCHED_TOKEN_COST / owed,
+        "away": sum(row.cross_zone_bytes for row in rows) * CROSS_ZONE_BYTE_COST / owed,
     }
-    worth = sum(SHARE_WEIGHTS[name] * part for name, part in parts.items())
-    ends = {
+    worth = sum(SCORE_WEIGHTS[name] * fraction for name, fraction in scores.items())
+    outcome_fractions = {
         end: sum(row.end == end for row in rows) / len(rows)
         for end in ("in_time", "late", "refused", "failed")
     }
-    kinds = {f"kind {name}": credit.part for name, credit in by_kind.items()}
+    kinds = {f"kind {name}": credit.fraction for name, credit in by_kind.items()}
     return {
-        "net worth": worth - sum(prices.values()),
-        **parts,
-        **prices,
-        **ends,
-        "late by a pause": sum(row.paused for row in rows) / len(rows),
-        "came back": sum(row.tries > 0 for row in rows) / len(rows),
+        "net worth": worth - sum(costs.values()),
+        **scores,
+        **costs,
+        **outcome_fractions,
+        "late by a pause": sum(row.gap_exceeded for row in rows) / len(rows),
+        "came back": sum(row.retries > 0 for row in rows) / len(rows),
         **kinds,
     }
 
 
-def seconds_of(played: Played, sheet: Sheet) -> list[tuple[float, float]]:
+def worth_by_time(
+    result: SimulationResult, deployment: Deployment
+) -> list[tuple[float, float]]:
     """Return the earned fraction of worth by time slice, as (start, fraction)."""
-    rows = [row for row in played.rows if row.end != "left"]
-    credits = list(_credits(rows, sheet))
-    found = _by(credits, lambda row: int(row.asked.at // SECONDS))
-    return [(SECONDS * second, found[second].part) for second in sorted(found)]
+    rows = [row for row in result.rows if row.end != "left"]
+    credits = list(_credits(rows, deployment))
+    groups = _group_credits(credits, lambda row: int(row.request.at // TIME_SLICE_S))
+    return [
+        (TIME_SLICE_S * second, groups[second].fraction) for second in sorted(groups)
+    ]
 
 
-def _credits(rows: Iterable[Row], sheet: Sheet) -> Iterable[tuple[Row, Credit]]:
+def _credits(
+    rows: Iterable[RequestOutcome], deployment: Deployment
+) -> Iterable[tuple[RequestOutcome, Credit]]:
     """Yield the worth that each request is owed and earns.
 
     In each window an account is owed its max-min fair share of the engines' capacity.
     Demand above that share is neither owed nor earned.
     """
-    windows: dict[int, dict[str, list[Row]]] = defaultdict(lambda: defaultdict(list))
+    windows: dict[int, dict[str, list[RequestOutcome]]] = defaultdict(
+        lambda: defaultdict(list)
+    )
     for row in rows:
-        windows[int(row.asked.at // WINDOW_S)][row.asked.account].append(row)
+        windows[int(row.request.at // SHARE_WINDOW_S)][row.request.account].append(row)
     for by_account in windows.values():
-        asked = {a: sum(_work(r) for r in found) for a, found in by_account.items()}
-        shares = max_min_shares(asked, sheet.tokens_per_s * WINDOW_S)
-        for account, found in by_account.items():
-            owed = sum(_worth(row) for row in found) * shares[account] / asked[account]
-            earned = min(owed, sum(_earned(row) for row in found))
-            total = sum(_worth(row) for row in found)
-            for row in found:
-                part = _worth(row) / total
-                yield row, Credit(owed * part, earned * part)
-
-
-def _work(row: Row) -> float:
-    return row.asked.prompt.tokens_in + 2 * row.asked.out
-
-
-def _size(row: Row) -> float:
-    kind = row.asked.kind
+        demand = {
+            a: sum(_work(r) for r in account_rows)
+            for a, account_rows in by_account.items()
+        }
+        shares = max_min_shares(demand, deployment.tokens_per_s * SHARE_WINDOW_S)
+        for account, account_rows in by_account.items():
+            owed = (
+                sum(_worth(row) for row in account_rows)
+                * shares[account]
+                / demand[account]
+            )
+            earned = min(owed, sum(_earned(row) for row in account_rows))
+            total = sum(_worth(row) for row in account_rows)
+            for row in account_rows:
+                fraction = _worth(row) / total
+                yield row, Credit(owed * fraction, earned * fraction)
+
+
+def _work(row: RequestOutcome) -> float:
+    return row.request.prompt.tokens_in + 2 * row.request.out
+
+
+def _size(row: RequestOutcome) -> float:
+    kind = row.request.kind
     mean = kind.shared.mean + kind.own.mean + 10 * kind.out.mean
-    size = row.asked.prompt.tokens_in + 10 * row.asked.out
+    size = row.request.prompt.tokens_in + 10 * row.request.out
     return min(4.0, 0.3 + 0.7 * size / mean)
 
 
-def _worth(row: Row) -> float:
-    return row.asked.kind.worth * _size(row)
+def _worth(row: RequestOutcome) -> float:
+    return row.request.kind.worth * _size(row)
 
 
-def _earned(row: Row) -> float:
+def _earned(row: RequestOutcome) -> float:
     match row.end:
         case "in_time":
             return _worth(row)
         case "late":
-            return row.asked.kind.late_worth * _size(row)
+            return row.request.kind.late_worth * _size(row)
     return 0.0
 
 
@@ -131,10 +146,11 @@
     return total
 
 
-def _by(
-    credits: Iterable[tuple[Row, Credit]], key: Callable[[Row], Hashable]
+def _group_credits(
+    credits: Iterable[tuple[RequestOutcome, Credit]],
+    key: Callable[[RequestOutcome], Hashable],
 ) -> dict[Hashable, Credit]:
-    found: dict[Hashable, list[Credit]] = defaultdict(list)
+    groups: dict[Hashable, list[Credit]] = defaultdict(list)
     for row, credit in credits:
-        found[key(row)].append(credit)
-    return {name: _total(some) for name, some in found.items()}
+        groups[key(row)].append(credit)
+    return {name: _total(group) for name, group in groups.items()}
--- a/tests/test_prefill_model.py
+++ b/tests/test_prefill_model.py
@@ -9,7 +9,7 @@
 from greengageflow.core.endpoint_load import EndpointLoad
 from greengageflow.core.prefill_model import PrefillModel
 from greengageflow.lab.policy_load import LONG_PROMPTS
-from greengageflow.lab.policy_play import Play
+from greengageflow.lab.policy_play import Simulation
 
 
 class Reader:
@@ -91,8 +91,8 @@
     Counts requests from ten seconds on, when engines have read the shared parts and
     have spare capacity.
     """
-    rows = Play(LONG_PROMPTS, 3, troubles=()).run().rows
-    rows = [row for row in rows if row.asked.at > 10]
+    rows = Simulation(LONG_PROMPTS, 3, faults=()).run().rows
+    rows = [row for row in rows if row.request.at > 10]
     in_time = sum(row.end == "in_time" for row in rows) / len(rows)
     refused = sum(row.end == "refused" for row in rows) / len(rows)
     assert (in_time > 0.95, refused < 0.01) == (True, True), (in_time, refused)
