--- a/greengageflow/lab/bench_policy.py
+++ b/greengageflow/lab/bench_policy.py
@@ -15,8 +15,8 @@
 )
 from greengageflow.lab._slopes_svg import draw
 from greengageflow.lab.policy_load import DEPLOYMENTS
-from greengageflow.lab.policy_play import Simulation
-from greengageflow.lab.policy_sums import score_day, worth_by_time
+from greengageflow.lab.policy_scores import score_day, worth_by_time
+from greengageflow.lab.policy_simulation import Simulation
 
 PROCESSES = 6
 
--- a/greengageflow/lab/policy_sums.py
+++ b/greengageflow/lab/policy_scores.py
@@ -7,7 +7,7 @@
 
 from greengageflow.core.max_min import max_min_shares
 from greengageflow.lab.policy_load import Deployment
-from greengageflow.lab.policy_play import RequestOutcome, SimulationResult
+from greengageflow.lab.policy_simulation import RequestOutcome, SimulationResult
 
 SHARE_WINDOW_S = 4.0
 """Length of the windows in which fair shares of accounts are computed, in seconds."""
