--- a/greengageflow/lab/_overload_callers.py
+++ b/greengageflow/lab/_overload_callers.py
@@ -1,7 +1,8 @@
-"""Callers of the overload experiment, one process: ``… PLAN_FILE ROWS_FILE``.
+"""Load generator of the overload experiment: ``… PLAN_FILE ROWS_FILE``.
 
-They come by a Poisson process whatever happens to those before them. Times are counted
-from when a caller was due, so that a slow caller process hides no wait.
+This is an open-loop generator: requests arrive by a Poisson process, independent of
+earlier answers. Latencies are measured from the time a request was due, so a slow
+generator process doesn't hide queueing time.
 """
 
 import json
@@ -30,25 +31,25 @@
     TOKEN_COUNT,
 )
 
-REFUSED = (429, 503)
-LINGER_S = 2.0
+REFUSED_STATUSES = (429, 503)
+EXIT_MARGIN_S = 2.0
 
 
 @dataclass(frozen=True, slots=True)
 class CallPlan:
-    """What the callers do.
+    """Settings of the load generator.
 
     Args:
-        addresses: Routers, asked in turn.
-        keys: Keys of the accounts, used by lot.
-        path: What is asked for.
-        host: Host name in the requests.
-        deadline_ms: What each caller allows.
-        prompt: Prompt tokens; 0 for a plain request.
-        wanted: Tokens to generate.
-        phases: Seconds and requests a second, one after the other.
+        addresses: Routers, used round-robin.
+        keys: API keys of the client accounts, one chosen at random per request.
+        path: Request path.
+        host: Value of the ``Host`` header.
+        deadline_ms: Deadline sent with each request, in milliseconds.
+        prompt: Prompt tokens per request; 0 for a plain request.
+        wanted: Tokens to generate per request.
+        phases: Length in seconds and requests per second of consecutive phases.
         start: Monotonic time of the first phase.
-        seed: Seed of the lots.
+        seed: Seed of the random number generators.
     """
 
     addresses: list[tuple[str, int]]
@@ -63,7 +64,7 @@
     seed: int = 1
 
     def arrivals(self, random: Random) -> Iterator[float]:
-        """Yield when callers are due, in seconds from the start."""
+        """Yield arrival times of requests, in seconds from the start."""
         begin = 0.0
         for seconds, rate in self.phases:
             now = begin + random.expovariate(rate)
@@ -74,24 +75,24 @@
 
     @property
     def seconds(self) -> float:
-        """Length of all phases."""
+        """Total length of all phases."""
         return sum(seconds for seconds, _ in self.phases)
 
 
 @dataclass(slots=True)
 class CallRow:
-    """What became of one attempt; times in seconds from the start of the plan.
+    """Result of one attempt; times are in seconds from the start of the plan.
 
     Args:
-        id: Its id.
-        again: It comes after a refusal.
-        due: When it was to be sent.
-        sent: When it was sent.
-        status: Status of the answer; 0 without one.
-        first: When the first event of a stream came, or a plain answer was whole.
-        ended: When it was over.
-        whole: The answer came whole.
-        retry_after: Seconds after which the caller was told to come back.
+        id: Request id.
+        again: The attempt is a retry after a refusal.
+        due: Scheduled send time.
+        sent: Actual send time.
+        status: HTTP status of the answer; 0 if there was none.
+        first: Time of the first event of a stream, or of the end of a plain answer.
+        ended: Time at which the attempt ended.
+        whole: The answer was received completely.
+        retry_after: Value of ``Retry-After``, in seconds.
     """
 
     id: str
@@ -108,9 +109,9 @@
 class _Attempt:
     """Receives the answer to one attempt."""
 
-    def __init__(self, callers: "Callers", row: CallRow) -> None:
+    def __init__(self, generator: "LoadGenerator", row: CallRow) -> None:
         self.row = row
-        self._callers = callers
+        self._generator = generator
 
     def on_head(self, head: Head) -> None:
         self.row.status = head.status
@@ -118,18 +119,18 @@
 
     def on_data(self, data: bytes) -> None:
         if self.row.first is None:
-            self.row.first = self._callers.now
+            self.row.first = self._generator.now
 
     def on_end(self) -> None:
         self.row.whole = True
-        self._callers.ended(self.row)
+        self._generator.on_attempt_end(self.row)
 
     def on_failure(self, failure: Failure) -> None:
-        self._callers.ended(self.row)
+        self._generator.on_attempt_end(self.row)
 
 
-class Callers(BaseComponent):
-    """Sends what the plan says and stops when everything has ended."""
+class LoadGenerator(BaseComponent):
+    """Sends the planned requests and stops after the last deadline has passed."""
 
     def __init__(self, plan: CallPlan) -> None:
         super().__init__()
@@ -139,8 +140,8 @@
         self._pool = HttpPool(self._timers, max_idle=512).register(self)
         self._plan = plan
         self._random = Random(plan.seed)
-        self._numbers = count()
-        self._due = plan.arrivals(Random(plan.seed))
+        self._sequence = count()
+        self._arrivals = plan.arrivals(Random(plan.seed))
 
     @property
     def now(self) -> float:
@@ -149,22 +150,22 @@
 
     @handler("started", channel="*")
     def _on_started(self, *_args: object) -> None:
-        self._next()
-        longest_s = self._plan.seconds + self._plan.deadline_ms / 1000 + LINGER_S
+        self._schedule_next_arrival()
+        longest_s = self._plan.seconds + self._plan.deadline_ms / 1000 + EXIT_MARGIN_S
         self._timers.after(longest_s - self.now, self.stop)
 
-    def _next(self) -> None:
-        due = next(self._due, None)
+    def _schedule_next_arrival(self) -> None:
+        due = next(self._arrivals, None)
         if due is not None:
-            self._timers.after(due - self.now, lambda: self._arrive(due))
+            self._timers.after(due - self.now, lambda: self._on_arrival(due))
 
-    def _arrive(self, due: float) -> None:
-        self._ask(due, again=False)
-        self._next()
+    def _on_arrival(self, due: float) -> None:
+        self._send_request(due, again=False)
+        self._schedule_next_arrival()
 
-    def _ask(self, due: float, *, again: bool) -> None:
+    def _send_request(self, due: float, *, again: bool) -> None:
         plan = self._plan
-        number = next(self._numbers)
+        number = next(self._sequence)
         row = CallRow(f"{plan.seed:08x}{number:08x}", again, due, self.now)
         self.rows.append(row)
         ip, port = plan.addresses[number % len(plan.addresses)]
@@ -191,24 +192,26 @@
         )
         self._pool.open(request, _Attempt(self, row))
 
-    def ended(self, row: CallRow) -> None:
-        """Note the end of an attempt; a refused caller comes back, once."""
+    def on_attempt_end(self, row: CallRow) -> None:
+        """Record the end of an attempt and schedule one retry after a refusal."""
         row.ended = self.now
         if not self._plan.prompt:
             row.first = row.ended
-        if row.status in REFUSED and not row.again:
+        if row.status in REFUSED_STATUSES and not row.again:
             due = row.ended + row.retry_after
             if due < self._plan.seconds:
-                self._timers.after(row.retry_after, lambda: self._ask(due, again=True))
+                self._timers.after(
+                    row.retry_after, lambda: self._send_request(due, again=True)
+                )
 
 
 def main() -> None:
-    """Run the plan in one file and write the rows to another."""
-    given: dict[str, Any] = json.loads(Path(sys.argv[1]).read_text())
-    given["addresses"] = [tuple(one) for one in given["addresses"]]
-    callers = Callers(CallPlan(**given))
-    callers.run()
-    Path(sys.argv[2]).write_text(json.dumps([asdict(row) for row in callers.rows]))
+    """Read the plan file, send its requests and write the rows file."""
+    plan_fields: dict[str, Any] = json.loads(Path(sys.argv[1]).read_text())
+    plan_fields["addresses"] = [tuple(address) for address in plan_fields["addresses"]]
+    generator = LoadGenerator(CallPlan(**plan_fields))
+    generator.run()
+    Path(sys.argv[2]).write_text(json.dumps([asdict(row) for row in generator.rows]))
 
 
 if __name__ == "__main__":
