--- a/greengageflow/lab/_soak_callers.py
+++ b/greengageflow/lab/_soak_callers.py
@@ -1,4 +1,4 @@
-"""Callers of a soak: each a thread with blocking calls, as the protocol reads."""
+"""Callers of a soak run; each is a thread that makes blocking calls."""
 
 from collections.abc import Callable
 from contextlib import suppress
@@ -27,16 +27,16 @@
 LEAVES_PART = 0.15
 SERVED = (Kind.SAFE, Kind.UNSAFE, Kind.CHAT, Kind.TALE)
 WEIGHTS = (40, 30, 18, 12)
-# Of h11's errors, those in which the answer merely ended too soon.
+# Words of h11 errors that mean a truncated answer rather than invalid HTTP.
 ENDED = ("closed", "reset", "pipe", "abort")
 
 
 class Callers:
-    """Callers who ask until they are told to stop.
+    """Callers that send requests until they are stopped.
 
     Args:
-        seed: Seed of what they ask.
-        fleet: The routers that they ask; takes what they see.
+        seed: Seed of the requests.
+        fleet: The fleet under test; its facts receive the records of requests.
     """
 
     def __init__(self, seed: int, fleet: SoakFleet) -> None:
@@ -46,7 +46,7 @@
         self._threads: list[Thread] = []
 
     def start(self, count: int) -> None:
-        """Start ``count`` callers, and one a router that asks for its version."""
+        """Start ``count`` callers, and one prober of the version for each router."""
         for number in range(count):
             self._launch(self._call, Random(f"{self._seed}/{number}"))
         for router in self._fronts:
@@ -57,7 +57,7 @@
         self._threads[-1].start()
 
     def stop(self) -> None:
-        """Tell them to stop, and wait until their requests have ended."""
+        """Stop all callers and wait until their requests have ended."""
         self._stop.set()
         for thread in self._threads:
             thread.join()
@@ -91,22 +91,22 @@
                 self.ask_alone(asked)
 
     def ask_short(self, random: Random, kind: Kind, router: str) -> bool:
-        """Ask for a short answer; return whether it came whole."""
+        """Ask for a short answer; return whether it was complete."""
         asked = self._new(random, kind, router, KEY, TOKENS[0])
         self.ask_alone(asked)
         return asked.end is End.WHOLE and asked.status == 200
 
     def ask_poison(self, kind: Kind, router: str, body: str) -> None:
-        """Begin a request that crashes the replica that runs it; don't wait."""
+        """Start a request that crashes the replica that runs it, without waiting."""
         asked = self._new(Random(), kind, router, KEY, TOKENS[0])
-        # Its repeats have the same path and body, under ids of their own.
+        # Retries have the same path and body but their own ids.
         asked.target = f"/{kind}/poison"
         asked.body = body.encode()
         asked.body_sha256 = sha256(asked.body).hexdigest()
         self._launch(self.ask_alone, asked)
 
     def ask_alone(self, asked: Asked) -> None:
-        """Make a request on a connection of its own."""
+        """Send a request on a new connection."""
         with suppress(OSError):
             opened, client = monotonic(), PlatformClient(self._fronts[asked.router])
             self._run(client, opened, asked, None)
@@ -119,7 +119,8 @@
         id, streams = f"{random.getrandbits(64):016x}", kind in STREAMS
         deadline_s = STREAM_DEADLINE_S if streams else DEADLINE_S
         body_sha256 = sha256(id.encode()).hexdigest()
-        # The router's name, so that a replica's fault can hit its requests alone.
+        # The path holds the router's name, so that a replica's fault can be limited
+        # to requests from one router.
         target = f"/{kind}/{router}/{id}"
         asked = Asked(id, kind, router, key, target, deadline_s, body_sha256)
         asked.wanted = -(-tokens // STRIDE) if streams else 0
@@ -128,7 +129,7 @@
     def _run(
         self, client: PlatformClient, opened: float, asked: Asked, leave: int | None
     ) -> None:
-        """Make a request, leave after ``leave`` events, and note what was seen."""
+        """Send a request, disconnect after ``leave`` events, and record the result."""
         asked.opened, asked.life = opened, self._fleet.lives[asked.router]
         asked.port, asked.first = client.sock.getsockname()[1], client.unused
         self._fleet.facts.asked.append(asked)
--- a/greengageflow/lab/_soak_fleet.py
+++ b/greengageflow/lab/_soak_fleet.py
@@ -1,4 +1,4 @@
-"""The users' platform in stand-ins, with the fault proxy on every link."""
+"""Platform lab of the soak: stand-in processes with the fault proxy on every link."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -24,7 +24,7 @@
 from greengageflow.lab.soak_plan import REPLICAS, ROUTERS
 
 NOWHERE = ("127.0.0.1", 9)
-# Addresses are replaced as text, so both numbers have two digits.
+# Addresses are replaced as text in datagrams, so both need the same number of digits.
 FIRST_ROUTER, FIRST_RELAY = 10, 50
 POISON = "poison"
 OPTIONS = {"slots": 6, "queue": 4, "poison": POISON}
@@ -50,7 +50,7 @@
 
 
 class SoakFleet(PlatformLab):
-    """A lab whose routers reach store, replicas and each other by the fault proxy.
+    """A lab whose routers reach store, replicas and peers through the fault proxy.
 
     Links are named ``store:r0``, ``front:r0``, ``link:app-0`` and ``gossip:r0``.
     """
@@ -67,7 +67,8 @@
         self._proxy = Proxy(self._proxy_process.address)
 
     def __exit__(self, *_: object) -> None:
-        # A fault of the program is one breach among others here.
+        # Program failures are reported as breaches, so the base class's checks on exit
+        # are skipped.
         self.close()
 
     def close(self) -> None:
@@ -78,7 +79,7 @@
     # Processes.
 
     def launch_replica(self, name: str) -> Process:
-        """Start a replica, without waiting for it."""
+        """Start a replica without waiting until it is ready."""
         scribe = {"service": "scribe", "model": "m"}
         service = {"service": "app"} if name.startswith("app") else scribe
         return self._launch(name, {**service, **OPTIONS})
@@ -95,7 +96,7 @@
             self.connect(name)
 
     def connect(self, name: str) -> None:
-        """Lead the link of a replica's place to it."""
+        """Route the link of a replica's place to this replica."""
         self._proxy.route(f"link:{place_of(name)}", self.replicas[name].address)
 
     def launch_router(self, name: str) -> Process:
@@ -109,7 +110,8 @@
     def _open_links(self, name: str, settings: dict[str, Any]) -> None:
         ip, port = _address(settings["gossip"])
         relay = self._relay_of(ip), port
-        # All routers': one that learned another's own address would send past a cut.
+        # Replace the addresses of all routers: one that learned another's real address
+        # would bypass the proxy's faults.
         texts = self._texts()
         store = _address(settings["store"])
         ip_port = self._proxy.route(f"store:{name}", store, texts=texts)
@@ -130,47 +132,47 @@
         return f"{base}.{int(number) - FIRST_ROUTER + FIRST_RELAY}"
 
     def gossip_ip(self, router: str) -> str:
-        """Return the IP number from which a router's datagrams come."""
+        """Return the source IP address of a router's datagrams."""
         return _address(self.settings[router]["gossip"])[0]
 
     def process(self, name: str) -> Process:
-        """Return the store, a router, or the replica that is at a place now."""
+        """Return the store, a router, or the current replica of a place."""
         if name == "store":
             return self.store
         return self.routers.get(name) or self.replicas[self.incarnation(name)]
 
     def incarnation(self, place: str) -> str:
-        """Return the id of the replica that is at a place now."""
+        """Return the id of the current replica of a place."""
         return next(name for name in self.replicas if place_of(name) == place)
 
     def has_crashed(self, place: str) -> bool:
-        """Whether the replica that is at a place ran a poison request."""
+        """Whether the current replica of a place crashed on a poison request."""
         return self.incarnation(place) in self.crashed_replicas
 
     def take_rows(self, name: str) -> None:
-        """Keep what came to a replica that is about to end."""
+        """Record the requests that arrived at a replica, before it is stopped."""
         rows = self.control(self.replicas[name], "GET", "/runs")
         self.facts.rows.extend({**row, "replica": name} for row in rows)
 
     def take_crashed(self, name: str) -> None:
-        """Keep what came to a replica that has crashed, by what it left."""
+        """Record the requests of a crashed replica from its standard error."""
         rows = parse_crash_records(self.replicas[name].stderr)
         self.facts.rows.extend({**row, "replica": name} for row in rows)
 
     def take_refused(self) -> None:
-        """Keep which connections the proxy took for routers that did not listen."""
+        """Record connections that the proxy accepted while no router was listening."""
         for path, port, at in self._proxy.refused():
             link, _, router = path.partition(":")
             if link == "front":
                 self.facts.refused.append(Refused(router, port, at))
 
-    # What befalls it.
+    # Operations and faults.
 
     def publish_next(self, *, revoke: bool) -> None:
-        """Write the next configuration, in which only its version's route is new.
+        """Publish the next configuration; it adds only the route of its version.
 
         Args:
-            revoke: Put another key in the place of the newest.
+            revoke: Whether to replace the newest key with another one.
         """
         version = self.versions[-1] + 1 + self.versions[-1] % 3
         gone = self.keys[-1] if revoke else ""
@@ -187,7 +189,7 @@
 
     @contextmanager
     def trouble(self, *names: str, planned: bool = False) -> Iterator[None]:
-        """Note that processes or links are harmed for the length of a block."""
+        """Record a fault on processes or links for the duration of a block."""
         now = monotonic()
         mine = [Trouble(name, now, planned=planned) for name in names]
         self.facts.troubles.extend(mine)
@@ -197,7 +199,7 @@
 
     @contextmanager
     def rule(self, **rule: Any) -> Iterator[None]:
-        """Have the proxy apply a rule for the length of a block."""
+        """Apply a proxy rule for the duration of a block."""
         self._rules.append(rule)
         self._proxy.rules(*self._rules)
         yield
--- a/greengageflow/lab/_soak_steps.py
+++ b/greengageflow/lab/_soak_steps.py
@@ -1,4 +1,4 @@
-"""Carries out the steps of a plan; a step is a generator of the seconds to wait."""
+"""Executes the steps of a soak plan; a step is a generator of delays in seconds."""
 
 from collections.abc import Iterator
 from heapq import heappop, heappush
@@ -26,7 +26,7 @@
 POISON_KINDS = {"app": (Kind.SAFE, Kind.UNSAFE), "scribe": (Kind.CHAT, Kind.TALE)}
 BACKOFF_S = 2.0
 SHED = 4
-"""Replicas that shed take every that many-th request."""
+"""A replica that sheds load accepts only every n-th request."""
 RULES = {
     Do.CUT: "cut",
     Do.ONE_WAY: "freeze",
@@ -37,7 +37,8 @@
     Do.SILENCE: "half_open",
     Do.LOSS: "lose",
 }
-# What a replica does that says it is well, or, the second, that it is not.
+# Faults of replicas whose health check contradicts their behaviour: MUTE and ABORT
+# report healthy but fail requests, FALSE_ILL reports unhealthy but serves them.
 REPLICA_FAULTS = {
     Do.MUTE: {"hang": True},
     Do.FALSE_ILL: {"health": 503},
@@ -46,13 +47,13 @@
 
 
 def _places(step: Step) -> set[str]:
-    """Return all places of the service that a step's target belongs to."""
+    """Return all replica places of the service that a step targets."""
     service = step.target.partition("-")[0]
     return {place for place in REPLICAS if place.startswith(service)}
 
 
 class Conductor:
-    """Runs a plan on a fleet, whose callers repeat what crashes replicas."""
+    """Executes a plan on a fleet; poison requests are sent by its callers."""
 
     def __init__(self, fleet: SoakFleet, callers: Callers) -> None:
         self.breaches: list[Breach] = []
@@ -63,7 +64,7 @@
         self._starts = count(1)
 
     def run(self, plan: tuple[Step, ...]) -> None:
-        """Carry out all steps; return when the last one has ended."""
+        """Execute all steps and return when the last one has ended."""
         began, order = monotonic(), count()
         due = [(began + step.at_s, next(order), self._parts(step)) for step in plan]
         while due:
@@ -73,7 +74,8 @@
                 heappush(due, (monotonic() + wait_s, next(order), parts))
 
     def _parts(self, step: Step) -> Iterator[float]:
-        # A stop or a start may last longer than the plan could know.
+        # A stop or start may take longer than planned, so a step waits until earlier
+        # steps on its targets have ended.
         whole = step.do in (Do.POISON, Do.SHED)
         targets = _places(step) if whole else {step.target}
         while targets & self._busy:
@@ -138,7 +140,8 @@
 
     def _mislead(self, step: Step) -> Iterator[float]:
         name = self._fleet.incarnation(step.target)
-        # Torn streams alone excuse anything: all else has to be answered in time.
+        # Only aborted streams excuse a cut; the other faults must be hidden from
+        # callers, so no disruption is recorded for them.
         torn = [step.target] if step.do is Do.ABORT else []
         with self._fleet.trouble(*torn):
             via = f"/{step.source}/" if step.source else ""
@@ -147,7 +150,7 @@
             self._fleet.set_faults(name)
 
     def _poison(self, step: Step) -> Iterator[float]:
-        """Repeat a request that crashes each replica; start them again."""
+        """Retry a request that crashes replicas, and restart them."""
         fleet, kinds = self._fleet, POISON_KINDS[step.target.partition("-")[0]]
         kind = kinds[round(100 * step.at_s) % len(kinds)]
         places = _places(step)
@@ -172,7 +175,7 @@
         yield from self._start_new(f"{place}.{next(self._starts)}")
 
     def _say_leaving(self, step: Step) -> Iterator[float]:
-        # No trouble is noted: callers must not see it.
+        # No disruption is recorded: callers must not notice this fault.
         name = self._fleet.incarnation(step.target)
         self._fleet.set_faults(name, says_leaving=True)
         yield step.for_s
@@ -195,7 +198,7 @@
                 self._fleet.set_faults(name)
 
     def _drop_idle(self, step: Step) -> Iterator[float]:
-        # No trouble is noted: callers must not see it.
+        # No disruption is recorded: callers must not notice this fault.
         until, name = monotonic() + step.for_s, self._fleet.incarnation(step.target)
         while monotonic() < until:
             self._fleet.control(self._fleet.replicas[name], "POST", "/drop")
@@ -220,7 +223,9 @@
             now = monotonic()
             late_s = self._fleet.facts.late_s(began, now)
             if now - began > GRACE_S + END_SLACK_S + late_s:
-                self.breaches.append(Breach("stop", "", f"{name} does not end"))
+                self.breaches.append(
+                    Breach("stop", "", f"{name} did not exit within its grace period")
+                )
                 process.kill()
             yield POLL_S
 
@@ -233,7 +238,9 @@
                     return
             except OSError:
                 continue
-        self.breaches.append(Breach("start", "", f"{name} is not ready again"))
+        self.breaches.append(
+            Breach("start", "", f"{name} was not ready after its restart")
+        )
 
     def _freeze(self, step: Step) -> Iterator[float]:
         process = self._fleet.process(step.target)
@@ -247,7 +254,7 @@
     def _replace(self, place: str, for_s: float) -> Iterator[float]:
         fleet, new = self._fleet, f"{place}.{next(self._starts)}"
         with fleet.trouble(place, f"link:{place}"):
-            # Cut off first, so that nothing comes after its records were read.
+            # Cut the link first, so that no request arrives after its records are read.
             with fleet.rule(do="cut", route=f"link:{place}"):
                 yield SETTLE_S
                 old = fleet.incarnation(place)
@@ -274,7 +281,7 @@
         yield from self._replace(step.target, SETTLE_S)
 
     def _shown(self, name: str, *, leaving: bool) -> Iterator[float]:
-        """Wait until the store shows a replica as leaving, or as ready."""
+        """Wait until the store lists a replica as leaving, or as ready."""
         until = monotonic() + SHOWN_WITHIN_S
         while monotonic() < until:
             yield from self._thawed()
--- a/greengageflow/lab/soak.py
+++ b/greengageflow/lab/soak.py
@@ -1,7 +1,7 @@
-"""Soak of the router on the users' platform: real processes, drawn faults, promises.
+"""Soak test of the router on the platform lab: real processes and random faults.
 
-A run draws a plan from its seed, carries it out on a fleet under load, and checks the
-promises of ``docs/SOAK.md`` against what callers, replicas and the operator saw.
+A run draws a fault plan from its seed, executes it on a fleet under load, and checks
+the guarantees of ``docs/SOAK.md`` against what callers, replicas and operator recorded.
 """
 
 import json
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SoakResult:
-    """What came of one seed."""
+    """Result of one seed."""
 
     seed: int
     plan: tuple[Step, ...]
@@ -40,7 +40,7 @@
 
     @property
     def line(self) -> str:
-        """One line that tells the verdict."""
+        """One-line summary of the result."""
         ends = Counter(one.end.value for one in self.facts.asked)
         broken = Counter(one.promise for one in self.breaches)
         late_s = max((late_s for _, late_s in self.facts.late), default=0.0)
@@ -50,7 +50,7 @@
         )
 
     def keep(self, folder: Path) -> None:
-        """Write the plan, all that was seen, and the routers' logs."""
+        """Write the plan, the recorded facts and the logs of all processes."""
         folder.mkdir(parents=True, exist_ok=True)
         seen = asdict(self.facts) | {"breaches": [asdict(b) for b in self.breaches]}
         (folder / "plan.txt").write_text("\n".join(map(repr, self.plan)))
@@ -60,7 +60,10 @@
 
 
 def run_soak(seed: int, seconds: float) -> SoakResult:
-    """Run one seed; new steps begin for ``seconds``, the calm end comes on top."""
+    """Run one seed.
+
+    New steps start for ``seconds``; the recovery checks at the end take extra time.
+    """
     plan, fleet, stop = draw_plan(seed, seconds), SoakFleet(), Flag()
     Thread(target=_watch_lateness, args=(fleet.facts, stop), daemon=True).start()
     with fleet:
@@ -96,25 +99,28 @@
     for name, process in fleet.logs:
         text = process.stderr
         if LogEvent.INTERNAL.number in text or "Traceback" in text:
-            yield Breach("program", "", f"a handler failed in {name}")
+            yield Breach("program", "", f"unhandled exception in {name}")
     for name, process in fleet.routers.items():
         if process.popen.poll() is not None:
-            yield Breach("program", "", f"{name} ended by itself")
+            yield Breach("program", "", f"{name} exited unexpectedly")
 
 
 def _unserved(fleet: SoakFleet, callers: Callers) -> Iterator[Breach]:
-    """Ask every router for every kind until it is served, within the bound."""
+    """Request every kind from every router until it succeeds or the bound passes."""
     began, random = monotonic(), Random("served")
     missing = {(router, kind) for router in fleet.fronts for kind in SERVED}
     while missing and not _overdue(fleet, began, RECOVER_S):
         for router, kind in sorted(missing):
             if callers.ask_short(random, kind, router):
                 missing.discard((router, kind))
-    yield from (Breach("recover", "", f"{r}: no {kind}") for r, kind in missing)
+    yield from (
+        Breach("recover", "", f"{r}: {kind} not served after the faults")
+        for r, kind in missing
+    )
 
 
 def _wait_quiet(fleet: SoakFleet) -> None:
-    """Wait until no replica has work, or so long that what remains is a breach."""
+    """Wait until no replica has work, or until remaining work counts as a breach."""
     began = monotonic()
     while any(row["ended"] is None for row in fleet.runs()):
         if _overdue(fleet, began, QUIET_WITHIN_S):
@@ -128,7 +134,11 @@
 
 
 def run_seeds(seeds: range, seconds: float, folder: str) -> int:
-    """Run seeds one after the other, print a line for each; return how many broke."""
+    """Run seeds in sequence and print a summary of each.
+
+    Returns:
+        Number of seeds with breaches.
+    """
     broken = 0
     for seed in seeds:
         print(*draw_plan(seed, seconds), sep="\n", flush=True)
--- a/greengageflow/lab/soak_checks.py
+++ b/greengageflow/lab/soak_checks.py
@@ -1,6 +1,7 @@
-"""The promises, each checked against what callers and replicas saw.
+"""Checks of the soak guarantees against the records of callers and replicas.
 
-Bounds are the operators', in seconds, plus the time by which the machine was late.
+Bounds are those promised to operators, in seconds, plus the scheduling delay of the
+test host around the event.
 """
 
 import json
@@ -41,7 +42,7 @@
 BUDGET_SLACK = 12.0
 BUDGET_WINDOW_S = 10.0
 MOST_LATER = 3
-"""Replicas that a poison request may crash later than ``STABLE_S`` after the third."""
+"""Crashes by a poison request that may come over ``STABLE_S`` after the third one."""
 NOT_RUN = (408, 421, 429, 503)
 REFUSED = (401, 403, 404)
 SERVICES = {
@@ -52,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Breach:
-    """A promise that was not kept, and by which request."""
+    """A violated guarantee and the request that violated it."""
 
     promise: str
     id: str
@@ -60,7 +61,7 @@
 
 
 def calm(facts: Facts, names: set[str], began: float, ended: float) -> bool:
-    """Whether nothing unplanned befell any of ``names`` from well before a span."""
+    """Whether no unplanned fault hit ``names`` in a span or ``STABLE_S`` before it."""
     return not any(
         one.name in names and one.began <= ended and one.ended >= began - STABLE_S
         for one in facts.troubles
@@ -73,13 +74,13 @@
 
 
 def check_answer(asked: Asked) -> Iterator[Breach]:
-    """Check one answer by itself: whole, of its own request, in order."""
+    """Check one answer on its own: complete, for its own request, and in order."""
     if asked.end is End.JUNK:
-        yield Breach("answer", asked.id, f"no HTTP: {asked.error}")
+        yield Breach("answer", asked.id, f"invalid HTTP: {asked.error}")
     if asked.answer_id not in ("", asked.id):
-        yield Breach("answer", asked.id, f"answer of {asked.answer_id}")
+        yield Breach("answer", asked.id, f"got the answer of request {asked.answer_id}")
     if asked.status == 200 and not asked.seal:
-        yield Breach("answer", asked.id, "success without a replica's seal")
+        yield Breach("answer", asked.id, "status 200 without a replica's seal")
     if asked.status == 200 and asked.kind in STREAMS:
         yield from _check_stream(asked)
     elif asked.status == 200 and asked.end is End.WHOLE:
@@ -94,40 +95,44 @@
     due = {"id": asked.id, "target": asked.target, "body_sha256": asked.body_sha256}
     same = due.items() <= body.items()
     if not same or not asked.seal.startswith(body["replica"]):
-        text = f"not its own body, or another seal: {asked.seal} {asked.body[:200]!r}"
+        text = f"body or seal mismatch: {asked.seal} {asked.body[:200]!r}"
         yield Breach("answer", asked.id, text)
 
 
 def _check_stream(asked: Asked) -> Iterator[Breach]:
     numbers = [number for number, _ in asked.events]
     if numbers != list(range(1, len(numbers) + 1)):
-        yield Breach("stream", asked.id, f"events not in order: {numbers}")
+        yield Breach("stream", asked.id, f"events out of order: {numbers}")
     if asked.end is End.WHOLE and len(numbers) != asked.wanted:
-        text = f"ends as whole after {len(numbers)} of {asked.wanted} events"
+        text = f"ended as complete after {len(numbers)} of {asked.wanted} events"
         yield Breach("stream", asked.id, text)
     if any(json.loads(text)["run"] != asked.id for _, text in asked.events):
-        yield Breach("stream", asked.id, "events of another run")
+        yield Breach("stream", asked.id, "events of another request")
 
 
 def check_runs(facts: Facts) -> Iterator[Breach]:
-    """Check what ran: at most once, not if refused, and as it was sent."""
+    """Check that requests ran at most once, unmodified, and not if refused."""
     by_id = {one.id: one for one in facts.asked}
     for id, rows in facts.rows_by_id().items():
         asked = by_id.get(id)
         if asked is None:
-            yield Breach("unasked", id, f"nobody sent it: {rows[0]['target']}")
+            yield Breach("unasked", id, f"no caller sent it: {rows[0]['target']}")
             continue
         runs = sum(row["begun"] is not None for row in rows)
         if asked.kind in ONCE and runs > 1:
             yield Breach("once", id, f"ran {runs} times")
         if runs and asked.status in NOT_RUN:
-            yield Breach("refused", id, f"answered {asked.status} and ran")
+            yield Breach(
+                "refused", id, f"ran although it was answered with {asked.status}"
+            )
         if not all(_as_sent(asked, row) for row in rows):
-            yield Breach("unasked", id, "another request, key or tenant than sent")
+            yield Breach(
+                "unasked", id, "target, body, key or tenant differs from the request"
+            )
 
 
 def _as_sent(asked: Asked, row: Row) -> bool:
-    # A body may still have been on its way when its connection ended.
+    # The connection may have ended before the whole body had arrived.
     body = row["outcome"] != "done" or row["body_sha256"] == asked.body_sha256
     account = row["tenant"] == (None if asked.key is None else "tenant-1")
     hidden = asked.key not in row["headers"].values()
@@ -135,7 +140,7 @@
 
 
 def check_keys(facts: Facts) -> Iterator[Breach]:
-    """Check that a key works until it is taken away, and not much longer."""
+    """Check that a key works until it is revoked, and not much longer."""
     gone = {one.revoked: one.acked for one in facts.published if one.revoked}
     rows = facts.rows_by_id()
     for asked in facts.asked:
@@ -145,15 +150,17 @@
         late_s = facts.late_s(since, asked.sent)
         heard = _could_hear(facts, asked.router, asked.sent, APPLY_S + late_s)
         if ran and after_s > late_s + (APPLY_S if heard else REVOKE_S):
-            text = f"sent {after_s:.2f} s after its key was gone, and ran"
+            text = f"ran although sent {after_s:.2f} s after its key was revoked"
             yield Breach("revoked", asked.id, text)
         lasting = asked.kind is not Kind.PROBE and "spare" not in asked.key
         if lasting and asked.status in REFUSED:
-            yield Breach("denied", asked.id, f"{asked.status} for a valid request")
+            yield Breach(
+                "denied", asked.id, f"valid request refused with {asked.status}"
+            )
 
 
 def check_leaving(facts: Facts) -> Iterator[Breach]:
-    """Check that a replica that leaves gets nothing from a router that could know."""
+    """Check that routers that can reach the store stop using a leaving replica."""
     by_id = {one.id: one for one in facts.asked}
     left = {one.replica: one.acked for one in facts.leavings}
     for row in facts.rows:
@@ -165,12 +172,12 @@
             continue
         direct = calm(facts, {place, f"link:{place}"}, arrived, arrived)
         if direct and _could_hear(facts, asked.router, arrived, bound_s):
-            text = f"reached {row['replica']} {after_s:.2f} s after it left"
+            text = f"sent to {row['replica']} {after_s:.2f} s after its removal"
             yield Breach("leaving", row["id"], text)
 
 
 def check_configuration(facts: Facts) -> Iterator[Breach]:
-    """Check that versions come into force, and that none goes back on a router."""
+    """Check that each version takes effect and that no router rolls back."""
     probes = [one for one in facts.asked if one.kind is Kind.PROBE and one.status]
     for probe in probes:
         yield from _check_never_back(facts, probe, probes)
@@ -183,7 +190,7 @@
             if not lacks or probe.ended >= later.sent or after_s <= bound_s:
                 continue
             if _could_hear(facts, probe.router, probe.sent, bound_s):
-                text = f"version {one.version} not in force after {after_s:.2f} s"
+                text = f"version {one.version} not applied after {after_s:.2f} s"
                 yield Breach("in force", probe.id, text)
 
 
@@ -201,14 +208,16 @@
     highest = max(known, default=0)
     newest = max(one.version for one in facts.published if one.sent < probe.ended)
     older = probe.status == 200 and probe.version < highest
-    # The route of the highest is gone, though nothing newer was there yet.
+    # The highest version's route has vanished although no newer version exists.
     lost = probe.status == 404 and probe.version == highest == newest
     if older or lost:
-        yield Breach("reverted", probe.id, f"{place} went back from {highest}")
+        yield Breach(
+            "reverted", probe.id, f"{place} rolled back from version {highest}"
+        )
 
 
 def check_cuts(facts: Facts) -> Iterator[Breach]:
-    """Check that nothing is cut or left unanswered, also around a planned stop."""
+    """Check that every request is answered in full, also around a planned stop."""
     rows_by_id = facts.rows_by_id()
     for asked in facts.asked:
         unsent = asked.end is End.UNSENT and asked.first
@@ -216,11 +225,11 @@
         if not lost or asked.kind is Kind.PROBE:
             continue
         rows = rows_by_id.get(asked.id, [])
-        # A connection that fell silent earlier shows it only when it is used.
+        # A fault since the connection was opened may show only when it is used.
         began = min(asked.opened, asked.sent)
         took_s = asked.ended - asked.sent
         slack_s = LOSS_SLACK_S + facts.late_s(asked.sent, asked.ended)
-        # A kept connection may end just as it is used again; a new one may not.
+        # A keep-alive connection may close just as it is reused; a new one may not.
         read = rows or asked.first or took_s > slack_s
         in_time = took_s < asked.deadline_s - BEFORE_DEADLINE_S
         broken = asked.end is End.SILENT or (read and in_time)
@@ -232,10 +241,12 @@
 
 
 def _stopped(facts: Facts, asked: Asked, slack_s: float, passed_on: bool) -> bool:
-    """Whether its router had little of its time to stop left, or could not take it.
+    """Whether a planned stop of its router excuses a cut request.
 
-    The proxy and the kernel take connections for a router that has ceased to listen,
-    and close them unread: around that moment, or later if the proxy found nobody.
+    That is so near the end of the grace period, and for connections that the router
+    never read: the kernel and the proxy accept connections for a router that no longer
+    listens and close them unread, around that moment, or later when the proxy found
+    no listener.
     """
     refused = any(
         (one.router, one.port) == (asked.router, asked.port)
@@ -255,36 +266,38 @@
 
 
 def check_left(facts: Facts) -> Iterator[Breach]:
-    """Check that a replica's work ends once the caller has gone."""
+    """Check that a replica stops working once its caller has disconnected."""
     rows_by_id = facts.rows_by_id()
     for asked in facts.asked:
         for row in rows_by_id.get(asked.id, []):
             if asked.end is End.WHOLE or row["begun"] is None:
                 continue
             if row["ended"] is None:
-                yield Breach("left", asked.id, f"runs on at {row['replica']}")
+                yield Breach("left", asked.id, f"still running at {row['replica']}")
                 continue
             after_s = row["ended"] - asked.ended
             bound_s = LEFT_S + facts.late_s(asked.ended, row["ended"])
             names = path_names(asked, [row])
             if after_s > bound_s and calm(facts, names, asked.opened, row["ended"]):
-                text = f"ran on for {after_s:.2f} s ({row['outcome']})"
+                text = (
+                    f"ran for {after_s:.2f} s after its caller left ({row['outcome']})"
+                )
                 yield Breach("left", asked.id, text)
 
 
 def check_poison(facts: Facts) -> Iterator[Breach]:
-    """Check that a request stops crashing replicas soon after the third."""
+    """Check that a poison request is quarantined soon after the third crash."""
     for one in facts.poisoned:
         third = one.crashed[2] if len(one.crashed) > 2 else inf
         late_s = facts.late_s(third, third)
         later = [at for at in one.crashed if at > third + STABLE_S + late_s]
         if len(later) > MOST_LATER:
-            text = f"{one.body!r} crashed {len(one.crashed)}, {len(later)} of them late"
+            text = f"{one.body!r}: {len(one.crashed)} crashes, {len(later)} too late"
             yield Breach("poison", "", text)
 
 
 def check_said_leaving(facts: Facts) -> Iterator[Breach]:
-    """Check that a replica whose answer said that it leaves gets nothing more."""
+    """Check that a replica gets no requests after an answer signalled its leaving."""
     said: dict[tuple[str, int, str], float] = {}
     rows_by_id = facts.rows_by_id()
     for one in facts.asked:
@@ -297,12 +310,14 @@
             at = said.get((one.router, one.life, row["replica"]), inf)
             bound_s = DRAIN_S + facts.late_s(at, one.sent)
             if one.sent - at > bound_s and calm(facts, {one.router}, at, one.sent):
-                text = f"{row['replica']} said {one.sent - at:.2f} s ago that it leaves"
+                text = (
+                    f"{row['replica']} signalled leaving {one.sent - at:.2f} s before"
+                )
                 yield Breach("said leaving", one.id, text)
 
 
 def check_backoff(facts: Facts) -> Iterator[Breach]:
-    """Check that a replica gets nothing from a router that it asked for backoff."""
+    """Check that a router sends nothing to a replica that asked it for backoff."""
     by_id = {one.id: one for one in facts.asked}
     asked: dict[tuple[str, int, str], list[Row]] = {}
     for row in facts.rows:
@@ -317,12 +332,12 @@
             late = [r for r in rows if began + slack_s < r["arrived"] < until]
             path = {router, f"link:{place_of(replica)}"}
             if len(late) > MOST_IN_BACKOFF and calm(facts, path, began, until):
-                text = f"{len(late)} requests of {router} to {replica} in its backoff"
+                text = f"{len(late)} requests from {router} to {replica} during backoff"
                 yield Breach("backoff", first["id"], text)
 
 
 def check_budget(facts: Facts) -> Iterator[Breach]:
-    """Check that a service gets no more repeats in a window than its budget allows."""
+    """Check that the retries of a service stay within its retry budget."""
     for service, kinds in SERVICES.items():
         asked = sorted(one.sent for one in facts.asked if one.kind in kinds)
         repeats = sorted(_repeats(facts, service))
@@ -332,32 +347,32 @@
             requests = max(_within(asked, start) for start in starts)
             if taken > BUDGET_RATIO * requests + BUDGET_SLACK:
                 text = (
-                    f"{service}: {taken} repeats of {requests} requests from {at:.2f}"
+                    f"{service}: {taken} retries for {requests} requests from {at:.2f}"
                 )
                 yield Breach("budget", "", text)
                 break
 
 
 def _repeats(facts: Facts, service: str) -> Iterator[float]:
-    """Yield when requests came to a service's replicas once more."""
+    """Yield the arrival times of retries at a service's replicas."""
     ids = {one.id for one in facts.asked}
     for id, rows in facts.rows_by_id().items():
         if id not in ids or not place_of(rows[0]["replica"]).startswith(service):
             continue
         for row in sorted(rows, key=lambda row: row["arrived"])[1:]:
             at, place = row["arrived"], place_of(row["replica"])
-            # One that stood still takes all at once that was sent to it meanwhile.
+            # A replica that was frozen accepts all pending requests at once.
             if calm(facts, {place, f"link:{place}"}, at, at):
                 yield at
 
 
 def _within(times: list[float], start: float) -> int:
-    """Return how many of sorted times lie in the window from ``start``."""
+    """Return the number of sorted times in the window that starts at ``start``."""
     return bisect_left(times, start + BUDGET_WINDOW_S) - bisect_left(times, start)
 
 
 def check_all(facts: Facts) -> Iterator[Breach]:
-    """Check everything that was seen."""
+    """Run all checks."""
     for asked in facts.asked:
         yield from check_answer(asked)
     yield from check_runs(facts)
--- a/greengageflow/lab/soak_facts.py
+++ b/greengageflow/lab/soak_facts.py
@@ -1,4 +1,7 @@
-"""What callers, replicas and the operator saw in a soak; seconds are monotonic."""
+"""Records of callers, replicas and the operator in a soak run.
+
+Times are monotonic seconds.
+"""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
@@ -9,7 +12,7 @@
 
 
 class Kind(StrEnum):
-    """Kind of a request; a probe asks for the route that one version has."""
+    """Kind of a request; a probe requests the route that only one version has."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -35,20 +38,20 @@
 
 @dataclass(slots=True, eq=False)
 class Asked:
-    """One request as its caller saw it.
+    """One request as recorded by its caller.
 
     Args:
-        wanted: Events of a whole stream.
-        version: Configuration whose route a probe asks for.
-        life: Number of starts of the router when the request was sent.
-        opened: When its connection was opened.
-        port: Caller's port of its connection.
-        first: Whether it was the first on its connection.
-        sent: Just before its first byte was sent.
-        ended: When the caller saw its end.
-        answer_id: Id of the request that the answer names.
-        leaving: The answer says that its replica leaves.
-        events: Number and text of each event, as they came.
+        wanted: Number of events of a complete stream.
+        version: Configuration version whose route a probe requests.
+        life: Number of times the router had been started when the request was sent.
+        opened: When the connection was opened.
+        port: Local port of the caller's connection.
+        first: Whether this is the first request on the connection.
+        sent: Time just before the first byte was sent.
+        ended: When the caller saw the end of the exchange.
+        answer_id: Request id named in the answer.
+        leaving: Whether the answer signals that the replica is leaving.
+        events: Number and text of each event, in order of arrival.
     """
 
     id: str
@@ -78,7 +81,7 @@
 
 @dataclass(slots=True, eq=False)
 class Trouble:
-    """A time in which a process or link was harmed; ``planned``: by a SIGTERM."""
+    """Period of a fault on a process or link; ``planned`` means a SIGTERM."""
 
     name: str
     began: float
@@ -88,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Leaving:
-    """A replica whose leaving the store had acknowledged at ``acked``."""
+    """Replica whose removal the store acknowledged at ``acked``."""
 
     replica: str
     acked: float
@@ -96,11 +99,11 @@
 
 @dataclass(slots=True)
 class Poisoned:
-    """A request that crashes each replica that runs it, repeated by its caller.
+    """A request that crashes every replica that runs it and that its caller retries.
 
     Args:
-        body: Its body.
-        crashed: When each replica was seen to have crashed under it.
+        body: Request body.
+        crashed: Detection time of each replica crash that it caused.
     """
 
     body: str
@@ -109,7 +112,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Published:
-    """A configuration, and the key that it took away."""
+    """Published configuration version and the key that it revoked."""
 
     version: int
     sent: float
@@ -119,7 +122,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """A connection that the fault proxy took for a router that did not listen."""
+    """Connection accepted by the fault proxy while its router was not listening."""
 
     router: str
     port: int
@@ -128,11 +131,11 @@
 
 @dataclass(slots=True)
 class Facts:
-    """All that was seen in a run.
+    """All records of a run.
 
     Args:
-        rows: Requests that came to replicas, as the stand-ins tell them.
-        late: When the machine was late, and by how much: (time, seconds).
+        rows: Requests that arrived at replicas, as reported by the stand-ins.
+        late: Scheduling delays of the test host: (time, seconds of delay).
     """
 
     asked: list[Asked] = field(default_factory=list)
@@ -145,12 +148,12 @@
     late: list[tuple[float, float]] = field(default_factory=list)
 
     def late_s(self, began: float, ended: float) -> float:
-        """Return by how many seconds the machine was late around a span."""
+        """Return the longest scheduling delay of the test host around a span."""
         near = (s for at, s in self.late if began - 1.0 <= at <= ended + 1.0 + s)
         return max(near, default=0.0)
 
     def rows_by_id(self) -> dict[str, list[Row]]:
-        """Return the replicas' rows of each request."""
+        """Return the replicas' rows, grouped by request id."""
         found: dict[str, list[Row]] = {}
         for row in self.rows:
             found.setdefault(row["id"], []).append(row)
@@ -158,17 +161,17 @@
 
 
 def place_of(replica: str) -> str:
-    """Return the place that a replica's incarnations share: ``app-0.2``, app-0."""
+    """Return the place that a replica's incarnations share: app-0 for ``app-0.2``."""
     return replica.partition(".")[0]
 
 
 def store_names(router: str) -> set[str]:
-    """Return the names without which a router cannot hear the store."""
+    """Return the processes and links that a router needs to reach the store."""
     return {router, "store", f"store:{router}"}
 
 
 def path_names(asked: Asked, rows: list[Row]) -> set[str]:
-    """Return the processes and links that one request depended on."""
+    """Return the processes and links that a request depended on."""
     places = {place_of(row["replica"]) for row in rows}
     links = {f"link:{place}" for place in places}
     return store_names(asked.router) | {f"front:{asked.router}"} | places | links
--- a/greengageflow/lab/soak_plan.py
+++ b/greengageflow/lab/soak_plan.py
@@ -1,4 +1,4 @@
-"""What a soak does to a fleet and when: drawn from a seed, nothing else decides."""
+"""Fault plan of a soak run, determined by its seed alone."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -14,7 +14,7 @@
 
 
 class Do(StrEnum):
-    """What a step does; links lead through the fault proxy."""
+    """Action of a step; faults of links are injected by the fault proxy."""
 
     CUT = "cut"
     ONE_WAY = "one_way"
@@ -47,7 +47,7 @@
 AT_ONCE = (Do.RESET, Do.SILENCE, Do.CONFIGURE, Do.REVOKE)
 LONGER_S = {Do.DRAIN: REST_S, Do.VANISH: REST_S, Do.SAY_LEAVING: REST_S, Do.SHED: 8.0}
 LINK_FAULTS = (Do.CUT, Do.ONE_WAY, Do.DELAY, Do.HALF_OPEN, Do.LOSE_ANSWER)
-# Weight, what is drawn from, and the targets, which are filled with drawn names.
+# Weight, possible actions, and target templates, filled with random names.
 DRAWS = (
     (30, (*LINK_FAULTS, Do.RESET, Do.SILENCE), ("store:{r}", "front:{r}", "link:{p}")),
     (12, (Do.CUT, Do.LOSS, Do.DELAY), ("gossip:{r}",)),
@@ -57,7 +57,8 @@
     (5, (Do.REFUSE, Do.FREEZE), ("store",)),
     (9, (Do.CONFIGURE, Do.REVOKE), ("operator",)),
 )
-# Later kinds, drawn by later seeds alone: an old seed stands for its old plan.
+# Actions that were added later apply to higher seeds only, so that the plan of an
+# existing seed never changes.
 LATER_FROM = 500
 LATER = (
     (20, (Do.MUTE, Do.FALSE_ILL, Do.ABORT), ("{p}",)),
@@ -72,17 +73,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """One thing done to the fleet.
+    """One action on the fleet.
 
     Args:
         at_s: Seconds from the start of the plan.
-        do: What is done.
+        do: The action.
         target: A process (``r0``, ``app-1``, ``store``) or a link (``store:r0``,
             ``front:r0``, ``gossip:r1``, ``link:app-1``).
-        for_s: How long; a process that ended is started again afterwards.
-        way: Direction that is cut, ``up`` to the target or ``down``.
-        amount: Seconds of delay or of each turn, or share of datagrams that are lost.
-        source: Router whose datagrams, or requests, are hit; empty for all.
+        for_s: Duration in seconds; a process that ended is restarted afterwards.
+        way: Direction that is cut: ``up`` (to the target) or ``down``.
+        amount: Seconds of delay, seconds of each flap phase, or share of datagrams
+            that are lost.
+        source: Router whose datagrams or requests are affected; empty for all.
     """
 
     at_s: float
@@ -95,7 +97,7 @@
 
 
 def draw_plan(seed: int, seconds: float) -> tuple[Step, ...]:
-    """Return the steps of a seed, in order; they begin within ``seconds``."""
+    """Return the steps of a seed in order of start; all start within ``seconds``."""
     draws = DRAWS if seed < LATER_FROM else (*DRAWS, *LATER)
     draws = draws if seed < NEWEST_FROM else (*draws, *NEWEST)
     draws = draws if seed < SHED_FROM else (*draws, *SHED)
@@ -110,7 +112,7 @@
 
 
 def _apart(steps: Iterator[Step]) -> Iterator[Step]:
-    # Two steps on one target would undo each other's end.
+    # Overlapping steps on one target would cancel each other when they end.
     busy_until: dict[str, float] = {}
     for step in steps:
         if busy_until.get(step.target, 0.0) <= step.at_s:
@@ -124,7 +126,7 @@
     ((_, dos, targets),) = random.choices(draws, weights)
     do, router = random.choice(dos), random.choice(ROUTERS)
     target = random.choice(targets).format(r=router, p=random.choice(REPLICAS))
-    # Long enough without the store for keys to run out.
+    # Store faults last long enough for the trust in keys to expire.
     longest_s = STORE_LONGEST_S if target.startswith("store:") else LONGEST_S
     length_s = round(random.uniform(SHORTEST_S, longest_s), 2)
     way = random.choice(("up", "down"))
--- a/tests/soak_seeds.py
+++ b/tests/soak_seeds.py
@@ -1,7 +1,7 @@
-"""Seeds of the soak that failed: what the cause was, and what became of it.
+"""Soak seeds that failed, with cause and fix.
 
-Several things hang on the machine as well as on the seed, so a seed need not fail again
-on the code of its day; each product fault has a test of its own that did.
+Timing also depends on the test host, so a seed may not fail again on the code of that
+time; each product fault has its own test, which did fail on it.
 """
 
 from dataclasses import dataclass
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FailedSeed:
-    """One failed seed; ``test`` fails without the mend."""
+    """One failed seed; ``test`` fails without the fix."""
 
     seed: int
     cause: str
@@ -20,74 +20,74 @@
 FAILED_SEEDS = (
     FailedSeed(
         12,
-        "A resumable stream that stood still for 1.5 s was cut at its caller, though "
-        "its engine went on: the router left the engine first and looked for another "
-        "one afterwards, in vain.",
-        "product: the other engine is chosen first",
+        "A resumable stream that stalled for 1.5 s was cut although its engine "
+        "continued: the router abandoned the engine before it looked for another one, "
+        "and found none.",
+        "product: the other engine is selected before the first is abandoned",
         "test_stream_that_stands_still_is_not_cut_when_nothing_else_can_go_on",
     ),
     *(
         FailedSeed(
             seed,
-            "No stream was served after the faults: the stand-in engine stopped making "
-            "tokens when it wrote to a connection that its caller had reset.",
-            "stand-in: it does not write on a socket that is closed",
+            "No stream was served after the faults: the stand-in engine stopped "
+            "generating when it wrote to a connection that its caller had reset.",
+            "stand-in: it no longer writes to a closed socket",
             "test_engine_steps_continue_when_clients_reset_their_streams",
         )
         for seed in (1, 2, 4, 6, 103)
     ),
     FailedSeed(
         11,
-        "As seed 1; besides, a request that the proxy took and reset, since the router "
-        "had already ended as planned, counted as cut.",
-        "check: a connection of which nothing reached a replica, opened as the router "
-        "ceased to listen, or later and noted by the proxy, is not counted",
+        "As seed 1; also, a request that the proxy accepted and reset, because the "
+        "router had already stopped as planned, was reported as cut.",
+        "check: a connection is excused if nothing of it reached a replica and it was "
+        "opened as the router stopped listening, or later and recorded by the proxy",
     ),
     FailedSeed(
         201,
-        "A router that was told to stop logged a fault of the program: a connection "
-        "arrived in the round in which it closed its listening socket.",
-        "product: the listener is no longer watched at once, and closed later",
+        "A stopping router logged an internal error: a connection arrived in the event "
+        "loop iteration in which it closed its listening socket.",
+        "product: the listener is unregistered at once and closed later",
         "test_a_connection_that_arrives_as_the_drain_starts_is_closed_cleanly",
     ),
     FailedSeed(
         3,
-        "Streams of up to 300 tokens, asked for one after the other among the load, "
-        "did not all fit into the bound on recovery.",
-        "check: the load stops first, and the streams asked for are short",
+        "Streams of up to 300 tokens, requested in sequence under load, exceeded the "
+        "bound on recovery.",
+        "check: the load stops first, and the requested streams are short",
     ),
     FailedSeed(
         303,
-        "Routers that were never cut off sent to a replica for 2.6 s after it left: "
-        "the reader of their zone held the removal back and told of no change.",
-        "product: the mark of what was read is told at once",
+        "Routers that were never cut off sent to a replica for 2.6 s after its "
+        "removal: their zone's reader held it back and published no update.",
+        "product: the read offset is published at once",
         "test_held_removal_still_advances_the_reported_mark",
     ),
     FailedSeed(
         210,
-        "A router was started while the one before it still stopped (address in use), "
-        "since its stop took 7.5 s and the next step on it had begun.",
-        "soak: a step waits until the one before it on the same target has ended",
+        "A router was started while its predecessor was still stopping (address in "
+        "use): the stop took 7.5 s and the next step on it had started.",
+        "soak: a step waits until the previous one on the same target has ended",
     ),
     FailedSeed(
         502,
-        "A resumable stream stood still for 1.5 s (the machine was late by 1.1 s) and "
-        "was moved to an engine that had crashed; the first one was ruled out, so the "
-        "stream was cut.",
-        "product: an engine that stood still may be gone back to",
+        "A resumable stream stalled for 1.5 s (1.1 s scheduling delay of the host) and "
+        "was moved to a crashed engine; the first engine was excluded, so the stream "
+        "was cut.",
+        "product: a stalled engine may be selected again",
         "test_stream_that_stands_still_goes_back_when_the_next_engine_is_dead",
     ),
     FailedSeed(
         503,
         "As 502, but the next engine's link reset the connection after the request was "
-        "sent: the last of the route's two attempts. The machine was late by 0.75 s.",
-        "open: the first engine would have to be kept until the next one answers",
+        "sent, in the last of the route's two attempts. The host was late by 0.75 s.",
+        "open: the first engine would have to be kept until the next one responds",
     ),
     FailedSeed(
         600,
-        "A key ran 2.39 s after it was gone: connections to the store were silent, and "
-        "by the log's times the poll and its first retry both timed out after 1 s.",
-        "product: a read after one that failed takes a new connection",
+        "A key was accepted 2.39 s after it was revoked: connections to the store were "
+        "silent, and by the log the poll and its first retry each timed out after 1 s.",
+        "product: a read after a failed one uses a new connection",
         "test_read_after_a_failed_one_uses_a_new_connection",
     ),
 )
--- a/tests/test_soak_checks.py
+++ b/tests/test_soak_checks.py
@@ -1,4 +1,4 @@
-"""Each promise of the soak is broken once, so that no check passes whatever comes."""
+"""Each soak check must detect a violation of its guarantee."""
 
 import json
 from hashlib import sha256
@@ -32,7 +32,7 @@
 
 
 def asked(kind=Kind.SAFE, **changes):
-    """Return a good request at second 100, with its whole answer."""
+    """Return a valid request at second 100 with a complete answer."""
     body_sha256 = sha256(b"q1").hexdigest()
     body = {"id": "q1", "target": "/t", "body_sha256": body_sha256, "replica": "app-0"}
     one = Asked("q1", kind, "r0", KEY, "/t", 6.0, body_sha256, opened=100.0, sent=100.0)
@@ -182,8 +182,7 @@
     ],
 )
 def test_a_machine_that_was_late_excuses_what_it_delayed(name):
-    """The same facts with a machine that was late by 20 seconds: none is a breach,
-    but for answers that are missing altogether."""
+    """A scheduling delay of 20 seconds excuses late events, but not missing answers."""
     _, seen = BROKEN[name]
     late = Facts(**{name: getattr(seen, name) for name in seen.__slots__})
     late.late = [(100.0, 20.0)]
@@ -193,8 +192,8 @@
 
 @pytest.mark.parametrize(("began", "refused"), [(97.4, []), (96.0, [100.1])])
 def test_what_no_router_took_after_a_planned_stop_is_not_cut(began, refused):
-    """A connection is reset just as its router ceases to listen, or the fault proxy
-    took it, and found nobody behind it: the router has kept its promise."""
+    """A connection may be reset just as its router stops listening, or be accepted by
+    the fault proxy when no router listens any more; neither is a breach."""
     refused = [Refused("r0", 7, at) for at in refused]
     stop = [Trouble("r0", began, 104.0, True)]
     one = asked(**TORN)
--- a/tests/test_soak_fleet.py
+++ b/tests/test_soak_fleet.py
@@ -1,4 +1,4 @@
-"""The fleet of the soak: its faults hit what they name, on real processes."""
+"""Faults of the soak fleet affect the links that they name; real processes."""
 
 import re
 
@@ -10,18 +10,20 @@
 
 
 def peers(fleet, router):
-    """Return how many others a router counts."""
+    """Return the number of live peers of a router."""
     answer = call((fleet.gossip_ip(router), READY_PORT), "GET", "/metrics")
     return int(PEERS.search(answer.data.decode())[1])
 
 
 def test_a_cut_of_the_datagrams_to_a_router_leaves_it_no_way_to_its_peers():
-    """Routers name their own addresses to each other. Those that learned that of a
-    router which is cut off went on telling it, past the fault proxy, so that the cuts,
-    losses and delays of the soak had no effect after the first contact."""
+    """Routers exchange their own addresses by gossip.
+
+    When one learned the real address of another, its datagrams bypassed the fault
+    proxy, so cuts, losses and delays had no effect after the first contact.
+    """
     with SoakFleet() as fleet:
-        wait_for(lambda: peers(fleet, "r1") == 2, "r1 hears both others")
+        wait_for(lambda: peers(fleet, "r1") == 2, "r1 sees both peers")
         with fleet.rule(do="cut", route="gossip:r1"):
-            wait_for(lambda: peers(fleet, "r1") == 0, "r1 hears nobody")
+            wait_for(lambda: peers(fleet, "r1") == 0, "r1 sees no peers")
             assert peers(fleet, "r0") == peers(fleet, "r2") == 2
-        wait_for(lambda: peers(fleet, "r1") == 2, "r1 hears both others again")
+        wait_for(lambda: peers(fleet, "r1") == 2, "r1 sees both peers again")
--- a/tests/test_soak_short.py
+++ b/tests/test_soak_short.py
@@ -6,8 +6,10 @@
 
 
 def test_short_soak_keeps_every_promise():
-    """Callers ask through three routers while links are cut and processes end; after
-    it all, every answer, run and refusal that was seen must fit the promises."""
+    """Callers send requests through three routers during link and process faults.
+
+    Every recorded answer, run and refusal must meet the soak guarantees.
+    """
     result = run_soak(SEED, 3.0)
     assert result.plan
     assert not result.breaches, (result.line, *result.breaches[:5])
