--- a/greengageflow/lab/_fleet_load.py
+++ b/greengageflow/lab/_fleet_load.py
@@ -1,4 +1,4 @@
-"""What ``greengage-bench fleet`` starts, sends and breaks."""
+"""Fleets, load and faults of ``greengage-bench fleet``."""
 
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
@@ -32,13 +32,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Site:
-    """One of the users' sites.
+    """Deployment site that the bench models.
 
     Args:
         zones: Availability zones.
         model: Name of the model's pool.
         service: Name of the plain service's pool.
-        delay_s: One way between routers of two zones, in seconds.
+        delay_s: One-way delay between routers in different zones, in seconds.
     """
 
     zones: tuple[str, ...]
@@ -57,10 +57,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Phases:
-    """Spans of a run, in seconds from its start.
+    """Phases of a run, in seconds from its start.
 
-    First only small accounts send, then the large ones are backlogged too, at last
-    one account floods.
+    At first only small accounts send requests. Then large accounts are backlogged too,
+    and in the last phase one account floods the fleet.
 
     Args:
         seconds: Length of the run.
@@ -79,7 +79,7 @@
         return _BACKLOG_PART * self.seconds
 
     def windows(self, start: float) -> dict[str, Window]:
-        """Return the phases in unix seconds, each without its start."""
+        """Return the phases in Unix seconds, each without its warm-up."""
         quiet, backlog = start + self.quiet_s, start + self.backlog_s
         return {
             "quiet": Window(start + _WARM_UP_S, quiet),
@@ -90,7 +90,7 @@
 
 
 def lab_plan(site: Site, policy: str, **knobs: float) -> LabPlan:
-    """Return the fleet for a policy; one router for ``central``."""
+    """Return the fleet of a policy; ``central`` has one router."""
     central = policy == "central"
     return LabPlan(
         routers=1 if central else ROUTERS,
@@ -110,9 +110,10 @@
 
 
 def load_plan(lab: Lab, phases: Phases, seed: int) -> LoadPlan:
-    """Return the load; its requests are the same for every policy."""
+    """Return the load, which has the same requests for every policy."""
     addresses = [router.address for router in lab.routers.values()]
-    # One router stands for all nine, so that each choice draws the same numbers.
+    # A single router fills all nine positions, so that router selection consumes the
+    # same random numbers under every policy.
     spread = tuple(addresses[n % len(addresses)] for n in range(ROUTERS))
     return LoadPlan(
         routers=spread,
@@ -157,7 +158,7 @@
 
 
 def delays(lab: Lab, site: Site) -> list[dict[str, object]]:
-    """Return the proxy's rules for the delays between routers of two zones."""
+    """Return the proxy rules for delays between routers in different zones."""
     return [
         {**_pair(lab, one, other), "do": "delay", "delay_s": site.delay_s}
         for one in lab.settings
@@ -183,7 +184,7 @@
 def faults(
     scenario: str, lab: Lab, proxy: Proxy, phases: Phases, usual: list[dict]
 ) -> Iterator[tuple[float, Callable[[], None]]]:
-    """Yield when to break or mend what, in seconds from the run's start."""
+    """Yield times, in seconds from the run's start, and calls that toggle faults."""
     length = phases.seconds - phases.quiet_s
     begin, end = (phases.quiet_s + part * length for part in _FAULT_S)
     hosts = list(lab.settings)
--- a/greengageflow/lab/_fleet_traffic.py
+++ b/greengageflow/lab/_fleet_traffic.py
@@ -1,4 +1,4 @@
-"""What the routers of a fleet bench spend between two readings."""
+"""Traffic and processor time of a fleet bench's routers between two readings."""
 
 from collections import Counter
 from dataclasses import dataclass
@@ -13,13 +13,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Reading:
-    """Counters of the fleet at one time.
+    """Counters of the fleet at a point in time.
 
     Args:
-        at: Time, in unix seconds.
-        control: Control counters of each router that runs.
-        cpu_s: Processor time of each of them and of the proxy, in seconds.
-        appends: Appends that the log took.
+        at: Time in Unix seconds.
+        control: Control counters of each running router.
+        cpu_s: Processor time of each running router and of the proxy, in seconds.
+        appends: Number of appends accepted by the log.
     """
 
     at: float
@@ -29,7 +29,7 @@
 
 
 def read(lab: Lab, others: dict[str, Process]) -> Reading:
-    """Read the counters of the routers that run, and of the log."""
+    """Read the counters of the running routers and of the log."""
     live = {h: r for h, r in lab.routers.items() if r.popen.poll() is None}
     control = {host: lab.status(host)["control"] for host in live}
     cpu_s = {name: usage_of(one).cpu_s for name, one in (live | others).items()}
--- a/greengageflow/lab/_load_conn.py
+++ b/greengageflow/lab/_load_conn.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 connection of the load client, by h11 over ``selectors``."""
+"""HTTP/1.1 connection of the load generator, with h11 and ``selectors``."""
 
 import socket
 from collections.abc import Callable
@@ -26,14 +26,14 @@
 
 @dataclass(slots=True, eq=False)
 class Exchange:
-    """What came back so far; times are monotonic seconds.
+    """State of the answer to one request; times are monotonic seconds.
 
     Args:
-        sent: When the request was handed to the socket.
-        times: When each part of the body came.
-        at_end: When it ended or failed.
-        ended: Whether the answer is whole as far as HTTP can tell.
-        failed: Why the connection failed, or empty.
+        sent: Time when the request was handed to the connection.
+        times: Arrival time of each part of the body.
+        at_end: Time when the exchange ended or failed.
+        ended: Whether the HTTP message is complete.
+        failed: Reason why the connection failed, or empty.
     """
 
     sent: float
@@ -47,7 +47,7 @@
 
     @property
     def data(self) -> bytes:
-        """The body so far."""
+        """Body received so far."""
         return b"".join(self.parts)
 
 
@@ -55,12 +55,13 @@
     """A connection that carries one exchange at a time.
 
     Args:
-        selector: Selector of the client's loop; the data of a key is called.
+        selector: Selector of the event loop, which calls a key's data with the event
+            mask.
         address: Router to connect to.
 
     Attributes:
-        usable: Whether another exchange can follow.
-        exchange: The one under way, or None.
+        usable: Whether the connection can carry another exchange.
+        exchange: Current exchange, or None.
     """
 
     def __init__(self, selector: BaseSelector, address: Address) -> None:
@@ -74,12 +75,12 @@
         self._sock = socket.socket()
         self._sock.setblocking(False)
         self._sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        # A refusal shows as an error of the first write or read.
+        # A refused connection raises an error on the first write or read.
         self._sock.connect_ex(address)
         selector.register(self._sock, EVENT_READ, self._on_ready)
 
     def send(self, call: HttpCall, done: Callable[[Exchange], None]) -> Exchange:
-        """Start an exchange; ``done`` is called once, at its end or failure."""
+        """Start an exchange; ``done`` is called once, when it ends or fails."""
         self.exchange = Exchange(monotonic())
         self._done = done
         headers = [("Host", f"{self.address[0]}:{self.address[1]}"), *call.headers]
@@ -91,7 +92,7 @@
         return self.exchange
 
     def close(self, why: str = "") -> None:
-        """Close; an exchange under way fails with ``why``."""
+        """Close the connection; a current exchange fails with the reason ``why``."""
         if not self.usable:
             return
         self.usable = False
@@ -126,7 +127,7 @@
     def _read(self) -> None:
         data = self._sock.recv(CHUNK)
         if self.exchange is None:
-            # An idle connection has nothing to read but its end.
+            # Only the end of the stream can be read on an idle connection.
             self.close()
             return
         self._http.receive_data(data)
--- a/greengageflow/lab/_load_jobs.py
+++ b/greengageflow/lab/_load_jobs.py
@@ -1,4 +1,4 @@
-"""The load client's requests, made from a plan and a seed."""
+"""Requests of the load generator, generated from a plan and its seed."""
 
 import json
 from collections.abc import Iterator
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Job:
-    """One request and where it goes."""
+    """One request and its destination."""
 
     load: ChatLoad | ServiceLoad
     router: Address
@@ -31,7 +31,7 @@
 def jobs_of(
     plan: LoadPlan, load: ChatLoad | ServiceLoad, random: Random
 ) -> Iterator[Job]:
-    """Yield an account's requests without end."""
+    """Yield an endless sequence of requests of an account."""
     indexes = load.routers or tuple(range(len(plan.routers)))
     for number in count():
         router = plan.routers[random.choice(indexes)]
--- a/greengageflow/lab/_load_result.py
+++ b/greengageflow/lab/_load_result.py
@@ -1,4 +1,4 @@
-"""Reads what a caller of the load client got."""
+"""Parses the answers that the load generator received."""
 
 import json
 from collections.abc import Iterator
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """What the body of an answer says; see ``load_plan.Result``."""
+    """Parsed body of an answer; see ``load_plan.Result``."""
 
     text: str = ""
     complete: bool = False
@@ -38,8 +38,8 @@
 
 
 def _sse(data: bytes) -> Iterator[str]:
-    # The last one may be broken off, so it only counts with its blank line.
-    # The router's last event of a cut answer has its name in a line before.
+    # The last event may be truncated, so it counts only if a blank line follows it.
+    # The router's final event of a cut answer has an event name before its data line.
     lines = (line for one in data.split(b"\n\n")[:-1] for line in one.split(b"\n"))
     for line in lines:
         if line.startswith(b"data:"):
@@ -84,10 +84,10 @@
     """Return the result of one request.
 
     Args:
-        job: What was sent.
-        exchange: What came back; its times are monotonic.
-        due: When the plan wanted it sent (monotonic).
-        unix: What turns a monotonic time into unix seconds.
+        job: The request.
+        exchange: The answer, with monotonic times.
+        due: Scheduled sending time (monotonic).
+        unix: Offset from monotonic time to Unix seconds.
     """
     answer = _answer(job, exchange)
     error = answer.error
--- a/greengageflow/lab/bench.py
+++ b/greengageflow/lab/bench.py
@@ -21,7 +21,7 @@
 def demo() -> None:
     """Serve real requests through three routers and check every answer.
 
-    The last line is one JSON object; the exit status is 0 only if nothing was wrong.
+    The last line is a JSON object; the exit status is 0 only without violations.
 
     Example:
         greengage-bench demo
@@ -30,7 +30,7 @@
 
 
 def latency() -> None:
-    """Measure what one router takes when idle, and adds per call and per piece.
+    """Measure the idle cost of a router and its overhead per call and per piece.
 
     Example:
         greengage-bench latency
@@ -48,17 +48,18 @@
     share_interval_s: float = Policy().share_interval_s,
     out: str | None = None,
 ) -> None:
-    """Compare ways to share slots on nine routers and nine engines.
+    """Compare slot sharing policies on nine routers and nine engines.
 
     Args:
         plan: ``peristeri`` or ``parada-viva``.
-        policies: Some of ``central``, ``local``, ``split``, ``owned``.
+        policies: Any of ``central``, ``local``, ``split``, ``owned``.
         scenario: ``steady``, ``partition``, ``kill`` or ``outage``.
         seconds: Length of each run.
         seed: Seed of the load.
-        proxied: Put the fault proxy and its delays between the routers.
+        proxied: Whether to route messages between routers through the fault proxy
+            and its delays.
         share_interval_s: Seconds between service reports.
-        out: File to which one JSON line a policy is added.
+        out: File to which one JSON line per policy is appended.
 
     Example:
         greengage-bench fleet --policies=central,owned --out=fleet.jsonl
@@ -83,16 +84,17 @@
     work_ms: float = 0.0,
     out: str = "overload",
 ) -> None:
-    """Load gateways with 0.5, 1, 2, 4 and 0.5 times what stand-in endpoints give.
+    """Load gateways with 0.5, 1, 2, 4 and 0.5 times the capacity of the endpoints.
 
-    It takes about a minute and prints what it found, without the seconds.
+    Endpoints are stand-ins. A run takes about a minute and prints its results without
+    the figures of each second.
 
     Args:
         kind: ``plain`` or ``engine``.
         gateways: Number of gateways.
-        work_ms: Milliseconds of a plain request, or of an engine's step; 0 for the
-            usual ones.
-        out: Path of the JSON and the SVG file, without their endings.
+        work_ms: Milliseconds of a plain request or of an engine's step; 0 for the
+            default.
+        out: Path of the JSON and SVG files, without the suffix.
 
     Example:
         greengage-bench overload --kind=engine --gateways=2 --out=engine
@@ -102,10 +104,10 @@
 
 
 def slopes(*roles: str, events: bool = True) -> None:
-    """Measure what each role costs as one driver grows, and write the page.
+    """Measure the cost of each role as one driver grows, and write the page.
 
     Args:
-        roles: Which to measure; all by default, the others keep what was saved.
+        roles: Roles to measure, all by default; others keep their saved figures.
         events: Whether to simulate the loss of a zone and of the other region.
 
     Example:
@@ -127,12 +129,12 @@
 
 
 def gateway(*sizes: int, profile: bool = False) -> None:
-    """Measure the gateway's control in simulated fleets, and write the page.
+    """Measure the gateway's control cost in simulated fleets, and write the page.
 
     Args:
-        sizes: Numbers of routers, of 9, 69 and 360; all by default. Only a
-            measurement of all is saved.
-        profile: Print where the time goes, and save nothing.
+        sizes: Numbers of routers out of 9, 69 and 360, all by default. Results are
+            saved only if all sizes are measured.
+        profile: Whether to print a profile instead of saving results.
 
     Example:
         greengage-bench gateway 69 --profile
@@ -161,13 +163,13 @@
 def soak(
     seed: int = 1, seeds: str = "", seconds: float = 20.0, out: str = "soak-runs"
 ) -> None:
-    """Run a fleet under drawn faults and check every promise.
+    """Run a fleet under random faults and check all guarantees.
 
     Args:
-        seed: Seed of the plan.
-        seeds: ``A-B`` for several, one after the other.
-        seconds: How long new faults begin.
-        out: Folder for plan and logs of seeds that fail.
+        seed: Seed of the fault plan.
+        seeds: Range ``A-B`` of seeds, run in sequence.
+        seconds: Time in which new faults start.
+        out: Directory for plans and logs of failed seeds.
 
     Example:
         greengage-bench soak --seeds 1-10
@@ -182,16 +184,16 @@
     without: str | tuple[str, ...] = (),
     out: str = "",
 ) -> None:
-    """Play the decision core against simulated engines, in simulated time.
+    """Run the decision core against simulated engines in simulated time.
 
-    Prints means over the seeds with their standard errors, and for each mechanism that
-    is left out the paired difference.
+    Prints means over the seeds with standard errors, and the paired difference for
+    each mechanism that is left out.
 
     Args:
         sheet: ``long`` or ``short`` prompts.
         seeds: Seeds, as ``FIRST-LAST``.
         without: Mechanisms to leave out, one at a time, or ``all``.
-        out: SVG file for the worth by second.
+        out: SVG file for the worth per second.
 
     Example:
         greengage-bench policy --seeds 1-20 --without zones,fetch
@@ -201,7 +203,9 @@
     names = tuple(MECHANISMS) if names == ("all",) else names
     unknown = [name for name in names if name not in MECHANISMS]
     if unknown:
-        sys.exit(f"no mechanism {unknown[0]!r}; there are {', '.join(MECHANISMS)}")
+        sys.exit(
+            f"unknown mechanism {unknown[0]!r}; choose from {', '.join(MECHANISMS)}"
+        )
     run_policy(sheet, range(int(first), int(last or first) + 1), names, out)
 
 
--- a/greengageflow/lab/bench_demo.py
+++ b/greengageflow/lab/bench_demo.py
@@ -1,4 +1,4 @@
-"""``make demo``: a small fleet serves real requests, and every answer is checked."""
+"""``make demo``: serves requests on a small fleet and verifies every answer."""
 
 import json
 from time import time
@@ -23,7 +23,7 @@
 
 
 def demo_plan() -> LabPlan:
-    """Return three routers, three engines and two service replicas."""
+    """Return a fleet of three routers, three engines and two service replicas."""
     return LabPlan(
         routers=3,
         engines=3,
@@ -35,7 +35,7 @@
 
 
 def demo_load(lab: Lab) -> LoadPlan:
-    """Return two backlogged accounts, a light one, and protected actions."""
+    """Return the load: two backlogged accounts, a light one, and protected calls."""
     model, service = lab.plan.model, lab.plan.service
     loads = (
         ChatLoad(
@@ -73,7 +73,7 @@
 
 
 def run_demo() -> int:
-    """Run the demo, print a table and one JSON line; return the exit status."""
+    """Run the demo, print a table and a JSON line, and return the exit status."""
     with Lab(demo_plan()) as lab:
         before = _traffic(lab)
         start = time()
--- a/greengageflow/lab/bench_fleet.py
+++ b/greengageflow/lab/bench_fleet.py
@@ -1,7 +1,7 @@
-"""``make bench-fleet``: ways to share a fleet's slots, on the same work.
+"""``make bench-fleet``: compares slot sharing policies under the same load.
 
 Nine routers in three zones, nine engines and three service replicas serve sixteen
-accounts. ``central`` is the reference: one router takes all requests.
+accounts. ``central`` is the reference, in which one router receives all requests.
 """
 
 import json
@@ -53,15 +53,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Experiment:
-    """One run.
+    """Parameters of one run.
 
     Args:
         site: Name of the site.
-        policy: How slots are shared.
-        scenario: What breaks.
-        seconds: Length of the load, in seconds.
+        policy: Slot sharing policy.
+        scenario: Injected fault.
+        seconds: Length of the load in seconds.
         seed: Seed of the load.
-        proxied: Whether messages between routers go through the proxy.
+        proxied: Whether messages between routers pass through the fault proxy.
         share_interval_s: Seconds between service reports.
     """
 
@@ -75,10 +75,10 @@
 
 
 class Run:
-    """Carries out one experiment.
+    """Runs one experiment.
 
     Args:
-        experiment: What to run.
+        experiment: Parameters of the run.
     """
 
     def __init__(self, experiment: Experiment) -> None:
@@ -87,7 +87,10 @@
         self._readings: list[Reading] = []
 
     def row(self) -> dict[str, Any]:
-        """Run it and return the measures, flat, with units in the names."""
+        """Run the experiment and return its measures as one flat row.
+
+        Units are part of the names.
+        """
         experiment = self._experiment
         site = SITES[experiment.site]
         with _proxied_lab(site, experiment) as (lab, proxy, process):
@@ -213,23 +216,27 @@
     share_interval_s: float = Policy().share_interval_s,
     out: str | None = None,
 ) -> int:
-    """Run each policy on the same work and print a line of JSON each and a table.
+    """Run each policy under the same load; print a JSON line for each, and a table.
 
     Args:
         plan: Name of the site.
-        policies: Policies, in the order of their runs.
-        scenario: What breaks.
+        policies: Policies in the order of their runs.
+        scenario: Injected fault.
         seconds: Length of each run.
         seed: Seed of the load.
-        proxied: Put the proxy and its delays between the routers.
+        proxied: Whether to route messages between routers through the fault proxy
+            and its delays.
         share_interval_s: Seconds between service reports.
-        out: File to which the JSON lines are added.
+        out: File to which the JSON lines are appended.
 
     Returns:
-        0 unless an answer was wrong, untrue or doubled.
+        1 if an answer was wrong, a refused request ran, or an action ran twice;
+        else 0.
     """
     if plan not in SITES or scenario not in SCENARIOS or set(policies) - set(POLICIES):
-        raise ValueError(f"plans {list(SITES)}, {SCENARIOS}, {POLICIES}")
+        raise ValueError(
+            f"plans: {list(SITES)}, scenarios: {SCENARIOS}, policies: {POLICIES}"
+        )
     rows = []
     for policy in policies:
         experiment = Experiment(
--- a/greengageflow/lab/bench_latency.py
+++ b/greengageflow/lab/bench_latency.py
@@ -1,4 +1,4 @@
-"""``make bench``: what one router adds, beside going direct and a bare answerer."""
+"""``make bench``: overhead of one router against direct calls and a bare server."""
 
 import json
 import os
@@ -39,7 +39,7 @@
 
 
 def usage_of(process: Process | Popen) -> Usage:
-    """Read a process's usage from the kernel."""
+    """Read the usage of a process from ``/proc``."""
     with open(f"/proc/{process.pid}/stat") as file:
         fields = file.read().rpartition(")")[2].split()
     with open(f"/proc/{process.pid}/statm") as file:
@@ -49,7 +49,7 @@
 
 
 def bench_plan() -> LabPlan:
-    """Return one router before three engines and three service replicas."""
+    """Return a fleet of one router, three engines and three service replicas."""
     return LabPlan(
         routers=1,
         zones=("z1",),
@@ -83,7 +83,7 @@
 
 
 def added_latency(lab: Lab) -> dict[str, float]:
-    """Compare service calls through the router and direct, in turns of one run."""
+    """Compare routed and direct service calls in alternating rounds."""
     direct, routed = [], []
     replica = next(iter(lab.services.values())).address
     router = lab.routers["r1"].address
@@ -101,7 +101,7 @@
 
 
 def throughput(process: Process) -> dict[str, float]:
-    """Return answers a second and processor time of each, under a closed loop."""
+    """Return answers per second and processor time per answer in a closed loop."""
     plan = _plan(process.address, _calls(outstanding=OUTSTANDING), THROUGHPUT_S)
     before = usage_of(process)
     with ProcessPoolExecutor(CLIENTS) as clients:
@@ -117,7 +117,7 @@
 
 
 def streaming(lab: Lab) -> dict[str, float]:
-    """Stream at the design rate of one router and state what a piece costs."""
+    """Stream at the design rate of one router and measure the cost per piece."""
     router = lab.routers["r1"]
     load = ChatLoad(
         account="acme",
@@ -155,7 +155,7 @@
 
 
 def idle(process: Process) -> dict[str, float]:
-    """Return what a router takes that has nothing to do: all control ticks."""
+    """Return the cost of an idle router, which is that of its periodic control work."""
     before = usage_of(process)
     sleep(IDLE_S)
     after = usage_of(process)
@@ -164,7 +164,10 @@
 
 
 def run_bench() -> None:
-    """Run all parts and print one JSON line each; load averages come first and last."""
+    """Run all parts and print a JSON line for each.
+
+    Load averages are printed before and after them.
+    """
     _show("load", _load())
     with Lab(bench_plan()) as lab:
         _show("idle", idle(lab.routers["r1"]))
--- a/greengageflow/lab/bench_sixty.py
+++ b/greengageflow/lab/bench_sixty.py
@@ -1,4 +1,4 @@
-"""Sixty real routers beside nine: what they spend, and what the slopes expect."""
+"""Compares the cost of 9 and 60 real routers with the cost predicted by slopes."""
 
 import json
 import os
@@ -27,7 +27,7 @@
 
 
 def sixty_plan(routers: int) -> LabPlan:
-    """Return so many routers before ten engines with few slots."""
+    """Return a fleet of ``routers`` routers and ten engines with few slots."""
     return LabPlan(
         routers=routers,
         zones=tuple(f"z{n}" for n in range(ZONES)),
@@ -61,7 +61,7 @@
 
 
 def _totals(lab: Lab) -> dict[str, float]:
-    """Return the sums of traffic and processor time over all routers."""
+    """Return the total traffic, processor time and memory of all routers."""
     states = [lab.status(host)["control"] for host in lab.routers]
     found = {
         name: float(sum(state[name] for state in states))
@@ -79,7 +79,7 @@
 
 
 def run_size(routers: int) -> dict[str, Any]:
-    """Run one fleet; return what a router spent a second, quiet and loaded."""
+    """Run one fleet and return the cost per router and second, quiet and loaded."""
     with Lab(sixty_plan(routers)) as lab:
         sleep(SETTLE_S)
         first, start = _totals(lab), monotonic()
@@ -119,7 +119,7 @@
 
 
 def expect(row: Mapping[str, Any], slopes: Slopes) -> dict[str, float]:
-    """Return what the slopes give for the fleet and load of a run."""
+    """Return the cost that the slopes predict for the fleet and load of a run."""
     routers = row["routers"]
     each = row["requests_per_s"] / routers
     shares = SharesWorld(routers, ZONES, len(ACCOUNTS), len(ACCOUNTS)).measure()
@@ -146,7 +146,7 @@
 
 
 def run_sixty(sizes: Iterable[int] = SIZES) -> None:
-    """Run each size, save and print what was seen."""
+    """Run each size, and print and save the results."""
     document = load()
     slopes = Slopes(document["slopes"])
     rows = []
--- a/greengageflow/lab/load.py
+++ b/greengageflow/lab/load.py
@@ -1,7 +1,8 @@
-"""Load client of the demo and the benches.
+"""Load generator of the demo and the benches.
 
-One loop on one thread sends what a plan says to several routers. Open loop: Poisson
-arrivals, whatever is under way. Closed loop: a number of requests outstanding.
+A single-threaded event loop sends the requests of a plan to several routers. Open-loop
+load has Poisson arrivals, independent of outstanding requests. Closed-loop load keeps a
+fixed number of requests outstanding.
 """
 
 from collections import defaultdict, deque
@@ -21,7 +22,7 @@
 
 
 class LoadClient:
-    """Runs a plan.
+    """Runs a load plan.
 
     Example:
         >>> results = LoadClient(plan).run()
@@ -29,7 +30,7 @@
         ()
 
     Args:
-        plan: What to send.
+        plan: Load to send.
     """
 
     def __init__(self, plan: LoadPlan) -> None:
@@ -48,11 +49,11 @@
     def run(
         self, events: Iterable[tuple[float, Callable[[], None]]] = ()
     ) -> list[Result]:
-        """Send everything, wait for the answers, return them as they ended.
+        """Send all requests and return their results in order of completion.
 
         Args:
-            events: (seconds from the start, call) of what else should happen; a
-                call holds the loop up while it runs.
+            events: Other actions as (seconds from the start, call); a call blocks
+                the loop while it runs.
         """
         self._start = monotonic()
         for delay_s, event in events:
@@ -67,9 +68,9 @@
         return self._results
 
     def stop(self) -> None:
-        """Start no more requests; ``run`` then ends with the last answer.
+        """Start no more requests; ``run`` returns after the last answer.
 
-        Any thread may call it.
+        Thread-safe.
         """
         self._stopped = monotonic()
 
@@ -78,7 +79,7 @@
 
     def _turn(self) -> None:
         for key, mask in self._selector.select(self._pause()):
-            # An earlier one of this round may have closed this one.
+            # An earlier callback of this iteration may have closed this socket.
             if key.fileobj.fileno() >= 0:
                 key.data(mask)
         now = monotonic()
@@ -109,8 +110,8 @@
         for _ in range(load.outstanding):
             self._at(start, partial(self._send_next, load, jobs, start))
         if load.rate_per_s > 0:
-            # Arrivals have a generator of their own, so that the answers' order
-            # cannot change them.
+            # Arrivals use their own random generator, so that the order of answers
+            # does not affect them.
             self._arrive(load, jobs, Random(random.getrandbits(64)), start)
 
     def _arrive(
@@ -142,7 +143,7 @@
         self._idle[job.router] = idle
         self._open += 1
         exchange = conn.send(job.call, partial(self._ended, conn, job, due, then))
-        # All wait equally long, so the first to expire is the first sent.
+        # All requests have the same timeout, so they expire in the order of sending.
         self._deadlines.append((exchange.sent + self._plan.timeout_s, conn, exchange))
 
     def _ended(
--- a/greengageflow/lab/load_check.py
+++ b/greengageflow/lab/load_check.py
@@ -1,4 +1,4 @@
-"""Compares what callers got with what engines and services did."""
+"""Compares callers' results with the records of engines and services."""
 
 import json
 from collections import Counter, defaultdict
@@ -14,13 +14,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """What a comparison found; all but the first are request ids or keys.
+    """Result of a comparison; all fields but the first hold request ids or keys.
 
     Args:
-        complete: Number of whole answers.
-        wrong: Answers, whole or broken off, with text that their execution does
-            not have.
-        ran: Requests that were refused as not run and ran.
+        complete: Number of complete answers.
+        wrong: Answers, complete or truncated, whose text differs from that of their
+            execution.
+        ran: Requests that ran although they were refused as not run.
         doubled: Idempotency keys that took effect more than once.
     """
 
@@ -31,7 +31,7 @@
 
     @property
     def faults(self) -> tuple[str, ...]:
-        """Every broken promise in words."""
+        """Descriptions of all violations."""
         return (
             *(f"wrong answer: {one}" for one in self.wrong),
             *(f"ran though refused: {one}" for one in self.ran),
@@ -44,12 +44,12 @@
     executions: Iterable[Mapping],
     effects: Iterable[Mapping] = (),
 ) -> Verdict:
-    """Compare answers byte for byte with what was done.
+    """Compare answers byte for byte with executions and effects.
 
     Args:
-        results: What the callers got.
-        executions: All engines' ``GET /executions``.
-        effects: All services' ``GET /effects``.
+        results: Results of the callers.
+        executions: ``GET /executions`` of all engines.
+        effects: ``GET /effects`` of all services.
     """
     results = list(results)
     executions = list(executions)
--- a/greengageflow/lab/load_plan.py
+++ b/greengageflow/lab/load_plan.py
@@ -1,4 +1,4 @@
-"""What the load client sends and what it got."""
+"""Load plans and results of the load generator."""
 
 from dataclasses import dataclass
 
@@ -14,11 +14,11 @@
     Args:
         account: Name of the account.
         key: Its bearer key.
-        rate_per_s: Open loop: mean arrivals a second.
-        outstanding: Closed loop: requests under way.
-        routers: Indexes of the plan's routers that it uses; empty for all.
-        start_s: Start, in seconds from the run's start.
-        stop_s: No new request after this; None for the plan's duration.
+        rate_per_s: Open loop: mean arrivals per second.
+        outstanding: Closed loop: number of outstanding requests.
+        routers: Indexes of the plan's routers to send to; empty for all.
+        start_s: Start of the load, in seconds from the start of the run.
+        stop_s: Time after which no request starts; None for the plan's duration.
     """
 
     account: str
@@ -35,14 +35,15 @@
     """Chat requests with lognormal answer lengths.
 
     Args:
-        model: Model asked for.
-        median_tokens: Median of the answers' lengths.
-        sigma: Spread of the lengths; 1 gives a heavy tail.
-        most_tokens: Longest answer.
-        hint_sigma: Spread of the hint around the true length; None for no hint.
+        model: Requested model.
+        median_tokens: Median answer length.
+        sigma: Lognormal sigma of the lengths; 1 gives a heavy tail.
+        most_tokens: Maximum answer length.
+        hint_sigma: Lognormal sigma of the cost hint around the true length; None for
+            no hint.
         stream: Whether answers are streamed.
-        prompt_chars: Length of a prompt.
-        prefixes: Number of prompt prefixes that the account's requests share.
+        prompt_chars: Prompt length in characters.
+        prefixes: Number of distinct prompt prefixes shared by the account's requests.
         protected: Whether each request carries an idempotency key.
     """
 
@@ -62,7 +63,7 @@
     """Calls to a plain service.
 
     Args:
-        service: Service asked for.
+        service: Requested service.
         path: Path below the service, without a leading slash.
         method: HTTP method.
         protected: Whether each call carries an idempotency key.
@@ -76,14 +77,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LoadPlan:
-    """What a run sends.
+    """Load of one run.
 
     Args:
         routers: Addresses of the routers.
         loads: Load of each account.
         duration_s: Seconds during which requests start.
-        seed: Seed of arrivals, lengths, hints and choices of routers.
-        timeout_s: Longest time that a caller waits for the whole answer.
+        seed: Seed of arrivals, lengths, hints and router selection.
+        timeout_s: Time limit for the complete answer.
         backoff_s: Closed loop: pause after a failed request.
     """
 
@@ -97,7 +98,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Result:
-    """One request and its answer; times are unix seconds.
+    """One request and its answer; times are Unix seconds.
 
     Args:
         account: Client account.
@@ -105,19 +106,19 @@
         kind: ``chat`` or ``service``.
         request_id: The router's ``X-Request-Id``, or empty.
         key: Idempotency key sent, or empty.
-        tokens: Answer length asked for; 0 for a service call.
-        due: When the plan wanted it sent.
-        sent: When it was sent.
-        first: When the first part of the body came, or None.
-        end: When the answer ended or failed.
+        tokens: Requested answer length; 0 for a service call.
+        due: Scheduled sending time.
+        sent: Actual sending time.
+        first: Arrival time of the first part of the body, or None.
+        end: Time when the answer ended or failed.
         status: HTTP status, or None without an answer.
-        error: Error kind that the router named, ``connection`` when the connection
+        error: Error kind reported by the router, ``connection`` if the connection
             failed or timed out, or empty.
-        ran: What the router said about the request: ``no``, ``yes``, ``unknown``, or
-            empty.
-        text: Text of the answer, as far as it came.
-        complete: Whether the whole answer came.
-        times: When each part of the body came.
+        ran: Whether the request ran according to the router: ``no``, ``yes``,
+            ``unknown``, or empty.
+        text: Received text of the answer.
+        complete: Whether the complete answer was received.
+        times: Arrival time of each part of the body.
     """
 
     account: str
--- a/greengageflow/lab/measures.py
+++ b/greengageflow/lab/measures.py
@@ -1,4 +1,4 @@
-"""Fairness gap and utilisation of a run, from what callers and engines saw."""
+"""Fairness gap, utilisation and waiting times from the records of a run."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
@@ -10,31 +10,31 @@
 
 @dataclass(frozen=True, slots=True)
 class Window:
-    """A span of unix time, in seconds."""
+    """A span of Unix time, in seconds."""
 
     start: float
     end: float
 
     @property
     def seconds(self) -> float:
-        """Length."""
+        """Length in seconds."""
         return self.end - self.start
 
     def holds(self, time: float) -> bool:
-        """Return whether ``time`` lies in the window."""
+        """Whether ``time`` lies in the window."""
         return self.start <= time < self.end
 
 
 def fairness_gap(
     results: Iterable[Result], weights: Mapping[str, float], window: Window
 ) -> float:
-    """Return the largest gap of weighted service between any two accounts.
+    """Return the largest difference of weighted service between any two accounts.
 
     Args:
-        results: What the callers got; each part of an answer counts as one token
-            at the time it came.
-        weights: Weight of each account that was backlogged throughout.
-        window: Span over which service is counted, from zero at its start.
+        results: Results of the callers; each part of an answer counts as one token
+            at its arrival time.
+        weights: Weights of the accounts that were backlogged throughout.
+        window: Span over which service is counted, starting from zero.
 
     Returns:
         Largest |W_i/w_i - W_j/w_j| at any time, in tokens.
@@ -57,12 +57,12 @@
 def utilisation(
     executions: Iterable[Mapping[str, object]], slots: int, window: Window
 ) -> float:
-    """Return the share of slot time that was in use in ``window``.
+    """Return the share of slot time in use during ``window``.
 
     Args:
         executions: ``GET /executions`` of all engines.
-        slots: Slots of all engines together.
-        window: Span in which work waited all the time.
+        slots: Total number of slots of all engines.
+        window: Span in which requests were queued throughout.
     """
     busy = sum(_overlap(one, window) for one in executions)
     return busy / (slots * window.seconds)
@@ -77,7 +77,7 @@
 
 
 def percentile(values: Iterable[float], share: float) -> float:
-    """Return the nearest-rank percentile; 0 of nothing."""
+    """Return the nearest-rank percentile, or 0 without values."""
     ordered = sorted(values)
     if not ordered:
         return 0.0
@@ -85,7 +85,10 @@
 
 
 def waits(results: Iterable[Result], account: str) -> list[float]:
-    """Return the seconds from due time to first part of an account's answers."""
+    """Return the seconds from due time to first part of an account's answers.
+
+    Only complete answers count.
+    """
     return [
         result.first - result.due
         for result in results
@@ -94,6 +97,6 @@
 
 
 def mean(values: Iterable[float]) -> float:
-    """Return the mean; 0 of nothing."""
+    """Return the mean, or 0 without values."""
     values = list(values)
     return fmean(values) if values else 0.0
--- a/tests/test_bench_fleet.py
+++ b/tests/test_bench_fleet.py
@@ -1,4 +1,4 @@
-"""The fleet bench in small: its report is whole and its work is the same."""
+"""A short fleet bench reports all measures; its plans and phases are consistent."""
 
 import pytest
 
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -27,7 +27,7 @@
 
 
 def with_ids(results, done):
-    """Engines send no X-Request-Id, which a router adds: go by the text."""
+    """Add request ids by text; engines send no X-Request-Id, only routers do."""
     ids = {one["text"]: one["request_id"] for one in done}
     return [replace(one, request_id=ids.get(one.text, "?")) for one in results]
 
@@ -62,10 +62,10 @@
 
 
 def test_verify_finds_broken_promises(engine):
-    """Each answer is altered as a broken router would: the verdict names them.
+    """Answers altered as by a faulty router are reported.
 
-    A piece of another's text, a whole answer that lacks its end, and a request
-    that is refused as not run though it ran.
+    One holds text of another answer, one is reported complete without its end, and
+    one was refused as not run although it ran.
     """
     done = executions(engine)
     results = LoadClient(chat_plan(engine.address, outstanding=3)).run()
@@ -84,7 +84,7 @@
 
 
 def test_a_cut_stream_is_not_complete(engine):
-    """The caller's stream breaks off after three pieces; the text is kept."""
+    """A stream cut after three pieces is incomplete, and its text is kept."""
     engine.fault(cut_after=3, cut_times=1000)
     results = LoadClient(chat_plan(engine.address, outstanding=1, sigma=0)).run()
     assert results
@@ -96,7 +96,7 @@
 
 
 def test_a_caller_waits_no_longer_than_its_timeout():
-    """The routers accept and never answer; the run still ends."""
+    """The run ends although the router accepts connections and never answers."""
     with ExitStack() as stack:
         service = stack.enter_context(standin("service"))
         proxy = stack.enter_context(fault_proxy())
