--- a/greengageflow/lab/_soak_callers.py
+++ b/greengageflow/lab/_soak_callers.py
@@ -14,21 +14,21 @@
 from greengageflow.lab.platform_client import IncompleteResponse, PlatformClient
 from greengageflow.lab.platform_lab import KEY, generation
 from greengageflow.lab.soak_checks import Breach, check_answer
-from greengageflow.lab.soak_facts import STREAMS, Asked, End, Kind
+from greengageflow.lab.soak_facts import STREAM_KINDS, End, Kind, RequestRecord
 from greengageflow.net.http_messages import SERVER_LEAVING
 from greengageflow.platform.names import REQUEST_ID, RESPONSE_SEAL
 
-STRIDE = 2
+TOKENS_PER_EVENT = 2
 DEADLINE_S, STREAM_DEADLINE_S, PROBE_DEADLINE_S = 6.0, 12.0, 2.0
-PATIENCE_S = 3.0
+TIMEOUT_MARGIN_S = 3.0
 PAUSE_S = 0.1
-LONG_TOKENS = 3000
-TOKENS = (4, 10, 40, 120, 300)
-LEAVES_PART = 0.15
-SERVED = (Kind.SAFE, Kind.UNSAFE, Kind.CHAT, Kind.TALE)
-WEIGHTS = (40, 30, 18, 12)
+LONG_STREAM_TOKENS = 3000
+TOKEN_COUNTS = (4, 10, 40, 120, 300)
+LEAVE_PROBABILITY = 0.15
+SERVED_KINDS = (Kind.SAFE, Kind.UNSAFE, Kind.CHAT, Kind.TALE)
+KIND_WEIGHTS = (40, 30, 18, 12)
 # Words of h11 errors that mean a truncated answer rather than invalid HTTP.
-ENDED = ("closed", "reset", "pipe", "abort")
+TRUNCATION_WORDS = ("closed", "reset", "pipe", "abort")
 
 
 class Callers:
@@ -41,7 +41,11 @@
 
     def __init__(self, seed: int, fleet: SoakFleet) -> None:
         self.breaches: list[Breach] = []
-        self._seed, self._fleet, self._fronts = seed, fleet, fleet.fronts
+        self._seed, self._fleet, self._front_addresses = (
+            seed,
+            fleet,
+            fleet.front_addresses,
+        )
         self._stop = Event()
         self._threads: list[Thread] = []
 
@@ -49,7 +53,7 @@
         """Start ``count`` callers, and one prober of the version for each router."""
         for number in range(count):
             self._launch(self._call, Random(f"{self._seed}/{number}"))
-        for router in self._fronts:
+        for router in self._front_addresses:
             self._launch(self._probe, Random(f"{self._seed}/{router}"), router)
 
     def _launch(self, run: Callable[..., None], *args: object) -> None:
@@ -64,123 +68,144 @@
 
     def _call(self, random: Random) -> None:
         while not self._stop.wait(PAUSE_S):
-            router = random.choice(list(self._fronts))
+            router = random.choice(list(self._front_addresses))
             with suppress(OSError):
-                opened, client = monotonic(), PlatformClient(self._fronts[router])
+                opened, client = (
+                    monotonic(),
+                    PlatformClient(self._front_addresses[router]),
+                )
                 for _ in range(random.randint(1, 12)):
-                    self._ask_any(random, router, client, opened)
+                    self._send_random(random, router, client, opened)
                     if client.sock.fileno() < 0 or self._stop.wait(PAUSE_S / 2):
                         break
                 client.close()
 
-    def _ask_any(
+    def _send_random(
         self, random: Random, router: str, client: PlatformClient, opened: float
     ) -> None:
-        (kind,) = random.choices(SERVED, WEIGHTS)
+        (kind,) = random.choices(SERVED_KINDS, KIND_WEIGHTS)
         key = random.choice((KEY, KEY, KEY, *self._fleet.keys[-3:]))
-        asked = self._new(random, kind, router, key, random.choice(TOKENS))
-        leaves = kind in STREAMS and random.random() < LEAVES_PART
-        self._run(client, opened, asked, random.randint(1, 4) if leaves else None)
+        record = self._new_record(
+            random, kind, router, key, random.choice(TOKEN_COUNTS)
+        )
+        disconnects = kind in STREAM_KINDS and random.random() < LEAVE_PROBABILITY
+        self._exchange(
+            client, opened, record, random.randint(1, 4) if disconnects else None
+        )
 
     def _probe(self, random: Random, router: str) -> None:
         while not self._stop.wait(PAUSE_S):
             for version in self._fleet.versions[-2:]:
-                asked = self._new(random, Kind.PROBE, router, None, 0)
-                asked.version, asked.target = version, f"/v{version}/{asked.id}"
-                asked.deadline_s = PROBE_DEADLINE_S
-                self.ask_alone(asked)
+                record = self._new_record(random, Kind.PROBE, router, None, 0)
+                record.version, record.target = version, f"/v{version}/{record.id}"
+                record.deadline_s = PROBE_DEADLINE_S
+                self.send_alone(record)
 
-    def ask_short(self, random: Random, kind: Kind, router: str) -> bool:
+    def request_short_answer(self, random: Random, kind: Kind, router: str) -> bool:
         """Ask for a short answer; return whether it was complete."""
-        asked = self._new(random, kind, router, KEY, TOKENS[0])
-        self.ask_alone(asked)
-        return asked.end is End.WHOLE and asked.status == 200
+        record = self._new_record(random, kind, router, KEY, TOKEN_COUNTS[0])
+        self.send_alone(record)
+        return record.end is End.WHOLE and record.status == 200
 
-    def ask_poison(self, kind: Kind, router: str, body: str) -> None:
+    def send_poison(self, kind: Kind, router: str, body: str) -> None:
         """Start a request that crashes the replica that runs it, without waiting."""
-        asked = self._new(Random(), kind, router, KEY, TOKENS[0])
+        record = self._new_record(Random(), kind, router, KEY, TOKEN_COUNTS[0])
         # Retries have the same path and body but their own ids.
-        asked.target = f"/{kind}/poison"
-        asked.body = body.encode()
-        asked.body_sha256 = sha256(asked.body).hexdigest()
-        self._launch(self.ask_alone, asked)
+        record.target = f"/{kind}/poison"
+        record.body = body.encode()
+        record.body_sha256 = sha256(record.body).hexdigest()
+        self._launch(self.send_alone, record)
 
-    def ask_alone(self, asked: Asked) -> None:
+    def send_alone(self, record: RequestRecord) -> None:
         """Send a request on a new connection."""
         with suppress(OSError):
-            opened, client = monotonic(), PlatformClient(self._fronts[asked.router])
-            self._run(client, opened, asked, None)
+            opened, client = (
+                monotonic(),
+                PlatformClient(self._front_addresses[record.router]),
+            )
+            self._exchange(client, opened, record, None)
             client.close()
 
     @staticmethod
-    def _new(
+    def _new_record(
         random: Random, kind: Kind, router: str, key: str | None, tokens: int
-    ) -> Asked:
-        id, streams = f"{random.getrandbits(64):016x}", kind in STREAMS
+    ) -> RequestRecord:
+        id, streams = f"{random.getrandbits(64):016x}", kind in STREAM_KINDS
         deadline_s = STREAM_DEADLINE_S if streams else DEADLINE_S
         body_sha256 = sha256(id.encode()).hexdigest()
         # The path holds the router's name, so that a replica's fault can be limited
         # to requests from one router.
         target = f"/{kind}/{router}/{id}"
-        asked = Asked(id, kind, router, key, target, deadline_s, body_sha256)
-        asked.wanted = -(-tokens // STRIDE) if streams else 0
-        return asked
-
-    def _run(
-        self, client: PlatformClient, opened: float, asked: Asked, leave: int | None
+        record = RequestRecord(id, kind, router, key, target, deadline_s, body_sha256)
+        record.wanted = -(-tokens // TOKENS_PER_EVENT) if streams else 0
+        return record
+
+    def _exchange(
+        self,
+        client: PlatformClient,
+        opened: float,
+        record: RequestRecord,
+        leave_after: int | None,
     ) -> None:
-        """Send a request, disconnect after ``leave`` events, and record the result."""
-        asked.opened, asked.life = opened, self._fleet.lives[asked.router]
-        asked.port, asked.first = client.sock.getsockname()[1], client.unused
-        self._fleet.facts.asked.append(asked)
-        asked.sent = monotonic()
+        """Send a request and record the result; disconnect after some events.
+
+        The number of events is ``leave_after``; None means that the caller stays.
+        """
+        record.opened, record.life = opened, self._fleet.start_counts[record.router]
+        record.port, record.first = client.sock.getsockname()[1], client.unused
+        self._fleet.facts.asked.append(record)
+        record.sent = monotonic()
         try:
-            self._send(client, asked, leave)
-            self._take(client, asked, leave)
+            self._send(client, record, leave_after)
+            self._receive(client, record, leave_after)
         except IncompleteResponse as exc:
-            asked.error = str(exc).lower()
+            record.error = str(exc).lower()
             http = isinstance(exc.__cause__, h11.RemoteProtocolError)
-            ended = not http or any(word in asked.error for word in ENDED)
-            asked.end = End.TORN if ended else End.JUNK
+            ended = not http or any(word in record.error for word in TRUNCATION_WORDS)
+            record.end = End.TORN if ended else End.JUNK
         except TimeoutError:
-            asked.end = End.SILENT
+            record.end = End.SILENT
         except (OSError, h11.LocalProtocolError) as exc:
-            asked.error = repr(exc)
-        asked.ended = monotonic()
-        if asked.end is not End.WHOLE:
+            record.error = repr(exc)
+        record.ended = monotonic()
+        if record.end is not End.WHOLE:
             client.close()
-        self.breaches.extend(check_answer(asked))
+        self.breaches.extend(check_answer(record))
 
     @staticmethod
-    def _send(client: PlatformClient, asked: Asked, leave: int | None) -> None:
-        tokens = LONG_TOKENS if leave else asked.wanted * STRIDE
-        parts = generation(tokens, ("aa", 200), (asked.id[:8], 50))
-        client.sock.settimeout(asked.deadline_s + PATIENCE_S)
+    def _send(
+        client: PlatformClient, record: RequestRecord, leave_after: int | None
+    ) -> None:
+        tokens = LONG_STREAM_TOKENS if leave_after else record.wanted * TOKENS_PER_EVENT
+        parts = generation(tokens, ("aa", 200), (record.id[:8], 50))
+        client.sock.settimeout(record.deadline_s + TIMEOUT_MARGIN_S)
         client.send(
-            asked.target,
-            asked.body or asked.id.encode(),
-            name=asked.id,
-            key=asked.key,
-            deadline_ms=int(asked.deadline_s * 1000),
-            headers=parts if asked.kind in STREAMS else {},
+            record.target,
+            record.body or record.id.encode(),
+            name=record.id,
+            key=record.key,
+            deadline_ms=int(record.deadline_s * 1000),
+            headers=parts if record.kind in STREAM_KINDS else {},
         )
-        asked.end = End.TORN
+        record.end = End.TORN
 
     @staticmethod
-    def _take(client: PlatformClient, asked: Asked, leave: int | None) -> None:
+    def _receive(
+        client: PlatformClient, record: RequestRecord, leave_after: int | None
+    ) -> None:
         head = client.head()
-        asked.answer_id = head.headers.get(REQUEST_ID, "")
-        asked.seal = head.headers.get(RESPONSE_SEAL, "")
-        asked.leaving = SERVER_LEAVING in head.headers
-        asked.status = head.status
+        record.answer_id = head.headers.get(REQUEST_ID, "")
+        record.seal = head.headers.get(RESPONSE_SEAL, "")
+        record.leaving = SERVER_LEAVING in head.headers
+        record.status = head.status
         for body in accumulate(client.pieces()):
-            asked.body = body
-            if asked.status == 200 and asked.kind in STREAMS:
-                asked.events = [_event(text) for text in body.split(b"\n\n")[:-1]]
-            if leave and len(asked.events) >= leave:
-                asked.end = End.LEFT
+            record.body = body
+            if record.status == 200 and record.kind in STREAM_KINDS:
+                record.events = [_event(text) for text in body.split(b"\n\n")[:-1]]
+            if leave_after and len(record.events) >= leave_after:
+                record.end = End.LEFT
                 return
-        asked.end = End.WHOLE
+        record.end = End.WHOLE
         if head.headers.get("connection") == "close":
             client.close()
 
--- a/greengageflow/lab/_soak_fleet.py
+++ b/greengageflow/lab/_soak_fleet.py
@@ -20,12 +20,18 @@
     BUDGET_SLACK,
     BUDGET_WINDOW_S,
 )
-from greengageflow.lab.soak_facts import Facts, Published, Refused, Trouble, place_of
+from greengageflow.lab.soak_facts import (
+    Disruption,
+    Facts,
+    PublishedConfig,
+    RefusedConnection,
+    place_of,
+)
 from greengageflow.lab.soak_plan import REPLICAS, ROUTERS
 
-NOWHERE = ("127.0.0.1", 9)
+UNUSED_ADDRESS = ("127.0.0.1", 9)
 # Addresses are replaced as text in datagrams, so both need the same number of digits.
-FIRST_ROUTER, FIRST_RELAY = 10, 50
+FIRST_ROUTER_OCTET, FIRST_RELAY_OCTET = 10, 50
 POISON = "poison"
 OPTIONS = {"slots": 6, "queue": 4, "poison": POISON}
 SHAPE = PlatformShape(
@@ -58,8 +64,8 @@
     def __init__(self) -> None:
         super().__init__(SHAPE)
         self.facts = Facts()
-        self.fronts: dict[str, tuple[str, int]] = {}
-        self.lives: dict[str, int] = {}
+        self.front_addresses: dict[str, tuple[str, int]] = {}
+        self.start_counts: dict[str, int] = {}
         self.logs: list[tuple[str, Process]] = []
         self.keys, self.versions = [KEY, "spare-0"], [1]
         self._rules: list[dict[str, Any]] = []
@@ -85,7 +91,7 @@
         return self._launch(name, {**service, **OPTIONS})
 
     def _launch(self, name: str, options: Any) -> Process:
-        ip, port = self._proxy.route(f"link:{place_of(name)}", NOWHERE)
+        ip, port = self._proxy.route(f"link:{place_of(name)}", UNUSED_ADDRESS)
         process = super()._launch(name, {**options, "advertise": f"{ip}:{port}"})
         self.logs.append((name, process))
         return process
@@ -100,11 +106,11 @@
         self._proxy.route(f"link:{place_of(name)}", self.replicas[name].address)
 
     def launch_router(self, name: str) -> Process:
-        if name not in self.fronts:
+        if name not in self.front_addresses:
             self._open_links(name, self.settings[name])
-        self.lives[name] = self.lives.get(name, 0) + 1
+        self.start_counts[name] = self.start_counts.get(name, 0) + 1
         process = super().launch_router(name)
-        self.logs.append((f"{name}.{self.lives[name]}", process))
+        self.logs.append((f"{name}.{self.start_counts[name]}", process))
         return process
 
     def _open_links(self, name: str, settings: dict[str, Any]) -> None:
@@ -112,24 +118,24 @@
         relay = self._relay_of(ip), port
         # Replace the addresses of all routers: one that learned another's real address
         # would bypass the proxy's faults.
-        texts = self._texts()
+        texts = self._address_replacements()
         store = _address(settings["store"])
         ip_port = self._proxy.route(f"store:{name}", store, texts=texts)
         settings["store"] = "{}:{}".format(*ip_port)
         callers = _address(settings["callers"])
-        self.fronts[name] = self._proxy.route(f"front:{name}", callers)
+        self.front_addresses[name] = self._proxy.route(f"front:{name}", callers)
         self._proxy.datagrams(f"gossip:{name}", (ip, port), relay, texts)
         seeds = map(_address, settings["seeds"])
         settings["seeds"] = [f"{self._relay_of(ip)}:{port}" for ip, port in seeds]
 
-    def _texts(self) -> dict[str, str]:
-        numbers = range(FIRST_ROUTER, FIRST_ROUTER + self.shape.routers)
+    def _address_replacements(self) -> dict[str, str]:
+        numbers = range(FIRST_ROUTER_OCTET, FIRST_ROUTER_OCTET + self.shape.routers)
         return {ip: self._relay_of(ip) for ip in map(self.subnet.host, numbers)}
 
     @staticmethod
     def _relay_of(ip: str) -> str:
         base, _, number = ip.rpartition(".")
-        return f"{base}.{int(number) - FIRST_ROUTER + FIRST_RELAY}"
+        return f"{base}.{int(number) - FIRST_ROUTER_OCTET + FIRST_RELAY_OCTET}"
 
     def gossip_ip(self, router: str) -> str:
         """Return the source IP address of a router's datagrams."""
@@ -149,22 +155,22 @@
         """Whether the current replica of a place crashed on a poison request."""
         return self.incarnation(place) in self.crashed_replicas
 
-    def take_rows(self, name: str) -> None:
+    def collect_rows(self, name: str) -> None:
         """Record the requests that arrived at a replica, before it is stopped."""
         rows = self.control(self.replicas[name], "GET", "/runs")
         self.facts.rows.extend({**row, "replica": name} for row in rows)
 
-    def take_crashed(self, name: str) -> None:
+    def collect_crash_rows(self, name: str) -> None:
         """Record the requests of a crashed replica from its standard error."""
         rows = parse_crash_records(self.replicas[name].stderr)
         self.facts.rows.extend({**row, "replica": name} for row in rows)
 
-    def take_refused(self) -> None:
+    def collect_refused(self) -> None:
         """Record connections that the proxy accepted while no router was listening."""
         for path, port, at in self._proxy.refused():
             link, _, router = path.partition(":")
             if link == "front":
-                self.facts.refused.append(Refused(router, port, at))
+                self.facts.refused.append(RefusedConnection(router, port, at))
 
     # Operations and faults.
 
@@ -175,26 +181,30 @@
             revoke: Whether to replace the newest key with another one.
         """
         version = self.versions[-1] + 1 + self.versions[-1] % 3
-        gone = self.keys[-1] if revoke else ""
-        new = f"spare-{len(self.keys)}" if revoke else self.keys[-1]
-        mark = route(f"v{version}", f"/v{version}/", "app", "idempotent", public=True)
+        revoked_key = self.keys[-1] if revoke else ""
+        new_key = f"spare-{len(self.keys)}" if revoke else self.keys[-1]
+        version_route = route(
+            f"v{version}", f"/v{version}/", "app", "idempotent", public=True
+        )
         config = configuration(version)
-        config["routes"].append(mark)
-        config["tenants"] = [{"name": "tenant-1", "api_keys": [KEY, new]}]
+        config["routes"].append(version_route)
+        config["tenants"] = [{"name": "tenant-1", "api_keys": [KEY, new_key]}]
         sent = monotonic()
         self.publish(config)
-        self.facts.published.append(Published(version, sent, monotonic(), gone))
+        self.facts.published.append(
+            PublishedConfig(version, sent, monotonic(), revoked_key)
+        )
         self.versions.append(version)
-        self.keys += [new] if revoke else []
+        self.keys += [new_key] if revoke else []
 
     @contextmanager
-    def trouble(self, *names: str, planned: bool = False) -> Iterator[None]:
+    def disruption(self, *names: str, planned: bool = False) -> Iterator[None]:
         """Record a fault on processes or links for the duration of a block."""
         now = monotonic()
-        mine = [Trouble(name, now, planned=planned) for name in names]
-        self.facts.troubles.extend(mine)
+        disruptions = [Disruption(name, now, planned=planned) for name in names]
+        self.facts.troubles.extend(disruptions)
         yield
-        for one in mine:
+        for one in disruptions:
             one.ended = monotonic()
 
     @contextmanager
--- a/greengageflow/lab/_soak_steps.py
+++ b/greengageflow/lab/_soak_steps.py
@@ -11,23 +11,23 @@
 from greengageflow.lab._soak_callers import Callers
 from greengageflow.lab._soak_fleet import POISON, SoakFleet
 from greengageflow.lab.soak_checks import GRACE_S, Breach
-from greengageflow.lab.soak_facts import Kind, Leaving, Poisoned
+from greengageflow.lab.soak_facts import Kind, PoisonRequest, ReplicaRemoval
 from greengageflow.lab.soak_plan import REPLICAS, ROUTERS, Do, Step
 from greengageflow.platform.names import DRAINING, SERVERS_TOPIC
 
 POLL_S = 0.05
 SETTLE_S = 0.3
-SHOWN_WITHIN_S = 5.0
+LISTED_WITHIN_S = 5.0
 START_WITHIN_S = 60.0
-END_SLACK_S = 4.0
-DROP_EVERY_S = 0.2
-POISON_EVERY_S = 0.4
-POISON_FOR_S = 10.0
+EXIT_SLACK_S = 4.0
+DROP_INTERVAL_S = 0.2
+POISON_INTERVAL_S = 0.4
+POISON_DURATION_S = 10.0
 POISON_KINDS = {"app": (Kind.SAFE, Kind.UNSAFE), "scribe": (Kind.CHAT, Kind.TALE)}
 BACKOFF_S = 2.0
-SHED = 4
+SHED_ACCEPT_EVERY = 4
 """A replica that sheds load accepts only every n-th request."""
-RULES = {
+PROXY_RULES = {
     Do.CUT: "cut",
     Do.ONE_WAY: "freeze",
     Do.DELAY: "delay",
@@ -46,13 +46,13 @@
 }
 
 
-def _places(step: Step) -> set[str]:
+def _service_places(step: Step) -> set[str]:
     """Return all replica places of the service that a step targets."""
     service = step.target.partition("-")[0]
     return {place for place in REPLICAS if place.startswith(service)}
 
 
-class Conductor:
+class StepRunner:
     """Executes a plan on a fleet; poison requests are sent by its callers."""
 
     def __init__(self, fleet: SoakFleet, callers: Callers) -> None:
@@ -66,50 +66,52 @@
     def run(self, plan: tuple[Step, ...]) -> None:
         """Execute all steps and return when the last one has ended."""
         began, order = monotonic(), count()
-        due = [(began + step.at_s, next(order), self._parts(step)) for step in plan]
+        due = [
+            (began + step.at_s, next(order), self._run_when_free(step)) for step in plan
+        ]
         while due:
-            at, _, parts = heappop(due)
+            at, _, delays = heappop(due)
             sleep(max(0.0, at - monotonic()))
-            if (wait_s := next(parts, None)) is not None:
-                heappush(due, (monotonic() + wait_s, next(order), parts))
+            if (wait_s := next(delays, None)) is not None:
+                heappush(due, (monotonic() + wait_s, next(order), delays))
 
-    def _parts(self, step: Step) -> Iterator[float]:
+    def _run_when_free(self, step: Step) -> Iterator[float]:
         # A stop or start may take longer than planned, so a step waits until earlier
         # steps on its targets have ended.
-        whole = step.do in (Do.POISON, Do.SHED)
-        targets = _places(step) if whole else {step.target}
+        whole_service = step.do in (Do.POISON, Do.SHED)
+        targets = _service_places(step) if whole_service else {step.target}
         while targets & self._busy:
             yield POLL_S
         self._busy |= targets
-        yield from self._carry_out(step)
+        yield from self._execute(step)
         self._busy -= targets
 
-    def _carry_out(self, step: Step) -> Iterator[float]:
+    def _execute(self, step: Step) -> Iterator[float]:
         match step.do:
             case Do.KILL | Do.TERMINATE:
-                yield from self._end_router(step)
+                yield from self._stop_router(step)
             case Do.FREEZE:
                 yield from self._freeze(step)
             case Do.CRASH:
                 yield from self._replace(step.target, step.for_s)
             case Do.DRAIN | Do.VANISH:
-                yield from self._leave(step)
+                yield from self._remove_replica(step)
             case Do.REFUSE:
-                with self._fleet.trouble("store"):
+                with self._fleet.disruption("store"):
                     self._fleet.set_store_faults(status=503)
                     yield step.for_s
                     self._fleet.set_store_faults()
             case Do.CONFIGURE | Do.REVOKE:
-                yield from self._thawed()
+                yield from self._await_store_thaw()
                 self._fleet.publish_next(revoke=step.do is Do.REVOKE)
             case Do.MUTE | Do.FALSE_ILL | Do.ABORT:
-                yield from self._mislead(step)
+                yield from self._fault_replica(step)
             case Do.POISON:
                 yield from self._poison(step)
             case Do.SAY_LEAVING:
-                yield from self._say_leaving(step)
+                yield from self._signal_leaving(step)
             case Do.BACKOFF:
-                yield from self._ask_backoff(step)
+                yield from self._request_backoff(step)
             case Do.SHED:
                 yield from self._shed(step)
             case Do.DROP_IDLE:
@@ -117,33 +119,37 @@
             case Do.FLAP:
                 yield from self._flap(step)
             case _:
-                yield from self._harm_link(step)
+                yield from self._fault_link(step)
 
-    def _harm_link(self, step: Step) -> Iterator[float]:
-        rule = {"do": RULES[step.do], "route": step.target, "way": step.way or None}
+    def _fault_link(self, step: Step) -> Iterator[float]:
+        rule = {
+            "do": PROXY_RULES[step.do],
+            "route": step.target,
+            "way": step.way or None,
+        }
         if step.do is Do.DELAY:
             rule["delay_s"] = step.amount
         if step.do is Do.LOSS:
             rule["part"] = step.amount
         if step.source:
             rule["source"] = self._fleet.gossip_ip(step.source)
-        with self._fleet.trouble(step.target), self._fleet.rule(**rule):
+        with self._fleet.disruption(step.target), self._fleet.rule(**rule):
             yield step.for_s
 
     def _flap(self, step: Step) -> Iterator[float]:
         until = monotonic() + step.for_s
-        with self._fleet.trouble(step.target):
+        with self._fleet.disruption(step.target):
             while monotonic() < until:
                 with self._fleet.rule(do="cut", route=step.target):
                     yield step.amount
                 yield step.amount
 
-    def _mislead(self, step: Step) -> Iterator[float]:
+    def _fault_replica(self, step: Step) -> Iterator[float]:
         name = self._fleet.incarnation(step.target)
         # Only aborted streams excuse a cut; the other faults must be hidden from
         # callers, so no disruption is recorded for them.
-        torn = [step.target] if step.do is Do.ABORT else []
-        with self._fleet.trouble(*torn):
+        disrupted = [step.target] if step.do is Do.ABORT else []
+        with self._fleet.disruption(*disrupted):
             via = f"/{step.source}/" if step.source else ""
             self._fleet.set_faults(name, **REPLICA_FAULTS[step.do], via=via)
             yield step.for_s
@@ -153,46 +159,46 @@
         """Retry a request that crashes replicas, and restart them."""
         fleet, kinds = self._fleet, POISON_KINDS[step.target.partition("-")[0]]
         kind = kinds[round(100 * step.at_s) % len(kinds)]
-        places = _places(step)
-        poisoned = Poisoned(f"{POISON} {step.at_s}")
+        places = _service_places(step)
+        poisoned = PoisonRequest(f"{POISON} {step.at_s}")
         fleet.facts.poisoned.append(poisoned)
-        until = monotonic() + POISON_FOR_S
-        with fleet.trouble(*places, *(f"link:{place}" for place in places)):
+        until = monotonic() + POISON_DURATION_S
+        with fleet.disruption(*places, *(f"link:{place}" for place in places)):
             for router in cycle(ROUTERS):
-                self._callers.ask_poison(kind, router, poisoned.body)
-                yield POISON_EVERY_S
+                self._callers.send_poison(kind, router, poisoned.body)
+                yield POISON_INTERVAL_S
                 for place in places:
                     if fleet.has_crashed(place):
                         poisoned.crashed.append(monotonic())
-                        yield from self._start_again(place)
+                        yield from self._restart_crashed(place)
                 if monotonic() > until:
                     return
 
-    def _start_again(self, place: str) -> Iterator[float]:
+    def _restart_crashed(self, place: str) -> Iterator[float]:
         old = self._fleet.incarnation(place)
-        self._fleet.take_crashed(old)
+        self._fleet.collect_crash_rows(old)
         del self._fleet.replicas[old]
         yield from self._start_new(f"{place}.{next(self._starts)}")
 
-    def _say_leaving(self, step: Step) -> Iterator[float]:
+    def _signal_leaving(self, step: Step) -> Iterator[float]:
         # No disruption is recorded: callers must not notice this fault.
         name = self._fleet.incarnation(step.target)
         self._fleet.set_faults(name, says_leaving=True)
         yield step.for_s
         yield from self._replace(step.target, SETTLE_S)
 
-    def _ask_backoff(self, step: Step) -> Iterator[float]:
+    def _request_backoff(self, step: Step) -> Iterator[float]:
         name = self._fleet.incarnation(step.target)
-        with self._fleet.trouble():
+        with self._fleet.disruption():
             self._fleet.set_faults(name, backoff_s=BACKOFF_S)
             yield step.for_s
             self._fleet.set_faults(name)
 
     def _shed(self, step: Step) -> Iterator[float]:
-        names = [self._fleet.incarnation(place) for place in _places(step)]
-        with self._fleet.trouble():
+        names = [self._fleet.incarnation(place) for place in _service_places(step)]
+        with self._fleet.disruption():
             for name in names:
-                self._fleet.set_faults(name, shed=SHED)
+                self._fleet.set_faults(name, shed=SHED_ACCEPT_EVERY)
             yield step.for_s
             for name in names:
                 self._fleet.set_faults(name)
@@ -202,12 +208,12 @@
         until, name = monotonic() + step.for_s, self._fleet.incarnation(step.target)
         while monotonic() < until:
             self._fleet.control(self._fleet.replicas[name], "POST", "/drop")
-            yield DROP_EVERY_S
+            yield DROP_INTERVAL_S
 
-    def _end_router(self, step: Step) -> Iterator[float]:
+    def _stop_router(self, step: Step) -> Iterator[float]:
         name, planned = step.target, step.do is Do.TERMINATE
         process = self._fleet.routers[name]
-        with self._fleet.trouble(name, planned=planned):
+        with self._fleet.disruption(name, planned=planned):
             if planned:
                 process.terminate()
                 yield from self._await_end(name)
@@ -222,7 +228,7 @@
         while process.popen.poll() is None:
             now = monotonic()
             late_s = self._fleet.facts.late_s(began, now)
-            if now - began > GRACE_S + END_SLACK_S + late_s:
+            if now - began > GRACE_S + EXIT_SLACK_S + late_s:
                 self.breaches.append(
                     Breach("stop", "", f"{name} did not exit within its grace period")
                 )
@@ -244,7 +250,7 @@
 
     def _freeze(self, step: Step) -> Iterator[float]:
         process = self._fleet.process(step.target)
-        with self._fleet.trouble(step.target):
+        with self._fleet.disruption(step.target):
             self._frozen.add(step.target)
             process.pause()
             yield step.for_s
@@ -253,16 +259,16 @@
 
     def _replace(self, place: str, for_s: float) -> Iterator[float]:
         fleet, new = self._fleet, f"{place}.{next(self._starts)}"
-        with fleet.trouble(place, f"link:{place}"):
+        with fleet.disruption(place, f"link:{place}"):
             # Cut the link first, so that no request arrives after its records are read.
             with fleet.rule(do="cut", route=f"link:{place}"):
                 yield SETTLE_S
                 old = fleet.incarnation(place)
-                fleet.take_rows(old)
+                fleet.collect_rows(old)
                 fleet.replicas.pop(old).kill()
                 yield for_s
                 yield from self._start_new(new)
-            yield from self._shown(new, leaving=False)
+            yield from self._await_listed(new, leaving=False)
 
     def _start_new(self, name: str) -> Iterator[float]:
         process = self._fleet.launch_replica(name)
@@ -271,27 +277,27 @@
         self._fleet.replicas[name] = await_ready(process)
         self._fleet.connect(name)
 
-    def _leave(self, step: Step) -> Iterator[float]:
+    def _remove_replica(self, step: Step) -> Iterator[float]:
         name = self._fleet.incarnation(step.target)
-        yield from self._thawed()
+        yield from self._await_store_thaw()
         state = DRAINING if step.do is Do.DRAIN else "gone"
         self._fleet.set_state(name, state)
-        yield from self._shown(name, leaving=True)
+        yield from self._await_listed(name, leaving=True)
         yield step.for_s
         yield from self._replace(step.target, SETTLE_S)
 
-    def _shown(self, name: str, *, leaving: bool) -> Iterator[float]:
+    def _await_listed(self, name: str, *, leaving: bool) -> Iterator[float]:
         """Wait until the store lists a replica as leaving, or as ready."""
-        until = monotonic() + SHOWN_WITHIN_S
+        until = monotonic() + LISTED_WITHIN_S
         while monotonic() < until:
-            yield from self._thawed()
+            yield from self._await_store_thaw()
             entry = self._fleet.newest_values(SERVERS_TOPIC).get(name)
             if leaving is (entry is None or entry["state"] == DRAINING):
                 if leaving:
-                    self._fleet.facts.leavings.append(Leaving(name, monotonic()))
+                    self._fleet.facts.leavings.append(ReplicaRemoval(name, monotonic()))
                 return
             yield POLL_S
 
-    def _thawed(self) -> Iterator[float]:
+    def _await_store_thaw(self) -> Iterator[float]:
         while "store" in self._frozen:
             yield POLL_S
--- a/greengageflow/lab/soak.py
+++ b/greengageflow/lab/soak.py
@@ -15,17 +15,17 @@
 from time import monotonic, sleep
 
 from greengageflow.events import Event as LogEvent
-from greengageflow.lab._soak_callers import SERVED, Callers
+from greengageflow.lab._soak_callers import SERVED_KINDS, Callers
 from greengageflow.lab._soak_fleet import SoakFleet
-from greengageflow.lab._soak_steps import Conductor
-from greengageflow.lab.soak_checks import RECOVER_S, Breach, check_all
+from greengageflow.lab._soak_steps import StepRunner
+from greengageflow.lab.soak_checks import RECOVERY_S, Breach, check_all
 from greengageflow.lab.soak_facts import Facts
 from greengageflow.lab.soak_plan import Step, draw_plan
 
-CALLERS = 8
+CALLER_COUNT = 8
 TICK_S = 0.02
-LATE_S = 0.03
-QUIET_WITHIN_S = 10.0
+DELAY_THRESHOLD_S = 0.03
+IDLE_WITHIN_S = 10.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,7 +39,7 @@
     logs: dict[str, str] = field(repr=False)
 
     @property
-    def line(self) -> str:
+    def summary(self) -> str:
         """One-line summary of the result."""
         ends = Counter(one.end.value for one in self.facts.asked)
         broken = Counter(one.promise for one in self.breaches)
@@ -49,7 +49,7 @@
             f"{len(self.plan)} steps, {dict(ends)}, late {late_s:.2f} s"
         )
 
-    def keep(self, folder: Path) -> None:
+    def save(self, folder: Path) -> None:
         """Write the plan, the recorded facts and the logs of all processes."""
         folder.mkdir(parents=True, exist_ok=True)
         seen = asdict(self.facts) | {"breaches": [asdict(b) for b in self.breaches]}
@@ -65,7 +65,9 @@
     New steps start for ``seconds``; the recovery checks at the end take extra time.
     """
     plan, fleet, stop = draw_plan(seed, seconds), SoakFleet(), Flag()
-    Thread(target=_watch_lateness, args=(fleet.facts, stop), daemon=True).start()
+    Thread(
+        target=_record_scheduling_delays, args=(fleet.facts, stop), daemon=True
+    ).start()
     with fleet:
         breaches = list(_breaches(fleet, seed, plan))
         logs = {name: process.stderr for name, process in fleet.logs}
@@ -73,28 +75,28 @@
     return SoakResult(seed, plan, fleet.facts, tuple(dict.fromkeys(breaches)), logs)
 
 
-def _watch_lateness(facts: Facts, stop: Flag) -> None:
+def _record_scheduling_delays(facts: Facts, stop: Flag) -> None:
     while not stop.is_set():
         due = monotonic() + TICK_S
         sleep(TICK_S)
-        if (late_s := monotonic() - due) > LATE_S:
+        if (late_s := monotonic() - due) > DELAY_THRESHOLD_S:
             facts.late.append((monotonic(), late_s))
 
 
 def _breaches(fleet: SoakFleet, seed: int, plan: tuple[Step, ...]) -> Iterator[Breach]:
     callers = Callers(seed, fleet)
     fleet.publish_next(revoke=False)
-    callers.start(CALLERS)
-    conductor = Conductor(fleet, callers)
-    conductor.run(plan)
+    callers.start(CALLER_COUNT)
+    step_runner = StepRunner(fleet, callers)
+    step_runner.run(plan)
     callers.stop()
-    yield from conductor.breaches
-    yield from _unserved(fleet, callers)
+    yield from step_runner.breaches
+    yield from _check_recovery(fleet, callers)
     yield from callers.breaches
-    _wait_quiet(fleet)
+    _wait_until_idle(fleet)
     for name in fleet.replicas:
-        fleet.take_rows(name)
-    fleet.take_refused()
+        fleet.collect_rows(name)
+    fleet.collect_refused()
     yield from check_all(fleet.facts)
     for name, process in fleet.logs:
         text = process.stderr
@@ -105,13 +107,15 @@
             yield Breach("program", "", f"{name} exited unexpectedly")
 
 
-def _unserved(fleet: SoakFleet, callers: Callers) -> Iterator[Breach]:
+def _check_recovery(fleet: SoakFleet, callers: Callers) -> Iterator[Breach]:
     """Request every kind from every router until it succeeds or the bound passes."""
     began, random = monotonic(), Random("served")
-    missing = {(router, kind) for router in fleet.fronts for kind in SERVED}
-    while missing and not _overdue(fleet, began, RECOVER_S):
+    missing = {
+        (router, kind) for router in fleet.front_addresses for kind in SERVED_KINDS
+    }
+    while missing and not _overdue(fleet, began, RECOVERY_S):
         for router, kind in sorted(missing):
-            if callers.ask_short(random, kind, router):
+            if callers.request_short_answer(random, kind, router):
                 missing.discard((router, kind))
     yield from (
         Breach("recover", "", f"{r}: {kind} not served after the faults")
@@ -119,11 +123,11 @@
     )
 
 
-def _wait_quiet(fleet: SoakFleet) -> None:
+def _wait_until_idle(fleet: SoakFleet) -> None:
     """Wait until no replica has work, or until remaining work counts as a breach."""
     began = monotonic()
     while any(row["ended"] is None for row in fleet.runs()):
-        if _overdue(fleet, began, QUIET_WITHIN_S):
+        if _overdue(fleet, began, IDLE_WITHIN_S):
             return
         sleep(0.1)
 
@@ -143,8 +147,8 @@
     for seed in seeds:
         print(*draw_plan(seed, seconds), sep="\n", flush=True)
         result = run_soak(seed, seconds)
-        print(result.line, *result.breaches[:10], sep="\n  ", flush=True)
+        print(result.summary, *result.breaches[:10], sep="\n  ", flush=True)
         if result.breaches:
             broken += 1
-            result.keep(Path(folder, f"seed-{seed}"))
+            result.save(Path(folder, f"seed-{seed}"))
     return broken
--- a/greengageflow/lab/soak_checks.py
+++ b/greengageflow/lab/soak_checks.py
@@ -12,40 +12,40 @@
 from math import inf
 
 from greengageflow.lab.soak_facts import (
-    ONCE,
-    STREAMS,
-    Asked,
+    AT_MOST_ONCE_KINDS,
+    STREAM_KINDS,
     End,
     Facts,
     Kind,
-    Published,
+    PublishedConfig,
+    RequestRecord,
     Row,
-    path_names,
+    path_dependencies,
     place_of,
-    store_names,
+    store_dependencies,
 )
 
 STABLE_S = 3.0
 DRAIN_S = 2.0
 GRACE_S = 8.0
-LISTENS_S = 2.6
+LISTEN_AFTER_STOP_S = 2.6
 LOSS_SLACK_S = 0.2
-APPLY_S = 2.0
+CONFIG_APPLY_S = 2.0
 ROLLBACK_SLACK_S = 0.25
-REVOKE_S = 5.0
-RECOVER_S = 12.0
-LEFT_S = 5.0
-BEFORE_DEADLINE_S = 0.5
+KEY_REVOKE_S = 5.0
+RECOVERY_S = 12.0
+CANCEL_WITHIN_S = 5.0
+DEADLINE_MARGIN_S = 0.5
 BACKOFF_SLACK_S = 0.5
-MOST_IN_BACKOFF = 2
+MAX_REQUESTS_IN_BACKOFF = 2
 BUDGET_RATIO = 0.1
 BUDGET_SLACK = 12.0
 BUDGET_WINDOW_S = 10.0
-MOST_LATER = 3
+MAX_LATE_POISON_CRASHES = 3
 """Crashes by a poison request that may come over ``STABLE_S`` after the third one."""
-NOT_RUN = (408, 421, 429, 503)
-REFUSED = (401, 403, 404)
-SERVICES = {
+NOT_RUN_STATUSES = (408, 421, 429, 503)
+REFUSED_STATUSES = (401, 403, 404)
+KINDS_BY_SERVICE = {
     "app": (Kind.SAFE, Kind.UNSAFE, Kind.PROBE),
     "scribe": (Kind.CHAT, Kind.TALE),
 }
@@ -60,7 +60,7 @@
     text: str
 
 
-def calm(facts: Facts, names: set[str], began: float, ended: float) -> bool:
+def undisturbed(facts: Facts, names: set[str], began: float, ended: float) -> bool:
     """Whether no unplanned fault hit ``names`` in a span or ``STABLE_S`` before it."""
     return not any(
         one.name in names and one.began <= ended and one.ended >= began - STABLE_S
@@ -69,109 +69,121 @@
     )
 
 
-def _could_hear(facts: Facts, router: str, at: float, bound_s: float) -> bool:
-    return calm(facts, store_names(router), at - bound_s, at)
+def _could_reach_store(facts: Facts, router: str, at: float, bound_s: float) -> bool:
+    return undisturbed(facts, store_dependencies(router), at - bound_s, at)
 
 
-def check_answer(asked: Asked) -> Iterator[Breach]:
+def check_answer(record: RequestRecord) -> Iterator[Breach]:
     """Check one answer on its own: complete, for its own request, and in order."""
-    if asked.end is End.JUNK:
-        yield Breach("answer", asked.id, f"invalid HTTP: {asked.error}")
-    if asked.answer_id not in ("", asked.id):
-        yield Breach("answer", asked.id, f"got the answer of request {asked.answer_id}")
-    if asked.status == 200 and not asked.seal:
-        yield Breach("answer", asked.id, "status 200 without a replica's seal")
-    if asked.status == 200 and asked.kind in STREAMS:
-        yield from _check_stream(asked)
-    elif asked.status == 200 and asked.end is End.WHOLE:
-        yield from _check_body(asked)
-
-
-def _check_body(asked: Asked) -> Iterator[Breach]:
+    if record.end is End.JUNK:
+        yield Breach("answer", record.id, f"invalid HTTP: {record.error}")
+    if record.answer_id not in ("", record.id):
+        yield Breach(
+            "answer", record.id, f"got the answer of request {record.answer_id}"
+        )
+    if record.status == 200 and not record.seal:
+        yield Breach("answer", record.id, "status 200 without a replica's seal")
+    if record.status == 200 and record.kind in STREAM_KINDS:
+        yield from _check_stream(record)
+    elif record.status == 200 and record.end is End.WHOLE:
+        yield from _check_body(record)
+
+
+def _check_body(record: RequestRecord) -> Iterator[Breach]:
     try:
-        body = json.loads(asked.body)
+        body = json.loads(record.body)
     except ValueError:
         body = {}
-    due = {"id": asked.id, "target": asked.target, "body_sha256": asked.body_sha256}
-    same = due.items() <= body.items()
-    if not same or not asked.seal.startswith(body["replica"]):
-        text = f"body or seal mismatch: {asked.seal} {asked.body[:200]!r}"
-        yield Breach("answer", asked.id, text)
-
-
-def _check_stream(asked: Asked) -> Iterator[Breach]:
-    numbers = [number for number, _ in asked.events]
+    expected = {
+        "id": record.id,
+        "target": record.target,
+        "body_sha256": record.body_sha256,
+    }
+    same = expected.items() <= body.items()
+    if not same or not record.seal.startswith(body["replica"]):
+        text = f"body or seal mismatch: {record.seal} {record.body[:200]!r}"
+        yield Breach("answer", record.id, text)
+
+
+def _check_stream(record: RequestRecord) -> Iterator[Breach]:
+    numbers = [number for number, _ in record.events]
     if numbers != list(range(1, len(numbers) + 1)):
-        yield Breach("stream", asked.id, f"events out of order: {numbers}")
-    if asked.end is End.WHOLE and len(numbers) != asked.wanted:
-        text = f"ended as complete after {len(numbers)} of {asked.wanted} events"
-        yield Breach("stream", asked.id, text)
-    if any(json.loads(text)["run"] != asked.id for _, text in asked.events):
-        yield Breach("stream", asked.id, "events of another request")
+        yield Breach("stream", record.id, f"events out of order: {numbers}")
+    if record.end is End.WHOLE and len(numbers) != record.wanted:
+        text = f"ended as complete after {len(numbers)} of {record.wanted} events"
+        yield Breach("stream", record.id, text)
+    if any(json.loads(text)["run"] != record.id for _, text in record.events):
+        yield Breach("stream", record.id, "events of another request")
 
 
 def check_runs(facts: Facts) -> Iterator[Breach]:
     """Check that requests ran at most once, unmodified, and not if refused."""
     by_id = {one.id: one for one in facts.asked}
     for id, rows in facts.rows_by_id().items():
-        asked = by_id.get(id)
-        if asked is None:
+        record = by_id.get(id)
+        if record is None:
             yield Breach("unasked", id, f"no caller sent it: {rows[0]['target']}")
             continue
         runs = sum(row["begun"] is not None for row in rows)
-        if asked.kind in ONCE and runs > 1:
+        if record.kind in AT_MOST_ONCE_KINDS and runs > 1:
             yield Breach("once", id, f"ran {runs} times")
-        if runs and asked.status in NOT_RUN:
+        if runs and record.status in NOT_RUN_STATUSES:
             yield Breach(
-                "refused", id, f"ran although it was answered with {asked.status}"
+                "refused", id, f"ran although it was answered with {record.status}"
             )
-        if not all(_as_sent(asked, row) for row in rows):
+        if not all(_matches_request(record, row) for row in rows):
             yield Breach(
                 "unasked", id, "target, body, key or tenant differs from the request"
             )
 
 
-def _as_sent(asked: Asked, row: Row) -> bool:
+def _matches_request(record: RequestRecord, row: Row) -> bool:
     # The connection may have ended before the whole body had arrived.
-    body = row["outcome"] != "done" or row["body_sha256"] == asked.body_sha256
-    account = row["tenant"] == (None if asked.key is None else "tenant-1")
-    hidden = asked.key not in row["headers"].values()
-    return body and account and hidden and row["target"] == asked.target
+    body = row["outcome"] != "done" or row["body_sha256"] == record.body_sha256
+    account = row["tenant"] == (None if record.key is None else "tenant-1")
+    hidden = record.key not in row["headers"].values()
+    return body and account and hidden and row["target"] == record.target
 
 
 def check_keys(facts: Facts) -> Iterator[Breach]:
     """Check that a key works until it is revoked, and not much longer."""
-    gone = {one.revoked: one.acked for one in facts.published if one.revoked}
+    revoked_at = {one.revoked: one.acked for one in facts.published if one.revoked}
     rows = facts.rows_by_id()
-    for asked in facts.asked:
-        since = gone.get(asked.key, inf)
-        ran = any(row["begun"] is not None for row in rows.get(asked.id, ()))
-        after_s = asked.sent - since
-        late_s = facts.late_s(since, asked.sent)
-        heard = _could_hear(facts, asked.router, asked.sent, APPLY_S + late_s)
-        if ran and after_s > late_s + (APPLY_S if heard else REVOKE_S):
+    for record in facts.asked:
+        since = revoked_at.get(record.key, inf)
+        ran = any(row["begun"] is not None for row in rows.get(record.id, ()))
+        after_s = record.sent - since
+        late_s = facts.late_s(since, record.sent)
+        reachable = _could_reach_store(
+            facts, record.router, record.sent, CONFIG_APPLY_S + late_s
+        )
+        if ran and after_s > late_s + (CONFIG_APPLY_S if reachable else KEY_REVOKE_S):
             text = f"ran although sent {after_s:.2f} s after its key was revoked"
-            yield Breach("revoked", asked.id, text)
-        lasting = asked.kind is not Kind.PROBE and "spare" not in asked.key
-        if lasting and asked.status in REFUSED:
+            yield Breach("revoked", record.id, text)
+        always_valid = record.kind is not Kind.PROBE and "spare" not in record.key
+        if always_valid and record.status in REFUSED_STATUSES:
             yield Breach(
-                "denied", asked.id, f"valid request refused with {asked.status}"
+                "denied", record.id, f"valid request refused with {record.status}"
             )
 
 
 def check_leaving(facts: Facts) -> Iterator[Breach]:
     """Check that routers that can reach the store stop using a leaving replica."""
     by_id = {one.id: one for one in facts.asked}
-    left = {one.replica: one.acked for one in facts.leavings}
+    removed_at = {one.replica: one.acked for one in facts.leavings}
     for row in facts.rows:
-        asked, acked = by_id.get(row["id"]), left.get(row["replica"], inf)
+        record, acked = by_id.get(row["id"]), removed_at.get(row["replica"], inf)
         arrived, place = row["arrived"], place_of(row["replica"])
         after_s = arrived - acked
         bound_s = DRAIN_S + facts.late_s(acked, arrived)
-        if asked is None or after_s <= bound_s:
+        if record is None or after_s <= bound_s:
             continue
-        direct = calm(facts, {place, f"link:{place}"}, arrived, arrived)
-        if direct and _could_hear(facts, asked.router, arrived, bound_s):
+        path_undisturbed = undisturbed(
+            facts, {place, f"link:{place}"}, arrived, arrived
+        )
+        if path_undisturbed and _could_reach_store(
+            facts, record.router, arrived, bound_s
+        ):
             text = f"sent to {row['replica']} {after_s:.2f} s after its removal"
             yield Breach("leaving", row["id"], text)
 
@@ -180,32 +192,32 @@
     """Check that each version takes effect and that no router rolls back."""
     probes = [one for one in facts.asked if one.kind is Kind.PROBE and one.status]
     for probe in probes:
-        yield from _check_never_back(facts, probe, probes)
-    after = Published(0, inf, inf)
+        yield from _check_no_rollback(facts, probe, probes)
+    after = PublishedConfig(0, inf, inf)
     for one, later in pairwise([*facts.published, after]):
         for probe in probes:
             after_s = probe.sent - one.acked
-            lacks = probe.version == one.version and probe.status == 404
-            bound_s = APPLY_S + facts.late_s(one.acked, probe.sent)
-            if not lacks or probe.ended >= later.sent or after_s <= bound_s:
+            route_missing = probe.version == one.version and probe.status == 404
+            bound_s = CONFIG_APPLY_S + facts.late_s(one.acked, probe.sent)
+            if not route_missing or probe.ended >= later.sent or after_s <= bound_s:
                 continue
-            if _could_hear(facts, probe.router, probe.sent, bound_s):
+            if _could_reach_store(facts, probe.router, probe.sent, bound_s):
                 text = f"version {one.version} not applied after {after_s:.2f} s"
                 yield Breach("in force", probe.id, text)
 
 
-def _check_never_back(
-    facts: Facts, probe: Asked, probes: list[Asked]
+def _check_no_rollback(
+    facts: Facts, probe: RequestRecord, probes: list[RequestRecord]
 ) -> Iterator[Breach]:
     slack_s = ROLLBACK_SLACK_S + facts.late_s(probe.sent, probe.ended)
     place = probe.router, probe.life
-    known = (
+    versions_seen = (
         one.version
         for one in probes
         if (one.router, one.life) == place and one.ended + slack_s <= probe.sent
         if one.status == 200
     )
-    highest = max(known, default=0)
+    highest = max(versions_seen, default=0)
     newest = max(one.version for one in facts.published if one.sent < probe.ended)
     older = probe.status == 200 and probe.version < highest
     # The highest version's route has vanished although no newer version exists.
@@ -219,28 +231,30 @@
 def check_cuts(facts: Facts) -> Iterator[Breach]:
     """Check that every request is answered in full, also around a planned stop."""
     rows_by_id = facts.rows_by_id()
-    for asked in facts.asked:
-        unsent = asked.end is End.UNSENT and asked.first
-        lost = unsent or asked.end in (End.TORN, End.SILENT)
-        if not lost or asked.kind is Kind.PROBE:
+    for record in facts.asked:
+        unsent = record.end is End.UNSENT and record.first
+        lost = unsent or record.end in (End.TORN, End.SILENT)
+        if not lost or record.kind is Kind.PROBE:
             continue
-        rows = rows_by_id.get(asked.id, [])
+        rows = rows_by_id.get(record.id, [])
         # A fault since the connection was opened may show only when it is used.
-        began = min(asked.opened, asked.sent)
-        took_s = asked.ended - asked.sent
-        slack_s = LOSS_SLACK_S + facts.late_s(asked.sent, asked.ended)
+        began = min(record.opened, record.sent)
+        took_s = record.ended - record.sent
+        slack_s = LOSS_SLACK_S + facts.late_s(record.sent, record.ended)
         # A keep-alive connection may close just as it is reused; a new one may not.
-        read = rows or asked.first or took_s > slack_s
-        in_time = took_s < asked.deadline_s - BEFORE_DEADLINE_S
-        broken = asked.end is End.SILENT or (read and in_time)
-        excused = _stopped(facts, asked, slack_s, bool(rows))
-        names = path_names(asked, rows)
-        if broken and not excused and calm(facts, names, began, asked.ended):
-            text = f"{asked.end} after {took_s:.2f} s: {asked.error}"
-            yield Breach("cut", asked.id, text)
-
-
-def _stopped(facts: Facts, asked: Asked, slack_s: float, passed_on: bool) -> bool:
+        read = rows or record.first or took_s > slack_s
+        in_time = took_s < record.deadline_s - DEADLINE_MARGIN_S
+        broken = record.end is End.SILENT or (read and in_time)
+        excused = _excused_by_stop(facts, record, slack_s, bool(rows))
+        names = path_dependencies(record, rows)
+        if broken and not excused and undisturbed(facts, names, began, record.ended):
+            text = f"{record.end} after {took_s:.2f} s: {record.error}"
+            yield Breach("cut", record.id, text)
+
+
+def _excused_by_stop(
+    facts: Facts, record: RequestRecord, slack_s: float, reached_replica: bool
+) -> bool:
     """Whether a planned stop of its router excuses a cut request.
 
     That is so near the end of the grace period, and for connections that the router
@@ -249,40 +263,44 @@
     no listener.
     """
     refused = any(
-        (one.router, one.port) == (asked.router, asked.port)
-        and asked.opened <= one.at <= asked.ended
+        (one.router, one.port) == (record.router, record.port)
+        and record.opened <= one.at <= record.ended
         for one in facts.refused
     )
     for one in facts.troubles:
-        mine = one.planned and one.name == asked.router
-        if not mine or one.began >= asked.ended or asked.sent >= one.ended:
+        same_router = one.planned and one.name == record.router
+        if not same_router or one.began >= record.ended or record.sent >= one.ended:
             continue
-        listened_s = asked.opened - one.began - LISTENS_S
-        unlistened = abs(listened_s) <= slack_s or (refused and listened_s > 0)
-        ends = asked.ended - one.began > GRACE_S * 5 / 6 - slack_s
-        if ends or (unlistened and not passed_on):
+        since_listen_end_s = record.opened - one.began - LISTEN_AFTER_STOP_S
+        not_listening = abs(since_listen_end_s) <= slack_s or (
+            refused and since_listen_end_s > 0
+        )
+        near_grace_end = record.ended - one.began > GRACE_S * 5 / 6 - slack_s
+        if near_grace_end or (not_listening and not reached_replica):
             return True
     return False
 
 
-def check_left(facts: Facts) -> Iterator[Breach]:
+def check_cancelled(facts: Facts) -> Iterator[Breach]:
     """Check that a replica stops working once its caller has disconnected."""
     rows_by_id = facts.rows_by_id()
-    for asked in facts.asked:
-        for row in rows_by_id.get(asked.id, []):
-            if asked.end is End.WHOLE or row["begun"] is None:
+    for record in facts.asked:
+        for row in rows_by_id.get(record.id, []):
+            if record.end is End.WHOLE or row["begun"] is None:
                 continue
             if row["ended"] is None:
-                yield Breach("left", asked.id, f"still running at {row['replica']}")
+                yield Breach("left", record.id, f"still running at {row['replica']}")
                 continue
-            after_s = row["ended"] - asked.ended
-            bound_s = LEFT_S + facts.late_s(asked.ended, row["ended"])
-            names = path_names(asked, [row])
-            if after_s > bound_s and calm(facts, names, asked.opened, row["ended"]):
+            after_s = row["ended"] - record.ended
+            bound_s = CANCEL_WITHIN_S + facts.late_s(record.ended, row["ended"])
+            names = path_dependencies(record, [row])
+            if after_s > bound_s and undisturbed(
+                facts, names, record.opened, row["ended"]
+            ):
                 text = (
                     f"ran for {after_s:.2f} s after its caller left ({row['outcome']})"
                 )
-                yield Breach("left", asked.id, text)
+                yield Breach("left", record.id, text)
 
 
 def check_poison(facts: Facts) -> Iterator[Breach]:
@@ -291,25 +309,27 @@
         third = one.crashed[2] if len(one.crashed) > 2 else inf
         late_s = facts.late_s(third, third)
         later = [at for at in one.crashed if at > third + STABLE_S + late_s]
-        if len(later) > MOST_LATER:
+        if len(later) > MAX_LATE_POISON_CRASHES:
             text = f"{one.body!r}: {len(one.crashed)} crashes, {len(later)} too late"
             yield Breach("poison", "", text)
 
 
-def check_said_leaving(facts: Facts) -> Iterator[Breach]:
+def check_leaving_signal(facts: Facts) -> Iterator[Breach]:
     """Check that a replica gets no requests after an answer signalled its leaving."""
-    said: dict[tuple[str, int, str], float] = {}
+    signalled_at: dict[tuple[str, int, str], float] = {}
     rows_by_id = facts.rows_by_id()
     for one in facts.asked:
         if one.leaving and one.seal:
             replica = one.seal.rpartition(".")[0]
             place = one.router, one.life, replica
-            said[place] = min(one.ended, said.get(place, inf))
+            signalled_at[place] = min(one.ended, signalled_at.get(place, inf))
     for one in facts.asked:
         for row in rows_by_id.get(one.id, ()):
-            at = said.get((one.router, one.life, row["replica"]), inf)
+            at = signalled_at.get((one.router, one.life, row["replica"]), inf)
             bound_s = DRAIN_S + facts.late_s(at, one.sent)
-            if one.sent - at > bound_s and calm(facts, {one.router}, at, one.sent):
+            if one.sent - at > bound_s and undisturbed(
+                facts, {one.router}, at, one.sent
+            ):
                 text = (
                     f"{row['replica']} signalled leaving {one.sent - at:.2f} s before"
                 )
@@ -319,41 +339,46 @@
 def check_backoff(facts: Facts) -> Iterator[Breach]:
     """Check that a router sends nothing to a replica that asked it for backoff."""
     by_id = {one.id: one for one in facts.asked}
-    asked: dict[tuple[str, int, str], list[Row]] = {}
+    rows_by_path: dict[tuple[str, int, str], list[Row]] = {}
     for row in facts.rows:
         if row["id"] in by_id:
             one = by_id[row["id"]]
-            asked.setdefault((one.router, one.life, row["replica"]), []).append(row)
-    for (router, _, replica), rows in asked.items():
+            rows_by_path.setdefault((one.router, one.life, row["replica"]), []).append(
+                row
+            )
+    for (router, _, replica), rows in rows_by_path.items():
         for first in rows:
             until = (first["ended"] or inf) + first["backoff_s"]
             began = (first["ended"] or inf) + BACKOFF_SLACK_S
             slack_s = facts.late_s(began, until)
             late = [r for r in rows if began + slack_s < r["arrived"] < until]
             path = {router, f"link:{place_of(replica)}"}
-            if len(late) > MOST_IN_BACKOFF and calm(facts, path, began, until):
+            if len(late) > MAX_REQUESTS_IN_BACKOFF and undisturbed(
+                facts, path, began, until
+            ):
                 text = f"{len(late)} requests from {router} to {replica} during backoff"
                 yield Breach("backoff", first["id"], text)
 
 
 def check_budget(facts: Facts) -> Iterator[Breach]:
     """Check that the retries of a service stay within its retry budget."""
-    for service, kinds in SERVICES.items():
-        asked = sorted(one.sent for one in facts.asked if one.kind in kinds)
-        repeats = sorted(_repeats(facts, service))
-        for at in repeats:
-            taken = _within(repeats, at)
+    for service, kinds in KINDS_BY_SERVICE.items():
+        sent_times = sorted(one.sent for one in facts.asked if one.kind in kinds)
+        retries = sorted(_retry_times(facts, service))
+        for at in retries:
+            retry_count = _count_in_window(retries, at)
             starts = (at - part * BUDGET_WINDOW_S for part in (0.0, 0.5, 1.0))
-            requests = max(_within(asked, start) for start in starts)
-            if taken > BUDGET_RATIO * requests + BUDGET_SLACK:
+            requests = max(_count_in_window(sent_times, start) for start in starts)
+            if retry_count > BUDGET_RATIO * requests + BUDGET_SLACK:
                 text = (
-                    f"{service}: {taken} retries for {requests} requests from {at:.2f}"
+                    f"{service}: {retry_count} retries for {requests} requests "
+                    f"from {at:.2f}"
                 )
                 yield Breach("budget", "", text)
                 break
 
 
-def _repeats(facts: Facts, service: str) -> Iterator[float]:
+def _retry_times(facts: Facts, service: str) -> Iterator[float]:
     """Yield the arrival times of retries at a service's replicas."""
     ids = {one.id for one in facts.asked}
     for id, rows in facts.rows_by_id().items():
@@ -362,26 +387,26 @@
         for row in sorted(rows, key=lambda row: row["arrived"])[1:]:
             at, place = row["arrived"], place_of(row["replica"])
             # A replica that was frozen accepts all pending requests at once.
-            if calm(facts, {place, f"link:{place}"}, at, at):
+            if undisturbed(facts, {place, f"link:{place}"}, at, at):
                 yield at
 
 
-def _within(times: list[float], start: float) -> int:
+def _count_in_window(times: list[float], start: float) -> int:
     """Return the number of sorted times in the window that starts at ``start``."""
     return bisect_left(times, start + BUDGET_WINDOW_S) - bisect_left(times, start)
 
 
 def check_all(facts: Facts) -> Iterator[Breach]:
     """Run all checks."""
-    for asked in facts.asked:
-        yield from check_answer(asked)
+    for record in facts.asked:
+        yield from check_answer(record)
     yield from check_runs(facts)
     yield from check_keys(facts)
     yield from check_leaving(facts)
     yield from check_configuration(facts)
     yield from check_cuts(facts)
-    yield from check_left(facts)
+    yield from check_cancelled(facts)
     yield from check_poison(facts)
-    yield from check_said_leaving(facts)
+    yield from check_leaving_signal(facts)
     yield from check_backoff(facts)
     yield from check_budget(facts)
--- a/greengageflow/lab/soak_facts.py
+++ b/greengageflow/lab/soak_facts.py
@@ -21,8 +21,8 @@
     PROBE = "probe"
 
 
-STREAMS = (Kind.CHAT, Kind.TALE)
-ONCE = (Kind.UNSAFE, Kind.TALE)
+STREAM_KINDS = (Kind.CHAT, Kind.TALE)
+AT_MOST_ONCE_KINDS = (Kind.UNSAFE, Kind.TALE)
 
 
 class End(StrEnum):
@@ -37,7 +37,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Asked:
+class RequestRecord:
     """One request as recorded by its caller.
 
     Args:
@@ -80,7 +80,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Trouble:
+class Disruption:
     """Period of a fault on a process or link; ``planned`` means a SIGTERM."""
 
     name: str
@@ -90,7 +90,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Leaving:
+class ReplicaRemoval:
     """Replica whose removal the store acknowledged at ``acked``."""
 
     replica: str
@@ -98,7 +98,7 @@
 
 
 @dataclass(slots=True)
-class Poisoned:
+class PoisonRequest:
     """A request that crashes every replica that runs it and that its caller retries.
 
     Args:
@@ -111,7 +111,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Published:
+class PublishedConfig:
     """Published configuration version and the key that it revoked."""
 
     version: int
@@ -121,7 +121,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Refused:
+class RefusedConnection:
     """Connection accepted by the fault proxy while its router was not listening."""
 
     router: str
@@ -138,13 +138,13 @@
         late: Scheduling delays of the test host: (time, seconds of delay).
     """
 
-    asked: list[Asked] = field(default_factory=list)
+    asked: list[RequestRecord] = field(default_factory=list)
     rows: list[Row] = field(default_factory=list)
-    troubles: list[Trouble] = field(default_factory=list)
-    leavings: list[Leaving] = field(default_factory=list)
-    published: list[Published] = field(default_factory=list)
-    refused: list[Refused] = field(default_factory=list)
-    poisoned: list[Poisoned] = field(default_factory=list)
+    troubles: list[Disruption] = field(default_factory=list)
+    leavings: list[ReplicaRemoval] = field(default_factory=list)
+    published: list[PublishedConfig] = field(default_factory=list)
+    refused: list[RefusedConnection] = field(default_factory=list)
+    poisoned: list[PoisonRequest] = field(default_factory=list)
     late: list[tuple[float, float]] = field(default_factory=list)
 
     def late_s(self, began: float, ended: float) -> float:
@@ -165,13 +165,15 @@
     return replica.partition(".")[0]
 
 
-def store_names(router: str) -> set[str]:
+def store_dependencies(router: str) -> set[str]:
     """Return the processes and links that a router needs to reach the store."""
     return {router, "store", f"store:{router}"}
 
 
-def path_names(asked: Asked, rows: list[Row]) -> set[str]:
+def path_dependencies(record: RequestRecord, rows: list[Row]) -> set[str]:
     """Return the processes and links that a request depended on."""
     places = {place_of(row["replica"]) for row in rows}
     links = {f"link:{place}" for place in places}
-    return store_names(asked.router) | {f"front:{asked.router}"} | places | links
+    return (
+        store_dependencies(record.router) | {f"front:{record.router}"} | places | links
+    )
--- a/greengageflow/lab/soak_plan.py
+++ b/greengageflow/lab/soak_plan.py
@@ -7,10 +7,10 @@
 
 ROUTERS = ("r0", "r1", "r2")
 REPLICAS = ("app-0", "app-1", "app-2", "scribe-0", "scribe-1")
-QUIET_S = 2.0
-BETWEEN_S = 1.3
-REST_S = 4.0
-SHORTEST_S, LONGEST_S, STORE_LONGEST_S = 0.3, 4.0, 12.0
+FIRST_STEP_AT_S = 2.0
+MEAN_STEP_INTERVAL_S = 1.3
+REST_AFTER_STEP_S = 4.0
+MIN_STEP_S, MAX_STEP_S, MAX_STORE_STEP_S = 0.3, 4.0, 12.0
 
 
 class Do(StrEnum):
@@ -44,8 +44,13 @@
     SHED = "shed"
 
 
-AT_ONCE = (Do.RESET, Do.SILENCE, Do.CONFIGURE, Do.REVOKE)
-LONGER_S = {Do.DRAIN: REST_S, Do.VANISH: REST_S, Do.SAY_LEAVING: REST_S, Do.SHED: 8.0}
+INSTANT_ACTIONS = (Do.RESET, Do.SILENCE, Do.CONFIGURE, Do.REVOKE)
+EXTRA_DURATION_S = {
+    Do.DRAIN: REST_AFTER_STEP_S,
+    Do.VANISH: REST_AFTER_STEP_S,
+    Do.SAY_LEAVING: REST_AFTER_STEP_S,
+    Do.SHED: 8.0,
+}
 LINK_FAULTS = (Do.CUT, Do.ONE_WAY, Do.DELAY, Do.HALF_OPEN, Do.LOSE_ANSWER)
 # Weight, possible actions, and target templates, filled with random names.
 DRAWS = (
@@ -59,16 +64,16 @@
 )
 # Actions that were added later apply to higher seeds only, so that the plan of an
 # existing seed never changes.
-LATER_FROM = 500
-LATER = (
+LATER_FROM_SEED = 500
+LATER_DRAWS = (
     (20, (Do.MUTE, Do.FALSE_ILL, Do.ABORT), ("{p}",)),
     (10, (Do.DROP_IDLE,), ("{p}",)),
     (10, (Do.FLAP,), ("link:{p}",)),
 )
-NEWEST_FROM = 3000
-NEWEST = ((24, (Do.POISON, Do.SAY_LEAVING, Do.BACKOFF), ("{p}",)),)
-SHED_FROM = 4000
-SHED = ((40, (Do.SHED,), ("{p}",)), (30, (Do.KILL, Do.FREEZE), ("{r}",)))
+NEWEST_FROM_SEED = 3000
+NEWEST_DRAWS = ((24, (Do.POISON, Do.SAY_LEAVING, Do.BACKOFF), ("{p}",)),)
+SHED_FROM_SEED = 4000
+SHED_DRAWS = ((40, (Do.SHED,), ("{p}",)), (30, (Do.KILL, Do.FREEZE), ("{r}",)))
 
 
 @dataclass(frozen=True, slots=True)
@@ -98,37 +103,37 @@
 
 def draw_plan(seed: int, seconds: float) -> tuple[Step, ...]:
     """Return the steps of a seed in order of start; all start within ``seconds``."""
-    draws = DRAWS if seed < LATER_FROM else (*DRAWS, *LATER)
-    draws = draws if seed < NEWEST_FROM else (*draws, *NEWEST)
-    draws = draws if seed < SHED_FROM else (*draws, *SHED)
-    return tuple(_apart(_steps(Random(seed), draws, seconds)))
+    draws = DRAWS if seed < LATER_FROM_SEED else (*DRAWS, *LATER_DRAWS)
+    draws = draws if seed < NEWEST_FROM_SEED else (*draws, *NEWEST_DRAWS)
+    draws = draws if seed < SHED_FROM_SEED else (*draws, *SHED_DRAWS)
+    return tuple(_drop_overlaps(_steps(Random(seed), draws, seconds)))
 
 
 def _steps(random: Random, draws: tuple, seconds: float) -> Iterator[Step]:
-    at_s = QUIET_S
+    at_s = FIRST_STEP_AT_S
     while at_s < seconds:
         yield _step(random, draws, round(at_s, 2))
-        at_s += random.expovariate(1 / BETWEEN_S)
+        at_s += random.expovariate(1 / MEAN_STEP_INTERVAL_S)
 
 
-def _apart(steps: Iterator[Step]) -> Iterator[Step]:
+def _drop_overlaps(steps: Iterator[Step]) -> Iterator[Step]:
     # Overlapping steps on one target would cancel each other when they end.
     busy_until: dict[str, float] = {}
     for step in steps:
         if busy_until.get(step.target, 0.0) <= step.at_s:
-            rest_s = 0.0 if step.do in AT_ONCE else REST_S
+            rest_s = 0.0 if step.do in INSTANT_ACTIONS else REST_AFTER_STEP_S
             busy_until[step.target] = step.at_s + step.for_s + rest_s
             yield step
 
 
 def _step(random: Random, draws: tuple, at_s: float) -> Step:
     weights = [weight for weight, _, _ in draws]
-    ((_, dos, targets),) = random.choices(draws, weights)
-    do, router = random.choice(dos), random.choice(ROUTERS)
+    ((_, actions, targets),) = random.choices(draws, weights)
+    do, router = random.choice(actions), random.choice(ROUTERS)
     target = random.choice(targets).format(r=router, p=random.choice(REPLICAS))
     # Store faults last long enough for the trust in keys to expire.
-    longest_s = STORE_LONGEST_S if target.startswith("store:") else LONGEST_S
-    length_s = round(random.uniform(SHORTEST_S, longest_s), 2)
+    longest_s = MAX_STORE_STEP_S if target.startswith("store:") else MAX_STEP_S
+    length_s = round(random.uniform(MIN_STEP_S, longest_s), 2)
     way = random.choice(("up", "down"))
     amount = round(random.uniform(0.1, 0.9), 2)
     sources = ["", *(name for name in ROUTERS if name != router)]
@@ -137,7 +142,7 @@
         at_s,
         do,
         target,
-        0.0 if do in AT_ONCE else length_s + LONGER_S.get(do, 0.0),
+        0.0 if do in INSTANT_ACTIONS else length_s + EXTRA_DURATION_S.get(do, 0.0),
         way if do is Do.ONE_WAY else "",
         amount if do in (Do.DELAY, Do.LOSS, Do.FLAP) else 0.0,
         source if target.startswith("gossip") or do is Do.MUTE else "",
