--- a/greengageflow/lab/_fleet_load.py
+++ b/greengageflow/lab/_fleet_load.py
@@ -23,11 +23,11 @@
 _LARGE_OUTSTANDING = 45
 _FLOOD_OUTSTANDING = 80
 _DEADLINE_S = 45.0
-_QUIET_PART = 0.25
-_BACKLOG_PART = 0.625
+_QUIET_END_SHARE = 0.25
+_BACKLOG_END_SHARE = 0.625
 _WARM_UP_S = 2.0
-_FAULT_S = (0.3, 0.7)
-_LISTED_S = 3.0
+_FAULT_SPAN_SHARES = (0.3, 0.7)
+_HOST_LIST_DELAY_S = 3.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,12 +71,12 @@
     @property
     def quiet_s(self) -> float:
         """End of the first phase."""
-        return _QUIET_PART * self.seconds
+        return _QUIET_END_SHARE * self.seconds
 
     @property
     def backlog_s(self) -> float:
         """End of the second phase."""
-        return _BACKLOG_PART * self.seconds
+        return _BACKLOG_END_SHARE * self.seconds
 
     def windows(self, start: float) -> dict[str, Window]:
         """Return the phases in Unix seconds, each without its warm-up."""
@@ -125,8 +125,8 @@
 
 def _loads(plan: LabPlan, phases: Phases) -> Iterator[Load]:
     quiet_s, backlog_s = phases.quiet_s, phases.backlog_s
-    doors = {"large-1": (), "large-2": (0, 1), "large-3": (3, 8)}
-    for account, routers in doors.items():
+    routers_by_account = {"large-1": (), "large-2": (0, 1), "large-3": (3, 8)}
+    for account, routers in routers_by_account.items():
         yield _chats(
             plan,
             account,
@@ -157,24 +157,24 @@
     )
 
 
-def delays(lab: Lab, site: Site) -> list[dict[str, object]]:
+def zone_delay_rules(lab: Lab, site: Site) -> list[dict[str, object]]:
     """Return the proxy rules for delays between routers in different zones."""
     return [
-        {**_pair(lab, one, other), "do": "delay", "delay_s": site.delay_s}
+        {**_link(lab, one, other), "do": "delay", "delay_s": site.delay_s}
         for one in lab.settings
         for other in lab.settings
         if lab.settings[one]["zone"] != lab.settings[other]["zone"]
     ]
 
 
-def _pair(lab: Lab, source: str, target: str) -> dict[str, object]:
+def _link(lab: Lab, source: str, target: str) -> dict[str, object]:
     return {"source": lab.settings[source]["ip"], "route": f"peer-{target}"}
 
 
-def _cut(lab: Lab) -> list[dict[str, object]]:
+def _partition_rules(lab: Lab) -> list[dict[str, object]]:
     left, right = set(list(lab.settings)[:5]), set(list(lab.settings)[5:])
     return [
-        {**_pair(lab, one, other), "do": "freeze"}
+        {**_link(lab, one, other), "do": "freeze"}
         for one in lab.settings
         for other in lab.settings
         if (one in left) != (other in left) and right
@@ -182,19 +182,19 @@
 
 
 def faults(
-    scenario: str, lab: Lab, proxy: Proxy, phases: Phases, usual: list[dict]
+    scenario: str, lab: Lab, proxy: Proxy, phases: Phases, delay_rules: list[dict]
 ) -> Iterator[tuple[float, Callable[[], None]]]:
     """Yield times, in seconds from the run's start, and calls that toggle faults."""
     length = phases.seconds - phases.quiet_s
-    begin, end = (phases.quiet_s + part * length for part in _FAULT_S)
+    begin, end = (phases.quiet_s + part * length for part in _FAULT_SPAN_SHARES)
     hosts = list(lab.settings)
     match scenario:
         case "partition":
-            yield begin, lambda: proxy.rules(*_cut(lab), *usual)
-            yield end, lambda: proxy.rules(*usual)
+            yield begin, lambda: proxy.rules(*_partition_rules(lab), *delay_rules)
+            yield end, lambda: proxy.rules(*delay_rules)
         case "kill" if len(hosts) > 1:
             yield begin, lab.routers[hosts[-1]].kill
-            yield begin + _LISTED_S, lambda: lab.set_host_list(hosts[:-1])
+            yield begin + _HOST_LIST_DELAY_S, lambda: lab.set_host_list(hosts[:-1])
         case "outage":
             yield begin, lambda: lab.log.fault(down=True)
             yield end, lambda: lab.log.fault()
--- a/greengageflow/lab/_fleet_traffic.py
+++ b/greengageflow/lab/_fleet_traffic.py
@@ -28,7 +28,7 @@
     appends: int
 
 
-def read(lab: Lab, others: dict[str, Process]) -> Reading:
+def read_counters(lab: Lab, others: dict[str, Process]) -> Reading:
     """Read the counters of the running routers and of the log."""
     live = {h: r for h, r in lab.routers.items() if r.popen.poll() is None}
     control = {host: lab.status(host)["control"] for host in live}
--- a/greengageflow/lab/_load_conn.py
+++ b/greengageflow/lab/_load_conn.py
@@ -9,7 +9,7 @@
 
 import h11
 
-CHUNK = 65_536
+MAX_READ_BYTES = 65_536
 
 Address = tuple[str, int]
 
@@ -31,9 +31,9 @@
     Args:
         sent: Time when the request was handed to the connection.
         times: Arrival time of each part of the body.
-        at_end: Time when the exchange ended or failed.
+        ended_at: Time when the exchange ended or failed.
         ended: Whether the HTTP message is complete.
-        failed: Reason why the connection failed, or empty.
+        failure: Reason why the connection failed, or empty.
     """
 
     sent: float
@@ -41,9 +41,9 @@
     headers: dict[str, str] = field(default_factory=dict)
     parts: list[bytes] = field(default_factory=list)
     times: list[float] = field(default_factory=list)
-    at_end: float = 0.0
+    ended_at: float = 0.0
     ended: bool = False
-    failed: str = ""
+    failure: str = ""
 
     @property
     def data(self) -> bytes:
@@ -70,8 +70,8 @@
         self._selector = selector
         self._http = h11.Connection(h11.CLIENT)
         self.exchange: Exchange | None = None
-        self._done: Callable[[Exchange], None] | None = None
-        self._out = b""
+        self._on_end: Callable[[Exchange], None] | None = None
+        self._send_buffer = b""
         self._sock = socket.socket()
         self._sock.setblocking(False)
         self._sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -79,20 +79,20 @@
         self._sock.connect_ex(address)
         selector.register(self._sock, EVENT_READ, self._on_ready)
 
-    def send(self, call: HttpCall, done: Callable[[Exchange], None]) -> Exchange:
-        """Start an exchange; ``done`` is called once, when it ends or fails."""
+    def send(self, call: HttpCall, on_end: Callable[[Exchange], None]) -> Exchange:
+        """Start an exchange; ``on_end`` is called once, when it ends or fails."""
         self.exchange = Exchange(monotonic())
-        self._done = done
+        self._on_end = on_end
         headers = [("Host", f"{self.address[0]}:{self.address[1]}"), *call.headers]
         headers.append(("Content-Length", str(len(call.body))))
         request = h11.Request(method=call.method, target=call.path, headers=headers)
         parts = [request, h11.Data(data=call.body), h11.EndOfMessage()]
-        self._out = b"".join(map(self._http.send, parts))
+        self._send_buffer = b"".join(map(self._http.send, parts))
         self._selector.modify(self._sock, EVENT_READ | EVENT_WRITE, self._on_ready)
         return self.exchange
 
-    def close(self, why: str = "") -> None:
-        """Close the connection; a current exchange fails with the reason ``why``."""
+    def close(self, reason: str = "") -> None:
+        """Close the connection; a current exchange fails with ``reason``."""
         if not self.usable:
             return
         self.usable = False
@@ -100,13 +100,13 @@
             self._selector.unregister(self._sock)
         self._sock.close()
         if self.exchange is not None:
-            self.exchange.failed = why
+            self.exchange.failure = reason
             self._finish()
 
     def _finish(self) -> None:
         exchange, self.exchange = self.exchange, None
-        exchange.at_end = monotonic()
-        self._done(exchange)
+        exchange.ended_at = monotonic()
+        self._on_end(exchange)
 
     def _on_ready(self, mask: int) -> None:
         try:
@@ -120,23 +120,23 @@
             self.close(type(exc).__name__)
 
     def _write(self) -> None:
-        self._out = self._out[self._sock.send(self._out) :]
-        if not self._out:
+        self._send_buffer = self._send_buffer[self._sock.send(self._send_buffer) :]
+        if not self._send_buffer:
             self._selector.modify(self._sock, EVENT_READ, self._on_ready)
 
     def _read(self) -> None:
-        data = self._sock.recv(CHUNK)
+        data = self._sock.recv(MAX_READ_BYTES)
         if self.exchange is None:
             # Only the end of the stream can be read on an idle connection.
             self.close()
             return
         self._http.receive_data(data)
-        while self.exchange is not None and self._take(self._http.next_event()):
+        while self.exchange is not None and self._handle_event(self._http.next_event()):
             pass
         if not data:
             self.close("closed early")
 
-    def _take(self, event: object) -> bool:
+    def _handle_event(self, event: object) -> bool:
         exchange = self.exchange
         match event:
             case h11.Response():
--- a/greengageflow/lab/_load_jobs.py
+++ b/greengageflow/lab/_load_jobs.py
@@ -28,7 +28,7 @@
     tokens: int = 0
 
 
-def jobs_of(
+def generate_jobs(
     plan: LoadPlan, load: ChatLoad | ServiceLoad, random: Random
 ) -> Iterator[Job]:
     """Yield an endless sequence of requests of an account."""
@@ -45,7 +45,7 @@
             headers.append(("Idempotency-Key", key))
         match load:
             case ChatLoad():
-                tokens, hint, body = _chat(load, random)
+                tokens, hint, body = _draw_chat(load, random)
                 if hint is not None:
                     headers.append(("X-Cost-Hint", f"{hint:.0f}"))
                 call = HttpCall("POST", CHAT_PATH, tuple(headers), body)
@@ -57,16 +57,16 @@
                 yield Job(load, router, call, SERVICE, key)
 
 
-def _chat(load: ChatLoad, random: Random) -> tuple[int, float | None, bytes]:
+def _draw_chat(load: ChatLoad, random: Random) -> tuple[int, float | None, bytes]:
     drawn = random.lognormvariate(log(load.median_tokens), load.sigma)
     tokens = max(1, min(load.most_tokens, round(drawn)))
     hint = None
     if load.hint_sigma is not None:
         hint = max(1.0, tokens * exp(random.gauss(0, load.hint_sigma)))
     prefix = f"{load.account} {random.randrange(max(1, load.prefixes))} "
-    shared = (prefix * PREFIX_CHARS)[: min(PREFIX_CHARS, load.prompt_chars)]
-    own = f"{random.getrandbits(64):016x}" * (load.prompt_chars // 16 + 1)
-    prompt = (shared + own)[: load.prompt_chars]
+    shared_text = (prefix * PREFIX_CHARS)[: min(PREFIX_CHARS, load.prompt_chars)]
+    unique_text = f"{random.getrandbits(64):016x}" * (load.prompt_chars // 16 + 1)
+    prompt = (shared_text + unique_text)[: load.prompt_chars]
     body = {
         "model": load.model,
         "messages": [{"role": "user", "content": prompt}],
--- a/greengageflow/lab/bench_demo.py
+++ b/greengageflow/lab/bench_demo.py
@@ -12,7 +12,7 @@
     fairness_gap,
     percentile,
     utilisation,
-    waits,
+    waiting_times_s,
 )
 
 ACCOUNTS = {"estates": 2.0, "villas": 1.0, "phones": 1.0, "office": 1.0}
@@ -75,11 +75,11 @@
 def run_demo() -> int:
     """Run the demo, print a table and a JSON line, and return the exit status."""
     with Lab(demo_plan()) as lab:
-        before = _traffic(lab)
+        before = _control_bytes(lab)
         start = time()
         results = LoadClient(demo_load(lab)).run()
         seconds = time() - start
-        after = _traffic(lab)
+        after = _control_bytes(lab)
         executions = _gather(lab.engines, "executions")
         effects = _gather(lab.services, "effects")
     verdict = verify(results, executions, effects)
@@ -99,11 +99,11 @@
     for fault in verdict.faults:
         print(fault)
     print(json.dumps(summary))
-    whole = verdict.complete == len(results)
-    return 0 if whole and not verdict.faults else 1
+    all_complete = verdict.complete == len(results)
+    return 0 if all_complete and not verdict.faults else 1
 
 
-def _traffic(lab: Lab) -> int:
+def _control_bytes(lab: Lab) -> int:
     return sum(lab.status(host)["control"]["bytes_out"] for host in lab.routers)
 
 
@@ -119,8 +119,11 @@
     print("account    weight  sent whole  tokens  p95 wait")
     for account, weight in ACCOUNTS.items():
         own = [one for one in results if one.account == account]
-        whole = sum(one.complete for one in own)
+        complete = sum(one.complete for one in own)
         tokens = sum(one.tokens for one in own if one.complete)
-        wait = percentile(waits(results, account), 0.95)
-        print(f"{account:10} {weight:6.1f} {len(own):5} {whole:5} {tokens:7}", end="")
+        wait = percentile(waiting_times_s(results, account), 0.95)
+        print(
+            f"{account:10} {weight:6.1f} {len(own):5} {complete:5} {tokens:7}",
+            end="",
+        )
         print(f"  {wait:.2f} s")
--- a/greengageflow/lab/bench_fleet.py
+++ b/greengageflow/lab/bench_fleet.py
@@ -27,27 +27,27 @@
     SMALL,
     Phases,
     Site,
-    delays,
     faults,
     lab_plan,
     load_plan,
+    zone_delay_rules,
 )
-from greengageflow.lab._fleet_traffic import Reading, read, traffic
+from greengageflow.lab._fleet_traffic import Reading, read_counters, traffic
 from greengageflow.lab._processes import start
 from greengageflow.lab._proxy_client import Proxy
 from greengageflow.lab.lab import Lab
 from greengageflow.lab.load import LoadClient
 from greengageflow.lab.load_check import verify
-from greengageflow.lab.load_plan import CONNECTION, Result
+from greengageflow.lab.load_plan import CONNECTION_ERROR, Result
 from greengageflow.lab.measures import (
     Window,
     fairness_gap,
     percentile,
     utilisation,
-    waits,
+    waiting_times_s,
 )
 
-SHARES = (0.5, 0.95, 0.99)
+QUANTILES = (0.5, 0.95, 0.99)
 _SETTLE_S = 2.0
 
 
@@ -94,13 +94,15 @@
         experiment = self._experiment
         site = SITES[experiment.site]
         with _proxied_lab(site, experiment) as (lab, proxy, process):
-            usual = delays(lab, site) if proxy else []
+            delay_rules = zone_delay_rules(lab, site) if proxy else []
             if proxy:
-                proxy.rules(*usual)
+                proxy.rules(*delay_rules)
             plan = load_plan(lab, self._phases, experiment.seed)
             others = {"proxy": process} if process else {}
-            broken = faults(experiment.scenario, lab, proxy, self._phases, usual)
-            events = [*broken, *self._reads(lab, others)]
+            fault_events = faults(
+                experiment.scenario, lab, proxy, self._phases, delay_rules
+            )
+            events = [*fault_events, *self._scheduled_readings(lab, others)]
             began = time()
             results = LoadClient(plan).run(events)
             executions = list(_gather(lab.engines, "executions"))
@@ -108,19 +110,19 @@
         windows = self._phases.windows(began)
         return {
             **asdict(experiment),
-            **_shares(results, executions, windows),
+            **_service_figures(results, executions, windows),
             **_small_waits(results, windows),
             **_outcomes(results, verify(results, executions, effects)),
             **traffic(*self._readings),
             "machine_load": getloadavg()[0],
         }
 
-    def _reads(self, lab: Lab, others: dict[str, Any]) -> Iterator[tuple]:
-        def take() -> None:
-            self._readings.append(read(lab, others))
+    def _scheduled_readings(self, lab: Lab, others: dict[str, Any]) -> Iterator[tuple]:
+        def take_reading() -> None:
+            self._readings.append(read_counters(lab, others))
 
-        yield self._phases.quiet_s + _SETTLE_S, take
-        yield self._phases.seconds, take
+        yield self._phases.quiet_s + _SETTLE_S, take_reading
+        yield self._phases.seconds, take_reading
 
 
 @contextmanager
@@ -150,12 +152,12 @@
         yield from process.call("GET", f"/{name}").json[name]
 
 
-def _shares(
+def _service_figures(
     results: list[Result], executions: list[dict], windows: dict[str, Window]
 ) -> dict[str, float]:
     flooded = {**LARGE, FLOOD: ACCOUNTS[FLOOD]}
     busy = windows["busy"]
-    served = sum(busy.holds(moment) for one in results for moment in one.times)
+    served = sum(busy.contains(moment) for one in results for moment in one.times)
     return {
         "gap_tokens": fairness_gap(results, LARGE, busy),
         "gap_flood_tokens": fairness_gap(results, flooded, windows["flood"]),
@@ -170,17 +172,17 @@
 
 def _tokens(results: list[Result], account: str, window: Window) -> int:
     own = (one for one in results if one.account == account)
-    return sum(window.holds(moment) for one in own for moment in one.times)
+    return sum(window.contains(moment) for one in own for moment in one.times)
 
 
 def _small_waits(results: list[Result], windows: dict[str, Window]) -> dict[str, float]:
     row: dict[str, float] = {}
     for phase in ("quiet", "backlog", "flood"):
         window = windows[phase]
-        due = [one for one in results if window.holds(one.due)]
-        found = list(chain.from_iterable(waits(due, name) for name in SMALL))
+        due = [one for one in results if window.contains(one.due)]
+        found = list(chain.from_iterable(waiting_times_s(due, name) for name in SMALL))
         row[f"small_{phase}_n"] = len(found)
-        for share in SHARES:
+        for share in QUANTILES:
             name = f"small_{phase}_p{share * 100:.0f}_ms"
             row[name] = 1000 * percentile(found, share)
     return row
@@ -188,9 +190,9 @@
 
 def _outcomes(results: list[Result], verdict: Any) -> dict[str, int]:
     refused = [one for one in results if one.ran == "no"]
-    lost = [one for one in results if one.error == CONNECTION]
+    lost = [one for one in results if one.error == CONNECTION_ERROR]
     cut = [one for one in results if one.text and not one.complete and not one.ran]
-    broken = [one for one in results if one.ran in ("yes", "unknown")]
+    maybe_ran = [one for one in results if one.ran in ("yes", "unknown")]
     return {
         "requests": len(results),
         "complete": verdict.complete,
@@ -198,10 +200,10 @@
         "refused_small": sum(one.account in SMALL for one in refused),
         "connection_lost": len(lost),
         "cut": len(cut),
-        "ran_yes_or_unknown": len(broken),
+        "ran_yes_or_unknown": len(maybe_ran),
         "wrong": len(verdict.wrong),
-        "ran_though_refused": len(verdict.ran),
-        "doubled": len(verdict.doubled),
+        "ran_though_refused": len(verdict.ran_though_refused),
+        "doubled": len(verdict.duplicate_keys),
     }
 
 
--- a/greengageflow/lab/bench_latency.py
+++ b/greengageflow/lab/bench_latency.py
@@ -15,7 +15,7 @@
 from greengageflow.lab.load_plan import ChatLoad, LoadPlan, Result, ServiceLoad
 from greengageflow.lab.measures import Window, percentile
 
-SHARES = (0.5, 0.95, 0.99)
+QUANTILES = (0.5, 0.95, 0.99)
 ROUNDS = 4
 ROUND_S = 4.0
 RATE_PER_S = 50.0
@@ -26,8 +26,8 @@
 PACE_S = 0.02
 STREAM_S = 10.0
 IDLE_S = 10.0
-_TICKS = os.sysconf("SC_CLK_TCK")
-_PAGE = os.sysconf("SC_PAGE_SIZE")
+_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
+_PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,8 +44,8 @@
         fields = file.read().rpartition(")")[2].split()
     with open(f"/proc/{process.pid}/statm") as file:
         pages = int(file.read().split()[1])
-    cpu_s = (int(fields[11]) + int(fields[12])) / _TICKS
-    return Usage(cpu_s, pages * _PAGE / 1e6)
+    cpu_s = (int(fields[11]) + int(fields[12])) / _TICKS_PER_S
+    return Usage(cpu_s, pages * _PAGE_BYTES / 1e6)
 
 
 def bench_plan() -> LabPlan:
@@ -92,7 +92,7 @@
             results = _run(_plan(address, _calls(rate=RATE_PER_S), ROUND_S))
             found += [one.end - one.sent for one in results if one.status == 200]
     row = {"calls": len(routed)}
-    for share in SHARES:
+    for share in QUANTILES:
         name = f"p{share * 100:.0f}"
         row[f"direct_{name}_ms"] = 1000 * percentile(direct, share)
         row[f"routed_{name}_ms"] = 1000 * percentile(routed, share)
@@ -133,7 +133,7 @@
     pieces = sum(one.tokens for one in results if one.complete)
     start = min(one.sent for one in results)
     window = Window(start + STREAM_S / 5, start + STREAM_S)
-    steady = sum(window.holds(time) for one in results for time in one.times)
+    steady = sum(window.contains(time) for one in results for time in one.times)
     gaps = list(_gaps(results))
     return {
         "streams": STREAMS,
@@ -168,18 +168,18 @@
 
     Load averages are printed before and after them.
     """
-    _show("load", _load())
+    _print_row("load", _load())
     with Lab(bench_plan()) as lab:
-        _show("idle", idle(lab.routers["r1"]))
-        _show("added_latency", added_latency(lab))
-        _show("routed_throughput", throughput(lab.routers["r1"]))
+        _print_row("idle", idle(lab.routers["r1"]))
+        _print_row("added_latency", added_latency(lab))
+        _print_row("routed_throughput", throughput(lab.routers["r1"]))
         bare = start("greengageflow.lab._bare_answerer")
         try:
-            _show("bare_throughput", throughput(bare))
+            _print_row("bare_throughput", throughput(bare))
         finally:
             bare.kill()
-        _show("streaming", streaming(lab))
-    _show("load", _load())
+        _print_row("streaming", streaming(lab))
+    _print_row("load", _load())
 
 
 def _load() -> dict[str, float]:
@@ -187,6 +187,6 @@
     return dict(zip(names, os.getloadavg(), strict=True))
 
 
-def _show(name: str, row: dict[str, float]) -> None:
+def _print_row(name: str, row: dict[str, float]) -> None:
     rounded = {key: round(value, 3) for key, value in row.items()}
     print(json.dumps({"bench": name, **rounded}), flush=True)
--- a/greengageflow/lab/bench_sixty.py
+++ b/greengageflow/lab/bench_sixty.py
@@ -42,15 +42,15 @@
 
 def _load(lab: Lab) -> LoadPlan:
     def chat(number: int) -> ChatLoad:
-        waits = number < BACKLOGGED
+        backlogged = number < BACKLOGGED
         return ChatLoad(
             account=ACCOUNTS[number],
             key=account_api_key(ACCOUNTS[number]),
             model=lab.plan.model,
             median_tokens=40,
             sigma=0.5,
-            outstanding=OUTSTANDING if waits else 0,
-            rate_per_s=0.0 if waits else RATE_PER_S,
+            outstanding=OUTSTANDING if backlogged else 0,
+            rate_per_s=0.0 if backlogged else RATE_PER_S,
         )
 
     return LoadPlan(
@@ -88,7 +88,7 @@
         results = LoadClient(_load(lab)).run()
         end = _totals(lab)
         seconds = monotonic() - middle
-    whole = sum(one.complete for one in results)
+    complete_count = sum(one.complete for one in results)
 
     def rate(name: str, early: Mapping, late: Mapping, span: float) -> float:
         return (late.get(name, 0.0) - early.get(name, 0.0)) / span / routers
@@ -98,7 +98,7 @@
         "load": os.getloadavg()[0],
         "seconds": seconds,
         "answers": len(results),
-        "whole": whole,
+        "whole": complete_count,
         "requests_per_s": len(results) / seconds,
         "rss_mb": end["rss_mb"] / routers,
         "dropped": rate("dropped", quiet, end, seconds),
--- a/greengageflow/lab/load_plan.py
+++ b/greengageflow/lab/load_plan.py
@@ -4,7 +4,7 @@
 
 from greengageflow.lab._load_conn import Address
 
-CONNECTION = "connection"
+CONNECTION_ERROR = "connection"
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
--- a/greengageflow/lab/measures.py
+++ b/greengageflow/lab/measures.py
@@ -20,7 +20,7 @@
         """Length in seconds."""
         return self.end - self.start
 
-    def holds(self, time: float) -> bool:
+    def contains(self, time: float) -> bool:
         """Whether ``time`` lies in the window."""
         return self.start <= time < self.end
 
@@ -39,16 +39,16 @@
     Returns:
         Largest |W_i/w_i - W_j/w_j| at any time, in tokens.
     """
-    moments = sorted(
+    arrivals = sorted(
         (time, result.account)
         for result in results
         if result.account in weights
         for time in result.times
-        if window.holds(time)
+        if window.contains(time)
     )
     served = dict.fromkeys(weights, 0.0)
     worst = 0.0
-    for _, account in moments:
+    for _, account in arrivals:
         served[account] += 1.0 / weights[account]
         worst = max(worst, max(served.values()) - min(served.values()))
     return worst
@@ -64,11 +64,11 @@
         slots: Total number of slots of all engines.
         window: Span in which requests were queued throughout.
     """
-    busy = sum(_overlap(one, window) for one in executions)
+    busy = sum(_overlap_s(one, window) for one in executions)
     return busy / (slots * window.seconds)
 
 
-def _overlap(execution: Mapping[str, object], window: Window) -> float:
+def _overlap_s(execution: Mapping[str, object], window: Window) -> float:
     started = execution["started"]
     if started is None:
         return 0.0
@@ -84,7 +84,7 @@
     return ordered[max(0, ceil(share * len(ordered)) - 1)]
 
 
-def waits(results: Iterable[Result], account: str) -> list[float]:
+def waiting_times_s(results: Iterable[Result], account: str) -> list[float]:
     """Return the seconds from due time to first part of an account's answers.
 
     Only complete answers count.
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -34,7 +34,7 @@
 
 @pytest.mark.parametrize("stream", [True, False])
 @pytest.mark.parametrize("loop", [{"outstanding": 4}, {"rate_per_s": 40.0}])
-def test_answers_are_whole_and_as_long_as_planned(engine, stream, loop):
+def test_answers_are_complete_and_as_long_as_planned(engine, stream, loop):
     results = LoadClient(chat_plan(engine.address, stream=stream, **loop)).run()
     done = executions(engine)
     assert len(results) == len(done) > 4
@@ -45,7 +45,7 @@
     assert (verdict.complete, verdict.faults) == (len(results), ())
 
 
-def test_arrivals_depend_on_the_seed_alone(engine):
+def test_arrivals_depend_only_on_the_seed(engine):
     plan = chat_plan(engine.address, rate_per_s=40.0)
     runs = [LoadClient(plan).run() for _ in range(2)]
     sent = [sorted(one.tokens for one in run) for run in runs]
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize("loop", [{"outstanding": 4}, {"rate_per_s": 40.0}])
-def test_a_load_without_an_end_ends_when_it_is_stopped(engine, loop):
+def test_unbounded_load_ends_when_it_is_stopped(engine, loop):
     plan = replace(chat_plan(engine.address, **loop), duration_s=inf)
     client = LoadClient(plan)
     results = client.run([(0.3, client.stop)])
@@ -61,7 +61,7 @@
     assert all(one.complete for one in results)
 
 
-def test_verify_finds_broken_promises(engine):
+def test_verify_finds_violations(engine):
     """Answers altered as by a faulty router are reported.
 
     One holds text of another answer, one is reported complete without its end, and
@@ -78,9 +78,9 @@
     ]
     verdict = verify(altered, done)
     assert verdict.wrong == (one.request_id, two.request_id)
-    assert verdict.ran == (three.request_id,)
+    assert verdict.ran_though_refused == (three.request_id,)
     twice = [{"request_id": "x", "key": "k", "number": one} for one in (0, 1)]
-    assert verify([], [], twice).doubled == ("k",)
+    assert verify([], [], twice).duplicate_keys == ("k",)
 
 
 def test_a_cut_stream_is_not_complete(engine):
