--- a/greengageflow/lab/soak_checks.py
+++ b/greengageflow/lab/soak_checks.py
@@ -268,8 +268,8 @@
         for one in facts.refused
     )
     for one in facts.troubles:
-        same_router = one.planned and one.name == record.router
-        if not same_router or one.began >= record.ended or record.sent >= one.ended:
+        is_router_stop = one.planned and one.name == record.router
+        if not is_router_stop or one.began >= record.ended or record.sent >= one.ended:
             continue
         since_listen_end_s = record.opened - one.began - LISTEN_AFTER_STOP_S
         not_listening = abs(since_listen_end_s) <= slack_s or (
