--- a/greengageflow/lab/_fleet_load.py
+++ b/greengageflow/lab/_fleet_load.py
@@ -1,4 +1,4 @@
-"""What ``greengage-bench fleet`` starts, sends and breaks."""
+"""Fleets, load and faults of ``greengage-bench fleet``."""
 
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
@@ -23,22 +23,22 @@
 _LARGE_OUTSTANDING = 45
 _FLOOD_OUTSTANDING = 80
 _DEADLINE_S = 45.0
-_QUIET_PART = 0.25
-_BACKLOG_PART = 0.625
+_QUIET_END_SHARE = 0.25
+_BACKLOG_END_SHARE = 0.625
 _WARM_UP_S = 2.0
-_FAULT_S = (0.3, 0.7)
-_LISTED_S = 3.0
+_FAULT_SPAN_SHARES = (0.3, 0.7)
+_HOST_LIST_DELAY_S = 3.0
 
 
 @dataclass(frozen=True, slots=True)
 class Site:
-    """One of the users' sites.
+    """Deployment site that the bench models.
 
     Args:
         zones: Availability zones.
         model: Name of the model's pool.
         service: Name of the plain service's pool.
-        delay_s: One way between routers of two zones, in seconds.
+        delay_s: One-way delay between routers in different zones, in seconds.
     """
 
     zones: tuple[str, ...]
@@ -57,10 +57,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Phases:
-    """Spans of a run, in seconds from its start.
+    """Phases of a run, in seconds from its start.
 
-    First only small accounts send, then the large ones are backlogged too, at last
-    one account floods.
+    At first only small accounts send requests. Then large accounts are backlogged too,
+    and in the last phase one account floods the fleet.
 
     Args:
         seconds: Length of the run.
@@ -71,15 +71,15 @@
     @property
     def quiet_s(self) -> float:
         """End of the first phase."""
-        return _QUIET_PART * self.seconds
+        return _QUIET_END_SHARE * self.seconds
 
     @property
     def backlog_s(self) -> float:
         """End of the second phase."""
-        return _BACKLOG_PART * self.seconds
+        return _BACKLOG_END_SHARE * self.seconds
 
     def windows(self, start: float) -> dict[str, Window]:
-        """Return the phases in unix seconds, each without its start."""
+        """Return the phases in Unix seconds, each without its warm-up."""
         quiet, backlog = start + self.quiet_s, start + self.backlog_s
         return {
             "quiet": Window(start + _WARM_UP_S, quiet),
@@ -90,7 +90,7 @@
 
 
 def lab_plan(site: Site, policy: str, **knobs: float) -> LabPlan:
-    """Return the fleet for a policy; one router for ``central``."""
+    """Return the fleet of a policy; ``central`` has one router."""
     central = policy == "central"
     return LabPlan(
         routers=1 if central else ROUTERS,
@@ -110,9 +110,10 @@
 
 
 def load_plan(lab: Lab, phases: Phases, seed: int) -> LoadPlan:
-    """Return the load; its requests are the same for every policy."""
+    """Return the load, which has the same requests for every policy."""
     addresses = [router.address for router in lab.routers.values()]
-    # One router stands for all nine, so that each choice draws the same numbers.
+    # A single router fills all nine positions, so that router selection consumes the
+    # same random numbers under every policy.
     spread = tuple(addresses[n % len(addresses)] for n in range(ROUTERS))
     return LoadPlan(
         routers=spread,
@@ -124,8 +125,8 @@
 
 def _loads(plan: LabPlan, phases: Phases) -> Iterator[Load]:
     quiet_s, backlog_s = phases.quiet_s, phases.backlog_s
-    doors = {"large-1": (), "large-2": (0, 1), "large-3": (3, 8)}
-    for account, routers in doors.items():
+    routers_by_account = {"large-1": (), "large-2": (0, 1), "large-3": (3, 8)}
+    for account, routers in routers_by_account.items():
         yield _chats(
             plan,
             account,
@@ -156,24 +157,24 @@
     )
 
 
-def delays(lab: Lab, site: Site) -> list[dict[str, object]]:
-    """Return the proxy's rules for the delays between routers of two zones."""
+def zone_delay_rules(lab: Lab, site: Site) -> list[dict[str, object]]:
+    """Return the proxy rules for delays between routers in different zones."""
     return [
-        {**_pair(lab, one, other), "do": "delay", "delay_s": site.delay_s}
+        {**_link(lab, one, other), "do": "delay", "delay_s": site.delay_s}
         for one in lab.settings
         for other in lab.settings
         if lab.settings[one]["zone"] != lab.settings[other]["zone"]
     ]
 
 
-def _pair(lab: Lab, source: str, target: str) -> dict[str, object]:
+def _link(lab: Lab, source: str, target: str) -> dict[str, object]:
     return {"source": lab.settings[source]["ip"], "route": f"peer-{target}"}
 
 
-def _cut(lab: Lab) -> list[dict[str, object]]:
+def _partition_rules(lab: Lab) -> list[dict[str, object]]:
     left, right = set(list(lab.settings)[:5]), set(list(lab.settings)[5:])
     return [
-        {**_pair(lab, one, other), "do": "freeze"}
+        {**_link(lab, one, other), "do": "freeze"}
         for one in lab.settings
         for other in lab.settings
         if (one in left) != (other in left) and right
@@ -181,19 +182,19 @@
 
 
 def faults(
-    scenario: str, lab: Lab, proxy: Proxy, phases: Phases, usual: list[dict]
+    scenario: str, lab: Lab, proxy: Proxy, phases: Phases, delay_rules: list[dict]
 ) -> Iterator[tuple[float, Callable[[], None]]]:
-    """Yield when to break or mend what, in seconds from the run's start."""
+    """Yield times, in seconds from the run's start, and calls that toggle faults."""
     length = phases.seconds - phases.quiet_s
-    begin, end = (phases.quiet_s + part * length for part in _FAULT_S)
+    begin, end = (phases.quiet_s + part * length for part in _FAULT_SPAN_SHARES)
     hosts = list(lab.settings)
     match scenario:
         case "partition":
-            yield begin, lambda: proxy.rules(*_cut(lab), *usual)
-            yield end, lambda: proxy.rules(*usual)
+            yield begin, lambda: proxy.rules(*_partition_rules(lab), *delay_rules)
+            yield end, lambda: proxy.rules(*delay_rules)
         case "kill" if len(hosts) > 1:
             yield begin, lab.routers[hosts[-1]].kill
-            yield begin + _LISTED_S, lambda: lab.set_host_list(hosts[:-1])
+            yield begin + _HOST_LIST_DELAY_S, lambda: lab.set_host_list(hosts[:-1])
         case "outage":
             yield begin, lambda: lab.log.fault(down=True)
             yield end, lambda: lab.log.fault()
--- a/greengageflow/lab/bench_demo.py
+++ b/greengageflow/lab/bench_demo.py
@@ -1,4 +1,4 @@
-"""``make demo``: a small fleet serves real requests, and every answer is checked."""
+"""``make demo``: serves requests on a small fleet and verifies every answer."""
 
 import json
 from time import time
@@ -12,7 +12,7 @@
     fairness_gap,
     percentile,
     utilisation,
-    waits,
+    waiting_times_s,
 )
 
 ACCOUNTS = {"estates": 2.0, "villas": 1.0, "phones": 1.0, "office": 1.0}
@@ -23,7 +23,7 @@
 
 
 def demo_plan() -> LabPlan:
-    """Return three routers, three engines and two service replicas."""
+    """Return a fleet of three routers, three engines and two service replicas."""
     return LabPlan(
         routers=3,
         engines=3,
@@ -35,7 +35,7 @@
 
 
 def demo_load(lab: Lab) -> LoadPlan:
-    """Return two backlogged accounts, a light one, and protected actions."""
+    """Return the load: two backlogged accounts, a light one, and protected calls."""
     model, service = lab.plan.model, lab.plan.service
     loads = (
         ChatLoad(
@@ -73,13 +73,13 @@
 
 
 def run_demo() -> int:
-    """Run the demo, print a table and one JSON line; return the exit status."""
+    """Run the demo, print a table and a JSON line, and return the exit status."""
     with Lab(demo_plan()) as lab:
-        before = _traffic(lab)
+        before = _control_bytes(lab)
         start = time()
         results = LoadClient(demo_load(lab)).run()
         seconds = time() - start
-        after = _traffic(lab)
+        after = _control_bytes(lab)
         executions = _gather(lab.engines, "executions")
         effects = _gather(lab.services, "effects")
     verdict = verify(results, executions, effects)
@@ -99,11 +99,11 @@
     for fault in verdict.faults:
         print(fault)
     print(json.dumps(summary))
-    whole = verdict.complete == len(results)
-    return 0 if whole and not verdict.faults else 1
+    all_complete = verdict.complete == len(results)
+    return 0 if all_complete and not verdict.faults else 1
 
 
-def _traffic(lab: Lab) -> int:
+def _control_bytes(lab: Lab) -> int:
     return sum(lab.status(host)["control"]["bytes_out"] for host in lab.routers)
 
 
@@ -119,8 +119,11 @@
     print("account    weight  sent whole  tokens  p95 wait")
     for account, weight in ACCOUNTS.items():
         own = [one for one in results if one.account == account]
-        whole = sum(one.complete for one in own)
+        complete = sum(one.complete for one in own)
         tokens = sum(one.tokens for one in own if one.complete)
-        wait = percentile(waits(results, account), 0.95)
-        print(f"{account:10} {weight:6.1f} {len(own):5} {whole:5} {tokens:7}", end="")
+        wait = percentile(waiting_times_s(results, account), 0.95)
+        print(
+            f"{account:10} {weight:6.1f} {len(own):5} {complete:5} {tokens:7}",
+            end="",
+        )
         print(f"  {wait:.2f} s")
--- a/greengageflow/lab/bench_fleet.py
+++ b/greengageflow/lab/bench_fleet.py
@@ -1,7 +1,7 @@
-"""``make bench-fleet``: ways to share a fleet's slots, on the same work.
+"""``make bench-fleet``: compares slot sharing policies under the same load.
 
 Nine routers in three zones, nine engines and three service replicas serve sixteen
-accounts. ``central`` is the reference: one router takes all requests.
+accounts. ``central`` is the reference, in which one router receives all requests.
 """
 
 import json
@@ -27,41 +27,41 @@
     SMALL,
     Phases,
     Site,
-    delays,
     faults,
     lab_plan,
     load_plan,
+    zone_delay_rules,
 )
-from greengageflow.lab._fleet_traffic import Reading, read, traffic
+from greengageflow.lab._fleet_traffic import Reading, read_counters, traffic
 from greengageflow.lab._processes import start
 from greengageflow.lab._proxy_client import Proxy
 from greengageflow.lab.lab import Lab
 from greengageflow.lab.load import LoadClient
 from greengageflow.lab.load_check import verify
-from greengageflow.lab.load_plan import CONNECTION, Result
+from greengageflow.lab.load_plan import CONNECTION_ERROR, Result
 from greengageflow.lab.measures import (
     Window,
     fairness_gap,
     percentile,
     utilisation,
-    waits,
+    waiting_times_s,
 )
 
-SHARES = (0.5, 0.95, 0.99)
+QUANTILES = (0.5, 0.95, 0.99)
 _SETTLE_S = 2.0
 
 
 @dataclass(frozen=True, slots=True)
 class Experiment:
-    """One run.
+    """Parameters of one run.
 
     Args:
         site: Name of the site.
-        policy: How slots are shared.
-        scenario: What breaks.
-        seconds: Length of the load, in seconds.
+        policy: Slot sharing policy.
+        scenario: Injected fault.
+        seconds: Length of the load in seconds.
         seed: Seed of the load.
-        proxied: Whether messages between routers go through the proxy.
+        proxied: Whether messages between routers pass through the fault proxy.
         share_interval_s: Seconds between service reports.
     """
 
@@ -75,10 +75,10 @@
 
 
 class Run:
-    """Carries out one experiment.
+    """Runs one experiment.
 
     Args:
-        experiment: What to run.
+        experiment: Parameters of the run.
     """
 
     def __init__(self, experiment: Experiment) -> None:
@@ -87,17 +87,22 @@
         self._readings: list[Reading] = []
 
     def row(self) -> dict[str, Any]:
-        """Run it and return the measures, flat, with units in the names."""
+        """Run the experiment and return its measures as one flat row.
+
+        Units are part of the names.
+        """
         experiment = self._experiment
         site = SITES[experiment.site]
         with _proxied_lab(site, experiment) as (lab, proxy, process):
-            usual = delays(lab, site) if proxy else []
+            delay_rules = zone_delay_rules(lab, site) if proxy else []
             if proxy:
-                proxy.rules(*usual)
+                proxy.rules(*delay_rules)
             plan = load_plan(lab, self._phases, experiment.seed)
             others = {"proxy": process} if process else {}
-            broken = faults(experiment.scenario, lab, proxy, self._phases, usual)
-            events = [*broken, *self._reads(lab, others)]
+            fault_events = faults(
+                experiment.scenario, lab, proxy, self._phases, delay_rules
+            )
+            events = [*fault_events, *self._scheduled_readings(lab, others)]
             began = time()
             results = LoadClient(plan).run(events)
             executions = list(_gather(lab.engines, "executions"))
@@ -105,19 +110,19 @@
         windows = self._phases.windows(began)
         return {
             **asdict(experiment),
-            **_shares(results, executions, windows),
+            **_service_figures(results, executions, windows),
             **_small_waits(results, windows),
             **_outcomes(results, verify(results, executions, effects)),
             **traffic(*self._readings),
             "machine_load": getloadavg()[0],
         }
 
-    def _reads(self, lab: Lab, others: dict[str, Any]) -> Iterator[tuple]:
-        def take() -> None:
-            self._readings.append(read(lab, others))
+    def _scheduled_readings(self, lab: Lab, others: dict[str, Any]) -> Iterator[tuple]:
+        def take_reading() -> None:
+            self._readings.append(read_counters(lab, others))
 
-        yield self._phases.quiet_s + _SETTLE_S, take
-        yield self._phases.seconds, take
+        yield self._phases.quiet_s + _SETTLE_S, take_reading
+        yield self._phases.seconds, take_reading
 
 
 @contextmanager
@@ -147,12 +152,12 @@
         yield from process.call("GET", f"/{name}").json[name]
 
 
-def _shares(
+def _service_figures(
     results: list[Result], executions: list[dict], windows: dict[str, Window]
 ) -> dict[str, float]:
     flooded = {**LARGE, FLOOD: ACCOUNTS[FLOOD]}
     busy = windows["busy"]
-    served = sum(busy.holds(moment) for one in results for moment in one.times)
+    served = sum(busy.contains(moment) for one in results for moment in one.times)
     return {
         "gap_tokens": fairness_gap(results, LARGE, busy),
         "gap_flood_tokens": fairness_gap(results, flooded, windows["flood"]),
@@ -167,17 +172,17 @@
 
 def _tokens(results: list[Result], account: str, window: Window) -> int:
     own = (one for one in results if one.account == account)
-    return sum(window.holds(moment) for one in own for moment in one.times)
+    return sum(window.contains(moment) for one in own for moment in one.times)
 
 
 def _small_waits(results: list[Result], windows: dict[str, Window]) -> dict[str, float]:
     row: dict[str, float] = {}
     for phase in ("quiet", "backlog", "flood"):
         window = windows[phase]
-        due = [one for one in results if window.holds(one.due)]
-        found = list(chain.from_iterable(waits(due, name) for name in SMALL))
+        due = [one for one in results if window.contains(one.due)]
+        found = list(chain.from_iterable(waiting_times_s(due, name) for name in SMALL))
         row[f"small_{phase}_n"] = len(found)
-        for share in SHARES:
+        for share in QUANTILES:
             name = f"small_{phase}_p{share * 100:.0f}_ms"
             row[name] = 1000 * percentile(found, share)
     return row
@@ -185,9 +190,9 @@
 
 def _outcomes(results: list[Result], verdict: Any) -> dict[str, int]:
     refused = [one for one in results if one.ran == "no"]
-    lost = [one for one in results if one.error == CONNECTION]
+    lost = [one for one in results if one.error == CONNECTION_ERROR]
     cut = [one for one in results if one.text and not one.complete and not one.ran]
-    broken = [one for one in results if one.ran in ("yes", "unknown")]
+    maybe_ran = [one for one in results if one.ran in ("yes", "unknown")]
     return {
         "requests": len(results),
         "complete": verdict.complete,
@@ -195,10 +200,10 @@
         "refused_small": sum(one.account in SMALL for one in refused),
         "connection_lost": len(lost),
         "cut": len(cut),
-        "ran_yes_or_unknown": len(broken),
+        "ran_yes_or_unknown": len(maybe_ran),
         "wrong": len(verdict.wrong),
-        "ran_though_refused": len(verdict.ran),
-        "doubled": len(verdict.doubled),
+        "ran_though_refused": len(verdict.ran_though_refused),
+        "doubled": len(verdict.duplicate_keys),
     }
 
 
@@ -213,23 +218,27 @@
     share_interval_s: float = Policy().share_interval_s,
     out: str | None = None,
 ) -> int:
-    """Run each policy on the same work and print a line of JSON each and a table.
+    """Run each policy under the same load; print a JSON line for each, and a table.
 
     Args:
         plan: Name of the site.
-        policies: Policies, in the order of their runs.
-        scenario: What breaks.
+        policies: Policies in the order of their runs.
+        scenario: Injected fault.
         seconds: Length of each run.
         seed: Seed of the load.
-        proxied: Put the proxy and its delays between the routers.
+        proxied: Whether to route messages between routers through the fault proxy
+            and its delays.
         share_interval_s: Seconds between service reports.
-        out: File to which the JSON lines are added.
+        out: File to which the JSON lines are appended.
 
     Returns:
-        0 unless an answer was wrong, untrue or doubled.
+        1 if an answer was wrong, a refused request ran, or an action ran twice;
+        else 0.
     """
     if plan not in SITES or scenario not in SCENARIOS or set(policies) - set(POLICIES):
-        raise ValueError(f"plans {list(SITES)}, {SCENARIOS}, {POLICIES}")
+        raise ValueError(
+            f"plans: {list(SITES)}, scenarios: {SCENARIOS}, policies: {POLICIES}"
+        )
     rows = []
     for policy in policies:
         experiment = Experiment(
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -27,14 +27,14 @@
 
 
 def with_ids(results, done):
-    """Engines send no X-Request-Id, which a router adds: go by the text."""
+    """Add request ids by text; engines send no X-Request-Id, only routers do."""
     ids = {one["text"]: one["request_id"] for one in done}
     return [replace(one, request_id=ids.get(one.text, "?")) for one in results]
 
 
 @pytest.mark.parametrize("stream", [True, False])
 @pytest.mark.parametrize("loop", [{"outstanding": 4}, {"rate_per_s": 40.0}])
-def test_answers_are_whole_and_as_long_as_planned(engine, stream, loop):
+def test_answers_are_complete_and_as_long_as_planned(engine, stream, loop):
     results = LoadClient(chat_plan(engine.address, stream=stream, **loop)).run()
     done = executions(engine)
     assert len(results) == len(done) > 4
@@ -45,7 +45,7 @@
     assert (verdict.complete, verdict.faults) == (len(results), ())
 
 
-def test_arrivals_depend_on_the_seed_alone(engine):
+def test_arrivals_depend_only_on_the_seed(engine):
     plan = chat_plan(engine.address, rate_per_s=40.0)
     runs = [LoadClient(plan).run() for _ in range(2)]
     sent = [sorted(one.tokens for one in run) for run in runs]
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize("loop", [{"outstanding": 4}, {"rate_per_s": 40.0}])
-def test_a_load_without_an_end_ends_when_it_is_stopped(engine, loop):
+def test_unbounded_load_ends_when_it_is_stopped(engine, loop):
     plan = replace(chat_plan(engine.address, **loop), duration_s=inf)
     client = LoadClient(plan)
     results = client.run([(0.3, client.stop)])
@@ -61,11 +61,11 @@
     assert all(one.complete for one in results)
 
 
-def test_verify_finds_broken_promises(engine):
-    """Each answer is altered as a broken router would: the verdict names them.
+def test_verify_finds_violations(engine):
+    """Answers altered as by a faulty router are reported.
 
-    A piece of another's text, a whole answer that lacks its end, and a request
-    that is refused as not run though it ran.
+    One holds text of another answer, one is reported complete without its end, and
+    one was refused as not run although it ran.
     """
     done = executions(engine)
     results = LoadClient(chat_plan(engine.address, outstanding=3)).run()
@@ -78,13 +78,13 @@
     ]
     verdict = verify(altered, done)
     assert verdict.wrong == (one.request_id, two.request_id)
-    assert verdict.ran == (three.request_id,)
+    assert verdict.ran_though_refused == (three.request_id,)
     twice = [{"request_id": "x", "key": "k", "number": one} for one in (0, 1)]
-    assert verify([], [], twice).doubled == ("k",)
+    assert verify([], [], twice).duplicate_keys == ("k",)
 
 
 def test_a_cut_stream_is_not_complete(engine):
-    """The caller's stream breaks off after three pieces; the text is kept."""
+    """A stream cut after three pieces is incomplete, and its text is kept."""
     engine.fault(cut_after=3, cut_times=1000)
     results = LoadClient(chat_plan(engine.address, outstanding=1, sigma=0)).run()
     assert results
@@ -96,7 +96,7 @@
 
 
 def test_a_caller_waits_no_longer_than_its_timeout():
-    """The routers accept and never answer; the run still ends."""
+    """The run ends although the router accepts connections and never answers."""
     with ExitStack() as stack:
         service = stack.enter_context(standin("service"))
         proxy = stack.enter_context(fault_proxy())
