--- a/greengageflow/lab/_capacity_gateway_text.py
+++ b/greengageflow/lab/_capacity_gateway_text.py
@@ -4,8 +4,8 @@
 
 Measured by `greengage-bench gateway` on {date}, one
 process on a machine with {processors} processors shared with others, load average
-{load}. Real `FleetExchange`, codec, sums, `StoreView`, `EndpointLoads`, `DecayedSums` and
-`PromptPlaces`; network, store and time are simulated. 9, 69 and 360 routers in 3, 3
+{load}. Real `FleetExchange`, codec, sums, `StoreView`, `EndpointLoads`, `DecayedSums`
+and `PromptPlaces`; network, store and time are simulated. 9, 69 and 360 routers in 3, 3
 and 7 zones, 12, 60 and 600
 endpoints, 16, 30 and 200 accounts; 7.5 requests/s and 116 in flight at each router.
 Assumed: a tenth of the accounts make half the requests; half the requests carry a
