--- a/greengageflow/lab/_capacity_gateway.py
+++ b/greengageflow/lab/_capacity_gateway.py
@@ -1,4 +1,4 @@
-"""The part of docs/CAPACITY.md about the gateway, from docs/gateway-slopes.json."""
+"""Gateway section of docs/CAPACITY.md, from docs/gateway-slopes.json."""
 
 import json
 from collections.abc import Iterator, Mapping
@@ -16,7 +16,7 @@
 
 
 def gateway_part() -> Iterator[str]:
-    """Yield the lines of the part."""
+    """Yield the lines of the section."""
     document = json.loads(SAVED.read_text())
     rows = document["rows"]
     yield HEAD.format(**document)
--- a/greengageflow/lab/_capacity_gateway_text.py
+++ b/greengageflow/lab/_capacity_gateway_text.py
@@ -1,4 +1,4 @@
-"""The words of the gateway's part of docs/CAPACITY.md."""
+"""Fixed text of the gateway section of docs/CAPACITY.md."""
 
 HEAD = """## Control alone, simulated: the gateway
 
--- a/greengageflow/lab/_capacity_overload.py
+++ b/greengageflow/lab/_capacity_overload.py
@@ -1,4 +1,4 @@
-"""The part of docs/CAPACITY.md about overload, from docs/overload-*.json."""
+"""Overload section of docs/CAPACITY.md, from docs/overload-*.json."""
 
 import json
 from collections.abc import Iterator, Mapping
@@ -26,7 +26,7 @@
 
 
 def overload_part() -> Iterator[str]:
-    """Yield the lines of the part."""
+    """Yield the lines of the section."""
     yield HEAD
     for name in RUNS:
         path = ROOT / "docs" / f"overload-{name}.json"
--- a/greengageflow/lab/_capacity_sweep.py
+++ b/greengageflow/lab/_capacity_sweep.py
@@ -1,4 +1,4 @@
-"""The part of docs/CAPACITY.md that comes from a sweep of the users' bench."""
+"""Section of docs/CAPACITY.md from a sweep of fleet sizes with ``fleetbench``."""
 
 import re
 from collections.abc import Iterator
@@ -33,11 +33,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SweepRow:
-    """One measure of a sweep.
+    """One measured quantity of a sweep.
 
     Args:
-        name: What was measured.
-        cells: The middle host's and the busiest one's, by size.
+        name: Name of the quantity.
+        cells: Values of the median and of the busiest host at each size.
     """
 
     name: str
@@ -46,12 +46,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Sweep:
-    """What a sweep printed.
+    """Results parsed from the output of a sweep.
 
     Args:
-        origin: The first line: of what code, when.
-        sizes: Numbers of hosts.
-        rows: The measures.
+        origin: First line of the output: code version and date.
+        sizes: Fleet sizes, in hosts.
+        rows: Measured quantities.
     """
 
     origin: str
@@ -60,15 +60,15 @@
 
 
 def read_sweep(text: str) -> Sweep:
-    """Return the table in a sweep's output.
+    """Parse the table in the output of a sweep.
 
     Raises:
-        ValueError: There is no such table.
+        ValueError: The output has no table of fleet sizes.
     """
     lines = text.splitlines()
     heads = [at for at, line in enumerate(lines) if line.lstrip().startswith("30 ")]
     if not heads:
-        raise ValueError("no table of sizes")
+        raise ValueError("no table of fleet sizes in the sweep output")
     sizes = tuple(int(size) for size in re.findall(r"\d+", lines[heads[0]])[:-1])
     rows = []
     for line in lines[heads[0] + 1 :]:
@@ -80,7 +80,10 @@
 
 
 def carried_on(sizes: tuple[int, ...], values: tuple[float, ...], to: int) -> float:
-    """Return what values that grow as a power of the size would be at another size."""
+    """Extrapolate values to another fleet size by a power-law fit.
+
+    Where a value is not positive, the last value is returned unchanged.
+    """
     if min(values) <= 0:
         return values[-1]
     points = [(log(x), log(y)) for x, y in zip(sizes, values, strict=True)]
@@ -88,7 +91,7 @@
 
 
 def sweep_part() -> Iterator[str]:
-    """Yield the lines of the part."""
+    """Yield the lines of the section."""
     sweep = read_sweep(SAVED.read_text())
     yield HEAD.format(
         sizes=", ".join(map(str, sweep.sizes)),
--- a/greengageflow/lab/_capacity_text.py
+++ b/greengageflow/lab/_capacity_text.py
@@ -1,4 +1,4 @@
-"""The words of docs/CAPACITY.md that no measurement changes."""
+"""Text of docs/CAPACITY.md that does not depend on the measurements."""
 
 HEAD = """Slopes were measured by `make bench-slopes` on {date}, seed
 {seed}, {processors} processors shared with others, load average
--- a/greengageflow/lab/_slopes_config.py
+++ b/greengageflow/lab/_slopes_config.py
@@ -1,4 +1,4 @@
-"""Slopes of the configuration: folding a record, passing a state on."""
+"""Cost of the configuration: folding a record and transferring the state."""
 
 import json
 from time import process_time
@@ -27,7 +27,7 @@
 
 
 def record(endpoints: int, accounts: int) -> dict[str, Any]:
-    """Return a record of schema 2 with so many endpoints and accounts."""
+    """Return a record of schema 2 with the given numbers of endpoints and accounts."""
     pools = [
         {
             "name": f"m{pool}",
@@ -100,17 +100,17 @@
 
 
 def config_endpoints(endpoints: int) -> dict[str, float]:
-    """Take over a configuration with so many endpoints."""
+    """Measure adopting a configuration by its number of endpoints."""
     return _measured(endpoints, ACCOUNTS)
 
 
 def config_accounts(accounts: int) -> dict[str, float]:
-    """Take over a configuration with so many accounts."""
+    """Measure adopting a configuration by its number of accounts."""
     return _measured(ENDPOINTS, accounts)
 
 
 def host_list(hosts: int) -> dict[str, float]:
-    """Read the platform's list of so many hosts."""
+    """Measure parsing the platform's host list."""
     rows = [
         {
             "host": f"host{n:04d}",
--- a/greengageflow/lab/_slopes_members.py
+++ b/greengageflow/lab/_slopes_members.py
@@ -1,4 +1,4 @@
-"""Slopes of membership: a fleet of real cores in simulated time."""
+"""Cost of membership: a fleet of real membership cores in simulated time."""
 
 from collections import Counter, defaultdict
 from collections.abc import Callable, Iterable
@@ -26,7 +26,7 @@
 _WARM_S = 6.0
 _CHANGE_S = 20.0
 _ADOPT_S = 0.2
-"""Time that a router takes to fetch a newer configuration from the teller."""
+"""Time to fetch a newer configuration from the peer that announced it."""
 _READERS_PER_ZONE = 2
 _DELAY_S = (0.0005, 0.003)
 
@@ -37,10 +37,10 @@
 
 
 class MembersWorld:
-    """Membership cores joined by a network in memory.
+    """Membership cores connected by an in-memory network.
 
     Args:
-        nodes: Routers; they know each other from the start.
+        nodes: Routers; each starts with a complete view of the fleet.
         zones: Availability zones.
     """
 
@@ -59,7 +59,7 @@
         self._adopting: set[str] = set()
 
     def start(self, member: Member) -> None:
-        """Start a router that knows the fleet."""
+        """Start a router with a complete view of the fleet."""
         name, core = member.host, Membership(member, seed=self._random.random())
         self.cores[name] = core
         self.costs[name] = Cost(PeerId(name, member.boot))
@@ -69,7 +69,7 @@
         self._at(self.now + self._random.random(), self._tick, core)
 
     def stop(self, names: Iterable[str]) -> None:
-        """Let routers die."""
+        """Stop routers without notice, as in a crash."""
         for name in names:
             del self.cores[name]
 
@@ -77,7 +77,7 @@
         heappush(self._queue, (when, next(self._order), call, args))
 
     def run(self, seconds: float, until: Callable[[], bool] = lambda: False) -> float:
-        """Run; return the seconds until the condition held, or all of them."""
+        """Run until the condition holds or the time is up; return elapsed seconds."""
         start = checked = self.now
         while self.now < start + seconds:
             if self.now >= checked + 0.1:
@@ -124,12 +124,12 @@
         )
 
     def reset(self) -> None:
-        """Begin to count anew."""
+        """Reset all cost counters."""
         self.costs = {name: Cost(cost.own) for name, cost in self.costs.items()}
         self.per_second.clear()
 
     def means(self, seconds: float) -> dict[str, float]:
-        """Return what a router spent a second, in the mean and at most."""
+        """Return the mean costs of a router per second, and the peak of bytes sent."""
         costs = [self.costs[name].outcomes for name in self.cores]
         names = ("cpu_us", "bytes_out", "bytes_in", "messages_out", "messages_in")
         out = {n: sum(c[n] for c in costs) / len(costs) / seconds for n in names}
@@ -138,17 +138,17 @@
 
     @property
     def worst_second(self) -> float:
-        """Most bytes that any router sent in one second."""
+        """Largest number of bytes that any router sent within one second."""
         return max(max(c.values(), default=0) for c in self.per_second.values())
 
     def agreed(self) -> bool:
-        """Tell whether all see just the live routers."""
+        """Return whether the view of each router is exactly the set of live routers."""
         live = self.cores.keys()
         return all(core.members.keys() == live for core in self.cores.values())
 
 
 def members_quiet(nodes: int) -> dict[str, float]:
-    """Nothing happens; costs a second of one router."""
+    """Measure one router's cost per second in a stable fleet."""
     world = MembersWorld(nodes)
     world.run(_WARM_S)
     world.reset()
@@ -158,7 +158,7 @@
 
 
 def members_lost(lost: int) -> dict[str, float]:
-    """Routers die at once; what that costs each router over 20 s, all told."""
+    """Crash routers at the same time; measure each router's total cost over 20 s."""
     world = MembersWorld()
     world.run(_WARM_S)
     world.reset()
@@ -170,7 +170,7 @@
 
 
 def members_revision(nodes: int) -> dict[str, float]:
-    """The readers of each zone have a new configuration; seconds until all do."""
+    """Measure how long a new configuration takes from the zones' readers to all."""
     world = MembersWorld(nodes)
     world.run(_WARM_S)
     for number in range(_READERS_PER_ZONE * ZONES):
@@ -180,7 +180,7 @@
 
 
 def members_memory(nodes: int) -> dict[str, float]:
-    """State of one router that knows so many."""
+    """Measure the memory of one router's membership state."""
     members = tuple(_member(n, ZONES) for n in range(nodes))
 
     def make() -> Membership:
@@ -199,7 +199,7 @@
 
 
 def lost_zone() -> dict[str, float]:
-    """One of 7 zones dies at once."""
+    """Simulate the crash of all routers in one of 7 zones."""
     return _lost([n for n in range(NODES) if n % ZONES == 0])
 
 
@@ -213,7 +213,7 @@
 
 
 def regions_apart(apart_s: float = 60.0) -> dict[str, float]:
-    """Two regions lose each other, and find each other again."""
+    """Simulate a network partition between two regions, and its healing."""
     world = MembersWorld()
     world.run(_WARM_S)
     world.reset()
--- a/greengageflow/lab/_slopes_view.py
+++ b/greengageflow/lab/_slopes_view.py
@@ -1,4 +1,4 @@
-"""Slopes of a changed view: who owns what, and what the parts do about it."""
+"""Cost of a view change: new placement, and its handling in one router."""
 
 from time import process_time
 
@@ -19,7 +19,7 @@
 
 
 class ViewWorld:
-    """The parts of one router that follow the view.
+    """The components of one router that depend on the fleet view.
 
     Args:
         nodes: Members.
@@ -40,7 +40,7 @@
         self.first_us = self.change(self.live, frozenset(self.live))
 
     def change(self, live: dict[str, LiveMember], roster: frozenset[str]) -> float:
-        """Take over another view; return microseconds of processor time."""
+        """Apply a new view; return the processor time in microseconds."""
         start = process_time()
         self.view = self.view.updated(live, roster)
         self.collector.on_view(1.0, self.view)
@@ -62,13 +62,13 @@
 
 
 def view_members(nodes: int) -> dict[str, float]:
-    """Change the view of a fleet of so many members."""
+    """Measure view changes by the number of members."""
     held, world = memory_of(lambda: ViewWorld(nodes))
     return {**_costs(ViewWorld(nodes)), "memory_bytes": held * bool(world)}
 
 
 def view_endpoints(endpoints: int) -> dict[str, float]:
-    """Change the view of 360 members over so many endpoints."""
+    """Measure view changes of 360 members by the number of endpoints."""
     held, world = memory_of(lambda: ViewWorld(NODES, endpoints))
     return {**_costs(ViewWorld(NODES, endpoints)), "memory_bytes": held * bool(world)}
 
